--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -10,7 +10,7 @@
 mod platform;
 pub(crate) mod server;
 
-#[allow(dead_code, missing_docs, clippy::all, reason = "generated code")]
+#[allow(dead_code, clippy::all, reason = "generated code")]
 mod spread_capnp;
 
 use crate::calls::{self, Calls};
