--- a/core/src/call/budget.rs
+++ b/core/src/call/budget.rs
@@ -28,7 +28,7 @@
     Window(Window),
 }
 
-/// A budget that holds over the fleet in each span of [`WINDOW`] without a message between nodes:
+/// A budget that holds over the fleet in each span of `WINDOW` without a message between nodes:
 /// every node uses at most its share of the first attempts that it has itself counted, and its
 /// part of a fixed reserve.
 ///
--- a/tools/src/check/config.rs
+++ b/tools/src/check/config.rs
@@ -60,7 +60,7 @@
 }
 
 impl Config {
-    /// Takes the options of [`command_line`].
+    /// Takes the options of [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         let [preset] = matches.free.as_slice() else {
             return Err(usage(format!("found {} presets, allowed 1", matches.free.len())));
--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -62,7 +62,7 @@
     Resend(Duration),
 }
 
-/// Makes a request and returns its record, at the latest [`GRACE`] after its deadline.
+/// Makes a request and returns its record, at the latest `GRACE` after its deadline.
 pub async fn call(job: &Job<'_>, entries: &[Pool]) -> Record {
     call_with_grace(job, entries, GRACE).await
 }
--- a/tools/src/load/config.rs
+++ b/tools/src/load/config.rs
@@ -46,7 +46,7 @@
 }
 
 impl Config {
-    /// Takes the options of [`command_line`].
+    /// Takes the options of [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         if let Some(extra) = matches.free.first() {
             return Err(usage(format!("unexpected argument {extra:?}")));
--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -42,7 +42,7 @@
 }
 
 impl Config {
-    /// Takes the options of [`command_line`].
+    /// Takes the options of [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         no_arguments(matches)?;
         let fleet = Fleet::parse(matches)?;
--- a/tools/src/timeline/config.rs
+++ b/tools/src/timeline/config.rs
@@ -63,7 +63,7 @@
 }
 
 impl Config {
-    /// Takes the options of [`command_line`].
+    /// Takes the options of [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         let fleet = Fleet::parse(matches)?;
         let files: Vec<_> = matches.free.iter().map(PathBuf::from).collect();
