--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -10,7 +10,7 @@
 
 pub use content::Content;
 pub use document::{Class, OnceBy, Preset, Route, Service, ServiceLimits, Share, Target};
-pub use in_force::{Floor, InForce, Verdict};
+pub use in_force::{Decision, InForce, VersionFloor};
 pub use resource::{Manifest, Resource, ResourceId, ResourceKind};
 pub use scope::Scope;
 pub use snapshot::{RouteKey, ServiceKey, Snapshot, TargetKey};
--- a/core/src/config/in_force.rs
+++ b/core/src/config/in_force.rs
@@ -21,19 +21,19 @@
     /// The newest publication that this node knows to have been accepted, by itself now or by its
     /// VM before a restart; its configuration never goes below it.
     #[derive(Default)]
-    pub struct Floor {
+    pub struct VersionFloor {
         newest: Option<InForce>,
         conflict: Option<u64>,
     }
 
     /// What to do about a publication.
-    pub enum Verdict {
+    pub enum Decision {
         /// It is newer: fetch and check its body.
-        Take,
+        Fetch,
         /// It is the one already known.
-        Known,
+        AlreadyKnown,
         /// It is refused; the one in force stays.
-        Refuse(Code),
+        Reject(Code),
     }
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-impl Floor {
+impl VersionFloor {
     /// The newest publication accepted so far.
     pub fn newest(&self) -> Option<&InForce> {
         self.newest.as_ref()
@@ -63,42 +63,42 @@
     /// whose body is being read.
     ///
     /// Refuses a second body under a version that is held or pending.
-    pub fn judge(&mut self, seen: &InForce, pending: Option<&InForce>) -> Verdict {
+    pub fn evaluate(&mut self, seen: &InForce, pending: Option<&InForce>) -> Decision {
         if let Some(newest) = &self.newest {
             if seen == newest {
-                return Verdict::Known;
+                return Decision::AlreadyKnown;
             }
             if seen.version < newest.version {
-                return Verdict::Refuse(Code::VersionOlder);
+                return Decision::Reject(Code::VersionOlder);
             }
             if seen.version == newest.version {
-                return Verdict::Refuse(Code::VersionConflict);
+                return Decision::Reject(Code::VersionConflict);
             }
         }
         if self.conflict == Some(seen.version) {
-            return Verdict::Refuse(Code::VersionConflict);
+            return Decision::Reject(Code::VersionConflict);
         }
         match pending {
-            Some(pending) if pending == seen => Verdict::Known,
+            Some(pending) if pending == seen => Decision::AlreadyKnown,
             Some(pending) if pending.version == seen.version => {
                 self.conflict = Some(seen.version);
-                Verdict::Refuse(Code::VersionConflict)
+                Decision::Reject(Code::VersionConflict)
             }
-            Some(pending) if pending.version > seen.version => Verdict::Refuse(Code::VersionOlder),
-            _ => Verdict::Take,
+            Some(pending) if pending.version > seen.version => Decision::Reject(Code::VersionOlder),
+            _ => Decision::Fetch,
         }
     }
 
     /// Judges a publication that a peer has accepted.
-    pub fn judge_accepted(&self, seen: &InForce) -> Verdict {
+    pub fn evaluate_accepted(&self, seen: &InForce) -> Decision {
         match &self.newest {
-            Some(newest) if seen == newest => Verdict::Known,
-            Some(newest) if seen.replaces(newest) => Verdict::Take,
+            Some(newest) if seen == newest => Decision::AlreadyKnown,
+            Some(newest) if seen.replaces(newest) => Decision::Fetch,
             Some(newest) if seen.version == newest.version => {
-                Verdict::Refuse(Code::VersionConflict)
+                Decision::Reject(Code::VersionConflict)
             }
-            Some(_) => Verdict::Refuse(Code::VersionOlder),
-            None => Verdict::Take,
+            Some(_) => Decision::Reject(Code::VersionOlder),
+            None => Decision::Fetch,
         }
     }
 
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -35,7 +35,7 @@
 pub use message::{Delta, PeerMsg, Summary, Word};
 pub use port::{Config, Input, Output, Peer, SourceCall, SourceReply, SourceValue, View};
 
-use crate::config::{Floor, InForce, Scope, Snapshot};
+use crate::config::{InForce, Scope, Snapshot, VersionFloor};
 use crate::event::{Event, EventKind};
 use crate::member::VmState;
 use crate::place::Link;
@@ -73,7 +73,7 @@
     topology: Topology,
     topology_at: Time,
     not_live: IndexMap<Name, VmState>,
-    floor: Floor,
+    floor: VersionFloor,
     in_force: Option<Store>,
     /// Checked, but held back until the node has asked its peers.
     staged: Option<Checked>,
@@ -117,7 +117,7 @@
             topology: Topology::unknown(),
             topology_at: Time::ZERO,
             not_live: IndexMap::new(),
-            floor: Floor::default(),
+            floor: VersionFloor::default(),
             in_force: None,
             staged: None,
             snapshot: None,
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -7,7 +7,7 @@
 use super::port::{Output, Peer};
 use super::store::{self, Store};
 use super::{Checked, Spread};
-use crate::config::{InForce, Scope, Snapshot, Verdict};
+use crate::config::{Decision, InForce, Scope, Snapshot};
 use crate::event::{Event, EventKind};
 use crate::{Code, Fault, Name, Time};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 
     /// Whether a version accepted by a peer is newer than what is held here.
     fn lacks(&mut self, now: Time, from: &Peer, seen: &InForce, out: &mut Vec<Output>) -> bool {
-        if let Verdict::Refuse(code) = self.floor.judge_accepted(seen) {
+        if let Decision::Reject(code) = self.floor.evaluate_accepted(seen) {
             // An older version is what a peer that is behind has in force; only two bodies under
             // one version are worth a report.
             if code == Code::VersionConflict {
@@ -216,7 +216,7 @@
     /// Puts a checked version into force, or holds it back while peers are being asked.
     pub(super) fn offer(&mut self, now: Time, checked: Checked, out: &mut Vec<Output>) {
         let publication = &checked.store.summary().in_force;
-        if matches!(self.floor.judge_accepted(publication), Verdict::Refuse(_)) {
+        if matches!(self.floor.evaluate_accepted(publication), Decision::Reject(_)) {
             return;
         }
         self.stop_reading(publication.clone(), out);
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -9,7 +9,7 @@
 use super::source::{OpenCall, Purpose, Reading, Watch};
 use super::store::Store;
 use super::{Checked, Spread};
-use crate::config::{Content, InForce, Preset, Scope, Snapshot, Verdict, resource, validate};
+use crate::config::{Content, Decision, InForce, Preset, Scope, Snapshot, resource, validate};
 use crate::event::{Event, EventKind};
 use crate::hash::Hash;
 use crate::member::VmList;
@@ -133,16 +133,16 @@
         }
         // The floor may be a version that this VM had before a restart and does not hold now.
         let verdict = match self.floor.newest() {
-            Some(floor) if *floor == seen && pending.as_ref() != Some(&seen) => Verdict::Take,
-            _ => self.floor.judge(&seen, pending.as_ref()),
+            Some(floor) if *floor == seen && pending.as_ref() != Some(&seen) => Decision::Fetch,
+            _ => self.floor.evaluate(&seen, pending.as_ref()),
         };
         match verdict {
-            Verdict::Known => {}
-            Verdict::Take => {
+            Decision::AlreadyKnown => {}
+            Decision::Fetch => {
                 self.hear_of(now, seen.version, None, out);
                 self.begin_reading(now, seen);
             }
-            Verdict::Refuse(code) => {
+            Decision::Reject(code) => {
                 if code == Code::VersionConflict
                     && pending.is_some_and(|pending| pending.version == seen.version)
                 {
--- a/tools/src/check.rs
+++ b/tools/src/check.rs
@@ -14,7 +14,7 @@
 use report::Report;
 use std::io::Write;
 use sycamore_core::Result;
-use sycamore_core::config::{Floor, InForce};
+use sycamore_core::config::{InForce, VersionFloor};
 
 /// Version of a first publication.
 const FIRST_VERSION: u64 = 1;
@@ -48,8 +48,8 @@
 }
 
 /// What a node that holds the previous publication knows.
-fn floor(previous: Option<&Publication>) -> Floor {
-    let mut floor = Floor::default();
+fn floor(previous: Option<&Publication>) -> VersionFloor {
+    let mut floor = VersionFloor::default();
     if let Some(in_force) = previous.and_then(|previous| previous.in_force.clone()) {
         floor.accept(in_force);
     }
--- a/tools/src/check/report.rs
+++ b/tools/src/check/report.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use std::fmt;
 use std::path::Path;
-use sycamore_core::config::{Floor, InForce, Verdict};
+use sycamore_core::config::{Decision, InForce, VersionFloor};
 use sycamore_core::hash::Hash;
 use sycamore_core::{Code, Fault};
 
@@ -84,15 +84,15 @@
         mut self,
         in_force: Option<InForce>,
         in_force_now: Option<InForce>,
-        mut floor: Floor,
+        mut floor: VersionFloor,
     ) -> Report {
-        let verdict = in_force.as_ref().map(|in_force| floor.judge(in_force, None));
-        if let (Some(Verdict::Refuse(code)), Some(now), Some(new)) =
+        let verdict = in_force.as_ref().map(|in_force| floor.evaluate(in_force, None));
+        if let (Some(Decision::Reject(code)), Some(now), Some(new)) =
             (&verdict, &in_force_now, &in_force)
         {
             self.refuse(*code, now, new);
         }
-        self.in_force_already = verdict == Some(Verdict::Known);
+        self.in_force_already = verdict == Some(Decision::AlreadyKnown);
         self.in_force = in_force.filter(|_| self.accepted);
         self.judged_against = in_force_now;
         self
