--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -1,16 +1,16 @@
 //! Configuration: what operators publish, what is checked, and what a node holds.
 
-pub mod content;
 pub mod document;
 pub mod in_force;
 pub mod resource;
+pub mod resource_set;
 pub mod scope;
 pub mod snapshot;
 pub mod validate;
 
-pub use content::Content;
 pub use document::{Class, OnceBy, Preset, Route, Service, ServiceLimits, Share, Target};
 pub use in_force::{Decision, InForce, VersionFloor};
 pub use resource::{Manifest, Resource, ResourceId, ResourceKind};
+pub use resource_set::ResourceSet;
 pub use scope::Scope;
 pub use snapshot::{RouteKey, ServiceKey, Snapshot, TargetKey};
--- a/core/src/config/content.rs
+++ b/core/src/config/resource_set.rs
@@ -11,7 +11,7 @@
 
 data! {
     /// A resource and the service that it belongs to.
-    pub struct Entry {
+    pub struct ResourceEntry {
         /// The resource.
         pub resource: Resource,
         /// The service described, or the one that a route leads to.
@@ -19,7 +19,7 @@
     }
 
     /// What a change left behind or brought: enough to tell who needs it.
-    pub struct Trace {
+    pub struct ResourceDigest {
         /// Hash of the content.
         pub hash: Hash,
         /// The service that the resource belonged to.
@@ -28,16 +28,16 @@
 
     /// Resources by id, with the routes of each service at hand.
     #[derive(Default)]
-    pub struct Content {
-        entries: BTreeMap<ResourceId, Entry>,
+    pub struct ResourceSet {
+        entries: BTreeMap<ResourceId, ResourceEntry>,
         routes_of: BTreeMap<Name, BTreeSet<Name>>,
     }
 }
 
-impl Content {
+impl ResourceSet {
     /// Takes resources, for example those of a preset that was split.
-    pub fn new(resources: IndexMap<ResourceId, Resource>) -> Result<Content> {
-        let mut content = Content::default();
+    pub fn new(resources: IndexMap<ResourceId, Resource>) -> Result<ResourceSet> {
+        let mut content = ResourceSet::default();
         for (id, resource) in resources {
             content.insert(id, resource)?;
         }
@@ -50,12 +50,12 @@
     }
 
     fn insert(&mut self, id: ResourceId, resource: Resource) -> Result<()> {
-        let service = service_of(&id, &resource)?;
+        let service = owning_service(&id, &resource)?;
         self.remove(&id);
         if id.kind == ResourceKind::Route {
             self.routes_of.entry(service.clone()).or_default().insert(id.name.clone());
         }
-        self.entries.insert(id, Entry { resource, service });
+        self.entries.insert(id, ResourceEntry { resource, service });
         Ok(())
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// A resource.
-    pub fn get(&self, id: &ResourceId) -> Option<&Entry> {
+    pub fn get(&self, id: &ResourceId) -> Option<&ResourceEntry> {
         self.entries.get(id)
     }
 
@@ -94,8 +94,9 @@
     }
 
     /// The resources within a scope, in the order of their ids.
-    pub fn within(&self, scope: &Scope) -> IndexMap<ResourceId, Resource> {
-        let take = |(id, entry): (&ResourceId, &Entry)| (id.clone(), entry.resource.clone());
+    pub fn in_scope(&self, scope: &Scope) -> IndexMap<ResourceId, Resource> {
+        let take =
+            |(id, entry): (&ResourceId, &ResourceEntry)| (id.clone(), entry.resource.clone());
         match scope {
             Scope::All => self.entries.iter().map(take).collect(),
             Scope::Only(services) => {
@@ -121,7 +122,7 @@
     }
 
     /// Takes the bodies that are equal from `older`, so that two versions share them.
-    pub fn share(&mut self, older: &Content) {
+    pub fn share_bodies(&mut self, older: &ResourceSet) {
         for (id, entry) in &mut self.entries {
             let same = older.get(id).filter(|old| old.resource.hash == entry.resource.hash);
             if let Some(same) = same {
@@ -131,23 +132,26 @@
     }
 
     /// Drops what is outside a scope.
-    pub fn keep(&mut self, scope: &Scope) {
+    pub fn retain_scope(&mut self, scope: &Scope) {
         self.entries.retain(|_, entry| scope.covers(&entry.service));
         self.routes_of.retain(|service, _| scope.covers(service));
     }
 
     /// What differs from `older`: by resource, what was there; `None` if nothing was.
-    pub fn changes_since(&self, older: &Content) -> BTreeMap<ResourceId, Option<Trace>> {
+    pub fn changes_since(
+        &self,
+        older: &ResourceSet,
+    ) -> BTreeMap<ResourceId, Option<ResourceDigest>> {
         let mut changes = BTreeMap::new();
         for (id, entry) in &self.entries {
-            let before = older.get(id).map(Entry::trace);
-            if before.as_ref() != Some(&entry.trace()) {
+            let before = older.get(id).map(ResourceEntry::digest);
+            if before.as_ref() != Some(&entry.digest()) {
                 changes.insert(id.clone(), before);
             }
         }
         for (id, entry) in &older.entries {
             if !self.entries.contains_key(id) {
-                changes.insert(id.clone(), Some(entry.trace()));
+                changes.insert(id.clone(), Some(entry.digest()));
             }
         }
         changes
@@ -161,15 +165,15 @@
     }
 }
 
-impl Entry {
+impl ResourceEntry {
     /// The trace that the resource leaves in the history.
-    pub fn trace(&self) -> Trace {
-        Trace { hash: self.resource.hash, service: self.service.clone() }
+    pub fn digest(&self) -> ResourceDigest {
+        ResourceDigest { hash: self.resource.hash, service: self.service.clone() }
     }
 }
 
 /// The service that a resource belongs to.
-fn service_of(id: &ResourceId, resource: &Resource) -> Result<Name> {
+fn owning_service(id: &ResourceId, resource: &Resource) -> Result<Name> {
     match id.kind {
         ResourceKind::Service | ResourceKind::Targets => Ok(id.name.clone()),
         ResourceKind::Route => {
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -207,7 +207,7 @@
     /// Builds a version whole from what a peer sent, beside the one in force.
     fn check(&self, delta: &Delta, scope: Scope, from: &Peer) -> crate::Result<Checked> {
         let content = store::apply(delta, self.newest_store(), &scope)?;
-        let resources = content.within(&self.scope);
+        let resources = content.in_scope(&self.scope);
         let snapshot = Snapshot::from_resources(delta.summary.in_force.clone(), &resources)?;
         let store = Store::new(delta.summary.clone(), scope, content);
         Ok(Checked { store, snapshot, from: Some(from.clone()) })
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -9,7 +9,7 @@
 use super::source::{OpenCall, Purpose, Reading, Watch};
 use super::store::Store;
 use super::{Checked, Spread};
-use crate::config::{Content, Decision, InForce, Preset, Scope, Snapshot, resource, validate};
+use crate::config::{Decision, InForce, Preset, ResourceSet, Scope, Snapshot, resource, validate};
 use crate::event::{Event, EventKind};
 use crate::hash::Hash;
 use crate::member::VmList;
@@ -278,16 +278,17 @@
         }
         validate::preset(&preset)?;
         self.source.parts.retain(|digest, _| refs.iter().any(|part| part.digest == *digest));
-        let mut content = Content::new(resource::split(&preset))?;
+        let mut content = ResourceSet::new(resource::split(&preset))?;
         // The documents take several times the memory of what is kept of them.
         drop(preset);
         if let Some(held) = &self.in_force {
-            content.share(held.content());
+            content.share_bodies(held.content());
         }
         let whole = content.manifest(&Scope::All).digest();
         let scope = self.wanted_scope();
-        content.keep(&scope);
-        let snapshot = Snapshot::from_resources(publication.clone(), &content.within(&self.scope))?;
+        content.retain_scope(&scope);
+        let snapshot =
+            Snapshot::from_resources(publication.clone(), &content.in_scope(&self.scope))?;
         let summary = Summary { in_force: publication.clone(), whole, store_age_ms: None };
         Ok(Checked { store: Store::new(summary, scope, content), snapshot, from: None })
     }
--- a/core/src/spread/store.rs
+++ b/core/src/spread/store.rs
@@ -1,7 +1,7 @@
 //! The version that a node holds, and the differences that it makes for others.
 
 use super::message::{Base, Delta, Summary};
-use crate::config::content::{Content, Trace};
+use crate::config::resource_set::{ResourceDigest, ResourceSet};
 use crate::config::{ResourceId, Scope};
 use crate::hash::Hash;
 use crate::{Code, Fault, Result};
@@ -23,7 +23,7 @@
 /// Largest number of resources in a difference that is taken from a peer.
 pub const MAX_DELTA_RESOURCES: usize = 100_000;
 
-type Changes = BTreeMap<ResourceId, Option<Trace>>;
+type Changes = BTreeMap<ResourceId, Option<ResourceDigest>>;
 
 /// What changed from one held version to the next.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
 pub struct Store {
     summary: Summary,
     scope: Scope,
-    content: Content,
+    content: ResourceSet,
     digest: Hash,
     steps: VecDeque<Step>,
     cached: VecDeque<Cached>,
@@ -54,7 +54,7 @@
 
 impl Store {
     /// Holds a version.
-    pub fn new(summary: Summary, scope: Scope, content: Content) -> Store {
+    pub fn new(summary: Summary, scope: Scope, content: ResourceSet) -> Store {
         let digest = content.manifest(&scope).digest();
         Store { summary, scope, content, digest, steps: VecDeque::new(), cached: VecDeque::new() }
     }
@@ -75,7 +75,7 @@
     }
 
     /// The resources held.
-    pub fn content(&self) -> &Content {
+    pub fn content(&self) -> &ResourceSet {
         &self.content
     }
 
@@ -134,7 +134,7 @@
     }
 
     fn everything(&self, scope: &Scope) -> Delta {
-        let resources = self.content.within(scope);
+        let resources = self.content.in_scope(scope);
         Delta {
             summary: self.summary.clone(),
             base: None,
@@ -148,7 +148,7 @@
         let before = self.before(base.version)?;
         let mut manifest = self.content.manifest(scope);
         let digest = manifest.digest();
-        let covers = |trace: &&Trace| scope.covers(&trace.service);
+        let covers = |digest: &&ResourceDigest| scope.covers(&digest.service);
         let mut changed = Vec::new();
         let mut removed = Vec::new();
         for (id, old) in before {
@@ -182,7 +182,7 @@
 
     /// Every resource that changed since `version`, with what it was then. `None` if the history
     /// does not go back that far.
-    fn before(&self, version: u64) -> Option<BTreeMap<&ResourceId, Option<&Trace>>> {
+    fn before(&self, version: u64) -> Option<BTreeMap<&ResourceId, Option<&ResourceDigest>>> {
         if version == self.version() {
             return Some(BTreeMap::new());
         }
@@ -201,13 +201,13 @@
 ///
 /// Every hash is computed from the received body, so that nothing of a wrong or incomplete
 /// difference is used.
-pub fn apply(delta: &Delta, held: Option<&Store>, scope: &Scope) -> Result<Content> {
+pub fn apply(delta: &Delta, held: Option<&Store>, scope: &Scope) -> Result<ResourceSet> {
     let fault = |code: Code| Fault::new(code).with_place(delta.summary.in_force.version);
     if delta.changed.len() + delta.removed.len() > MAX_DELTA_RESOURCES {
         return Err(fault(Code::PeerInvalid).with_detail("too many resources"));
     }
     let mut content = match (&delta.base, held) {
-        (None, _) => Content::default(),
+        (None, _) => ResourceSet::default(),
         (Some(base), Some(held)) if *base == held.base() && held.scope == *scope => {
             held.content.clone()
         }
--- a/core/tests/spread_delta.rs
+++ b/core/tests/spread_delta.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use sycamore_core::Name;
-use sycamore_core::config::content::Content;
+use sycamore_core::config::resource_set::ResourceSet;
 use sycamore_core::config::{InForce, Resource, ResourceId, ResourceKind, Scope};
 use sycamore_core::hash::Hash;
 use sycamore_core::spread::Summary;
@@ -85,7 +85,7 @@
     Summary { in_force, whole: Hash::of(b""), store_age_ms: None }
 }
 
-fn held(content: &Content) -> BTreeMap<ResourceId, Hash> {
+fn held(content: &ResourceSet) -> BTreeMap<ResourceId, Hash> {
     content.manifest(&Scope::All).entries
 }
 
@@ -103,7 +103,7 @@
         let mut child: Option<Store> = None;
         for (index, version) in versions.iter().enumerate() {
             let number = index as u64 + 1;
-            let content = Content::new(resources(version)).unwrap();
+            let content = ResourceSet::new(resources(version)).unwrap();
             relay = Some(Store::new(summary(number), Scope::All, content).after(relay.take()));
             if skips[index] {
                 continue;
@@ -130,9 +130,9 @@
         fault in 0..4u8,
         pick in any::<prop::sample::Index>(),
     ) {
-        let mut relay = Store::new(summary(1), Scope::All, Content::new(resources(&first)).unwrap());
-        let child = Store::new(summary(1), Scope::All, Content::new(resources(&first)).unwrap());
-        relay = Store::new(summary(2), Scope::All, Content::new(resources(&second)).unwrap())
+        let mut relay = Store::new(summary(1), Scope::All, ResourceSet::new(resources(&first)).unwrap());
+        let child = Store::new(summary(1), Scope::All, ResourceSet::new(resources(&first)).unwrap());
+        relay = Store::new(summary(2), Scope::All, ResourceSet::new(resources(&second)).unwrap())
             .after(Some(relay));
         let mut delta =
             relay.delta(Some(&child.base()), &Scope::All).unwrap().as_ref().clone();
@@ -166,7 +166,7 @@
         services: (0..SERVICES).map(|s| (s, (1, if s == 2 { targets } else { 0 }))).collect(),
         routes: (0..8).map(|route| (route, route % SERVICES)).collect(),
     };
-    let content = |targets| Content::new(resources(&version(targets))).unwrap();
+    let content = |targets| ResourceSet::new(resources(&version(targets))).unwrap();
     let old = Store::new(summary(1), Scope::All, content(1));
     let base = old.base();
     let mut new = Store::new(summary(2), Scope::All, content(2)).after(Some(old));
@@ -189,7 +189,7 @@
         services: (0..SERVICES).map(|s| (s, (limits, 0))).collect(),
         routes: BTreeMap::new(),
     };
-    let content = |limits| Content::new(resources(&version(limits))).unwrap();
+    let content = |limits| ResourceSet::new(resources(&version(limits))).unwrap();
     let child = Store::new(summary(1), Scope::All, content(7));
     let relay = Store::new(summary(1), Scope::All, content(1));
     let mut relay = Store::new(summary(2), Scope::All, content(1)).after(Some(relay));
