--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -7,7 +7,7 @@
 //! - `topology`: who reads the platform, and who takes versions from whom
 //! - `budget`: which calls to the platform a node makes, and when; `reading`: what they bring
 //! - `attach`: finding a parent and keeping it; `children`: the nodes below
-//! - `questions`: what peers are asked, and what they answer
+//! - `pings`: what peers are asked, and what they answer
 //! - `fetch`: taking a version from a peer; `serve`: answering peers
 //! - `join`: what a node asks before it relies on what it holds
 //! - `words`: passing on what VMs say of themselves
@@ -26,7 +26,7 @@
 mod join;
 mod members;
 mod notes;
-mod questions;
+mod pings;
 mod reading;
 mod serve;
 mod source;
@@ -91,7 +91,7 @@
     confirmed: bool,
     join: Option<join::Join>,
     attach: attach::Attach,
-    asked: questions::Asked,
+    pending_pings: pings::PendingPings,
     children: children::Children,
     fetch: Option<fetch::Fetch>,
     source: source::Source,
@@ -130,7 +130,7 @@
             confirmed: false,
             join: None,
             attach: attach::Attach::default(),
-            asked: questions::Asked::default(),
+            pending_pings: pings::PendingPings::default(),
             children: children::Children::default(),
             fetch: None,
             source: source::Source::default(),
@@ -205,7 +205,7 @@
             Event::new(now, EventKind::ClockGap).with_code(crate::Code::ClockGap),
         ));
         self.children.clear();
-        self.asked.clear();
+        self.pending_pings.clear();
         self.attach.forget(now);
         self.confirmed = false;
         self.begin_join(now);
@@ -214,7 +214,7 @@
     /// Does whatever is due and asks to be woken for the rest.
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.refresh_topology(now, out);
-        self.expire_questions(now, out);
+        self.expire_pings(now, out);
         self.tick_join(now, out);
         self.tick_attach(now, out);
         self.tick_fetch(now, out);
@@ -229,7 +229,7 @@
     fn next_wake(&self, now: Time) -> Time {
         let times = [
             Some(self.topology_at),
-            self.asked.next(),
+            self.pending_pings.next_deadline(),
             self.join_wake(now),
             self.attach_wake(now),
             self.fetch.as_ref().map(|fetch| fetch.until),
--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -101,7 +101,7 @@
     pub(super) fn attach_wake(&self, now: Time) -> Option<Time> {
         let searching = self.attach.parent.is_none();
         let has_uppers = !self.topology.uppers.is_empty();
-        let waits = searching && self.asked.waits(Ask::Attach);
+        let waits = searching && self.pending_pings.has_pending(Ask::Attach);
         let next = (has_uppers && !waits).then_some(self.attach.at);
         let upgrade = self.wants_upgrade(now).map(|_| self.attach.upgrade_at);
         next.into_iter().chain(upgrade).chain([self.attach.compare_at]).min()
@@ -138,7 +138,7 @@
         match self.attach.parent.clone() {
             Some(parent) if now >= self.attach.at => {
                 self.attach.at = now + around(self.heartbeat(&parent), &mut self.rng);
-                self.ask(now, &parent, Ask::Attach, out);
+                self.ping_peer(now, &parent, Ask::Attach, out);
             }
             Some(_) => {}
             None => self.seek(now, out),
@@ -146,7 +146,7 @@
         let best = self.wants_upgrade(now).cloned();
         if let Some(best) = best.filter(|_| now >= self.attach.upgrade_at) {
             self.attach.upgrade_at = now + around(UPGRADE, &mut self.rng);
-            self.ask(now, &best, Ask::Attach, out);
+            self.ping_peer(now, &best, Ask::Attach, out);
         }
         if now >= self.attach.compare_at {
             self.compare(now, out);
@@ -159,7 +159,7 @@
     /// answer.
     fn seek(&mut self, now: Time, out: &mut Vec<Output>) {
         let uppers = self.topology.uppers.len();
-        if uppers == 0 || now < self.attach.at || self.asked.waits(Ask::Attach) {
+        if uppers == 0 || now < self.attach.at || self.pending_pings.has_pending(Ask::Attach) {
             return;
         }
         let round = self.attach.rounds;
@@ -173,7 +173,7 @@
         for number in first..first + count {
             let upper = self.topology.uppers[number % uppers].clone();
             if self.attach.trusts(now, &upper) {
-                self.ask(now, &upper, Ask::Attach, out);
+                self.ping_peer(now, &upper, Ask::Attach, out);
             }
         }
         if self.topology.rank >= TOP && self.takes_strangers() {
@@ -192,7 +192,7 @@
             let member = self.members.random(now, &zone, &own, &mut self.rng);
             let peer = member.map(topology::peer).filter(|peer| self.attach.trusts(now, peer));
             if let Some(peer) = peer {
-                self.ask(now, &peer, Ask::Attach, out);
+                self.ping_peer(now, &peer, Ask::Attach, out);
             }
         }
     }
@@ -208,7 +208,7 @@
         }
         let member = self.members.random(now, &zone, &own, &mut self.rng);
         if let Some(peer) = member.map(topology::peer) {
-            self.ask(now, &peer, Ask::Compare, out);
+            self.ping_peer(now, &peer, Ask::Compare, out);
         }
     }
 
--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -73,7 +73,7 @@
     /// A zone relay can't tell who its region's readers are before it holds these lists.
     fn lacks_lists(&self) -> bool {
         let lacks = |place: &Place| self.members.list(&place.zone).is_none();
-        self.members.zones().is_none() || self.wanted_lists().iter().any(lacks)
+        self.members.zones().is_none() || self.wanted_list_zones().iter().any(lacks)
     }
 
     /// Mean time between two calls of this node.
@@ -216,7 +216,7 @@
             if index > 0 || self.members.zones().is_none() {
                 add(watch.at, Due::watch(Purpose::Zones, "zones", index));
             }
-            for place in self.wanted_lists() {
+            for place in self.wanted_list_zones() {
                 let held = self.members.list(&place.zone).is_some();
                 let watched = access == Access::Reader && place.region == own.region;
                 if watched {
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -111,12 +111,12 @@
     fn ask_round(&mut self, now: Time, listed: bool, out: &mut Vec<Output>) {
         let mut asked = Vec::new();
         for peer in self.join_peers(now) {
-            self.ask(now, &peer, Ask::Join, out);
+            self.ping_peer(now, &peer, Ask::Join, out);
             asked.push(peer.address);
         }
         for seed in self.join_seeds() {
             if !asked.contains(&seed) {
-                self.ask_address(now, seed, Ask::Join, out);
+                self.ping_address(now, seed, Ask::Join, out);
                 asked.push(seed);
             }
         }
--- a/core/src/spread/questions.rs
+++ b/core/src/spread/pings.rs
@@ -12,83 +12,83 @@
 
 /// A question that waits for its answer.
 #[derive(Debug)]
-struct Question {
+struct PendingPing {
     to: SocketAddr,
     ask: Ask,
-    until: Time,
+    deadline: Time,
 }
 
 /// Questions that wait for their answers.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct PendingPings {
     next_seq: u32,
-    questions: IndexMap<u32, Question>,
+    pings: IndexMap<u32, PendingPing>,
 }
 
-impl Asked {
+impl PendingPings {
     /// Opens a question and numbers it. `None` if too many wait already.
-    fn open(&mut self, to: SocketAddr, ask: Ask, until: Time) -> Option<u32> {
-        if self.questions.len() >= MAX_ASKED {
+    fn open(&mut self, to: SocketAddr, ask: Ask, deadline: Time) -> Option<u32> {
+        if self.pings.len() >= MAX_ASKED {
             return None;
         }
         let seq = self.next_seq;
         self.next_seq = self.next_seq.wrapping_add(1);
-        self.questions.insert(seq, Question { to, ask, until });
+        self.pings.insert(seq, PendingPing { to, ask, deadline });
         Some(seq)
     }
 
     /// Whether a question of this kind waits for an answer.
-    pub fn waits(&self, ask: Ask) -> bool {
-        self.questions.values().any(|question| question.ask == ask)
+    pub fn has_pending(&self, ask: Ask) -> bool {
+        self.pings.values().any(|ping| ping.ask == ask)
     }
 
-    fn waits_for(&self, to: SocketAddr, ask: Ask) -> bool {
-        self.questions.values().any(|question| question.to == to && question.ask == ask)
+    fn has_pending_to(&self, to: SocketAddr, ask: Ask) -> bool {
+        self.pings.values().any(|ping| ping.to == to && ping.ask == ask)
     }
 
     /// When the first question is given up.
-    pub fn next(&self) -> Option<Time> {
-        self.questions.values().map(|question| question.until).min()
+    pub fn next_deadline(&self) -> Option<Time> {
+        self.pings.values().map(|ping| ping.deadline).min()
     }
 
-    /// Forgets every question.
+    /// Forgets every ping.
     pub fn clear(&mut self) {
-        self.questions.clear();
+        self.pings.clear();
     }
 
-    fn take(&mut self, pick: impl Fn(&Question) -> bool) -> Vec<Question> {
-        let picked = self.questions.iter().filter(|(_, question)| pick(question));
+    fn remove_matching(&mut self, pick: impl Fn(&PendingPing) -> bool) -> Vec<PendingPing> {
+        let picked = self.pings.iter().filter(|(_, ping)| pick(ping));
         let seqs: Vec<u32> = picked.map(|(seq, _)| *seq).collect();
-        seqs.iter().filter_map(|seq| self.questions.swap_remove(seq)).collect()
+        seqs.iter().filter_map(|seq| self.pings.swap_remove(seq)).collect()
     }
 }
 
 impl Spread {
     /// Asks a peer about its version.
-    pub(super) fn ask(&mut self, now: Time, to: &Peer, ask: Ask, out: &mut Vec<Output>) {
-        if let Some(ping) = self.ping(now, to.address, ask) {
+    pub(super) fn ping_peer(&mut self, now: Time, to: &Peer, ask: Ask, out: &mut Vec<Output>) {
+        if let Some(ping) = self.new_ping(now, to.address, ask) {
             self.send(to, ping, out);
         }
     }
 
     /// Asks whoever is at an address.
-    pub(super) fn ask_address(
+    pub(super) fn ping_address(
         &mut self,
         now: Time,
         to: SocketAddr,
         ask: Ask,
         out: &mut Vec<Output>,
     ) {
-        if let Some(ping) = self.ping(now, to, ask) {
+        if let Some(ping) = self.new_ping(now, to, ask) {
             self.send_unknown(to, ping, out);
         }
     }
 
-    fn ping(&mut self, now: Time, to: SocketAddr, ask: Ask) -> Option<PeerMsg> {
-        if self.asked.waits_for(to, ask) {
+    fn new_ping(&mut self, now: Time, to: SocketAddr, ask: Ask) -> Option<PeerMsg> {
+        if self.pending_pings.has_pending_to(to, ask) {
             return None;
         }
-        let seq = self.asked.open(to, ask, now + ANSWER_WAIT)?;
+        let seq = self.pending_pings.open(to, ask, now + ANSWER_WAIT)?;
         let is_parent = self.attach.parent().is_some_and(|parent| parent.address == to);
         let steady = is_parent && ask == Ask::Attach && self.topology.zone_vms > 0;
         let with_lists = !steady || seq % LISTS_EVERY == 0;
@@ -96,20 +96,20 @@
             seq,
             ask,
             word: self.word.clone(),
-            have: self.have(),
+            have: self.held_summary(),
             zones: self.members.zones().map_or(0, |zones| zones.index),
-            lists: with_lists.then(|| self.members.marks(&self.wanted_lists())),
+            lists: with_lists.then(|| self.members.marks(&self.wanted_list_zones())),
         })))
     }
 
     /// The version in force here.
-    pub(super) fn have(&self) -> Option<Summary> {
+    pub(super) fn held_summary(&self) -> Option<Summary> {
         self.in_force.as_ref().map(|store| store.summary().clone())
     }
 
     /// Zones whose lists this node needs: its own, and for those who look for readers all of the
     /// own region and of the platform's.
-    pub(super) fn wanted_lists(&self) -> Vec<Place> {
+    pub(super) fn wanted_list_zones(&self) -> Vec<Place> {
         let mut wanted = vec![self.cfg.place.clone()];
         if self.topology.rank < TOP || self.topology.reader.is_some() {
             let home = topology::home_region(&self.cfg, &self.members);
@@ -124,15 +124,15 @@
         wanted
     }
 
-    pub(super) fn expire_questions(&mut self, now: Time, out: &mut Vec<Output>) {
-        for question in self.asked.take(|question| question.until <= now) {
-            self.unanswered(now, &question, out);
+    pub(super) fn expire_pings(&mut self, now: Time, out: &mut Vec<Output>) {
+        for ping in self.pending_pings.remove_matching(|ping| ping.deadline <= now) {
+            self.ping_failed(now, &ping, out);
         }
     }
 
     pub(super) fn peer_failed(&mut self, now: Time, to: SocketAddr, out: &mut Vec<Output>) {
-        for question in self.asked.take(|question| question.to == to) {
-            self.unanswered(now, &question, out);
+        for ping in self.pending_pings.remove_matching(|ping| ping.to == to) {
+            self.ping_failed(now, &ping, out);
         }
         if self.attach.parent().is_some_and(|parent| parent.address == to) {
             self.lose_parent(now, out);
@@ -141,34 +141,40 @@
         self.fetch_failed(now, to, out);
     }
 
-    fn unanswered(&mut self, now: Time, question: &Question, out: &mut Vec<Output>) {
-        match question.ask {
+    fn ping_failed(&mut self, now: Time, ping: &PendingPing, out: &mut Vec<Output>) {
+        match ping.ask {
             Ask::Attach => {
                 let parent = self.attach.parent();
-                if parent.is_some_and(|parent| parent.address == question.to) {
+                if parent.is_some_and(|parent| parent.address == ping.to) {
                     self.lose_parent(now, out);
                 }
             }
-            Ask::Join => self.join_unanswered(question.to),
+            Ask::Join => self.join_unanswered(ping.to),
             Ask::Compare => {}
         }
     }
 
-    /// Takes the answer to a question. Answers that were not asked for are dropped.
-    pub(super) fn take_pong(&mut self, now: Time, from: &Peer, pong: &Pong, out: &mut Vec<Output>) {
-        let Some(question) = self.asked.questions.swap_remove(&pong.seq) else { return };
+    /// Takes the answer to a ping. Answers that were not asked for are dropped.
+    pub(super) fn handle_pong(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        pong: &Pong,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(ping) = self.pending_pings.pings.swap_remove(&pong.seq) else { return };
         // An answer that came while the process was paused may be out of date.
-        if question.until < now {
-            return self.unanswered(now, &question, out);
+        if ping.deadline < now {
+            return self.ping_failed(now, &ping, out);
         }
         self.hear_word(now, &pong.word, true);
         for word in &pong.words {
             self.hear_word(now, word, false);
         }
         self.confirmed = true;
-        match question.ask {
+        match ping.ask {
             Ask::Attach => self.take_attached(now, from, pong, out),
-            Ask::Join => self.join_answered(from, question.to, pong),
+            Ask::Join => self.join_answered(from, ping.to, pong),
             Ask::Compare => {}
         }
         if let Some(have) = &pong.have {
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -23,7 +23,7 @@
         }
         match msg {
             PeerMsg::Ping(ping) => self.take_ping(now, from, &ping, out),
-            PeerMsg::Pong(pong) => self.take_pong(now, from, &pong, out),
+            PeerMsg::Pong(pong) => self.handle_pong(now, from, &pong, out),
             PeerMsg::Notice(summary) => self.hear(now, from, &summary, out),
             PeerMsg::Pull(pull) => self.take_pull(from, &pull, out),
             PeerMsg::Delta(delta) => self.take_delta(now, from, &delta, out),
@@ -54,7 +54,7 @@
             attached,
             hops: self.own_hops(),
             word: self.word.clone(),
-            have: self.have(),
+            have: self.held_summary(),
             floor,
             words: self.members.recent_words(now),
         };
@@ -75,7 +75,7 @@
         let alone = self.members.list(&self.cfg.place.zone).is_none();
         if alone && now >= self.meet_at {
             self.meet_at = now + MEET_PAUSE;
-            self.ask(now, from, Ask::Join, out);
+            self.ping_peer(now, from, Ask::Join, out);
         }
     }
 
@@ -93,7 +93,7 @@
             self.members.list(&mark.zone).is_some_and(|list| list.index < mark.index)
         };
         if ping.ask != Ask::Compare && marks.iter().any(newer) {
-            self.ask(now, from, Ask::Compare, out);
+            self.ping_peer(now, from, Ask::Compare, out);
         }
     }
 
