--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -83,7 +83,7 @@
     /// Peers that answered the first questions: parents for a node that has no list to take one
     /// from, as when the platform is down at its start.
     acquainted: Vec<Peer>,
-    dropped: notes::Dropped,
+    removed_targets: notes::RemovedTargets,
     /// Zones whose lists are read because a target there was dropped and may have failed.
     extra_zones: Vec<crate::place::Place>,
     newest_heard: u64,
@@ -123,7 +123,7 @@
             snapshot: None,
             scope_at: Time::ZERO,
             acquainted: Vec::new(),
-            dropped: notes::Dropped::default(),
+            removed_targets: notes::RemovedTargets::default(),
             extra_zones: Vec::new(),
             newest_heard: 0,
             came_from: None,
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -243,7 +243,7 @@
         if let Some(from) = &checked.from {
             event = event.with_peer(&from.vm);
         }
-        self.remember_dropped(&checked.snapshot);
+        self.record_removed_targets(&checked.snapshot);
         self.snapshot = Some(checked.snapshot.clone());
         out.push(Output::InForce(checked.snapshot));
         out.push(Output::Event(event));
--- a/core/src/spread/notes.rs
+++ b/core/src/spread/notes.rs
@@ -16,13 +16,13 @@
 
 /// Where targets are found that newer versions dropped. Bounded: the oldest go first.
 #[derive(Debug, Default)]
-pub struct Dropped {
+pub struct RemovedTargets {
     peers: IndexMap<Name, Peer>,
 }
 
-impl Dropped {
+impl RemovedTargets {
     /// Remembers the targets of `before` that `after` lacks.
-    fn add(&mut self, before: &Snapshot, after: &Snapshot) {
+    fn record(&mut self, before: &Snapshot, after: &Snapshot) {
         for entry in before.targets() {
             let vm = &entry.target.vm;
             if after.target_on(vm).is_none() {
@@ -38,9 +38,9 @@
 
 impl Spread {
     /// Remembers what a new version drops.
-    pub(super) fn remember_dropped(&mut self, after: &Snapshot) {
+    pub(super) fn record_removed_targets(&mut self, after: &Snapshot) {
         if let Some(before) = &self.snapshot {
-            self.dropped.add(before, after);
+            self.removed_targets.record(before, after);
         }
     }
 
@@ -57,14 +57,14 @@
         if let Some(key) = snapshot.target_on(vm) {
             return Some(peer_of(&snapshot.target(key).target));
         }
-        let peer = self.dropped.peers.get(vm)?.clone();
-        self.read_list_of(&peer.place);
+        let peer = self.removed_targets.peers.get(vm)?.clone();
+        self.request_zone_list(&peer.place);
         Some(peer)
     }
 
     /// A VM that a version dropped answers no note; only the list of its zone can say that it is
     /// gone.
-    fn read_list_of(&mut self, place: &Place) {
+    fn request_zone_list(&mut self, place: &Place) {
         if !self.extra_zones.contains(place) && self.extra_zones.len() < MAX_EXTRA_ZONES {
             self.extra_zones.push(place.clone());
         }
