--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -30,25 +30,25 @@
 }
 
 /// A call that is due.
-struct Due {
+struct DueCall {
     purpose: Purpose,
     key: String,
     index: u64,
     wait: Duration,
 }
 
-impl Due {
-    fn now(purpose: Purpose, key: impl Into<String>) -> Due {
-        Due { purpose, key: key.into(), index: 0, wait: Duration::ZERO }
+impl DueCall {
+    fn now(purpose: Purpose, key: impl Into<String>) -> DueCall {
+        DueCall { purpose, key: key.into(), index: 0, wait: Duration::ZERO }
     }
 
-    fn watch(purpose: Purpose, key: impl Into<String>, index: u64) -> Due {
+    fn watch(purpose: Purpose, key: impl Into<String>, index: u64) -> DueCall {
         let longest = match purpose {
             Purpose::List(_) | Purpose::Zones => LIST_WAIT,
             Purpose::InForce | Purpose::Body | Purpose::Part(_) => WATCH_WAIT,
         };
         let wait = if index == 0 { Duration::ZERO } else { longest };
-        Due { purpose, key: key.into(), index, wait }
+        DueCall { purpose, key: key.into(), index, wait }
     }
 }
 
@@ -63,7 +63,7 @@
             return if seeds_silent { Access::Orphan } else { Access::None };
         }
         let is_relay = self.topology.rank < TOP;
-        if is_relay && (self.is_orphan() || self.lacks_lists()) {
+        if is_relay && (self.is_orphan() || self.lacks_zone_lists()) {
             return Access::Relay;
         }
         let needed = self.is_orphan() || !self.extra_zones.is_empty();
@@ -71,7 +71,7 @@
     }
 
     /// A zone relay can't tell who its region's readers are before it holds these lists.
-    fn lacks_lists(&self) -> bool {
+    fn lacks_zone_lists(&self) -> bool {
         let lacks = |place: &Place| self.members.list(&place.zone).is_none();
         self.members.zones().is_none() || self.wanted_list_zones().iter().any(lacks)
     }
@@ -80,7 +80,7 @@
     ///
     /// The interval grows with the number of nodes that may be in the same state, so that their
     /// calls together stay under the platform's limit.
-    pub(super) fn interval(&self, access: Access) -> Duration {
+    pub(super) fn call_interval(&self, access: Access) -> Duration {
         let zones = self.topology.zones as u32;
         let relays = zones * TOP as u32;
         let vms = match self.topology.zone_vms as u32 {
@@ -110,7 +110,7 @@
         let access = self.access(now);
         self.source.wake_at = match access {
             Access::None => {
-                self.leave_source(out);
+                self.cancel_source_calls(out);
                 self.join.as_ref().and_then(|join| join.asks_until())
             }
             Access::Reader => self.call_all_due(now, out),
@@ -119,7 +119,7 @@
     }
 
     /// A node that has found a parent again gives up its calls.
-    fn leave_source(&mut self, out: &mut Vec<Output>) {
+    fn cancel_source_calls(&mut self, out: &mut Vec<Output>) {
         let dropped = self.source.drop_calls(|_| true);
         out.extend(dropped.into_iter().map(Output::DropSource));
         self.source.reading = None;
@@ -128,7 +128,7 @@
     }
 
     fn call_all_due(&mut self, now: Time, out: &mut Vec<Output>) -> Option<Time> {
-        let (due, next) = self.due(now, Access::Reader);
+        let (due, next) = self.due_calls(now, Access::Reader);
         for call in due {
             self.call(now, call, out);
         }
@@ -141,12 +141,12 @@
         access: Access,
         out: &mut Vec<Output>,
     ) -> Option<Time> {
-        let (due, next) = self.due(now, access);
+        let (due, next) = self.due_calls(now, access);
         let Some(call) = due.into_iter().next() else {
             self.source.budget_at = self.source.budget_at.filter(|at| now < *at);
             return next;
         };
-        let interval = self.interval(access);
+        let interval = self.call_interval(access);
         // Full jitter on the first call after a while: nodes that lost their parents lost them
         // together, and nodes whose watches waited hear of a version in one instant. A body and
         // its parts follow on each other, since one helps nobody without the others, and the pause
@@ -168,17 +168,17 @@
         Some(next)
     }
 
-    fn call(&mut self, now: Time, due: Due, out: &mut Vec<Output>) {
+    fn call(&mut self, now: Time, due: DueCall, out: &mut Vec<Output>) {
         let Some(key) = Name::new(due.key) else { return };
         let call = self.source.open(now, due.purpose, key, (due.index, due.wait));
         out.push(Output::ReadSource(call));
     }
 
     /// The calls that are due, most urgent first, and when the next one will be.
-    fn due(&self, now: Time, access: Access) -> (Vec<Due>, Option<Time>) {
+    fn due_calls(&self, now: Time, access: Access) -> (Vec<DueCall>, Option<Time>) {
         let mut due = Vec::new();
         let mut next: Option<Time> = None;
-        let mut add = |at: Time, call: Due| {
+        let mut add = |at: Time, call: DueCall| {
             if self.source.is_open(&call.purpose) {
                 return;
             }
@@ -193,15 +193,15 @@
         let list_at =
             |place: &Place| self.source.lists.get(&place.zone).map_or(Time::ZERO, |w| w.at);
         if self.members.list(&own.zone).is_none() {
-            add(list_at(own), Due::now(Purpose::List(own.clone()), list(own)));
+            add(list_at(own), DueCall::now(Purpose::List(own.clone()), list(own)));
         }
         let reads = access == Access::Reader || self.is_orphan();
         if let Some(reading) = self.source.reading.as_ref().filter(|_| !self.source.is_reading()) {
-            add(reading.at, self.next_of(reading));
+            add(reading.at, self.next_reading_call(reading));
         }
         if reads {
             let watch = &self.source.in_force;
-            let mut call = Due::watch(Purpose::InForce, "in-force", watch.index);
+            let mut call = DueCall::watch(Purpose::InForce, "in-force", watch.index);
             if access == Access::Reader && self.topology.home {
                 call.wait = call.wait.min(WATCH_WAIT_HOME);
             }
@@ -214,7 +214,7 @@
             let watch = &self.source.zones;
             let index = if access == Access::Reader { watch.index } else { 0 };
             if index > 0 || self.members.zones().is_none() {
-                add(watch.at, Due::watch(Purpose::Zones, "zones", index));
+                add(watch.at, DueCall::watch(Purpose::Zones, "zones", index));
             }
             for place in self.wanted_list_zones() {
                 let held = self.members.list(&place.zone).is_some();
@@ -223,23 +223,23 @@
                     let index = self.source.lists.get(&place.zone).map_or(0, |w| w.index);
                     add(
                         list_at(&place),
-                        Due::watch(Purpose::List(place.clone()), list(&place), index),
+                        DueCall::watch(Purpose::List(place.clone()), list(&place), index),
                     );
                 } else if !held && place != *own {
-                    add(list_at(&place), Due::now(Purpose::List(place.clone()), list(&place)));
+                    add(list_at(&place), DueCall::now(Purpose::List(place.clone()), list(&place)));
                 }
             }
         }
         for place in &self.extra_zones {
-            add(list_at(place), Due::now(Purpose::List(place.clone()), list(place)));
+            add(list_at(place), DueCall::now(Purpose::List(place.clone()), list(place)));
         }
         (due, next)
     }
 
-    fn next_of(&self, reading: &Reading) -> Due {
+    fn next_reading_call(&self, reading: &Reading) -> DueCall {
         match self.source.missing_part() {
-            Some(part) => Due::now(Purpose::Part(part.digest), part.key.as_str()),
-            None => Due::now(Purpose::Body, format!("preset/{}", reading.publication.preset)),
+            Some(part) => DueCall::now(Purpose::Part(part.digest), part.key.as_str()),
+            None => DueCall::now(Purpose::Body, format!("preset/{}", reading.publication.preset)),
         }
     }
 }
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -53,7 +53,7 @@
             out.push(Output::Event(Event::new(now, EventKind::SourceLost).with_code(code)));
         }
         let (first, reader) = READER_BACKOFF;
-        let interval = self.interval(self.access(now));
+        let interval = self.call_interval(self.access(now));
         let longest = (interval * ORPHAN_BACKOFF_INTERVALS).clamp(reader, ORPHAN_BACKOFF);
         let rng = &mut self.rng;
         match &call.purpose {
