--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -189,7 +189,7 @@
     fn seek_anyone(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
         for _ in 0..SEEK_RANDOM {
-            let member = self.members.random(now, &zone, &own, &mut self.rng);
+            let member = self.members.random_live(now, &zone, &own, &mut self.rng);
             let peer = member.map(topology::peer).filter(|peer| self.attach.trusts(now, peer));
             if let Some(peer) = peer {
                 self.ping_peer(now, &peer, Ask::Attach, out);
@@ -206,7 +206,7 @@
         if self.rng.random_range(0..COMPARE_AWAY) == 0 {
             zone = self.random_zone().unwrap_or(zone);
         }
-        let member = self.members.random(now, &zone, &own, &mut self.rng);
+        let member = self.members.random_live(now, &zone, &own, &mut self.rng);
         if let Some(peer) = member.map(topology::peer) {
             self.ping_peer(now, &peer, Ask::Compare, out);
         }
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -147,7 +147,7 @@
         for _ in 0..JOIN_RANDOM {
             let zones = [Some(self.cfg.place.zone.clone()), self.random_zone()];
             for zone in zones.into_iter().flatten() {
-                let member = self.members.random(now, &zone, &own, &mut self.rng);
+                let member = self.members.random_live(now, &zone, &own, &mut self.rng);
                 let peer = member.map(topology::peer);
                 peers.extend(peer.filter(|peer| !peers.contains(peer)));
             }
--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -12,9 +12,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A node's own word and when it was last heard, directly or through others.
+/// A node's own word and when it was last reported, directly or through others.
 #[derive(Debug)]
-struct Heard {
+struct ReportedState {
     word: Word,
     at: Time,
     changed: Time,
@@ -27,7 +27,7 @@
     lists: IndexMap<Name, Arc<ZoneList>>,
     /// When the listed state of a VM last changed, for those seen to change.
     listed: IndexMap<Name, Time>,
-    words: IndexMap<Name, Heard>,
+    words: IndexMap<Name, ReportedState>,
     floors: IndexMap<Name, InForce>,
 }
 
@@ -38,7 +38,7 @@
     }
 
     /// Takes a list of zones. Returns whether it was newer.
-    pub fn take_zones(&mut self, zones: Arc<ZonesList>) -> bool {
+    pub fn update_zones(&mut self, zones: Arc<ZonesList>) -> bool {
         let newer = self.zones.as_ref().is_none_or(|held| zones.index > held.index);
         if newer {
             self.zones = Some(zones);
@@ -57,7 +57,7 @@
     }
 
     /// Takes a list of VMs. Returns whether it was newer.
-    pub fn take_list(&mut self, now: Time, list: Arc<ZoneList>) -> bool {
+    pub fn update_list(&mut self, now: Time, list: Arc<ZoneList>) -> bool {
         let zone = list.place.zone.clone();
         match self.lists.get(&zone) {
             Some(held) if held.index >= list.index => return false,
@@ -91,7 +91,7 @@
     }
 
     /// The lists that a node in `region` which holds `marks` lacks.
-    pub fn lists_beyond(&self, marks: &[ListMark], region: &Name) -> Vec<Arc<ZoneList>> {
+    pub fn newer_lists(&self, marks: &[ListMark], region: &Name) -> Vec<Arc<ZoneList>> {
         let lacks =
             |list: &&Arc<ZoneList>| match marks.iter().find(|mark| mark.zone == list.place.zone) {
                 Some(mark) => mark.index < list.index,
@@ -103,18 +103,19 @@
     /// Takes a node's word about its own VM; `direct` if it came from that node itself. Returns
     /// whether anything changed that others should hear of.
     pub fn take_word(&mut self, now: Time, word: &Word, direct: bool) -> bool {
-        if let Some(heard) = self.words.get_mut(&word.vm) {
-            let newer = (word.incarnation, word.state) > (heard.word.incarnation, heard.word.state);
-            let same = *word == heard.word;
+        if let Some(reported) = self.words.get_mut(&word.vm) {
+            let newer =
+                (word.incarnation, word.state) > (reported.word.incarnation, reported.word.state);
+            let same = *word == reported.word;
             if newer || (same && direct) {
-                heard.at = now;
+                reported.at = now;
             }
-            let changed = newer && word.state != heard.word.state;
+            let changed = newer && word.state != reported.word.state;
             if newer {
-                heard.word = word.clone();
+                reported.word = word.clone();
             }
             if changed {
-                heard.changed = now;
+                reported.changed = now;
             }
             return changed;
         }
@@ -127,14 +128,15 @@
             self.words.swap_remove_index(0);
         }
         let changed = if news { now } else { Time::ZERO };
-        self.words.insert(word.vm.clone(), Heard { word: word.clone(), at: now, changed });
+        self.words.insert(word.vm.clone(), ReportedState { word: word.clone(), at: now, changed });
         news
     }
 
     /// Words that changed of late.
     pub fn recent_words(&self, now: Time) -> Vec<Word> {
-        let recent =
-            |heard: &&Heard| heard.changed > Time::ZERO && now.since(heard.changed) < WORDS_REPEAT;
+        let recent = |reported: &&ReportedState| {
+            reported.changed > Time::ZERO && now.since(reported.changed) < WORDS_REPEAT
+        };
         self.words.values().filter(recent).take(MAX_WORDS).map(|h| h.word.clone()).collect()
     }
 
@@ -143,20 +145,20 @@
     /// A node's own word goes before a list, which lags. The list is believed only if the listed
     /// state changed later and the node has been silent for longer than a list lags.
     pub fn state(&self, now: Time, member: &Member) -> VmState {
-        let Some(heard) = self.words.get(&member.vm) else { return member.state };
+        let Some(reported) = self.words.get(&member.vm) else { return member.state };
         let listed = self.listed.get(&member.vm).copied().unwrap_or(Time::ZERO);
-        if listed > heard.at && now.since(heard.at) > LIST_LAG {
+        if listed > reported.at && now.since(reported.at) > LIST_LAG {
             return member.state;
         }
-        heard.word.state
+        reported.word.state
     }
 
     /// Every VM that is known not to be live.
     pub fn not_live(&self, now: Time) -> IndexMap<Name, VmState> {
         let mut states = IndexMap::new();
-        for heard in self.words.values() {
-            if heard.word.state != VmState::Live {
-                states.insert(heard.word.vm.clone(), heard.word.state);
+        for reported in self.words.values() {
+            if reported.word.state != VmState::Live {
+                states.insert(reported.word.vm.clone(), reported.word.state);
             }
         }
         for member in self.lists().flat_map(|list| &list.vms) {
@@ -180,7 +182,7 @@
     }
 
     /// A random live VM of a zone other than `own`.
-    pub fn random(
+    pub fn random_live(
         &self,
         now: Time,
         zone: &Name,
@@ -198,7 +200,7 @@
     }
 
     /// Remembers the version that a neighbour has in force.
-    pub fn confirm(&mut self, vm: &Name, have: &Summary) {
+    pub fn record_floor(&mut self, vm: &Name, have: &Summary) {
         if let Some(floor) = self.floors.get_mut(vm) {
             if have.in_force.replaces(floor) {
                 *floor = have.in_force.clone();
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -178,7 +178,7 @@
             Ask::Compare => {}
         }
         if let Some(have) = &pong.have {
-            self.members.confirm(&from.vm, have);
+            self.members.record_floor(&from.vm, have);
             self.hear(now, from, have, out);
         }
         let theirs = pong.have.as_ref().map_or(0, |have| have.in_force.version);
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -301,7 +301,7 @@
         let parsed = value.body.and_then(|body| serde_json::from_slice::<Zones>(&body).ok());
         let Some(zones) = parsed else { return };
         let list = ZonesList { index: value.index, zones: zones.zones };
-        if self.members.take_zones(Arc::new(list)) {
+        if self.members.update_zones(Arc::new(list)) {
             self.lists_changed();
         }
     }
@@ -315,7 +315,7 @@
         let parsed = value.body.and_then(|body| serde_json::from_slice::<VmList>(&body).ok());
         let Some(list) = parsed else { return };
         let list = ZoneList { place, index: value.index, vms: list.vms };
-        if self.members.take_list(now, Arc::new(list)) {
+        if self.members.update_list(now, Arc::new(list)) {
             self.lists_changed();
         }
     }
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -46,7 +46,7 @@
             Ask::Attach | Ask::Compare => None,
         };
         if let Some(have) = &ping.have {
-            self.members.confirm(&from.vm, have);
+            self.members.record_floor(&from.vm, have);
         }
         let attached = ping.ask == Ask::Attach && self.take_child(now, from);
         let pong = Pong {
@@ -85,7 +85,7 @@
         if let Some(zones) = self.members.zones().filter(|zones| zones.index > ping.zones) {
             self.send(from, PeerMsg::Zones(zones.clone()), out);
         }
-        let lists = self.members.lists_beyond(marks, &from.place.region);
+        let lists = self.members.newer_lists(marks, &from.place.region);
         if !lists.is_empty() {
             self.send(from, PeerMsg::Lists(lists), out);
         }
@@ -116,14 +116,14 @@
         for list in lists.into_iter().take(MAX_LISTS) {
             let held = self.members.list(&list.place.zone).is_some();
             let room = held || self.members.lists().count() < MAX_LISTS;
-            if room && list.vms.len() <= MAX_LIST_VMS && self.members.take_list(now, list) {
+            if room && list.vms.len() <= MAX_LIST_VMS && self.members.update_list(now, list) {
                 self.lists_changed();
             }
         }
     }
 
     fn take_zones(&mut self, zones: Arc<ZonesList>) {
-        if zones.zones.len() <= MAX_LISTS && self.members.take_zones(zones) {
+        if zones.zones.len() <= MAX_LISTS && self.members.update_zones(zones) {
             self.lists_changed();
         }
     }
--- a/core/src/spread/words.rs
+++ b/core/src/spread/words.rs
@@ -51,7 +51,7 @@
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
         let word = self.word.clone();
         for _ in 0..ANNOUNCE_RANDOM {
-            let member = self.members.random(now, &zone, &own, &mut self.rng);
+            let member = self.members.random_live(now, &zone, &own, &mut self.rng);
             if let Some(peer) = member.map(topology::peer) {
                 self.send(&peer, PeerMsg::Words(vec![word.clone()]), out);
             }
