--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -68,19 +68,19 @@
     }
 
     fn handle_spread(&mut self, now: Time, input: spread::Input, out: &mut Vec<Output>) {
-        let stops = input == spread::Input::Stop;
-        let mut decided = Vec::new();
-        self.spread.handle(now, input, &mut decided);
-        for output in decided {
-            self.pass_on(now, output, out);
+        let is_stop = input == spread::Input::Stop;
+        let mut outputs = Vec::new();
+        self.spread.handle(now, input, &mut outputs);
+        for output in outputs {
+            self.dispatch_spread_output(now, output, out);
         }
-        if stops {
+        if is_stop {
             self.handle_entry(now, entry::Input::Drain, out);
             self.handle_gate(now, gatekeeper::Input::Drain, out);
         }
     }
 
-    fn pass_on(&mut self, now: Time, output: spread::Output, out: &mut Vec<Output>) {
+    fn dispatch_spread_output(&mut self, now: Time, output: spread::Output, out: &mut Vec<Output>) {
         match output {
             spread::Output::InForce(snapshot) => {
                 // The gatekeeper first: it lets go of keys before anyone sends them elsewhere.
@@ -103,15 +103,15 @@
     }
 
     fn handle_entry(&mut self, now: Time, input: entry::Input<'_>, out: &mut Vec<Output>) {
-        let mut decided = Vec::new();
-        self.entry.handle(now, input, &mut decided);
-        out.extend(decided.into_iter().map(Output::Entry));
+        let mut outputs = Vec::new();
+        self.entry.handle(now, input, &mut outputs);
+        out.extend(outputs.into_iter().map(Output::Entry));
     }
 
     fn handle_gate(&mut self, now: Time, input: gatekeeper::Input<'_>, out: &mut Vec<Output>) {
-        let mut decided = Vec::new();
-        self.gate.handle(now, input, &mut decided);
-        for output in decided {
+        let mut outputs = Vec::new();
+        self.gate.handle(now, input, &mut outputs);
+        for output in outputs {
             match output {
                 gatekeeper::Output::Send(note) => {
                     self.handle_spread(now, spread::Input::Note(note), out);
