--- a/core/src/config/snapshot.rs
+++ b/core/src/config/snapshot.rs
@@ -96,13 +96,16 @@
         in_force: InForce,
         resources: &IndexMap<ResourceId, Resource>,
     ) -> Result<Arc<Snapshot>> {
-        let preset = Snapshot::preset_of(&in_force.preset, resources)?;
+        let preset = Snapshot::assemble_preset(&in_force.preset, resources)?;
         validate::preset(&preset)?;
         Snapshot::new(in_force, &preset)
     }
 
     /// The preset that resources were split from.
-    pub fn preset_of(name: &Name, resources: &IndexMap<ResourceId, Resource>) -> Result<Preset> {
+    pub fn assemble_preset(
+        name: &Name,
+        resources: &IndexMap<ResourceId, Resource>,
+    ) -> Result<Preset> {
         let mut preset = Preset {
             name: name.clone(),
             services: IndexMap::new(),
@@ -113,11 +116,11 @@
             match id.kind {
                 ResourceKind::Service => {
                     let limits = resource.read(id)?;
-                    service_of(&mut preset, &id.name).limits = limits;
+                    service_or_default(&mut preset, &id.name).limits = limits;
                 }
                 ResourceKind::Targets => {
                     let targets = resource.read(id)?;
-                    service_of(&mut preset, &id.name).targets = targets;
+                    service_or_default(&mut preset, &id.name).targets = targets;
                 }
                 ResourceKind::Route => {
                     preset.routes.insert(id.name.clone(), resource.read(id)?);
@@ -183,7 +186,8 @@
 
     fn route_of_host(&self, host: &str, path: &str) -> Option<RouteKey> {
         let routes = self.by_host.get(host)?.iter().copied();
-        let mut matching = routes.filter(|key| matches(&self.route(*key).route.path_prefix, path));
+        let mut matching =
+            routes.filter(|key| prefix_matches(&self.route(*key).route.path_prefix, path));
         matching.next()
     }
 
@@ -230,14 +234,14 @@
 }
 
 /// Whether `path` starts with `prefix` at a `/` boundary.
-fn matches(prefix: &str, path: &str) -> bool {
+fn prefix_matches(prefix: &str, path: &str) -> bool {
     match path.strip_prefix(prefix) {
         Some(rest) => rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'),
         None => false,
     }
 }
 
-fn service_of<'a>(preset: &'a mut Preset, name: &Name) -> &'a mut Service {
+fn service_or_default<'a>(preset: &'a mut Preset, name: &Name) -> &'a mut Service {
     let empty = || Service { limits: ServiceLimits::default(), targets: Vec::new() };
     preset.services.entry(name.clone()).or_insert_with(empty)
 }
--- a/core/src/discovery/rejoin.rs
+++ b/core/src/discovery/rejoin.rs
@@ -92,7 +92,7 @@
 
 /// Reads a peer's answer: the version without its targets, and the targets.
 pub fn read(delta: &Delta) -> Result<(Publication, Vec<(Name, TargetEntry)>)> {
-    let preset = Snapshot::preset_of(&delta.summary.in_force.preset, &resources(delta)?)?;
+    let preset = Snapshot::assemble_preset(&delta.summary.in_force.preset, &resources(delta)?)?;
     let mut entries = Vec::new();
     for (service, content) in &preset.services {
         let targets = content.targets.iter();
