--- a/core/src/config/resource.rs
+++ b/core/src/config/resource.rs
@@ -63,12 +63,12 @@
     }
 
     /// The content, of the type that the kind of `id` says.
-    pub fn read<T: serde::de::DeserializeOwned>(&self, id: &ResourceId) -> Result<T> {
+    pub fn parse<T: serde::de::DeserializeOwned>(&self, id: &ResourceId) -> Result<T> {
         serde_json::from_slice(&self.body)
             .map_err(|e| Fault::new(Code::PeerInvalid).with_place(&id.name).with_detail(e))
     }
 
-    fn of<T: serde::Serialize>(content: &T) -> Resource {
+    fn from_content<T: serde::Serialize>(content: &T) -> Resource {
         // The types given here hold no map with keys that are not text, so that writing them as
         // JSON can't fail.
         let body = serde_json::to_vec(content).unwrap_or_default();
@@ -77,18 +77,18 @@
     }
 
     /// The resource for the limits of a service.
-    pub fn of_limits(limits: &ServiceLimits) -> Resource {
-        Resource::of(limits)
+    pub fn from_limits(limits: &ServiceLimits) -> Resource {
+        Resource::from_content(limits)
     }
 
     /// The resource for the targets of a service.
-    pub fn of_targets(targets: &[Target]) -> Resource {
-        Resource::of(&targets)
+    pub fn from_targets(targets: &[Target]) -> Resource {
+        Resource::from_content(&targets)
     }
 
     /// The resource for a route.
-    pub fn of_route(route: &Route) -> Resource {
-        Resource::of(route)
+    pub fn from_route(route: &Route) -> Resource {
+        Resource::from_content(route)
     }
 }
 
@@ -107,16 +107,16 @@
 }
 
 /// Splits a checked preset into its resources.
-pub fn split(preset: &Preset) -> IndexMap<ResourceId, Resource> {
+pub fn split_preset(preset: &Preset) -> IndexMap<ResourceId, Resource> {
     let mut resources = IndexMap::new();
     for (name, service) in &preset.services {
-        let limits = Resource::of_limits(&service.limits);
+        let limits = Resource::from_limits(&service.limits);
         resources.insert(ResourceId::new(ResourceKind::Service, name), limits);
-        let targets = Resource::of_targets(&service.targets);
+        let targets = Resource::from_targets(&service.targets);
         resources.insert(ResourceId::new(ResourceKind::Targets, name), targets);
     }
     for (name, route) in &preset.routes {
-        resources.insert(ResourceId::new(ResourceKind::Route, name), Resource::of_route(route));
+        resources.insert(ResourceId::new(ResourceKind::Route, name), Resource::from_route(route));
     }
     resources
 }
--- a/core/src/config/snapshot.rs
+++ b/core/src/config/snapshot.rs
@@ -115,15 +115,15 @@
         for (id, resource) in resources {
             match id.kind {
                 ResourceKind::Service => {
-                    let limits = resource.read(id)?;
+                    let limits = resource.parse(id)?;
                     service_or_default(&mut preset, &id.name).limits = limits;
                 }
                 ResourceKind::Targets => {
-                    let targets = resource.read(id)?;
+                    let targets = resource.parse(id)?;
                     service_or_default(&mut preset, &id.name).targets = targets;
                 }
                 ResourceKind::Route => {
-                    preset.routes.insert(id.name.clone(), resource.read(id)?);
+                    preset.routes.insert(id.name.clone(), resource.parse(id)?);
                 }
             }
         }
--- a/core/src/discovery/rejoin.rs
+++ b/core/src/discovery/rejoin.rs
@@ -82,7 +82,7 @@
 
 /// Everything that a snapshot holds, as one message.
 pub fn whole(snapshot: &Snapshot) -> PeerMsg {
-    let resources = resource::split(&snapshot.to_preset());
+    let resources = resource::split_preset(&snapshot.to_preset());
     let digest = resource::manifest(&resources).digest();
     let summary =
         Summary { in_force: snapshot.in_force.clone(), whole: digest, store_age_ms: None };
--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -44,7 +44,7 @@
         let mut text = published.version.to_be_bytes().to_vec();
         for (service, listed) in &targets {
             text.extend_from_slice(service.as_bytes());
-            text.extend_from_slice(Resource::of_targets(listed).hash.as_bytes());
+            text.extend_from_slice(Resource::from_targets(listed).hash.as_bytes());
         }
         View { published, targets, digest: Hash::of(&text) }
     }
@@ -68,7 +68,7 @@
         let mut preset = None;
         for (id, body) in &delta.changed {
             if id.kind == ResourceKind::Targets {
-                targets.insert(id.name.clone(), Resource::new(body.clone()).read(id)?);
+                targets.insert(id.name.clone(), Resource::new(body.clone()).parse(id)?);
                 continue;
             }
             let preset: &mut Preset = preset.get_or_insert_with(|| self.published.preset.clone());
@@ -120,7 +120,7 @@
     for (service, listed) in &view.targets {
         if before.get(service) != Some(listed) {
             let id = ResourceId::new(ResourceKind::Targets, service);
-            changed.push((id, Resource::of_targets(listed).body));
+            changed.push((id, Resource::from_targets(listed).body));
         }
     }
     // Of a node whose targets are not known, any service of its version may have some.
@@ -148,13 +148,13 @@
         let same = |old: &Service| old.limits == service.limits;
         if !before.services.get(name).is_some_and(same) {
             let id = ResourceId::new(ResourceKind::Service, name);
-            changed.push((id, Resource::of_limits(&service.limits).body));
+            changed.push((id, Resource::from_limits(&service.limits).body));
         }
     }
     for (name, route) in &after.routes {
         if before.routes.get(name) != Some(route) {
             let id = ResourceId::new(ResourceKind::Route, name);
-            changed.push((id, Resource::of_route(route).body));
+            changed.push((id, Resource::from_route(route).body));
         }
     }
     let services = before.services.keys().filter(|name| !after.services.contains_key(*name));
@@ -167,10 +167,10 @@
     let resource = Resource::new(body.clone());
     match id.kind {
         ResourceKind::Route => {
-            preset.routes.insert(id.name.clone(), resource.read(id)?);
+            preset.routes.insert(id.name.clone(), resource.parse(id)?);
         }
         ResourceKind::Service => {
-            let service = Service { limits: resource.read(id)?, targets: Vec::new() };
+            let service = Service { limits: resource.parse(id)?, targets: Vec::new() };
             preset.services.insert(id.name.clone(), service);
         }
         ResourceKind::Targets => {}
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -278,7 +278,7 @@
         }
         validate::preset(&preset)?;
         self.source.parts.retain(|digest, _| refs.iter().any(|part| part.digest == *digest));
-        let mut content = ResourceSet::new(resource::split(&preset))?;
+        let mut content = ResourceSet::new(resource::split_preset(&preset))?;
         // The documents take several times the memory of what is kept of them.
         drop(preset);
         if let Some(held) = &self.in_force {
--- a/tools/src/check/difference.rs
+++ b/tools/src/check/difference.rs
@@ -214,8 +214,8 @@
 }
 
 fn resources(before: &Preset, after: &Preset) -> ResourceChange {
-    let old = resource::split(before);
-    let new = resource::split(after);
+    let old = resource::split_preset(before);
+    let new = resource::split_preset(after);
     let fetched: Vec<_> =
         new.iter().filter(|(id, resource)| old.get(*id) != Some(resource)).collect();
     ResourceChange {
