--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -167,7 +167,7 @@
     fn notice_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.since(last) > CLOCK_GAP {
-            out.push(Output::Event(Event::new(now, EventKind::ClockGap).with_own_code()));
+            out.push(Output::Event(Event::new(now, EventKind::ClockGap).with_default_code()));
         }
     }
 
--- a/core/src/event.rs
+++ b/core/src/event.rs
@@ -90,7 +90,7 @@
     }
 
     /// The same event with the code of its kind, if the kind is a failure by itself.
-    pub fn with_own_code(self) -> Event {
+    pub fn with_default_code(self) -> Event {
         match self.kind {
             EventKind::TargetLost => self.with_code(Code::TargetUnreachable),
             EventKind::Quarantined => self.with_code(Code::Quarantined),
@@ -120,16 +120,16 @@
 
 /// The last events of a process, oldest first, bounded.
 #[derive(Debug)]
-pub struct Ring {
+pub struct EventRing {
     events: VecDeque<Event>,
     capacity: usize,
     dropped: u64,
 }
 
-impl Ring {
+impl EventRing {
     /// A ring that keeps the last `capacity` events.
-    pub fn new(capacity: usize) -> Ring {
-        Ring { events: VecDeque::with_capacity(capacity), capacity, dropped: 0 }
+    pub fn new(capacity: usize) -> EventRing {
+        EventRing { events: VecDeque::with_capacity(capacity), capacity, dropped: 0 }
     }
 
     /// Adds an event and drops the oldest if the ring is full.
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -158,7 +158,7 @@
                 }
                 Output::Record(kind) => {
                     let event = Event::new(self.shared.clock.now(), kind);
-                    self.shared.record(event.with_own_code());
+                    self.shared.record(event.with_default_code());
                 }
                 _ => {}
             }
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -13,7 +13,7 @@
 use sycamore_core::call::Runs;
 use sycamore_core::call::note::OutgoingNote;
 use sycamore_core::config::{ServiceLimits, Snapshot};
-use sycamore_core::event::{Event, EventKind, Ring};
+use sycamore_core::event::{Event, EventKind, EventRing};
 use sycamore_core::member::VmState;
 use sycamore_core::status::Status;
 use sycamore_core::{Fault, Name, Time};
@@ -37,7 +37,7 @@
     current: RwLock<Arc<Settings>>,
     in_force: RwLock<Option<Arc<Snapshot>>>,
     members: RwLock<Arc<MemberView>>,
-    events: Mutex<Ring>,
+    events: Mutex<EventRing>,
     spread: Mutex<SpreadView>,
     draining: AtomicBool,
     drain_started: event_listener::Event,
@@ -112,7 +112,7 @@
     /// The same for callers and a target with header names of their own.
     pub fn with_dialect(settings: Settings, clock: Clock, dialect: Dialect) -> Arc<Shared> {
         let started = clock.now();
-        let events = Mutex::new(Ring::new(settings.limits.event_ring));
+        let events = Mutex::new(EventRing::new(settings.limits.event_ring));
         let shared = Arc::new(Shared {
             current: RwLock::new(Arc::new(settings.clone())),
             settings,
