--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -172,7 +172,8 @@
 impl Fingerprint {
     /// The fingerprint of a request with these parts.
     pub fn of(parts: &[&[u8]]) -> Fingerprint {
-        let fold = |seed: u64, part: &&[u8]| crate::hash::score(&seed.to_le_bytes(), part);
+        let fold =
+            |seed: u64, part: &&[u8]| crate::hash::rendezvous_score(&seed.to_le_bytes(), part);
         Fingerprint(parts.iter().fold(0, fold))
     }
 }
--- a/core/src/call/gatekeeper/suspects.rs
+++ b/core/src/call/gatekeeper/suspects.rs
@@ -5,7 +5,7 @@
 use crate::call::Fingerprint;
 use crate::call::note::{Note, OutgoingNote};
 use crate::event::EventKind;
-use crate::hash::score;
+use crate::hash::rendezvous_score;
 
 impl Gatekeeper {
     /// A request that broke alone is suspected alone; when the target has gone, all that it ran.
@@ -17,7 +17,7 @@
         out: &mut Vec<Output>,
     ) {
         let mut fingerprints = vec![broken.fingerprint];
-        let fresh = score(self.vm.as_bytes(), &now.0.to_le_bytes());
+        let fresh = rendezvous_score(self.vm.as_bytes(), &now.0.to_le_bytes());
         // What breaks before the target answers again breaks in one crash.
         let crash = self.crash.filter(|_| target_gone).unwrap_or(fresh);
         if target_gone {
--- a/core/src/call/note.rs
+++ b/core/src/call/note.rs
@@ -149,6 +149,6 @@
     /// The home among some VMs by rendezvous hashing: a VM that joins or leaves moves only the
     /// keys that it wins.
     pub fn choose<'a>(subject: &[u8], vms: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
-        vms.max_by_key(|vm| (crate::hash::score(subject, vm.as_bytes()), *vm))
+        vms.max_by_key(|vm| (crate::hash::rendezvous_score(subject, vm.as_bytes()), *vm))
     }
 }
--- a/core/src/discovery/announce.rs
+++ b/core/src/discovery/announce.rs
@@ -4,7 +4,7 @@
 use super::view::View;
 use crate::Time;
 use crate::config::Target;
-use crate::hash::score;
+use crate::hash::rendezvous_score;
 use crate::place::Link;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
@@ -98,7 +98,7 @@
     /// share.
     pub fn ranks_before(&self, other: &SocketAddr) -> bool {
         let rank = |address: &SocketAddr| {
-            score(self.place.region.as_bytes(), address.to_string().as_bytes())
+            rendezvous_score(self.place.region.as_bytes(), address.to_string().as_bytes())
         };
         (rank(other), other) > (rank(&self.address), &self.address)
     }
--- a/core/src/hash.rs
+++ b/core/src/hash.rs
@@ -54,6 +54,6 @@
 
 /// Rendezvous score of `candidate` for `subject`: for one subject the candidate with the highest
 /// score wins, and a candidate that joins or leaves moves only the subjects it wins.
-pub fn score(subject: &[u8], candidate: &[u8]) -> u64 {
+pub fn rendezvous_score(subject: &[u8], candidate: &[u8]) -> u64 {
     xxh3_64_with_seed(candidate, xxh3_64_with_seed(subject, 0))
 }
--- a/core/src/spread/topology.rs
+++ b/core/src/spread/topology.rs
@@ -8,7 +8,7 @@
 use super::limits::{ASSUMED_ZONES, FAN_OUT, TOP};
 use super::members::Members;
 use super::port::{Config, Peer};
-use crate::hash::score;
+use crate::hash::rendezvous_score;
 use crate::member::{Member, VmState};
 use crate::place::Place;
 use crate::status::Role;
@@ -54,7 +54,7 @@
         let view = View { now, members };
         let order = view.ranked(&cfg.place.zone);
         let position = order.iter().position(|member| member.vm == cfg.vm);
-        let own_score = score(cfg.place.zone.as_bytes(), cfg.vm.as_bytes());
+        let own_score = rendezvous_score(cfg.place.zone.as_bytes(), cfg.vm.as_bytes());
         // A VM that the list does not name yet, or that leaves, takes a place that no one relies
         // on: nobody else would look for it at the top.
         let rank = match position {
@@ -105,7 +105,7 @@
     }
     let zones = members.zones().map(|zones| zones.zones.as_slice()).unwrap_or_default();
     let regions = zones.iter().map(|place| &place.region);
-    let best = regions.max_by_key(|region| score(b"in-force", region.as_bytes()));
+    let best = regions.max_by_key(|region| rendezvous_score(b"in-force", region.as_bytes()));
     best.unwrap_or(&cfg.place.region).clone()
 }
 
@@ -114,7 +114,7 @@
     let zones = members.zones().map(|zones| zones.zones.as_slice()).unwrap_or_default();
     let mut places: Vec<Place> =
         zones.iter().filter(|place| place.region == *region).cloned().collect();
-    places.sort_by_key(|place| Reverse(score(region.as_bytes(), place.zone.as_bytes())));
+    places.sort_by_key(|place| Reverse(rendezvous_score(region.as_bytes(), place.zone.as_bytes())));
     places
 }
 
@@ -125,7 +125,7 @@
 
 impl<'a> View<'a> {
     fn score(&self, member: &Member) -> u64 {
-        score(member.zone.as_bytes(), member.vm.as_bytes())
+        rendezvous_score(member.zone.as_bytes(), member.vm.as_bytes())
     }
 
     fn live(&self, zone: &Name) -> impl Iterator<Item = &'a Member> {
--- a/core/tests/call_entry_naive.rs
+++ b/core/tests/call_entry_naive.rs
@@ -12,7 +12,7 @@
 use sycamore_core::call::entry::{Arrival, AttemptEnd, Entry, Forward, Input, Output};
 use sycamore_core::call::{CallKey, Outcome, RequestKey, Runs};
 use sycamore_core::config::Snapshot;
-use sycamore_core::hash::score;
+use sycamore_core::hash::rendezvous_score;
 use sycamore_core::place::Place;
 use sycamore_core::{Code, Time};
 
@@ -75,13 +75,14 @@
 
 impl Naive {
     fn home(&self, key: RequestKey) -> &'static str {
-        let points = |vm: &&&str| score(&key.to_bytes(), vm.as_bytes());
+        let points = |vm: &&&str| rendezvous_score(&key.to_bytes(), vm.as_bytes());
         self.vms.iter().max_by_key(points).copied().unwrap()
     }
 
     /// The home and the two next in order.
     fn homes(&self, key: RequestKey) -> Vec<&'static str> {
-        let points = |vm: &&str| std::cmp::Reverse(score(&key.to_bytes(), vm.as_bytes()));
+        let points =
+            |vm: &&str| std::cmp::Reverse(rendezvous_score(&key.to_bytes(), vm.as_bytes()));
         let mut order = self.vms.clone();
         order.sort_by_key(points);
         order.truncate(3);
--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -27,7 +27,7 @@
 use sycamore_core::call::gatekeeper::TICK;
 use sycamore_core::call::{Members, Note};
 use sycamore_core::config::{ServiceLimits, Snapshot};
-use sycamore_core::hash::score;
+use sycamore_core::hash::rendezvous_score;
 use sycamore_core::{Code, Fault, Name, Result};
 
 /// Connections are looked at once in so many ticks.
@@ -83,7 +83,7 @@
 /// Starts serving calls on `executor`.
 pub fn start(shared: Arc<Shared>, listeners: Listeners, executor: Arc<Executor<'static>>) -> Calls {
     // A seed that differs between nodes and starts; everything after it is decided by it.
-    let seed = score(shared.settings.vm.as_bytes(), &shared.clock.now().0.to_le_bytes());
+    let seed = rendezvous_score(shared.settings.vm.as_bytes(), &shared.clock.now().0.to_le_bytes());
     let entry = Arc::new(EntrySide::new(shared.clone(), &executor, seed));
     let gate = Arc::new(GateSide::new(shared.clone(), &executor, seed));
     let seen = Arc::new(Mutex::new(Seen::default()));
