--- a/core/src/call/policy.rs
+++ b/core/src/call/policy.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-choice! {
+kebab_enum! {
     /// A mechanism that can be switched off.
     pub enum Part {
         /// Targets that are farther away count as dearer.
--- a/core/src/config/document.rs
+++ b/core/src/config/document.rs
@@ -164,7 +164,7 @@
     }
 }
 
-choice! {
+kebab_enum! {
     /// Admission class of a route.
     #[derive(Default)]
     pub enum Class {
@@ -189,7 +189,7 @@
     }
 }
 
-choice! {
+kebab_enum! {
     /// How a request that runs at most once is told from others.
     #[derive(Default)]
     pub enum OnceBy {
--- a/core/src/config/resource.rs
+++ b/core/src/config/resource.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use std::collections::BTreeMap;
 
-choice! {
+kebab_enum! {
     /// Kind of a resource.
     pub enum ResourceKind {
         /// Limits of a service.
--- a/core/src/discovery/port.rs
+++ b/core/src/discovery/port.rs
@@ -59,7 +59,7 @@
     }
 }
 
-choice! {
+kebab_enum! {
     /// Whether a target takes new work.
     pub enum TargetState {
         /// It does.
--- a/core/src/event.rs
+++ b/core/src/event.rs
@@ -5,7 +5,7 @@
 
 macro_rules! kinds {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        choice! {
+        kebab_enum! {
             /// What changed.
             pub enum EventKind { $($(#[$doc])* $name,)* }
         }
@@ -56,7 +56,7 @@
     Stopped,
 }
 
-report! {
+lenient_json! {
     /// One change of state.
     pub struct Event {
         /// When, in microseconds since the Unix epoch by this node's clock.
--- a/core/src/macros.rs
+++ b/core/src/macros.rs
@@ -16,7 +16,7 @@
 
 /// What a node tells operators of itself, in JSON. Unknown fields are passed over, so that tools
 /// read nodes of later releases while a fleet is upgraded.
-macro_rules! report {
+macro_rules! lenient_json {
     ($($item:item)*) => { $(
         #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
         $item
@@ -24,7 +24,7 @@
 }
 
 /// A small closed set written to JSON in kebab case.
-macro_rules! choice {
+macro_rules! kebab_enum {
     ($($item:item)*) => { $(
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[derive(serde::Serialize, serde::Deserialize)]
--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -3,7 +3,7 @@
 use crate::{Name, place::Place};
 use std::net::SocketAddr;
 
-choice! {
+kebab_enum! {
     /// What is known of a VM.
     pub enum VmState {
         /// It takes work.
--- a/core/src/place.rs
+++ b/core/src/place.rs
@@ -21,7 +21,7 @@
     }
 }
 
-choice! {
+kebab_enum! {
     /// How far traffic travels; control bytes are counted for each class.
     pub enum Link {
         /// Within one availability zone.
--- a/core/src/spread/message.rs
+++ b/core/src/spread/message.rs
@@ -152,7 +152,7 @@
     }
 }
 
-choice! {
+kebab_enum! {
     /// Why a node asks another.
     pub enum Ask {
         /// It has started and knows nothing.
--- a/core/src/status.rs
+++ b/core/src/status.rs
@@ -4,7 +4,7 @@
 use crate::event::Event;
 use crate::{Name, Time};
 
-choice! {
+kebab_enum! {
     /// What a node does for the spread of versions.
     pub enum Role {
         /// Reads the platform for its region.
@@ -18,7 +18,7 @@
     }
 }
 
-report! {
+lenient_json! {
     /// Body of `GET /status` on the admin port.
     pub struct Status {
         /// VM that the node runs on.
