--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -10,7 +10,7 @@
 //! - `pings`: what peers are asked, and what they answer
 //! - `fetch`: taking a version from a peer; `serve`: answering peers
 //! - `join`: what a node asks before it relies on what it holds
-//! - `words`: passing on what VMs say of themselves
+//! - `state_reports`: passing on what VMs say of themselves
 
 pub mod limits;
 pub mod message;
@@ -30,7 +30,7 @@
 mod reading;
 mod serve;
 mod source;
-mod words;
+mod state_reports;
 
 pub use message::{Delta, PeerMsg, Summary, Word};
 pub use port::{Config, Input, Output, Peer, SourceCall, SourceReply, SourceValue, View};
@@ -95,7 +95,7 @@
     children: children::Children,
     fetch: Option<fetch::Fetch>,
     source: source::Source,
-    words: words::Words,
+    pending_reports: state_reports::PendingReports,
     /// Not before this time is a peer asked because it was heard from.
     meet_at: Time,
     shown: Option<View>,
@@ -134,7 +134,7 @@
             children: children::Children::default(),
             fetch: None,
             source: source::Source::default(),
-            words: words::Words::default(),
+            pending_reports: state_reports::PendingReports::default(),
             meet_at: Time::ZERO,
             shown: None,
         }
@@ -219,7 +219,7 @@
         self.tick_attach(now, out);
         self.tick_fetch(now, out);
         self.tick_source(now, out);
-        self.tick_words(now, out);
+        self.tick_state_reports(now, out);
         self.show(out);
         let wake = self.next_wake(now);
         self.wake_at = Some(wake);
@@ -234,7 +234,7 @@
             self.attach_wake(now),
             self.fetch.as_ref().map(|fetch| fetch.until),
             self.source_wake(),
-            self.words.next(),
+            self.pending_reports.next_send(),
         ];
         let first = times.into_iter().flatten().min().unwrap_or(now);
         first.max(now + limits::MIN_WAKE)
@@ -248,7 +248,7 @@
         self.topology_at = now + limits::TOPOLOGY;
         // A node that left out its own word would leave the first places of its zone to others that
         // do the same.
-        self.members.take_word(now, &self.word, true);
+        self.members.apply_report(now, &self.word, true);
         let staying = self.word.state == VmState::Live;
         let mut topology = Topology::new(now, &self.cfg, &self.members, staying);
         if self.members.list(&self.cfg.place.zone).is_none() {
--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -27,7 +27,7 @@
     lists: IndexMap<Name, Arc<ZoneList>>,
     /// When the listed state of a VM last changed, for those seen to change.
     listed: IndexMap<Name, Time>,
-    words: IndexMap<Name, ReportedState>,
+    reports: IndexMap<Name, ReportedState>,
     floors: IndexMap<Name, InForce>,
 }
 
@@ -102,8 +102,8 @@
 
     /// Takes a node's word about its own VM; `direct` if it came from that node itself. Returns
     /// whether anything changed that others should hear of.
-    pub fn take_word(&mut self, now: Time, word: &Word, direct: bool) -> bool {
-        if let Some(reported) = self.words.get_mut(&word.vm) {
+    pub fn apply_report(&mut self, now: Time, word: &Word, direct: bool) -> bool {
+        if let Some(reported) = self.reports.get_mut(&word.vm) {
             let newer =
                 (word.incarnation, word.state) > (reported.word.incarnation, reported.word.state);
             let same = *word == reported.word;
@@ -120,24 +120,25 @@
             return changed;
         }
         let listed = self.find(&word.vm).map_or(VmState::Live, |member| member.state);
-        let news = word.state != listed;
-        if !news && !direct {
+        let differs = word.state != listed;
+        if !differs && !direct {
             return false;
         }
-        if self.words.len() >= MAX_HEARD {
-            self.words.swap_remove_index(0);
+        if self.reports.len() >= MAX_HEARD {
+            self.reports.swap_remove_index(0);
         }
-        let changed = if news { now } else { Time::ZERO };
-        self.words.insert(word.vm.clone(), ReportedState { word: word.clone(), at: now, changed });
-        news
+        let changed = if differs { now } else { Time::ZERO };
+        self.reports
+            .insert(word.vm.clone(), ReportedState { word: word.clone(), at: now, changed });
+        differs
     }
 
     /// Words that changed of late.
-    pub fn recent_words(&self, now: Time) -> Vec<Word> {
+    pub fn recent_reports(&self, now: Time) -> Vec<Word> {
         let recent = |reported: &&ReportedState| {
             reported.changed > Time::ZERO && now.since(reported.changed) < WORDS_REPEAT
         };
-        self.words.values().filter(recent).take(MAX_WORDS).map(|h| h.word.clone()).collect()
+        self.reports.values().filter(recent).take(MAX_WORDS).map(|h| h.word.clone()).collect()
     }
 
     /// State of a listed VM.
@@ -145,7 +146,7 @@
     /// A node's own word goes before a list, which lags. The list is believed only if the listed
     /// state changed later and the node has been silent for longer than a list lags.
     pub fn state(&self, now: Time, member: &Member) -> VmState {
-        let Some(reported) = self.words.get(&member.vm) else { return member.state };
+        let Some(reported) = self.reports.get(&member.vm) else { return member.state };
         let listed = self.listed.get(&member.vm).copied().unwrap_or(Time::ZERO);
         if listed > reported.at && now.since(reported.at) > LIST_LAG {
             return member.state;
@@ -156,7 +157,7 @@
     /// Every VM that is known not to be live.
     pub fn not_live(&self, now: Time) -> IndexMap<Name, VmState> {
         let mut states = IndexMap::new();
-        for reported in self.words.values() {
+        for reported in self.reports.values() {
             if reported.word.state != VmState::Live {
                 states.insert(reported.word.vm.clone(), reported.word.state);
             }
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -167,9 +167,9 @@
         if ping.deadline < now {
             return self.ping_failed(now, &ping, out);
         }
-        self.hear_word(now, &pong.word, true);
+        self.handle_state_report(now, &pong.word, true);
         for word in &pong.words {
-            self.hear_word(now, word, false);
+            self.handle_state_report(now, word, false);
         }
         self.confirmed = true;
         match ping.ask {
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -28,7 +28,7 @@
             PeerMsg::Pull(pull) => self.take_pull(from, &pull, out),
             PeerMsg::Delta(delta) => self.take_delta(now, from, &delta, out),
             PeerMsg::Missing(_) => self.take_missing(now, from, out),
-            PeerMsg::Words(words) => self.take_words(now, &words),
+            PeerMsg::Words(words) => self.handle_state_reports(now, &words),
             PeerMsg::Lists(lists) => self.take_lists(now, lists),
             PeerMsg::Zones(zones) => self.take_zones(zones),
             PeerMsg::Note(note) => out.push(Output::Note { from: from.vm.clone(), note }),
@@ -40,7 +40,7 @@
         if ping.word.vm != from.vm {
             return;
         }
-        self.hear_word(now, &ping.word, true);
+        self.handle_state_report(now, &ping.word, true);
         let floor = match ping.ask {
             Ask::Join => self.members.floor_of(&from.vm).cloned(),
             Ask::Attach | Ask::Compare => None,
@@ -56,7 +56,7 @@
             word: self.word.clone(),
             have: self.held_summary(),
             floor,
-            words: self.members.recent_words(now),
+            words: self.members.recent_reports(now),
         };
         self.send(from, PeerMsg::Pong(Box::new(pong)), out);
         self.send_lists(now, from, ping, out);
--- a/core/src/spread/words.rs
+++ b/core/src/spread/state_reports.rs
@@ -7,42 +7,42 @@
 use super::topology;
 use crate::Time;
 
-/// Words that wait to be passed on.
+/// PendingReports that wait to be passed on.
 #[derive(Debug, Default)]
-pub struct Words {
-    waiting: Vec<Word>,
-    at: Option<Time>,
+pub struct PendingReports {
+    reports: Vec<Word>,
+    send_at: Option<Time>,
 }
 
-impl Words {
+impl PendingReports {
     /// When the waiting words are passed on.
-    pub fn next(&self) -> Option<Time> {
-        self.at
+    pub fn next_send(&self) -> Option<Time> {
+        self.send_at
     }
 
     fn push(&mut self, now: Time, word: Word) {
-        self.waiting.retain(|waiting| waiting.vm != word.vm);
-        self.waiting.push(word);
-        self.at.get_or_insert(now + WORDS_DELAY);
+        self.reports.retain(|report| report.vm != word.vm);
+        self.reports.push(word);
+        self.send_at.get_or_insert(now + WORDS_DELAY);
     }
 }
 
 impl Spread {
-    /// Takes a word; `direct` if it came from the node that it is about. Words that change what
+    /// Takes a word; `direct` if it came from the node that it is about. PendingReports that change what
     /// is known are passed on; all others end here, so that a word goes over each link once.
-    pub(super) fn hear_word(&mut self, now: Time, word: &Word, direct: bool) {
+    pub(super) fn handle_state_report(&mut self, now: Time, word: &Word, direct: bool) {
         if word.vm == self.cfg.vm {
             return;
         }
-        if self.members.take_word(now, word, direct) {
+        if self.members.apply_report(now, word, direct) {
             self.lists_changed();
-            self.words.push(now, word.clone());
+            self.pending_reports.push(now, word.clone());
         }
     }
 
-    pub(super) fn take_words(&mut self, now: Time, words: &[Word]) {
+    pub(super) fn handle_state_reports(&mut self, now: Time, words: &[Word]) {
         for word in words.iter().take(MAX_WORDS_TAKEN) {
-            self.hear_word(now, word, false);
+            self.handle_state_report(now, word, false);
         }
     }
 
@@ -56,19 +56,19 @@
                 self.send(&peer, PeerMsg::Words(vec![word.clone()]), out);
             }
         }
-        self.words.push(now, word);
-        self.words.at = Some(now);
+        self.pending_reports.push(now, word);
+        self.pending_reports.send_at = Some(now);
     }
 
-    pub(super) fn tick_words(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.words.at.is_none_or(|at| now < at) {
+    pub(super) fn tick_state_reports(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.pending_reports.send_at.is_none_or(|at| now < at) {
             return;
         }
-        self.words.at = None;
-        let words = std::mem::take(&mut self.words.waiting);
-        let mut told: Vec<Peer> = self.children.live(now).cloned().collect();
-        told.extend(self.attach.parent().cloned());
-        for peer in told {
+        self.pending_reports.send_at = None;
+        let words = std::mem::take(&mut self.pending_reports.reports);
+        let mut recipients: Vec<Peer> = self.children.live(now).cloned().collect();
+        recipients.extend(self.attach.parent().cloned());
+        for peer in recipients {
             self.send(&peer, PeerMsg::Words(words.clone()), out);
         }
     }
