--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -295,7 +295,7 @@
         behind: fleet.behind(last),
         platform_calls_peak: now.peak,
         platform_over_limit: now.over_limit - calls.over_limit,
-        across_bytes: sent.bytes[Link::Across as usize],
+        across_bytes: sent.bytes[Link::CrossRegion as usize],
         bytes_per_node: sent.bytes.iter().sum::<u64>() as f64 / fleet.size().nodes as f64,
     }
 }
--- a/bench/src/links.rs
+++ b/bench/src/links.rs
@@ -28,7 +28,7 @@
     /// The class of the link to another site.
     pub fn link_to(self, other: Site) -> Link {
         if self.region != other.region {
-            Link::Across
+            Link::CrossRegion
         } else if self.zone != other.zone {
             Link::Region
         } else {
@@ -83,7 +83,7 @@
         match link {
             Link::Zone => self.zone,
             Link::Region => self.region,
-            Link::Across => self.across,
+            Link::CrossRegion => self.across,
         }
     }
 }
@@ -109,7 +109,7 @@
 
     /// Bytes between regions.
     pub fn across_bytes(&self) -> u64 {
-        self.bytes[Link::Across as usize]
+        self.bytes[Link::CrossRegion as usize]
     }
 }
 
--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -395,7 +395,7 @@
             peer.is_usable(want.now, Strictness::Staying, false) && peer.avoid_until <= want.now
         };
         let has = |link: &Link| tiers.by_link[*link as usize].iter().any(usable);
-        Link::ALL.into_iter().find(has).or(Some(Link::Across))
+        Link::ALL.into_iter().find(has).or(Some(Link::CrossRegion))
     }
 
     /// What a way beyond the nearest tier costs.
--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -202,6 +202,6 @@
     match link {
         Link::Zone => ZONE_ANSWER_TIME,
         Link::Region => REGION_ANSWER_TIME,
-        Link::Across => ACROSS_ANSWER_TIME,
+        Link::CrossRegion => ACROSS_ANSWER_TIME,
     }
 }
--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -201,7 +201,7 @@
         summary: &Summary,
     ) -> bool {
         let reads = self.age(summary).is_some();
-        if self.listens_to(from) || link == Link::Across || !reads {
+        if self.listens_to(from) || link == Link::CrossRegion || !reads {
             return self.listens_to(from) && reads;
         }
         let waits = self.asked.is_some_and(|asked| now.since(asked.since) < ASK_WAIT);
--- a/core/src/place.rs
+++ b/core/src/place.rs
@@ -29,20 +29,21 @@
         /// Between two availability zones of one region.
         Region,
         /// Between two regions.
-        Across,
+        #[serde(rename = "across")]
+        CrossRegion,
     }
 }
 
 impl Link {
     /// Every class, nearest first.
-    pub const ALL: [Link; 3] = [Link::Zone, Link::Region, Link::Across];
+    pub const ALL: [Link; 3] = [Link::Zone, Link::Region, Link::CrossRegion];
 
     /// The name of the class in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Link::Zone => "zone",
             Link::Region => "region",
-            Link::Across => "across",
+            Link::CrossRegion => "across",
         }
     }
 }
@@ -51,7 +52,7 @@
     /// The class of the link between two places.
     pub fn link_to(&self, other: &Place) -> Link {
         if self.region != other.region {
-            Link::Across
+            Link::CrossRegion
         } else if self.zone != other.zone {
             Link::Region
         } else {
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -332,6 +332,6 @@
 
     /// Sends to an address whose place is not known; counted as the dearest link.
     fn send_unknown(&self, to: SocketAddr, msg: PeerMsg, out: &mut Vec<Output>) {
-        out.push(Output::Send { to, link: Link::Across, msg });
+        out.push(Output::Send { to, link: Link::CrossRegion, msg });
     }
 }
--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -94,7 +94,7 @@
         }
         match self.cfg.place.link_to(&parent.place) {
             Link::Zone | Link::Region => HEARTBEAT,
-            Link::Across => HEARTBEAT_ACROSS,
+            Link::CrossRegion => HEARTBEAT_ACROSS,
         }
     }
 
--- a/core/src/spread/children.rs
+++ b/core/src/spread/children.rs
@@ -96,7 +96,7 @@
         let open = self.word.state == VmState::Live && !self.rejoins();
         let lease = match self.cfg.place.link_to(&from.place) {
             Link::Zone | Link::Region => CHILD_LEASE,
-            Link::Across => CHILD_LEASE_ACROSS,
+            Link::CrossRegion => CHILD_LEASE_ACROSS,
         };
         open && self.children.keep(now + lease, now, from)
     }
--- a/core/tests/support/store_fleet.rs
+++ b/core/tests/support/store_fleet.rs
@@ -242,7 +242,7 @@
                 let offer = |summary: &Summary| summary.store_age_ms.is_none();
                 let offers = matches!(&msg, PeerMsg::Notice(summary) if offer(summary));
                 self.offers += usize::from(offers);
-                self.across += usize::from(link == Link::Across);
+                self.across += usize::from(link == Link::CrossRegion);
                 let (to, due) = (node_at(to), self.now + WAY);
                 let life = self.nodes[to].life;
                 self.messages.push_back(Message { due, from: node, to, life, msg });
