--- a/core/src/config/validate.rs
+++ b/core/src/config/validate.rs
@@ -45,12 +45,12 @@
 pub fn add_part(preset: &mut Preset, part: Part) -> Result<()> {
     for (name, service) in part.services {
         if preset.services.insert(name.clone(), service).is_some() {
-            return Err(repeated("services", &name));
+            return Err(duplicate_name("services", &name));
         }
     }
     for (name, route) in part.routes {
         if preset.routes.insert(name.clone(), route).is_some() {
-            return Err(repeated("routes", &name));
+            return Err(duplicate_name("routes", &name));
         }
     }
     Ok(())
@@ -109,7 +109,7 @@
     Err(Fault::new(Code::DigestMismatch).with_detail(format!("found {found}, expected {digest}")))
 }
 
-fn repeated(place: &str, name: &Name) -> Fault {
+fn duplicate_name(place: &str, name: &Name) -> Fault {
     Fault::new(Code::DocumentInvalid)
         .with_place(format!("{place}.{name}"))
         .with_detail("the name stands in more than one part")
