--- a/core/src/code.rs
+++ b/core/src/code.rs
@@ -1,26 +1,27 @@
-//! Numbered result codes. docs/ERRORS.md lists each with what an operator does about it.
+//! Numbered result codes. docs/ERRORS.md lists each code with the recommended operator action.
 
 use displaydoc::Display;
 use std::fmt;
 
-/// Result of an operation that fails with a [`Fault`].
 pub type Result<T> = std::result::Result<T, Fault>;
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal,)*) => {
-        /// What went wrong, as a number that stays the same over releases.
+        /// Error code. Numbers are stable across releases.
         #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[repr(u16)]
         pub enum Code { $($(#[$doc])* $name = $number,)* }
 
         impl Code {
-            /// Every code, in numeric order.
+            /// All codes in numeric order.
             pub const ALL: &'static [Code] = &[$(Code::$name,)*];
         }
     };
 }
 
 codes! {
+    // The doc comment of each variant is its `Display` text and must match docs/ERRORS.md.
+    //
     // 100 to 199: settings and the command line.
     /// the settings file can't be read
     SettingsUnreadable = 101,
@@ -55,7 +56,7 @@
     PresetMismatch = 211,
     /// a part that the preset names is missing
     PartMissing = 212,
-    // 300 to 399: the platform and the spread of versions.
+    // 300 to 399: the platform and the distribution of versions between nodes.
     /// the platform does not answer
     SourceUnreachable = 301,
     /// the platform's answer is not understood
@@ -144,41 +145,36 @@
 }
 
 impl Code {
-    /// The number that logs, headers and documents carry.
+    /// The number used in logs, headers and documents.
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// The code with this number.
     pub fn from_number(number: u16) -> Option<Code> {
         Code::ALL.iter().copied().find(|code| code.number() == number)
     }
 }
 
-/// A failure: its code, where it was met and what was found there.
+/// An error with its code, location and detail.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What kind of failure it is.
     pub code: Code,
-    /// Where: a file, a JSON path, an address or a name; may be empty.
+    /// Where the error occurred: a file, JSON path, address or name. May be empty.
     pub place: String,
-    /// What was found and what is allowed; may be empty.
+    /// The value found and the values allowed. May be empty.
     pub detail: String,
 }
 
 impl Fault {
-    /// A failure without place or detail.
     pub fn new(code: Code) -> Fault {
         Fault { code, place: String::new(), detail: String::new() }
     }
 
-    /// The same failure with the place where it was met.
     pub fn with_place(mut self, place: impl fmt::Display) -> Fault {
         self.place = place.to_string();
         self
     }
 
-    /// The same failure with what was found and what is allowed.
     pub fn with_detail(mut self, detail: impl fmt::Display) -> Fault {
         self.detail = detail.to_string();
         self
