--- a/core/src/event.rs
+++ b/core/src/event.rs
@@ -1,4 +1,4 @@
-//! Changes of state that a node records for the time line.
+//! State change events that a node records for the timeline.
 
 use crate::{Code, Name, Time};
 use std::collections::VecDeque;
@@ -6,12 +6,10 @@
 macro_rules! kinds {
     ($($(#[$doc:meta])* $name:ident,)*) => {
         kebab_enum! {
-            /// What changed.
             pub enum EventKind { $($(#[$doc])* $name,)* }
         }
 
         impl EventKind {
-            /// Every kind.
             pub const ALL: &'static [EventKind] = &[$(EventKind::$name,)*];
         }
     };
@@ -20,17 +18,17 @@
 kinds! {
     /// The process started.
     Started,
-    /// A version was heard of for the first time.
+    /// The node learned of a version for the first time.
     VersionHeard,
-    /// A version was refused.
+    /// A version was rejected.
     VersionRefused,
-    /// A version came into force on this node.
+    /// A version was put into force on this node.
     VersionInForce,
     /// The platform stopped answering.
     SourceLost,
     /// The platform answers again.
     SourceBack,
-    /// A relay was chosen as parent.
+    /// A relay was selected as parent.
     ParentChosen,
     /// The parent stopped answering.
     ParentLost,
@@ -38,45 +36,44 @@
     TargetLost,
     /// The local target answers again.
     TargetBack,
-    /// A request was held off because it crashed targets.
+    /// A request was quarantined because it crashed targets.
     Quarantined,
-    /// Homes of keys are moving to or from this node.
+    /// Request keys are being rehomed to or from this node.
     HomesMoving,
-    /// Every moved key has been released.
+    /// All rehomed keys have been released.
     HomesMoved,
-    /// The node takes no new work.
+    /// The node stopped accepting new work.
     Draining,
-    /// The last work has finished.
+    /// All in-flight work has finished.
     Drained,
-    /// The process was not running for a while.
+    /// The process was suspended, for example by a VM pause.
     ClockGap,
-    /// The settings file was read again; with a code it was refused.
+    /// The settings file was reloaded. A code is set if the new settings were rejected.
     SettingsRead,
-    /// The process stops.
+    /// The process is stopping.
     Stopped,
 }
 
 lenient_json! {
-    /// One change of state.
+    /// A state change.
     pub struct Event {
-        /// When, in microseconds since the Unix epoch by this node's clock.
+        /// Microseconds since the Unix epoch by this node's clock.
         pub at: Time,
-        /// What changed.
         pub kind: EventKind,
-        /// The version concerned.
+        /// The affected version.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub version: Option<u64>,
-        /// The peer or VM concerned.
+        /// The affected peer or VM.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub peer: Option<Name>,
-        /// Number of the result code, for what failed or was refused.
+        /// Result code number of a failure or rejection.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub code: Option<u16>,
     }
 }
 
 impl EventKind {
-    /// The kind's name in JSON, metrics and logs.
+    /// Name used in JSON, metrics and logs.
     pub fn name(self) -> String {
         let json = serde_json::to_value(self).unwrap_or_default();
         json.as_str().unwrap_or_default().to_owned()
@@ -84,12 +81,11 @@
 }
 
 impl Event {
-    /// An event with nothing but its time and kind.
     pub fn new(at: Time, kind: EventKind) -> Event {
         Event { at, kind, version: None, peer: None, code: None }
     }
 
-    /// The same event with the code of its kind, if the kind is a failure by itself.
+    /// Sets the code implied by the kind, if the kind always denotes a failure.
     pub fn with_default_code(self) -> Event {
         match self.kind {
             EventKind::TargetLost => self.with_code(Code::TargetUnreachable),
@@ -99,26 +95,23 @@
         }
     }
 
-    /// The same event with the version concerned.
     pub fn with_version(mut self, version: u64) -> Event {
         self.version = Some(version);
         self
     }
 
-    /// The same event with the peer concerned.
     pub fn with_peer(mut self, peer: &Name) -> Event {
         self.peer = Some(peer.clone());
         self
     }
 
-    /// The same event with the code of what failed.
     pub fn with_code(mut self, code: Code) -> Event {
         self.code = Some(code.number());
         self
     }
 }
 
-/// The last events of a process, oldest first, bounded.
+/// Bounded ring buffer of the most recent events, oldest first.
 #[derive(Debug)]
 pub struct EventRing {
     events: VecDeque<Event>,
@@ -127,12 +120,11 @@
 }
 
 impl EventRing {
-    /// A ring that keeps the last `capacity` events.
     pub fn new(capacity: usize) -> EventRing {
         EventRing { events: VecDeque::with_capacity(capacity), capacity, dropped: 0 }
     }
 
-    /// Adds an event and drops the oldest if the ring is full.
+    /// Appends an event, evicting the oldest if the buffer is full.
     pub fn push(&mut self, event: Event) {
         if self.events.len() == self.capacity {
             self.events.pop_front();
@@ -141,12 +133,12 @@
         self.events.push_back(event);
     }
 
-    /// The events kept, oldest first.
+    /// Iterates over the retained events, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &Event> {
         self.events.iter()
     }
 
-    /// How many events were dropped since the start.
+    /// Number of events evicted since the process started.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
