--- a/core/src/hash.rs
+++ b/core/src/hash.rs
@@ -4,22 +4,20 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The BLAKE3 hash of some bytes; written as 64 lower-case hex digits.
+/// A BLAKE3 hash, serialized as 64 lowercase hex digits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Hash([u8; 32]);
 
 impl Hash {
-    /// Hashes `buf`.
     pub fn of(buf: &[u8]) -> Hash {
         Hash(*blake3::hash(buf).as_bytes())
     }
 
-    /// Takes the 32 bytes of a hash made elsewhere.
+    /// Wraps an already computed hash.
     pub fn new(raw: [u8; 32]) -> Hash {
         Hash(raw)
     }
 
-    /// The 32 bytes.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
@@ -47,13 +45,15 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Hash, D::Error> {
         let text = String::deserialize(deserializer)?;
         let hash = blake3::Hash::from_hex(text)
-            .map_err(|_| de::Error::custom("a digest is 64 lower-case hex digits"))?;
+            .map_err(|_| de::Error::custom("a digest must be 64 lowercase hex digits"))?;
         Ok(Hash(*hash.as_bytes()))
     }
 }
 
-/// Rendezvous score of `candidate` for `subject`: for one subject the candidate with the highest
-/// score wins, and a candidate that joins or leaves moves only the subjects it wins.
+/// Rendezvous (highest random weight) score of `candidate` for `subject`.
+///
+/// Each subject is assigned to its highest-scoring candidate, so adding or removing a candidate
+/// only reassigns the subjects for which that candidate scores highest.
 pub fn rendezvous_score(subject: &[u8], candidate: &[u8]) -> u64 {
     xxh3_64_with_seed(candidate, xxh3_64_with_seed(subject, 0))
 }
