--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions of sycamorescale: which configuration is in force, which target gets a call, and
-//! what a caller is told.
+//! Core logic of sycamorescale: configuration distribution, target selection, admission and
+//! caller-facing results.
 //!
-//! Nothing here does I/O, reads a clock, starts a thread or draws randomness of its own. Time
-//! and a seed come in as arguments, so that a test or an outside harness can drive many nodes in
-//! one thread. Each decider has one entry point, `handle(now, Input, &mut Vec<Output>)`.
+//! This crate is sans-I/O. It performs no I/O, reads no clock, starts no threads and has no
+//! entropy source of its own: the current time and a random seed are passed in, so a test can
+//! simulate many nodes deterministically in one thread. Each state machine has a single entry
+//! point, `handle(now, Input, &mut Vec<Output>)`.
 
 #[macro_use]
 mod macros;
