--- a/core/src/macros.rs
+++ b/core/src/macros.rs
@@ -1,11 +1,11 @@
-//! Common sets of derives, so that each type states only what kind of type it is.
+//! Macros that apply common sets of derives.
 
-/// Plain data: cloned, compared and printed.
+/// Plain data types: `Clone`, `Debug` and equality.
 macro_rules! data {
     ($($item:item)*) => { $( #[derive(Clone, Debug, PartialEq, Eq)] $item )* };
 }
 
-/// Plain data that is read from and written to JSON; unknown fields are refused.
+/// Plain data types serialized as JSON. Unknown fields are rejected.
 macro_rules! json {
     ($($item:item)*) => { $(
         #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -14,8 +14,8 @@
     )* };
 }
 
-/// What a node tells operators of itself, in JSON. Unknown fields are passed over, so that tools
-/// read nodes of later releases while a fleet is upgraded.
+/// Plain data types serialized as JSON. Unknown fields are ignored, so that tools can read the
+/// output of newer nodes during a rolling upgrade.
 macro_rules! lenient_json {
     ($($item:item)*) => { $(
         #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -23,7 +23,7 @@
     )* };
 }
 
-/// A small closed set written to JSON in kebab case.
+/// Field-less enums serialized in kebab case.
 macro_rules! kebab_enum {
     ($($item:item)*) => { $(
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
     )* };
 }
 
-/// A small `Copy` key: an index into an arena, or a number that is only compared.
+/// Small `Copy` newtypes, such as arena indices and timestamps.
 macro_rules! key {
     ($($item:item)*) => { $(
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
