--- a/core/src/name.rs
+++ b/core/src/name.rs
@@ -4,30 +4,28 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::fmt;
 
-/// Longest name, in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// A short name of printable ASCII without spaces, 1 to [`MAX_NAME_BYTES`] bytes. Cloning is
-/// cheap: clones share one buffer.
+/// An identifier of 1 to [`MAX_NAME_BYTES`] printable ASCII characters without spaces. Clones share
+/// one buffer.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Name(Bytes);
 
 impl Name {
-    /// Checks and takes a name. `None` if it is empty, too long or not printable ASCII.
+    /// Validates a name. Returns `None` if it is empty, too long or not printable ASCII.
     pub fn new(buf: impl Into<Bytes>) -> Option<Name> {
         let buf = buf.into();
         let fits = !buf.is_empty() && buf.len() <= MAX_NAME_BYTES;
         (fits && buf.iter().all(u8::is_ascii_graphic)).then_some(Name(buf))
     }
 
-    /// The bytes of the name.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The name as text.
     pub fn as_str(&self) -> &str {
-        // `new` lets only ASCII through, so the fallback is never taken.
+        // `new` accepts only ASCII, so the conversion never fails.
         std::str::from_utf8(&self.0).unwrap_or_default()
     }
 }
@@ -54,7 +52,7 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Name, D::Error> {
         let text = String::deserialize(deserializer)?;
         Name::new(text).ok_or_else(|| {
-            de::Error::custom("a name is 1 to 128 printable ASCII characters without spaces")
+            de::Error::custom("a name must be 1 to 128 printable ASCII characters without spaces")
         })
     }
 }
