--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -1,8 +1,8 @@
-//! All decisions of one node behind one entry point, for harnesses that drive many nodes in one
-//! thread.
+//! Combines the state machines of one node behind a single entry point, for simulating many
+//! nodes in one thread.
 //!
-//! The process `sycamore-node` keeps its deciders under locks of their own and joins them in the
-//! same way.
+//! The `sycamore-node` process connects the same state machines in the same way, but holds each
+//! under its own lock.
 
 use crate::Time;
 use crate::call::{Entry, Gatekeeper, entry, gatekeeper};
@@ -10,32 +10,34 @@
 use crate::spread::{self, Spread};
 use std::sync::Arc;
 
-/// Something that happened to a node.
+/// An input to one of the node's state machines.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// To the spread of versions.
+    /// Input to version distribution.
     Spread(spread::Input),
-    /// To a call at its entry node.
+    /// Input to the entry side of the call path.
     Entry(entry::Input<'a>),
-    /// To a call at its gatekeeper.
+    /// Input to the gatekeeper side of the call path.
     Gate(gatekeeper::Input<'a>),
 }
 
-/// Something that a node wants done.
+/// An action requested by the node.
 #[derive(Debug)]
 pub enum Output {
-    /// For the spread of versions; never a note, a version or a view for this node itself.
+    /// Action of version distribution. Member views, incoming notes and confirmations are handled
+    /// internally and never appear here.
     Spread(spread::Output),
-    /// For a call at its entry node.
+    /// Action of the entry side of the call path.
     Entry(entry::Output),
-    /// For a call at its gatekeeper; never a note or an event.
+    /// Action of the gatekeeper side of the call path. Outgoing notes and events are handled
+    /// internally and never appear here.
     Gate(gatekeeper::Output),
-    /// Record a change of state of the call path.
+    /// Record a state change of the call path.
     Event(Event),
 }
 
-/// The deciders of one node, joined: versions and views go from the spread to the calls, notes
-/// both ways.
+/// The connected state machines of one node. Snapshots and member views flow from version
+/// distribution to the call path; notes flow in both directions.
 #[derive(Debug)]
 pub struct Node {
     spread: Spread,
@@ -44,7 +46,7 @@
 }
 
 impl Node {
-    /// A node whose process started at `now`. `seed` feeds all of its random choices.
+    /// Creates a node whose process started at `now`. All random choices derive from `seed`.
     pub fn new(cfg: spread::Config, now: Time, seed: u64) -> Node {
         Node {
             entry: Entry::new(cfg.place.clone(), seed),
@@ -53,12 +55,12 @@
         }
     }
 
-    /// The spread's decider, to look at.
+    /// Read-only access to the version distribution state.
     pub fn spread(&self) -> &Spread {
         &self.spread
     }
 
-    /// Takes one input at `now` and appends what is to be done.
+    /// Processes one input at time `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Spread(input) => self.handle_spread(now, input, out),
@@ -83,7 +85,8 @@
     fn dispatch_spread_output(&mut self, now: Time, output: spread::Output, out: &mut Vec<Output>) {
         match output {
             spread::Output::InForce(snapshot) => {
-                // The gatekeeper first: it lets go of keys before anyone sends them elsewhere.
+                // The gatekeeper must release its keys before the entry side routes them to new
+                // homes.
                 self.handle_gate(now, gatekeeper::Input::Configure(snapshot.clone()), out);
                 self.handle_entry(now, entry::Input::Configure(snapshot.clone()), out);
                 out.push(Output::Spread(spread::Output::InForce(snapshot)));
