--- a/core/src/place.rs
+++ b/core/src/place.rs
@@ -1,4 +1,4 @@
-//! Where a VM is, and how far two places are from each other.
+//! VM placement (region and availability zone) and link classes between placements.
 
 use crate::Name;
 
@@ -6,23 +6,22 @@
     /// Region and availability zone of a VM.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct Place {
-        /// Region; links between regions are slow and paid by volume.
+        /// Links between regions have high latency and are billed by volume.
         pub region: Name,
-        /// Availability zone, unique over all regions.
+        /// Availability zone; unique across all regions.
         pub zone: Name,
     }
 }
 
 json! {
-    /// Value of the key `zones`: every availability zone.
+    /// Value of the key `zones`: all availability zones, in any order.
     pub struct Zones {
-        /// The zones, in any order.
         pub zones: Vec<Place>,
     }
 }
 
 kebab_enum! {
-    /// How far traffic travels; control bytes are counted for each class.
+    /// Network distance class of a link. Control traffic is counted per class.
     pub enum Link {
         /// Within one availability zone.
         Zone,
@@ -35,10 +34,10 @@
 }
 
 impl Link {
-    /// Every class, nearest first.
+    /// All classes, nearest first.
     pub const ALL: [Link; 3] = [Link::Zone, Link::Region, Link::CrossRegion];
 
-    /// The name of the class in metrics.
+    /// Label value used in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Link::Zone => "zone",
@@ -49,7 +48,6 @@
 }
 
 impl Place {
-    /// The class of the link between two places.
     pub fn link_to(&self, other: &Place) -> Link {
         if self.region != other.region {
             Link::CrossRegion
