--- a/core/src/status.rs
+++ b/core/src/status.rs
@@ -1,19 +1,19 @@
-//! What a node says of itself on `/status`.
+//! Response bodies of the admin endpoints `/status` and `/events`.
 
 use crate::config::InForce;
 use crate::event::Event;
 use crate::{Name, Time};
 
 kebab_enum! {
-    /// What a node does for the spread of versions.
+    /// Role of a node in version distribution.
     pub enum Role {
-        /// Reads the platform for its region.
+        /// Reads the platform on behalf of its region.
         RegionReader,
-        /// Takes versions from the region's readers for its zone.
+        /// Fetches versions from the region's readers on behalf of its zone.
         ZoneRelay,
-        /// Passes versions on within its zone.
+        /// Forwards versions within its zone.
         Relay,
-        /// Only takes versions.
+        /// Receives versions without forwarding them.
         Leaf,
     }
 }
@@ -23,37 +23,35 @@
     pub struct Status {
         /// VM that the node runs on.
         pub vm: Name,
-        /// Region of the VM.
         pub region: Name,
         /// Availability zone of the VM.
         pub zone: Name,
-        /// Time of the answer by this node's clock, in microseconds since the Unix epoch.
+        /// Response time by this node's clock, in microseconds since the Unix epoch.
         pub now: Time,
-        /// When the process started.
+        /// Start time of the process.
         pub started: Time,
-        /// The version in force on this node; null before the first.
+        /// The version in force on this node; null if there is none yet.
         pub in_force: Option<InForce>,
-        /// When that version came into force on this node.
+        /// When that version was put into force on this node.
         pub in_force_since: Option<Time>,
-        /// The newest version that this node has heard of.
+        /// The newest version known to this node, whether or not it is in force.
         pub newest_heard: u64,
-        /// The last version refused and why, as the text of a numbered fault.
+        /// Error text of the most recent version rejection.
         pub last_refusal: Option<String>,
-        /// What the node does for the spread.
         pub role: Role,
-        /// The peer or `platform` that the last version came from.
+        /// Source of the last version: a peer, or `platform`.
         pub parent: Option<Name>,
-        /// Whether the platform answered this node's last call; null if it made none.
+        /// Whether the node's last call to the platform succeeded; null if it has made none.
         pub platform_answers: Option<bool>,
-        /// Whether a peer has been asked about the version in force since the start or the last
-        /// pause. If not, it may be older than the one before.
+        /// Whether a peer has confirmed the version in force since the process started or was last
+        /// suspended. If false, a newer version may already have been in force on this VM.
         #[serde(default)]
         pub confirmed: bool,
-        /// Whether the node takes calls.
+        /// Whether the node accepts calls.
         pub ready: bool,
-        /// Whether the node takes no new work.
+        /// Whether the node is draining and rejects new work.
         pub draining: bool,
-        /// Calls being served: as the caller's first node, and at the local target.
+        /// Calls in flight, both as entry node and at the local target.
         pub calls_open: u64,
     }
 
@@ -61,17 +59,16 @@
     pub struct Events {
         /// VM that the node runs on.
         pub vm: Name,
-        /// Region of the VM.
         pub region: Name,
         /// Availability zone of the VM.
         pub zone: Name,
-        /// Time of the answer by this node's clock, with which a reader corrects clock skew.
+        /// Response time by this node's clock; lets clients correct for clock skew.
         pub now: Time,
-        /// When the process started; tells two processes of one VM apart.
+        /// Start time of the process; distinguishes successive processes on one VM.
         pub started: Time,
-        /// Events that no longer fitted.
+        /// Number of events evicted from the buffer.
         pub dropped: u64,
-        /// The last events, oldest first.
+        /// The most recent events, oldest first.
         pub events: Vec<Event>,
     }
 }
