--- a/core/src/time.rs
+++ b/core/src/time.rs
@@ -1,22 +1,21 @@
-//! A point in time as the deciders see it.
+//! Timestamps used by the core logic.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 key! {
-    /// Microseconds since the Unix epoch. It never goes back within one process: the clock port
-    /// reads the wall clock once at start and adds a monotonic clock to it.
+    /// Microseconds since the Unix epoch. Monotonic within one process: the clock adapter reads the
+    /// wall clock once at startup and adds a monotonic offset to it.
     #[derive(Default)]
     #[serde(transparent)]
     pub struct Time(pub u64);
 }
 
 impl Time {
-    /// The Unix epoch.
     pub const ZERO: Time = Time(0);
 
-    /// A time so many milliseconds after the Unix epoch.
+    /// Creates a time from milliseconds since the Unix epoch.
     pub fn from_millis(ms: u64) -> Time {
         Time(ms.saturating_mul(1_000))
     }
@@ -26,7 +25,7 @@
         self.0 / 1_000
     }
 
-    /// How long after `earlier` this is; zero if it is before it.
+    /// Time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
