--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: what operators publish, what is checked, and what a node holds.
+//! Configuration: published documents, their validation, and the snapshots that nodes hold.
 
 pub mod document;
 pub mod in_force;
