--- a/core/src/config/document.rs
+++ b/core/src/config/document.rs
@@ -1,17 +1,17 @@
-//! The documents that operators publish, in JSON.
+//! JSON documents published by operators.
 
 use crate::hash::Hash;
 use crate::{Name, place::Place};
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 
-/// Largest value that the platform holds, in bytes.
+/// Maximum size of a platform value in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
 json! {
     /// Body of the key `preset/<name>`.
     pub struct Preset {
-        /// Name of the preset; the same as in the key.
+        /// Must match the name in the key.
         pub name: Name,
         /// Services by name.
         #[serde(with = "serde_with::rust::maps_duplicate_key_is_error")]
@@ -19,17 +19,18 @@
         /// Routes by name.
         #[serde(with = "serde_with::rust::maps_duplicate_key_is_error")]
         pub routes: IndexMap<Name, Route>,
-        /// Further keys that hold more services and routes of this preset, for fleets whose
-        /// preset is larger than one value.
+        /// Additional keys holding further services and routes of this preset, for presets that
+        /// exceed the maximum value size.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         pub parts: Vec<PartRef>,
     }
 
-    /// A further key that belongs to a preset.
+    /// Reference to an additional key of a preset.
     pub struct PartRef {
         /// The key, for example `part/ordinary-07`.
         pub key: Name,
-        /// Digest of the key's value. A value read across a publish does not match it.
+        /// Digest of the key's value. Detects a value that was read while a publish was in
+        /// progress.
         pub digest: Hash,
     }
 
@@ -43,35 +44,34 @@
         pub routes: IndexMap<Name, Route>,
     }
 
-    /// A service: its limits and the targets that run it.
+    /// A service, its limits and its targets.
     pub struct Service {
-        /// Limits that hold for each target of the service.
+        /// Limits applied to each target of the service.
         #[serde(default)]
         pub limits: ServiceLimits,
-        /// The targets, one a VM.
+        /// The targets, at most one per VM.
         pub targets: Vec<Target>,
     }
 
-    /// A back end of a service, on a VM that also runs a node.
+    /// A backend of a service, colocated with a node on its VM.
     pub struct Target {
         /// VM that the target and its node run on.
         pub vm: Name,
-        /// Region of that VM.
         pub region: Name,
-        /// Availability zone of that VM.
+        /// Availability zone of the VM.
         pub zone: Name,
-        /// Address on which that VM's node takes forwarded calls.
+        /// Address on which the VM's node accepts forwarded calls.
         pub gate: SocketAddr,
-        /// Address on which that VM's node takes messages from peers.
+        /// Address on which the VM's node accepts messages from peers.
         pub peers: SocketAddr,
-        /// The run of the target's process that is meant, as it names itself. A target that
-        /// took the address over has another one and rejects the request.
+        /// Incarnation ID of the target process, assigned by the target. A different target that
+        /// has taken over the address has another ID and rejects the request.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub incarnation: Option<Name>,
-        /// Requests that this target runs at once; absent for its service's limit.
+        /// Maximum concurrent requests of this target. Defaults to the limit of its service.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub slots: Option<u32>,
-        /// Whether it finishes what it has and takes no new work.
+        /// Whether the target is draining: it finishes in-flight requests and accepts no new ones.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")]
         pub leaving: bool,
     }
@@ -79,107 +79,105 @@
     /// Limits of each target of a service. Times are in milliseconds.
     #[serde(default)]
     pub struct ServiceLimits {
-        /// Requests that one target runs at once; 1 to 10,000.
+        /// Maximum concurrent requests per target; 1 to 10,000.
         pub slots: u32,
-        /// Connections that one target takes; at least `slots`, at most 10,000.
+        /// Maximum connections per target; at least `slots`, at most 10,000.
         pub connections: u32,
-        /// Requests that wait for a slot of one target; 0 to 100,000.
+        /// Maximum requests queued for a slot per target; 0 to 100,000.
         pub queue: u32,
-        /// Longest wait for a slot; 1 to 60,000 ms.
+        /// Maximum queueing time; 1 to 60,000 ms.
         pub queue_wait_ms: u32,
-        /// Retries allowed, as a share of recent first attempts; 0 to 100 %.
+        /// Retry budget as a percentage of recent first attempts; 0 to 100 %.
         pub retry_budget_percent: u32,
-        /// Retries that the whole fleet may make in any ten seconds beside that share; absent for
-        /// a budget that each node keeps for itself. At most 100,000.
+        /// Additional retries allowed fleet-wide in any ten-second window. If absent, each node
+        /// maintains its own budget. At most 100,000.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub retry_reserve: Option<u32>,
-        /// How long a target that has just started gets less than its full share of work;
-        /// 0 to 600,000 ms.
+        /// Slow-start period during which a new target receives less than its full share of
+        /// requests; 0 to 600,000 ms.
         pub warm_up_ms: u32,
-        /// Most slots of a target that bulk requests may hold; 1 to 100 %.
+        /// Maximum share of a target's slots that bulk requests may occupy; 1 to 100 %.
         pub bulk_share_percent: u32,
-        /// Longest planned stop: requests still running after it are cut; 1,000 to 3,600,000 ms.
+        /// Drain timeout of a planned shutdown; requests still running when it expires are
+        /// aborted. 1,000 to 3,600,000 ms.
         pub drain_ms: u32,
     }
 
-    /// A route: which requests go to which service, and how.
+    /// A routing rule that maps requests to a service.
     pub struct Route {
-        /// Requests whose path starts with this, at a `/` boundary, take the route. The longest
-        /// prefix wins.
+        /// Path prefix to match, at a `/` boundary. The longest matching prefix wins.
         pub path_prefix: String,
-        /// Host of the requests, in lower case and without a port; absent for any.
+        /// Host to match, in lowercase and without a port. Matches any host if absent.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub host: Option<String>,
-        /// The service that answers.
+        /// The service that handles the requests.
         pub service: Name,
-        /// Services that share the requests by weight, `service` among them; empty for `service`
-        /// alone.
+        /// Weighted traffic split. If not empty, it must include `service`; if empty, `service`
+        /// receives all requests.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         pub split: Vec<Share>,
-        /// Whether a request may be run more than once. If not, it runs at most once.
+        /// Whether a request may be executed more than once. If false, it is executed at most once.
         pub idempotent: bool,
-        /// What a request that runs at most once is known by.
+        /// How duplicates of non-idempotent requests are detected.
         #[serde(default)]
         pub once: OnceBy,
-        /// Order in which waiting requests are admitted.
+        /// Priority class for admission of queued requests.
         #[serde(default)]
         pub class: Class,
-        /// Order within a class: a lower rank is admitted first.
+        /// Priority within a class; lower values are admitted first.
         #[serde(default)]
         pub rank: u8,
-        /// Time within which an answer is worth most to its caller; 1 to 600,000 ms.
+        /// Latency objective; 1 to 600,000 ms.
         #[serde(default = "default_objective_ms")]
         pub objective_ms: u32,
-        /// Time a caller is given when it states no deadline, and the most it may ask for;
-        /// 1 to 600,000 ms.
+        /// Default and maximum deadline of a request; 1 to 600,000 ms.
         #[serde(default = "default_deadline_ms")]
         pub deadline_ms: u32,
-        /// Attempts for one request, the first included; 1 to 10.
+        /// Maximum attempts per request, including the first; 1 to 10.
         #[serde(default = "default_max_attempts")]
         pub max_attempts: u32,
-        /// Further gatekeepers that are asked, beside the attempts, after refusals that cost no
-        /// target any work, the one at which the request waits in the end included; 0 to 10.
+        /// Additional gatekeepers to try, beyond `max_attempts`, after rejections that did not
+        /// consume target capacity. Includes the gatekeeper at which the request is finally queued.
+        /// 0 to 10.
         #[serde(default)]
         pub spare_forwards: u32,
-        /// Largest request body; 0 to 1,073,741,824 bytes.
+        /// Maximum request body size; 0 to 1,073,741,824 bytes.
         #[serde(default = "default_max_body_bytes")]
         pub max_body_bytes: u64,
     }
 }
 
 json! {
-    /// A service's part of a route's requests.
+    /// Weight of a service in the traffic split of a route.
     pub struct Share {
-        /// The service.
         pub service: Name,
-        /// Its part, compared with the sum over the route; 1 to 1,000,000.
+        /// Weight relative to the sum of all weights of the route; 1 to 1,000,000.
         pub weight: u32,
     }
 }
 
 impl Target {
-    /// Where the target's VM is.
     pub fn place(&self) -> Place {
         Place { region: self.region.clone(), zone: self.zone.clone() }
     }
 }
 
 kebab_enum! {
-    /// Admission class of a route.
+    /// Admission priority class of a route.
     #[derive(Default)]
     pub enum Class {
-        /// Internal lookups that other work waits for; admitted first.
+        /// Internal lookups on which other requests depend; admitted first.
         Gating,
-        /// A caller waits for the answer.
+        /// Requests with a waiting caller.
         #[default]
         Interactive,
-        /// Large transfers; admitted last and held to a share of the slots.
+        /// Large transfers; admitted last and limited to a share of the slots.
         Bulk,
     }
 }
 
 impl Class {
-    /// The name of the class in metrics.
+    /// Label value used in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Class::Gating => "gating",
@@ -190,13 +188,14 @@
 }
 
 kebab_enum! {
-    /// How a request that runs at most once is told from others.
+    /// How duplicates of a non-idempotent request are detected.
     #[derive(Default)]
     pub enum OnceBy {
-        /// By its `Idempotency-Key`: it may be sent again with the key and still runs once.
+        /// By `Idempotency-Key`: the request can be retried with the same key and is executed at
+        /// most once.
         #[default]
         Key,
-        /// By nothing: it is never sent again once it may have run.
+        /// Not detected: the request is not retried once it may have been executed.
         Attempt,
     }
 }
