--- a/core/src/config/in_force.rs
+++ b/core/src/config/in_force.rs
@@ -1,5 +1,4 @@
-//! Which version is in force: the one key that operators race on, and the rule that no node goes
-//! back.
+//! The version in force, and the rule that a node never reverts to an older version.
 
 use crate::hash::Hash;
 use crate::{Code, Name};
@@ -8,9 +7,8 @@
     /// Value of the key `in-force`.
     #[derive(Hash)]
     pub struct InForce {
-        /// Version; a publication with a higher version replaces the one in force.
+        /// A publication with a higher version replaces the one in force.
         pub version: u64,
-        /// The preset in force.
         pub preset: Name,
         /// Digest of the preset's body.
         pub digest: Hash,
@@ -18,51 +16,49 @@
 }
 
 data! {
-    /// The newest publication that this node knows to have been accepted, by itself now or by its
-    /// VM before a restart; its configuration never goes below it.
+    /// The newest publication known to have been accepted on this VM, including before a restart.
+    /// The configuration never reverts to an older version.
     #[derive(Default)]
     pub struct VersionFloor {
         newest: Option<InForce>,
         conflict: Option<u64>,
     }
 
-    /// What to do about a publication.
+    /// Decision about a publication.
     pub enum Decision {
-        /// It is newer: fetch and check its body.
+        /// The publication is newer: fetch and validate its body.
         Fetch,
-        /// It is the one already known.
+        /// The publication is already known.
         AlreadyKnown,
-        /// It is refused; the one in force stays.
+        /// The publication is rejected; the version in force is kept.
         Reject(Code),
     }
 }
 
 impl InForce {
-    /// Whether this one replaces `other` when both were accepted somewhere: the higher version
-    /// does, and of two bodies under one version the one with the higher digest.
+    /// Whether this publication takes precedence over `other`.
     ///
-    /// Orders publications by version, then by content, so that every node settles on the same one
-    /// of two bodies published under one version.
+    /// Publications are ordered by version, then by digest, so that all nodes converge on the same
+    /// body if two bodies are published under one version.
     pub fn replaces(&self, other: &InForce) -> bool {
         (self.version, self.digest, &self.preset) > (other.version, other.digest, &other.preset)
     }
 }
 
 impl VersionFloor {
-    /// The newest publication accepted so far.
     pub fn newest(&self) -> Option<&InForce> {
         self.newest.as_ref()
     }
 
-    /// The newest version accepted so far; zero if none.
+    /// The newest accepted version, or zero if there is none.
     pub fn version(&self) -> u64 {
         self.newest.as_ref().map_or(0, |newest| newest.version)
     }
 
-    /// Judges a publication read from the platform against the newest one accepted and the one
-    /// whose body is being read.
+    /// Evaluates a publication read from the platform against the newest accepted one and the one
+    /// whose body is being fetched (`pending`).
     ///
-    /// Refuses a second body under a version that is held or pending.
+    /// Rejects a second body under an accepted or pending version.
     pub fn evaluate(&mut self, seen: &InForce, pending: Option<&InForce>) -> Decision {
         if let Some(newest) = &self.newest {
             if seen == newest {
@@ -89,7 +85,7 @@
         }
     }
 
-    /// Judges a publication that a peer has accepted.
+    /// Evaluates a publication that a peer has already accepted.
     pub fn evaluate_accepted(&self, seen: &InForce) -> Decision {
         match &self.newest {
             Some(newest) if seen == newest => Decision::AlreadyKnown,
@@ -102,7 +98,7 @@
         }
     }
 
-    /// Records that a publication has been checked whole and accepted. Older ones are ignored.
+    /// Records a fully validated and accepted publication. Older publications are ignored.
     pub fn accept(&mut self, accepted: InForce) {
         if self.newest.as_ref().is_none_or(|newest| accepted.replaces(newest)) {
             self.newest = Some(accepted);
