--- a/core/src/config/resource_set.rs
+++ b/core/src/config/resource_set.rs
@@ -1,4 +1,4 @@
-//! The resources of one version, as far as a node holds them.
+//! The resources of one version that a node holds.
 
 use super::document::Route;
 use super::resource::{Manifest, Resource, ResourceId, ResourceKind};
@@ -12,21 +12,20 @@
 data! {
     /// A resource and the service that it belongs to.
     pub struct ResourceEntry {
-        /// The resource.
         pub resource: Resource,
-        /// The service described, or the one that a route leads to.
+        /// The service described by the resource, or the service that a route points to.
         pub service: Name,
     }
 
-    /// What a change left behind or brought: enough to tell who needs it.
+    /// Hash and service of a resource, without its body. Sufficient to compute which resources
+    /// changed and which scopes are affected.
     pub struct ResourceDigest {
-        /// Hash of the content.
+        /// Hash of the resource body.
         pub hash: Hash,
-        /// The service that the resource belonged to.
         pub service: Name,
     }
 
-    /// Resources by id, with the routes of each service at hand.
+    /// Resources by id, with an index of the routes of each service.
     #[derive(Default)]
     pub struct ResourceSet {
         entries: BTreeMap<ResourceId, ResourceEntry>,
@@ -35,7 +34,7 @@
 }
 
 impl ResourceSet {
-    /// Takes resources, for example those of a preset that was split.
+    /// Creates a set from resources, for example those of a split preset.
     pub fn new(resources: IndexMap<ResourceId, Resource>) -> Result<ResourceSet> {
         let mut content = ResourceSet::default();
         for (id, resource) in resources {
@@ -44,7 +43,7 @@
         Ok(content)
     }
 
-    /// Adds or replaces a resource by its body.
+    /// Hashes `body` and inserts it as a resource, replacing any resource with the same id.
     pub fn insert_body(&mut self, id: ResourceId, body: Bytes) -> Result<()> {
         self.insert(id, Resource::new(body))
     }
@@ -59,7 +58,7 @@
         Ok(())
     }
 
-    /// Removes a resource, if it is there.
+    /// Removes a resource, if present.
     pub fn remove(&mut self, id: &ResourceId) {
         let Some(entry) = self.entries.remove(id) else { return };
         if id.kind != ResourceKind::Route {
@@ -73,27 +72,24 @@
         }
     }
 
-    /// A resource.
     pub fn get(&self, id: &ResourceId) -> Option<&ResourceEntry> {
         self.entries.get(id)
     }
 
-    /// Number of resources held.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is held.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of all bodies held.
+    /// Total size of all bodies in bytes.
     pub fn body_bytes(&self) -> usize {
         self.entries.values().map(|entry| entry.resource.body.len()).sum()
     }
 
-    /// The resources within a scope, in the order of their ids.
+    /// The resources within a scope, ordered by id.
     pub fn in_scope(&self, scope: &Scope) -> IndexMap<ResourceId, Resource> {
         let take =
             |(id, entry): (&ResourceId, &ResourceEntry)| (id.clone(), entry.resource.clone());
@@ -108,7 +104,7 @@
         }
     }
 
-    /// The hashes within a scope.
+    /// The manifest of the resources within a scope.
     pub fn manifest(&self, scope: &Scope) -> Manifest {
         let hash = |id: &ResourceId| Some((id.clone(), self.entries.get(id)?.resource.hash));
         let entries = match scope {
@@ -121,7 +117,8 @@
         Manifest { entries }
     }
 
-    /// Takes the bodies that are equal from `older`, so that two versions share them.
+    /// Replaces bodies that are identical in `older` by references to them, so that both versions
+    /// share memory.
     pub fn share_bodies(&mut self, older: &ResourceSet) {
         for (id, entry) in &mut self.entries {
             let same = older.get(id).filter(|old| old.resource.hash == entry.resource.hash);
@@ -131,13 +128,14 @@
         }
     }
 
-    /// Drops what is outside a scope.
+    /// Removes all resources outside a scope.
     pub fn retain_scope(&mut self, scope: &Scope) {
         self.entries.retain(|_, entry| scope.covers(&entry.service));
         self.routes_of.retain(|service, _| scope.covers(service));
     }
 
-    /// What differs from `older`: by resource, what was there; `None` if nothing was.
+    /// Resources that differ from `older`, with their digest in `older`, or `None` if they did not
+    /// exist there.
     pub fn changes_since(
         &self,
         older: &ResourceSet,
@@ -166,13 +164,11 @@
 }
 
 impl ResourceEntry {
-    /// The trace that the resource leaves in the history.
     pub fn digest(&self) -> ResourceDigest {
         ResourceDigest { hash: self.resource.hash, service: self.service.clone() }
     }
 }
 
-/// The service that a resource belongs to.
 fn owning_service(id: &ResourceId, resource: &Resource) -> Result<Name> {
     match id.kind {
         ResourceKind::Service | ResourceKind::Targets => Ok(id.name.clone()),
