--- a/core/src/config/scope.rs
+++ b/core/src/config/scope.rs
@@ -1,21 +1,20 @@
-//! Which part of a version a node needs.
+//! The part of a version that a node needs.
 
 use crate::Name;
 use std::collections::BTreeSet;
 
 data! {
-    /// A choice of services: their limits, their targets and the routes that lead to them.
+    /// A selection of services, including their limits, targets and routes.
     #[derive(Hash, PartialOrd, Ord)]
     pub enum Scope {
-        /// Every service.
         All,
-        /// These services, whether the version has them or not.
+        /// The named services, whether or not the version contains them.
         Only(BTreeSet<Name>),
     }
 }
 
 impl Scope {
-    /// The scope of these services; `None` for all.
+    /// Creates a scope from a list of services; `None` selects all.
     pub fn new(services: Option<&[Name]>) -> Scope {
         match services {
             Some(services) => Scope::Only(services.iter().cloned().collect()),
@@ -23,7 +22,7 @@
         }
     }
 
-    /// The services named; `None` for all.
+    /// The selected services, or `None` for all.
     pub fn services(&self) -> Option<Vec<Name>> {
         match self {
             Scope::All => None,
@@ -31,7 +30,6 @@
         }
     }
 
-    /// Whether a service is in scope.
     pub fn covers(&self, service: &Name) -> bool {
         match self {
             Scope::All => true,
@@ -39,7 +37,7 @@
         }
     }
 
-    /// Whether everything in `other` is in this scope too.
+    /// Whether this scope is a superset of `other`.
     pub fn includes(&self, other: &Scope) -> bool {
         match (self, other) {
             (Scope::All, _) => true,
