--- a/core/src/config/snapshot.rs
+++ b/core/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! A version as a node holds it in force: checked whole, immutable, shared by pointer.
+//! Immutable, validated configuration snapshots.
 
 use super::document::{Preset, Route, Service, ServiceLimits, Share, Target};
 use super::in_force::InForce;
@@ -20,23 +20,21 @@
 data! {
     /// A service in a snapshot.
     pub struct ServiceEntry {
-        /// Name of the service.
         pub name: Name,
-        /// Limits of each of its targets.
+        /// Limits applied to each target.
         pub limits: ServiceLimits,
-        /// Its targets, in the order of the document.
+        /// Targets in document order.
         pub targets: Vec<TargetKey>,
     }
 
     /// A route in a snapshot.
     pub struct RouteEntry {
-        /// Name of the route.
         pub name: Name,
         /// The route as published.
         pub route: Route,
-        /// The service that answers; always in the same snapshot.
+        /// The service that handles the requests; always part of the same snapshot.
         pub service: ServiceKey,
-        /// The services of its split with their weights; empty if there is none.
+        /// Services and weights of the traffic split; empty if there is none.
         pub split: Vec<(ServiceKey, u32)>,
     }
 
@@ -44,11 +42,10 @@
     pub struct TargetEntry {
         /// The target as published.
         pub target: Target,
-        /// The service that it runs.
         pub service: ServiceKey,
     }
 
-    /// One version of the configuration, whole and closed: every route's service is in it.
+    /// One complete configuration version. Every service referenced by a route is included.
     pub struct Snapshot {
         /// Version, preset and digest of the preset's body.
         pub in_force: InForce,
@@ -56,7 +53,7 @@
         routes: Vec<RouteEntry>,
         targets: Vec<TargetEntry>,
         by_vm: IndexMap<Name, TargetKey>,
-        // Longest prefix first; routes of any host under the empty text.
+        // Longest prefix first. Routes that match any host are stored under the empty string.
         by_host: IndexMap<String, Vec<RouteKey>>,
     }
 }
@@ -64,8 +61,7 @@
 impl Snapshot {
     /// Builds a snapshot from a preset that has passed [`validate::preset`].
     ///
-    /// Fails as a whole if a route names a service that is missing, so that no version is applied
-    /// in part.
+    /// Fails if a route refers to a missing service, so that a version is never partially applied.
     pub fn new(in_force: InForce, preset: &Preset) -> Result<Arc<Snapshot>> {
         let mut snapshot = Snapshot {
             in_force,
@@ -81,7 +77,7 @@
         for (name, route) in &preset.routes {
             snapshot.add_route(name, route, preset)?;
         }
-        // Longest prefix first, so that the first match is the most specific one.
+        // Sort by descending prefix length, so that the first match is the most specific one.
         snapshot.routes.sort_by_key(|entry| std::cmp::Reverse(entry.route.path_prefix.len()));
         for (index, entry) in snapshot.routes.iter().enumerate() {
             let host = entry.route.host.clone().unwrap_or_default();
@@ -90,8 +86,7 @@
         Ok(Arc::new(snapshot))
     }
 
-    /// Builds a snapshot from resources that came from a peer: puts the preset together again and
-    /// checks it as if it had been read from the platform.
+    /// Reassembles a preset from resources received from a peer, validates it and builds a snapshot.
     pub fn from_resources(
         in_force: InForce,
         resources: &IndexMap<ResourceId, Resource>,
@@ -101,7 +96,7 @@
         Snapshot::new(in_force, &preset)
     }
 
-    /// The preset that resources were split from.
+    /// Reassembles the preset that the resources were split from.
     pub fn assemble_preset(
         name: &Name,
         resources: &IndexMap<ResourceId, Resource>,
@@ -130,7 +125,7 @@
         Ok(preset)
     }
 
-    /// The preset that this snapshot was built from.
+    /// Converts the snapshot back to a preset.
     pub fn to_preset(&self) -> Preset {
         let targets = |keys: &[TargetKey]| -> Vec<Target> {
             keys.iter().map(|key| self.target(*key).target.clone()).collect()
@@ -172,13 +167,12 @@
         Ok(())
     }
 
-    /// The version in force.
     pub fn version(&self) -> u64 {
         self.in_force.version
     }
 
-    /// The route for a host and a request path, without its query: the longest matching prefix
-    /// among the routes of that host, else among those of any host.
+    /// Finds the route with the longest matching prefix. Routes for `host` take precedence over
+    /// routes that match any host. `path` must not include the query.
     pub fn route_for(&self, host: &str, path: &str) -> Option<RouteKey> {
         let named = (!host.is_empty()).then(|| self.route_of_host(host, path)).flatten();
         named.or_else(|| self.route_of_host("", path))
@@ -191,33 +185,28 @@
         matching.next()
     }
 
-    /// A route of this snapshot.
     pub fn route(&self, key: RouteKey) -> &RouteEntry {
         &self.routes[key.0 as usize]
     }
 
-    /// A service of this snapshot.
     pub fn service(&self, key: ServiceKey) -> &ServiceEntry {
         &self.services[key.0 as usize]
     }
 
-    /// A target of this snapshot.
     pub fn target(&self, key: TargetKey) -> &TargetEntry {
         &self.targets[key.0 as usize]
     }
 
-    /// The target on a VM.
+    /// The target that runs on a VM.
     pub fn target_on(&self, vm: &Name) -> Option<TargetKey> {
         self.by_vm.get(vm).copied()
     }
 
-    /// The service with this name.
     pub fn service_named(&self, name: &Name) -> Option<ServiceKey> {
         let index = self.services.iter().position(|entry| entry.name == *name)?;
         Some(ServiceKey(index as u32))
     }
 
-    /// All services.
     pub fn services(&self) -> &[ServiceEntry] {
         &self.services
     }
@@ -227,13 +216,12 @@
         &self.routes
     }
 
-    /// All targets.
     pub fn targets(&self) -> &[TargetEntry] {
         &self.targets
     }
 }
 
-/// Whether `path` starts with `prefix` at a `/` boundary.
+/// Whether `path` starts with `prefix` and the match ends at a `/` boundary.
 fn prefix_matches(prefix: &str, path: &str) -> bool {
     match path.strip_prefix(prefix) {
         Some(rest) => rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'),
