--- a/core/src/config/validate.rs
+++ b/core/src/config/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of a published document, the same on every node and in `sycamore-check`.
+//! Validation of published documents, shared by nodes and `sycamore-check`.
 
 use super::document::{MAX_DOCUMENT_BYTES, Part, Preset, Route, Service, ServiceLimits};
 use super::in_force::InForce;
@@ -7,41 +7,41 @@
 use std::collections::HashSet;
 use std::ops::RangeInclusive;
 
-/// Reads the value of the key `in-force`.
+/// Parses the value of the key `in-force`.
 pub fn parse_in_force(buf: &[u8]) -> Result<InForce> {
     let in_force: InForce = parse(buf)?;
-    // Version 0 stands for none: a floor can't hold it.
+    // Version 0 is reserved for "no version".
     if in_force.version == 0 {
         let fault = Fault::new(Code::LimitOutOfRange).with_place("version");
-        return Err(fault.with_detail("found 0, allowed from 1"));
+        return Err(fault.with_detail("found 0, must be at least 1"));
     }
     Ok(in_force)
 }
 
-/// Reads the body of a preset and checks its digest and name against the publication, but not yet
-/// its content: its parts may be missing.
+/// Parses the body of a preset and verifies its digest and name against the publication. Does not
+/// validate the content, because parts may not have been added yet.
 pub fn parse_preset(buf: &[u8], publication: &InForce) -> Result<Preset> {
     check_digest(buf, &publication.digest)?;
     let preset = parse_body(buf)?;
     if preset.name != publication.preset {
-        let detail = format!("found {}, published as {}", preset.name, publication.preset);
+        let detail = format!("found {}, expected {}", preset.name, publication.preset);
         return Err(Fault::new(Code::PresetMismatch).with_place("name").with_detail(detail));
     }
     Ok(preset)
 }
 
-/// Reads the body of a preset that is not published yet.
+/// Parses the body of a preset that has not been published yet.
 pub fn parse_body(buf: &[u8]) -> Result<Preset> {
     parse(buf)
 }
 
-/// Reads a part of a preset and checks its digest.
+/// Parses a part of a preset and verifies its digest.
 pub fn parse_part(buf: &[u8], digest: &Hash) -> Result<Part> {
     check_digest(buf, digest)?;
     parse(buf)
 }
 
-/// Adds the services and routes of a part to a preset. A name that stands twice is refused.
+/// Adds the services and routes of a part to a preset. Fails on duplicate names.
 pub fn add_part(preset: &mut Preset, part: Part) -> Result<()> {
     for (name, service) in part.services {
         if preset.services.insert(name.clone(), service).is_some() {
@@ -56,18 +56,19 @@
     Ok(())
 }
 
-/// Checks a whole preset, its parts added. Returns the first failure, in the document's order.
+/// Validates a complete preset, including its parts. Returns the first error in document order.
 pub fn preset(preset: &Preset) -> Result<()> {
     faults(preset).into_iter().next().map_or(Ok(()), Err)
 }
 
-/// Checks a whole preset whose targets are discovered apart from it: a service may have none.
+/// Validates a complete preset whose targets are discovered separately, so that services may have
+/// no targets.
 pub fn preset_without_targets(preset: &Preset) -> Result<()> {
     let mut faults = faults(preset).into_iter();
     faults.find(|fault| fault.code != Code::ServiceEmpty).map_or(Ok(()), Err)
 }
 
-/// Every failure of a whole preset, its parts added, in the document's order.
+/// All errors of a complete preset, including its parts, in document order.
 pub fn faults(preset: &Preset) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut vms = HashSet::new();
@@ -88,7 +89,7 @@
 
 fn parse<T: serde::de::DeserializeOwned>(buf: &[u8]) -> Result<T> {
     if buf.len() > MAX_DOCUMENT_BYTES {
-        let detail = format!("{} bytes, at most {MAX_DOCUMENT_BYTES}", buf.len());
+        let detail = format!("found {} bytes, allowed at most {MAX_DOCUMENT_BYTES}", buf.len());
         return Err(Fault::new(Code::DocumentTooLarge).with_detail(detail));
     }
     let deserializer = &mut serde_json::Deserializer::from_slice(buf);
@@ -96,7 +97,7 @@
         let place = e.path().to_string();
         Fault::new(Code::DocumentInvalid).with_place(place).with_detail(e.into_inner())
     })?;
-    // Text after the document would be two documents run together, of which only one is checked.
+    // Reject trailing data, such as a second concatenated document that would be ignored.
     deserializer.end().map_err(|e| Fault::new(Code::DocumentInvalid).with_detail(e))?;
     Ok(value)
 }
@@ -112,7 +113,7 @@
 fn duplicate_name(place: &str, name: &Name) -> Fault {
     Fault::new(Code::DocumentInvalid)
         .with_place(format!("{place}.{name}"))
-        .with_detail("the name stands in more than one part")
+        .with_detail("defined more than once across the preset and its parts")
 }
 
 fn check_service<'a>(
@@ -155,7 +156,7 @@
 fn check_route(name: &Name, route: &Route, preset: &Preset, faults: &mut Vec<Fault>) {
     let place = format!("routes.{name}");
     if !route.path_prefix.starts_with('/') {
-        let detail = format!("found {:?}, a path starts with /", route.path_prefix);
+        let detail = format!("found {:?}, must start with /", route.path_prefix);
         let fault = Fault::new(Code::DocumentInvalid).with_detail(detail);
         faults.push(fault.with_place(format!("{place}.path_prefix")));
     }
@@ -184,7 +185,7 @@
     }
     let listed = route.split.iter().any(|share| share.service == route.service);
     if !route.split.is_empty() && !listed {
-        let detail = format!("{} is not among the services of the split", route.service);
+        let detail = format!("service {} is missing from the split", route.service);
         let fault = Fault::new(Code::DocumentInvalid).with_detail(detail);
         faults.push(fault.with_place(format!("{place}.split")));
     }
