--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -1,8 +1,8 @@
-//! Which calls to the platform a node makes, and when.
+//! Scheduling and rate limiting of calls to the platform.
 //!
-//! Readers of a region watch the platform at all times. Any other node reads it only when it has
-//! lost every possible parent, or holds no list of its zone, and then within a share of a budget
-//! of calls a second that is divided by how many nodes may be doing the same.
+//! Region readers watch the platform continuously. Any other node reads it only if it has lost all
+//! parent candidates or has no VM list of its zone. The call rate of such nodes is limited to a
+//! fixed budget divided by the number of nodes that may be in the same situation.
 
 use super::Spread;
 use super::backoff::jitter;
@@ -16,16 +16,16 @@
 use crate::{Code, Name, Time};
 use std::time::Duration;
 
-/// What a node may do at the platform.
+/// How a node may access the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Access {
-    /// Nothing.
+    /// No access.
     None,
-    /// Watch at all times.
+    /// Continuous watches.
     Reader,
-    /// Read within the zone relays' share of the budget.
+    /// Reads within the call budget of zone relays.
     Relay,
-    /// Read within the other nodes' share of the budget.
+    /// Reads within the call budget of all other nodes.
     Orphan,
 }
 
@@ -70,7 +70,8 @@
         if needed { Access::Orphan } else { Access::None }
     }
 
-    /// A zone relay can't tell who its region's readers are before it holds these lists.
+    /// Whether the zone or VM lists are incomplete. A zone relay needs them to determine the readers
+    /// of its region.
     fn lacks_zone_lists(&self) -> bool {
         let lacks = |place: &Place| self.members.list(&place.zone).is_none();
         self.members.zones().is_none() || self.wanted_list_zones().iter().any(lacks)
@@ -78,8 +79,8 @@
 
     /// Mean time between two calls of this node.
     ///
-    /// The interval grows with the number of nodes that may be in the same state, so that their
-    /// calls together stay under the platform's limit.
+    /// Proportional to the number of nodes that may be in the same state, so that their combined
+    /// call rate stays below the platform's limit.
     pub(super) fn call_interval(&self, access: Access) -> Duration {
         let zones = self.topology.zones as u32;
         let relays = zones * TOP as u32;
@@ -118,7 +119,7 @@
         };
     }
 
-    /// A node that has found a parent again gives up its calls.
+    /// Cancels all calls once the node no longer needs the platform.
     fn cancel_source_calls(&mut self, out: &mut Vec<Output>) {
         let dropped = self.source.drop_calls(|_| true);
         out.extend(dropped.into_iter().map(Output::DropSource));
@@ -147,10 +148,10 @@
             return next;
         };
         let interval = self.call_interval(access);
-        // Full jitter on the first call after a while: nodes that lost their parents lost them
-        // together, and nodes whose watches waited hear of a version in one instant. A body and
-        // its parts follow on each other, since one helps nobody without the others, and the pause
-        // after them is as much longer; so is the time over which the first calls are spread.
+        // The first call gets full jitter, because many nodes tend to lose their parents, or see
+        // their watches return, at the same time. A preset body and its parts are only useful
+        // together, so they are read without pauses in between. The pause afterwards and the
+        // initial jitter are extended accordingly.
         let calls = if call.purpose.begins_reading() { CALLS_OF_READING } else { 1 };
         let first = now + jitter(interval * calls, &mut self.rng);
         let at = *self.source.budget_at.get_or_insert(first);
@@ -174,7 +175,7 @@
         out.push(Output::ReadSource(call));
     }
 
-    /// The calls that are due, most urgent first, and when the next one will be.
+    /// Returns the calls that are due, most urgent first, and the time of the next one.
     fn due_calls(&self, now: Time, access: Access) -> (Vec<DueCall>, Option<Time>) {
         let mut due = Vec::new();
         let mut next: Option<Time> = None;
@@ -207,7 +208,7 @@
             }
             add(watch.at, call);
         }
-        // While the platform does not answer, one key is enough to find out when it does again.
+        // While the platform is unreachable, polling a single key is enough to detect its recovery.
         let silent = self.source.answers == Some(false) && reads;
         let relays = matches!(access, Access::Reader | Access::Relay);
         if relays && !silent {
