--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -1,4 +1,5 @@
-//! What a node knows of the fleet's VMs: the platform's lists, which lag, and the nodes' own words.
+//! A node's view of the fleet: the platform's VM lists, which may be stale, combined with the
+//! states that nodes report about themselves.
 
 use super::limits::{LIST_LAG, MAX_FLOORS, MAX_HEARD, MAX_WORDS, WORDS_REPEAT};
 use super::message::{ListMark, Summary, Word, ZoneList, ZonesList};
@@ -12,7 +13,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A node's own word and when it was last reported, directly or through others.
+/// The latest state that a node reported about itself, received directly or through other nodes.
 #[derive(Debug)]
 struct ReportedState {
     word: Word,
@@ -20,24 +21,23 @@
     changed: Time,
 }
 
-/// Members of the fleet as one node knows them.
+/// Members of the fleet as known to one node.
 #[derive(Debug, Default)]
 pub struct Members {
     zones: Option<Arc<ZonesList>>,
     lists: IndexMap<Name, Arc<ZoneList>>,
-    /// When the listed state of a VM last changed, for those seen to change.
+    /// When the listed state of a VM last changed, for VMs whose listed state has changed.
     listed: IndexMap<Name, Time>,
     reports: IndexMap<Name, ReportedState>,
     floors: IndexMap<Name, InForce>,
 }
 
 impl Members {
-    /// The list of zones.
     pub fn zones(&self) -> Option<&Arc<ZonesList>> {
         self.zones.as_ref()
     }
 
-    /// Takes a list of zones. Returns whether it was newer.
+    /// Stores a list of zones if it is newer than the current one. Returns whether it was newer.
     pub fn update_zones(&mut self, zones: Arc<ZonesList>) -> bool {
         let newer = self.zones.as_ref().is_none_or(|held| zones.index > held.index);
         if newer {
@@ -46,17 +46,16 @@
         newer
     }
 
-    /// The list of a zone.
     pub fn list(&self, zone: &Name) -> Option<&Arc<ZoneList>> {
         self.lists.get(zone)
     }
 
-    /// Every list held.
     pub fn lists(&self) -> impl Iterator<Item = &Arc<ZoneList>> {
         self.lists.values()
     }
 
-    /// Takes a list of VMs. Returns whether it was newer.
+    /// Stores the VM list of a zone if it is newer than the current one. Returns whether it was
+    /// newer.
     pub fn update_list(&mut self, now: Time, list: Arc<ZoneList>) -> bool {
         let zone = list.place.zone.clone();
         match self.lists.get(&zone) {
@@ -77,7 +76,7 @@
         true
     }
 
-    /// Which lists are held, and which are wanted beside them.
+    /// The index of each stored list, plus index zero for each list in `wanted` that is missing.
     pub fn marks(&self, wanted: &[Place]) -> Vec<ListMark> {
         let mark =
             |list: &Arc<ZoneList>| ListMark { zone: list.place.zone.clone(), index: list.index };
@@ -90,7 +89,7 @@
         marks
     }
 
-    /// The lists that a node in `region` which holds `marks` lacks.
+    /// Lists that are newer than `marks`, or that belong to `region` and are missing from `marks`.
     pub fn newer_lists(&self, marks: &[ListMark], region: &Name) -> Vec<Arc<ZoneList>> {
         let lacks =
             |list: &&Arc<ZoneList>| match marks.iter().find(|mark| mark.zone == list.place.zone) {
@@ -100,8 +99,8 @@
         self.lists().filter(lacks).cloned().collect()
     }
 
-    /// Takes a node's word about its own VM; `direct` if it came from that node itself. Returns
-    /// whether anything changed that others should hear of.
+    /// Applies a state that a node reported about its own VM. `direct` means that the report was
+    /// received from that node itself. Returns whether the change should be propagated.
     pub fn apply_report(&mut self, now: Time, word: &Word, direct: bool) -> bool {
         if let Some(reported) = self.reports.get_mut(&word.vm) {
             let newer =
@@ -133,7 +132,7 @@
         differs
     }
 
-    /// Words that changed of late.
+    /// Reports that changed recently, limited to the most that one message carries.
     pub fn recent_reports(&self, now: Time) -> Vec<Word> {
         let recent = |reported: &&ReportedState| {
             reported.changed > Time::ZERO && now.since(reported.changed) < WORDS_REPEAT
@@ -141,10 +140,11 @@
         self.reports.values().filter(recent).take(MAX_WORDS).map(|h| h.word.clone()).collect()
     }
 
-    /// State of a listed VM.
+    /// Effective state of a listed VM.
     ///
-    /// A node's own word goes before a list, which lags. The list is believed only if the listed
-    /// state changed later and the node has been silent for longer than a list lags.
+    /// A state reported by the node takes precedence over the list, which may be stale. The list
+    /// wins only if its state changed after the last report and the last report is older than the
+    /// maximum list lag.
     pub fn state(&self, now: Time, member: &Member) -> VmState {
         let Some(reported) = self.reports.get(&member.vm) else { return member.state };
         let listed = self.listed.get(&member.vm).copied().unwrap_or(Time::ZERO);
@@ -154,7 +154,7 @@
         reported.word.state
     }
 
-    /// Every VM that is known not to be live.
+    /// All VMs that are known not to be live.
     pub fn not_live(&self, now: Time) -> IndexMap<Name, VmState> {
         let mut states = IndexMap::new();
         for reported in self.reports.values() {
@@ -172,17 +172,16 @@
         states
     }
 
-    /// The listed member of this name.
     pub fn find(&self, vm: &Name) -> Option<&Member> {
         self.lists().flat_map(|list| &list.vms).find(|member| member.vm == *vm)
     }
 
-    /// The listed member that takes messages at this address.
+    /// The listed member with this peer address.
     pub fn at(&self, address: SocketAddr) -> Option<&Member> {
         self.lists().flat_map(|list| &list.vms).find(|member| member.peers == address)
     }
 
-    /// A random live VM of a zone other than `own`.
+    /// A random live VM in `zone`, excluding `own`.
     pub fn random_live(
         &self,
         now: Time,
@@ -200,7 +199,7 @@
         (0..TRIES).map(pick).find(fits)
     }
 
-    /// Remembers the version that a neighbour has in force.
+    /// Records the version that a peer has in force.
     pub fn record_floor(&mut self, vm: &Name, have: &Summary) {
         if let Some(floor) = self.floors.get_mut(vm) {
             if have.in_force.replaces(floor) {
@@ -214,7 +213,7 @@
         self.floors.insert(vm.clone(), have.in_force.clone());
     }
 
-    /// The newest version that a neighbour has confirmed.
+    /// The newest version that a peer is known to have had in force.
     pub fn floor_of(&self, vm: &Name) -> Option<&InForce> {
         self.floors.get(vm)
     }
