--- a/core/src/spread/notes.rs
+++ b/core/src/spread/notes.rs
@@ -1,7 +1,7 @@
-//! Notes between the call paths of two nodes: where the node of a VM is found.
+//! Address resolution for notes between the call paths of two nodes.
 //!
-//! A note goes to a target of the same service, so that the version in force names its address.
-//! A target that a newer version dropped is found by the address that it had before.
+//! Notes are sent to targets of the same service, whose addresses are part of the version in force.
+//! A target removed by a newer version is reached at its last known address.
 
 use super::limits::{MAX_DROPPED, MAX_EXTRA_ZONES};
 use super::message::PeerMsg;
@@ -14,14 +14,14 @@
 use crate::place::Place;
 use indexmap::IndexMap;
 
-/// Where targets are found that newer versions dropped. Bounded: the oldest go first.
+/// Last known addresses of targets removed by newer versions. Bounded; evicts the oldest first.
 #[derive(Debug, Default)]
 pub struct RemovedTargets {
     peers: IndexMap<Name, Peer>,
 }
 
 impl RemovedTargets {
-    /// Remembers the targets of `before` that `after` lacks.
+    /// Records the targets that are in `before` but not in `after`.
     fn record(&mut self, before: &Snapshot, after: &Snapshot) {
         for entry in before.targets() {
             let vm = &entry.target.vm;
@@ -37,15 +37,15 @@
 }
 
 impl Spread {
-    /// Remembers what a new version drops.
+    /// Records the targets that a new version removes.
     pub(super) fn record_removed_targets(&mut self, after: &Snapshot) {
         if let Some(before) = &self.snapshot {
             self.removed_targets.record(before, after);
         }
     }
 
-    /// Sends a note of the call path. One that finds no address is dropped: whoever waits for its
-    /// effect asks again.
+    /// Sends a note of the call path. A note without a known address is discarded; the call path
+    /// retries if it needs an answer.
     pub(super) fn send_note(&mut self, note: OutgoingNote, out: &mut Vec<Output>) {
         let listed = self.members.find(&note.to).map(topology::peer);
         let Some(peer) = self.target_peer(&note.to).or(listed) else { return };
@@ -62,8 +62,8 @@
         Some(peer)
     }
 
-    /// A VM that a version dropped answers no note; only the list of its zone can say that it is
-    /// gone.
+    /// Schedules a read of the VM list of `place`. A removed target may have stopped and never
+    /// answer a note; only the list of its zone can confirm that.
     fn request_zone_list(&mut self, place: &Place) {
         if !self.extra_zones.contains(place) && self.extra_zones.len() < MAX_EXTRA_ZONES {
             self.extra_zones.push(place.clone());
