--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -1,4 +1,4 @@
-//! Questions to peers and their answers.
+//! Pings to peers and handling of their answers.
 
 use super::Spread;
 use super::limits::{ANSWER_WAIT, LISTS_EVERY, MAX_ASKED, TOP};
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 
-/// A question that waits for its answer.
+/// A ping that has not been answered yet.
 #[derive(Debug)]
 struct PendingPing {
     to: SocketAddr,
@@ -18,7 +18,6 @@
     deadline: Time,
 }
 
-/// Questions that wait for their answers.
 #[derive(Debug, Default)]
 pub struct PendingPings {
     next_seq: u32,
@@ -26,7 +25,7 @@
 }
 
 impl PendingPings {
-    /// Opens a question and numbers it. `None` if too many wait already.
+    /// Registers a ping and returns its sequence number, or `None` if too many are pending.
     fn open(&mut self, to: SocketAddr, ask: Ask, deadline: Time) -> Option<u32> {
         if self.pings.len() >= MAX_ASKED {
             return None;
@@ -37,7 +36,7 @@
         Some(seq)
     }
 
-    /// Whether a question of this kind waits for an answer.
+    /// Whether a ping of this kind is pending.
     pub fn has_pending(&self, ask: Ask) -> bool {
         self.pings.values().any(|ping| ping.ask == ask)
     }
@@ -46,12 +45,11 @@
         self.pings.values().any(|ping| ping.to == to && ping.ask == ask)
     }
 
-    /// When the first question is given up.
+    /// The earliest deadline of all pending pings.
     pub fn next_deadline(&self) -> Option<Time> {
         self.pings.values().map(|ping| ping.deadline).min()
     }
 
-    /// Forgets every ping.
     pub fn clear(&mut self) {
         self.pings.clear();
     }
@@ -64,14 +62,13 @@
 }
 
 impl Spread {
-    /// Asks a peer about its version.
     pub(super) fn ping_peer(&mut self, now: Time, to: &Peer, ask: Ask, out: &mut Vec<Output>) {
         if let Some(ping) = self.new_ping(now, to.address, ask) {
             self.send(to, ping, out);
         }
     }
 
-    /// Asks whoever is at an address.
+    /// Pings an address whose VM is not known.
     pub(super) fn ping_address(
         &mut self,
         now: Time,
@@ -102,13 +99,13 @@
         })))
     }
 
-    /// The version in force here.
+    /// Summary of the version in force on this node.
     pub(super) fn held_summary(&self) -> Option<Summary> {
         self.in_force.as_ref().map(|store| store.summary().clone())
     }
 
-    /// Zones whose lists this node needs: its own, and for those who look for readers all of the
-    /// own region and of the platform's.
+    /// Zones whose VM lists this node needs: its own zone and, for zone relays and readers, all
+    /// zones of its own region and of the platform's region.
     pub(super) fn wanted_list_zones(&self) -> Vec<Place> {
         let mut wanted = vec![self.cfg.place.clone()];
         if self.topology.rank < TOP || self.topology.reader.is_some() {
@@ -154,7 +151,7 @@
         }
     }
 
-    /// Takes the answer to a ping. Answers that were not asked for are dropped.
+    /// Handles the answer to a ping. Unsolicited answers are discarded.
     pub(super) fn handle_pong(
         &mut self,
         now: Time,
@@ -163,7 +160,7 @@
         out: &mut Vec<Output>,
     ) {
         let Some(ping) = self.pending_pings.pings.swap_remove(&pong.seq) else { return };
-        // An answer that came while the process was paused may be out of date.
+        // A late answer may have been queued while the process was suspended and may be stale.
         if ping.deadline < now {
             return self.ping_failed(now, &ping, out);
         }
