--- a/core/src/spread/state_reports.rs
+++ b/core/src/spread/state_reports.rs
@@ -1,4 +1,4 @@
-//! What VMs say of themselves, passed on along the tree.
+//! Propagation of VM state reports along the distribution tree.
 
 use super::Spread;
 use super::limits::{ANNOUNCE_RANDOM, MAX_WORDS_TAKEN, WORDS_DELAY};
@@ -7,7 +7,7 @@
 use super::topology;
 use crate::Time;
 
-/// PendingReports that wait to be passed on.
+/// State reports waiting to be sent to neighbors in one batch.
 #[derive(Debug, Default)]
 pub struct PendingReports {
     reports: Vec<Word>,
@@ -15,7 +15,7 @@
 }
 
 impl PendingReports {
-    /// When the waiting words are passed on.
+    /// When the pending reports will be sent.
     pub fn next_send(&self) -> Option<Time> {
         self.send_at
     }
@@ -28,8 +28,9 @@
 }
 
 impl Spread {
-    /// Takes a word; `direct` if it came from the node that it is about. PendingReports that change what
-    /// is known are passed on; all others end here, so that a word goes over each link once.
+    /// Handles a state report. `direct` means that it was received from the node that it describes.
+    /// Only reports that change the known state are forwarded, so that a report crosses each link
+    /// at most once.
     pub(super) fn handle_state_report(&mut self, now: Time, word: &Word, direct: bool) {
         if word.vm == self.cfg.vm {
             return;
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Tells neighbours of the node's own state.
+    /// Announces the node's own state to its neighbors and to random members of its zone.
     pub(super) fn announce(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
         let word = self.word.clone();
