--- a/core/tests/config.rs
+++ b/core/tests/config.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn preset_whole() {
+fn preset_valid() {
     assert_eq!(check(PRESET), Ok(()));
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn preset_trailing_text() {
+fn preset_trailing_data() {
     // Story: a merge in version control leaves two documents one after the other in one file. A
     // reader that stops at the end of the first puts half of the change into force.
     let body = format!("{PRESET}\n{PRESET}");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn preset_name_repeated() {
+fn preset_duplicate_name() {
     // Story: two changes that add a service of the same name are merged. A reader that lets the
     // later one win drops the targets of the first without a word, and its calls get no answer.
     let again = r#""roster":{"targets":[{"vm":"b","region":"r","zone":"z","gate":"127.0.0.1:2","peers":"127.0.0.1:9"}]}"#;
