--- a/core/tests/errors_doc.rs
+++ b/core/tests/errors_doc.rs
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn page_says_what_to_do() {
+fn page_has_action_for_every_code() {
     for [number, _, action] in rows() {
         assert!(action.len() > 5, "{number}: {action:?}");
     }
 }
 
 #[test]
-fn numbers_read_back() {
+fn numbers_round_trip() {
     for code in Code::ALL {
         assert_eq!(Code::from_number(code.number()), Some(*code));
     }
@@ -40,11 +40,11 @@
 }
 
 /// All source text of the programs, without the lists of codes and events themselves.
-fn sources(dir: &Path, text: &mut String) {
+fn append_sources(dir: &Path, text: &mut String) {
     for entry in std::fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            sources(&path, text);
+            append_sources(&path, text);
         } else if !path.ends_with("core/src/code.rs") && !path.ends_with("core/src/event.rs") {
             text.push_str(&std::fs::read_to_string(path).unwrap());
         }
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn listed_means_used() {
+fn every_code_and_event_is_used() {
     // Story: an operator sets an alarm on an event that the page lists and no program records.
     // The alarm stays silent while requests crash their targets.
     let mut text = String::new();
     for folder in ["core/src", "node/src", "tools/src"] {
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-        sources(&root.join(folder), &mut text);
+        append_sources(&root.join(folder), &mut text);
     }
     let used =
         |word: &str| text.split(word).skip(1).any(|rest| !rest.starts_with(char::is_alphanumeric));
