--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn version_read_reaches_calls() {
+fn published_version_reaches_call_path() {
     let mut now = Time::from_millis(1_000_000);
     let mut node = Node::new(config(), now, 7);
     assert!(!arrive(&mut node, now).iter().any(is_forward), "no route before a version");
