--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -29,43 +29,43 @@
 const MAX_OUTPUTS: usize = 1_000;
 
 /// Steps in which the platform answers every question, before anything else happens.
-const WARM_STEPS: usize = 100;
+const WARM_UP_STEPS: usize = 100;
 
 /// Draws inputs from few names and numbers, so that they meet.
-struct Draw(Pcg64Mcg);
+struct InputGenerator(Pcg64Mcg);
 
-impl Draw {
-    fn of<T: Copy>(&mut self, choices: &[T]) -> T {
+impl InputGenerator {
+    fn choose<T: Copy>(&mut self, choices: &[T]) -> T {
         *choices.choose(&mut self.0).unwrap()
     }
 
-    fn flip(&mut self) -> bool {
+    fn flag(&mut self) -> bool {
         self.0.random()
     }
 
-    fn small(&mut self) -> u64 {
+    fn number(&mut self) -> u64 {
         if self.0.random_range(0..20) == 0 { self.0.random() } else { self.0.random_range(0..6) }
     }
 
-    fn several<T>(&mut self, draw: impl Fn(&mut Draw) -> T) -> Vec<T> {
-        (0..self.0.random_range(0..4)).map(|_| draw(self)).collect()
+    fn vec_of<T>(&mut self, generator: impl Fn(&mut InputGenerator) -> T) -> Vec<T> {
+        (0..self.0.random_range(0..4)).map(|_| generator(self)).collect()
     }
 
-    fn maybe<T>(&mut self, draw: impl Fn(&mut Draw) -> T) -> Option<T> {
-        self.flip().then(|| draw(self))
+    fn option_of<T>(&mut self, generator: impl Fn(&mut InputGenerator) -> T) -> Option<T> {
+        self.flag().then(|| generator(self))
     }
 
     fn vm(&mut self) -> Name {
-        Name::new(self.of(&VMS)).unwrap()
+        Name::new(self.choose(&VMS)).unwrap()
     }
 
     fn place(&mut self) -> Place {
-        let zone = self.of(&ZONES);
+        let zone = self.choose(&ZONES);
         Place { region: Name::new("r").unwrap(), zone: Name::new(zone).unwrap() }
     }
 
     fn state(&mut self) -> VmState {
-        self.of(&[VmState::Live, VmState::Leaving, VmState::Gone])
+        self.choose(&[VmState::Live, VmState::Leaving, VmState::Gone])
     }
 
     fn address(&mut self) -> std::net::SocketAddr {
@@ -86,7 +86,7 @@
                 )
             })
             .collect();
-        let service = self.of(&["s", "s", "s", "missing"]);
+        let service = self.choose(&["s", "s", "s", "missing"]);
         format!(
             r#"{{"name":"p","services":{{"s":{{"targets":[{}]}}}},"routes":{{
             "i":{{"path_prefix":"/i","service":"{service}","idempotent":true}},
@@ -97,7 +97,7 @@
 
     fn in_force(&mut self) -> InForce {
         let preset = Name::new("p").unwrap();
-        InForce { version: self.small(), preset, digest: self.hash() }
+        InForce { version: self.number(), preset, digest: self.hash() }
     }
 
     fn summary(&mut self) -> Summary {
@@ -107,13 +107,13 @@
     fn word(&mut self) -> Word {
         Word {
             vm: self.vm(),
-            incarnation: START.0.saturating_add(self.small()),
+            incarnation: START.0.saturating_add(self.number()),
             state: self.state(),
         }
     }
 
     fn base(&mut self) -> Base {
-        Base { version: self.small(), digest: self.hash() }
+        Base { version: self.number(), digest: self.hash() }
     }
 
     fn member(&mut self) -> Member {
@@ -123,90 +123,99 @@
     }
 
     fn resource(&mut self) -> ResourceId {
-        let kind = self.of(&[ResourceKind::Service, ResourceKind::Targets, ResourceKind::Route]);
-        ResourceId { kind, name: Name::new(self.of(&["s", "i", "o"])).unwrap() }
+        let kind =
+            self.choose(&[ResourceKind::Service, ResourceKind::Targets, ResourceKind::Route]);
+        ResourceId { kind, name: Name::new(self.choose(&["s", "i", "o"])).unwrap() }
     }
 
     fn list(&mut self) -> HomeList {
-        HomeList { version: self.small(), vms: self.several(Draw::vm) }
+        HomeList { version: self.number(), vms: self.vec_of(InputGenerator::vm) }
     }
 
     fn key(&mut self) -> RequestKey {
-        RequestKey { high: (START.as_millis() + self.small()) << 16, low: self.small() }
+        RequestKey { high: (START.as_millis() + self.number()) << 16, low: self.number() }
     }
 
     fn note(&mut self) -> Note {
         match self.0.random_range(0..5) {
             0 => Note::AskRelease(Box::new(note::Ask {
-                id: self.small(),
+                id: self.number(),
                 service: Name::new("s").unwrap(),
                 list: self.list().digest(),
-                since: self.maybe(|draw| ListId { version: draw.small(), digest: draw.hash() }),
-                left: self.several(Draw::vm),
+                since: self.option_of(|generator| ListId {
+                    version: generator.number(),
+                    digest: generator.hash(),
+                }),
+                left: self.vec_of(InputGenerator::vm),
             })),
             1 => Note::Released(Box::new(note::Release {
-                id: self.small(),
-                part: self.small() as u32,
-                parts: self.small() as u32,
-                keys: self.several(Draw::key),
-                fence: START + Duration::from_millis(self.small()),
-                lists: self.several(Draw::list),
-                unreleased: self
-                    .several(|draw| Unreleased { vm: draw.vm(), list: draw.maybe(Draw::list) }),
-                left: self.flip(),
+                id: self.number(),
+                part: self.number() as u32,
+                parts: self.number() as u32,
+                keys: self.vec_of(InputGenerator::key),
+                fence: START + Duration::from_millis(self.number()),
+                lists: self.vec_of(InputGenerator::list),
+                unreleased: self.vec_of(|generator| Unreleased {
+                    vm: generator.vm(),
+                    list: generator.option_of(InputGenerator::list),
+                }),
+                left: self.flag(),
             })),
             2 => Note::Leaving,
             3 => Note::Suspect {
-                crash: self.small(),
-                fingerprints: self.several(|draw| Fingerprint(draw.small())),
+                crash: self.number(),
+                fingerprints: self.vec_of(|generator| Fingerprint(generator.number())),
             },
-            _ => Note::Cleared { fingerprint: Fingerprint(self.small()) },
+            _ => Note::Cleared { fingerprint: Fingerprint(self.number()) },
         }
     }
 
     fn message(&mut self) -> PeerMsg {
         match self.0.random_range(0..10) {
             0 => PeerMsg::Ping(Box::new(Ping {
-                seq: self.small() as u32,
-                ask: self.of(&[Ask::Join, Ask::Attach, Ask::Compare]),
+                seq: self.number() as u32,
+                ask: self.choose(&[Ask::Join, Ask::Attach, Ask::Compare]),
                 word: self.word(),
-                have: self.maybe(Draw::summary),
-                zones: self.small(),
-                lists: self.maybe(|draw| {
-                    draw.several(|draw| ListMark { zone: draw.place().zone, index: draw.small() })
+                have: self.option_of(InputGenerator::summary),
+                zones: self.number(),
+                lists: self.option_of(|generator| {
+                    generator.vec_of(|generator| ListMark {
+                        zone: generator.place().zone,
+                        index: generator.number(),
+                    })
                 }),
             })),
             1 | 2 => PeerMsg::Pong(Box::new(Pong {
-                seq: self.small() as u32,
-                attached: self.flip(),
-                hops: self.small() as u8,
+                seq: self.number() as u32,
+                attached: self.flag(),
+                hops: self.number() as u8,
                 word: self.word(),
-                have: self.maybe(Draw::summary),
-                floor: self.maybe(Draw::in_force),
-                words: self.several(Draw::word),
+                have: self.option_of(InputGenerator::summary),
+                floor: self.option_of(InputGenerator::in_force),
+                words: self.vec_of(InputGenerator::word),
             })),
             3 => PeerMsg::Notice(Box::new(self.summary())),
             4 => PeerMsg::Pull(Box::new(Pull {
-                version: self.small(),
-                base: self.maybe(Draw::base),
-                scope: self.maybe(|draw| draw.several(|_| Name::new("s").unwrap())),
+                version: self.number(),
+                base: self.option_of(InputGenerator::base),
+                scope: self.option_of(|generator| generator.vec_of(|_| Name::new("s").unwrap())),
             })),
             5 => PeerMsg::Delta(Arc::new(Delta {
                 summary: self.summary(),
-                base: self.maybe(Draw::base),
-                changed: self.several(|draw| (draw.resource(), draw.preset().into())),
-                removed: self.several(Draw::resource),
+                base: self.option_of(InputGenerator::base),
+                changed: self.vec_of(|generator| (generator.resource(), generator.preset().into())),
+                removed: self.vec_of(InputGenerator::resource),
                 digest: self.hash(),
             })),
-            6 => PeerMsg::Missing(self.small()),
-            7 => PeerMsg::Words(self.several(Draw::word)),
-            8 => PeerMsg::Lists(self.several(|draw| {
-                let vms = draw.several(Draw::member);
-                Arc::new(ZoneList { place: draw.place(), index: draw.small(), vms })
+            6 => PeerMsg::Missing(self.number()),
+            7 => PeerMsg::Words(self.vec_of(InputGenerator::word)),
+            8 => PeerMsg::Lists(self.vec_of(|generator| {
+                let vms = generator.vec_of(InputGenerator::member);
+                Arc::new(ZoneList { place: generator.place(), index: generator.number(), vms })
             })),
             _ => PeerMsg::Zones(Arc::new(ZonesList {
-                index: self.small(),
-                zones: self.several(Draw::place),
+                index: self.number(),
+                zones: self.vec_of(InputGenerator::place),
             })),
         }
     }
@@ -216,37 +225,37 @@
         let digest = Hash::of(body.as_bytes());
         match key {
             "in-force" => {
-                Some(format!(r#"{{"version":{},"preset":"p","digest":"{digest}"}}"#, self.small()))
+                Some(format!(r#"{{"version":{},"preset":"p","digest":"{digest}"}}"#, self.number()))
             }
             "preset/p" if self.0.random_range(0..8) > 0 => Some(body.to_owned()),
             "zones" => Some(r#"{"zones":[{"region":"r","zone":"z"}]}"#.to_owned()),
             "vms/z" => Some(r#"{"vms":[]}"#.to_owned()),
-            _ => self.flip().then(|| "{".to_owned()),
+            _ => self.flag().then(|| "{".to_owned()),
         }
     }
 
-    fn reply(&mut self, asked: &[(CallId, String)], body: &str) -> SourceReply {
+    fn reply(&mut self, platform_calls: &[(CallId, String)], body: &str) -> SourceReply {
         // Old questions are mostly given up.
-        let recent = &asked[asked.len().saturating_sub(3)..];
+        let recent = &platform_calls[platform_calls.len().saturating_sub(3)..];
         let known = recent.choose(&mut self.0).cloned();
-        let unknown = (CallId(self.small()), "else".to_owned());
+        let unknown = (CallId(self.number()), "else".to_owned());
         let (id, key) = known.filter(|_| self.0.random_range(0..8) > 0).unwrap_or(unknown);
         let codes = [Code::SourceUnreachable, Code::SourceInvalid, Code::SourceOverLimit];
         let result = match self.0.random_range(0..6) {
-            0 => Err(self.of(&codes)),
+            0 => Err(self.choose(&codes)),
             _ => Ok(SourceValue {
-                index: self.small(),
+                index: self.number(),
                 body: self.value(&key, body).map(Into::into),
             }),
         };
         SourceReply { id, result }
     }
 
-    fn spread(&mut self, asked: &[(CallId, String)], body: &str) -> spread::Input {
+    fn spread(&mut self, platform_calls: &[(CallId, String)], body: &str) -> spread::Input {
         match self.0.random_range(0..12) {
             0 => spread::Input::Start,
             1 | 2 => spread::Input::Wake,
-            3..=6 => spread::Input::Source(self.reply(asked, body)),
+            3..=6 => spread::Input::Source(self.reply(platform_calls, body)),
             7..=9 => {
                 let from = Peer { vm: self.vm(), place: self.place(), address: self.address() };
                 spread::Input::Peer { from, msg: self.message() }
@@ -258,33 +267,33 @@
     }
 
     fn entry(&mut self) -> entry::Input<'static> {
-        let call = CallKey(self.small());
+        let call = CallKey(self.number());
         let refused = entry::AttemptEnd::Refused {
-            code: self.of(Code::ALL),
-            retry_after: Duration::from_millis(self.small()),
+            code: self.choose(Code::ALL),
+            retry_after: Duration::from_millis(self.number()),
             load: None,
-            crashes: self.small() as u32,
+            crashes: self.number() as u32,
         };
         match self.0.random_range(0..9) {
             0..=2 => entry::Input::Arrive(entry::Arrival {
                 host: "",
                 call,
-                path: self.of(&["/i/1", "/o/1", "/", ""]),
-                key: self.maybe(Draw::key),
-                time_left: self.maybe(|draw| Duration::from_millis(draw.small())),
-                depth: self.small() as u8,
-                body_bytes: self.maybe(Draw::small),
+                path: self.choose(&["/i/1", "/o/1", "/", ""]),
+                key: self.option_of(InputGenerator::key),
+                time_left: self.option_of(|generator| Duration::from_millis(generator.number())),
+                depth: self.number() as u8,
+                body_bytes: self.option_of(InputGenerator::number),
                 own_runs: Runs::default(),
             }),
             3 => entry::Input::Close(call),
-            4 if self.flip() => entry::Input::Slow(call),
-            4 if self.flip() => entry::Input::FirstOver { call, end: entry::AttemptEnd::Overtaken },
-            4 if self.flip() => entry::Input::HedgeOver { call, end: Some(refused) },
-            4 => entry::Input::Expire { call, sent: self.flip() },
-            5 => entry::Input::Attempt { call, end: refused, whole: self.flip() },
+            4 if self.flag() => entry::Input::Slow(call),
+            4 if self.flag() => entry::Input::FirstOver { call, end: entry::AttemptEnd::Overtaken },
+            4 if self.flag() => entry::Input::HedgeOver { call, end: Some(refused) },
+            4 => entry::Input::Expire { call, sent: self.flag() },
+            5 => entry::Input::Attempt { call, end: refused, whole: self.flag() },
             6 => {
                 let load =
-                    Some(Load { in_flight: 1, slots: self.small() as u32, queued: 0, wait_ms: 0 });
+                    Some(Load { in_flight: 1, slots: self.number() as u32, queued: 0, wait_ms: 0 });
                 let end = entry::AttemptEnd::Answering { load, waited: Duration::ZERO };
                 entry::Input::Attempt { call, end, whole: true }
             }
@@ -293,20 +302,20 @@
     }
 
     fn gate<'a>(&mut self, from: &'a Name, note: &'a Note) -> gatekeeper::Input<'a> {
-        let call = CallKey(self.small());
-        let broken = gatekeeper::End::Broken { target_gone: self.flip() };
+        let call = CallKey(self.number());
+        let broken = gatekeeper::End::Broken { target_gone: self.flag() };
         match self.0.random_range(0..11) {
             0..=3 => gatekeeper::Input::Arrive(gatekeeper::Arrival {
                 host: "",
                 terms: None,
                 call,
-                path: self.of(&["/i/1", "/o/1", "/"]),
-                key: self.maybe(Draw::key),
-                digest: self.maybe(Draw::hash),
-                fingerprint: Fingerprint(self.small()),
-                crashes: self.small() as u32,
-                depth: self.small() as u8,
-                deadline: START + Duration::from_millis(self.small() % 10_000),
+                path: self.choose(&["/i/1", "/o/1", "/"]),
+                key: self.option_of(InputGenerator::key),
+                digest: self.option_of(InputGenerator::hash),
+                fingerprint: Fingerprint(self.number()),
+                crashes: self.number() as u32,
+                depth: self.number() as u8,
+                deadline: START + Duration::from_millis(self.number() % 10_000),
             }),
             4 => gatekeeper::Input::Expire(call),
             5 => gatekeeper::Input::Withdraw(call),
@@ -335,19 +344,19 @@
 
 /// What a node has asked and done so far.
 #[derive(Default)]
-struct Seen {
-    asked: Vec<(CallId, String)>,
+struct Observed {
+    platform_calls: Vec<(CallId, String)>,
     version: u64,
 }
 
-impl Seen {
+impl Observed {
     /// Checks what follows from one input.
-    fn take(&mut self, out: &mut Vec<Output>) -> Result<(), TestCaseError> {
+    fn check_outputs(&mut self, out: &mut Vec<Output>) -> Result<(), TestCaseError> {
         prop_assert!(out.len() < MAX_OUTPUTS, "{} outputs", out.len());
         for output in out.drain(..) {
             match output {
                 Output::Spread(spread::Output::ReadSource(call)) => {
-                    self.asked.push((call.id, call.key.to_string()));
+                    self.platform_calls.push((call.id, call.key.to_string()));
                 }
                 Output::Spread(spread::Output::InForce(snapshot)) => {
                     prop_assert!(snapshot.version() > self.version, "back from {}", self.version);
@@ -369,17 +378,17 @@
     /// stops a node, or takes it to an older version.
     #[test]
     fn node_never_panics_nor_goes_back(seed in any::<u64>(), steps in 1..400usize) {
-        let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
+        let mut generator = InputGenerator(Pcg64Mcg::seed_from_u64(seed));
         let (mut node, mut now) = (Node::new(config(), START, seed), START);
-        let (mut seen, mut out) = (Seen::default(), Vec::new());
-        let body = draw.preset();
+        let (mut observed, mut out) = (Observed::default(), Vec::new());
+        let body = generator.preset();
         node.handle(now, Input::Spread(spread::Input::Start), &mut out);
         // A sound platform at first, so that the rest mostly finds a node with a version.
-        for _ in 0..draw.of(&[0, WARM_STEPS]) {
-            seen.take(&mut out)?;
+        for _ in 0..generator.choose(&[0, WARM_UP_STEPS]) {
+            observed.check_outputs(&mut out)?;
             now = now + Duration::from_millis(20);
-            for (id, key) in std::mem::take(&mut seen.asked) {
-                let body = draw.value(&key, &body).map(Into::into);
+            for (id, key) in std::mem::take(&mut observed.platform_calls) {
+                let body = generator.value(&key, &body).map(Into::into);
                 let result = Ok(SourceValue { index: 1, body });
                 let reply = spread::Input::Source(SourceReply { id, result });
                 node.handle(now, Input::Spread(reply), &mut out);
@@ -387,16 +396,16 @@
             node.handle(now, Input::Spread(spread::Input::Wake), &mut out);
         }
         for _ in 0..steps {
-            seen.take(&mut out)?;
-            now = now + Duration::from_millis(draw.of(&[0, 0, 1, 1, 40, 40, 40, 700, 5_000]));
-            let (from, note) = (draw.vm(), draw.note());
-            let input = match draw.0.random_range(0..4) {
-                0 | 1 => Input::Spread(draw.spread(&seen.asked, &body)),
-                2 => Input::Entry(draw.entry()),
-                _ => Input::Gate(draw.gate(&from, &note)),
+            observed.check_outputs(&mut out)?;
+            now = now + Duration::from_millis(generator.choose(&[0, 0, 1, 1, 40, 40, 40, 700, 5_000]));
+            let (from, note) = (generator.vm(), generator.note());
+            let input = match generator.0.random_range(0..4) {
+                0 | 1 => Input::Spread(generator.spread(&observed.platform_calls, &body)),
+                2 => Input::Entry(generator.entry()),
+                _ => Input::Gate(generator.gate(&from, &note)),
             };
             node.handle(now, input, &mut out);
         }
-        seen.take(&mut out)?;
+        observed.check_outputs(&mut out)?;
     }
 }
