--- a/core/tests/support/snapshot.rs
+++ b/core/tests/support/snapshot.rs
@@ -13,9 +13,9 @@
 }
 
 /// Targets as JSON, each given as `vm/region/zone`; region and zone may be left out.
-pub fn targets(texts: &[&str]) -> String {
-    let target = |text: &&str| {
-        let mut parts = text.split('/');
+pub fn targets(specs: &[&str]) -> String {
+    let target = |spec: &&str| {
+        let mut parts = spec.split('/');
         let vm = parts.next().unwrap();
         let (region, zone) = (parts.next().unwrap_or("r"), parts.next().unwrap_or("z"));
         format!(
@@ -23,7 +23,7 @@
             "peers":"127.0.0.1:9"}}"#
         )
     };
-    let targets: Vec<String> = texts.iter().map(target).collect();
+    let targets: Vec<String> = specs.iter().map(target).collect();
     format!("[{}]", targets.join(","))
 }
 
@@ -36,7 +36,11 @@
 }
 
 /// A version of one service `s` with these targets; `limits` and `routes` are JSON maps.
-pub fn snapshot(number: u64, texts: &[&str], limits: &str, routes: &str) -> Arc<Snapshot> {
-    let targets = targets(texts);
-    version(number, &format!(r#"{{"s":{{"limits":{limits},"targets":{targets}}}}}"#), routes)
+pub fn snapshot(version_number: u64, specs: &[&str], limits: &str, routes: &str) -> Arc<Snapshot> {
+    let targets = targets(specs);
+    version(
+        version_number,
+        &format!(r#"{{"s":{{"limits":{limits},"targets":{targets}}}}}"#),
+        routes,
+    )
 }
