--- a/core/tests/spread_notes.rs
+++ b/core/tests/spread_notes.rs
@@ -14,7 +14,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn note_reaches_dropped_target_in_another_zone() {
+fn note_reaches_removed_target_in_another_zone() {
     // Story: an operator publishes a version without the target b-0. Signings whose home it was
     // are refused for ever with E458: their new home asks b-0 to let go of them, but its address
     // stood only in the version before, and a leaf holds no list of another zone.
@@ -28,8 +28,8 @@
     let without = preset(2).replace(r#""vm":"b-0""#, r#""vm":"b-1""#);
     fleet.publish(2, &without);
     fleet.run(2 * SECOND);
-    let seen = Rc::new(Cell::new(0));
-    let counter = seen.clone();
+    let delivered = Rc::new(Cell::new(0));
+    let counter = delivered.clone();
     fleet.filter = Box::new(move |_, to, msg| {
         let note = matches!(msg, PeerMsg::Note(_)) && to.cfg.vm == name("b-0");
         counter.set(counter.get() + u32::from(note));
@@ -39,5 +39,5 @@
         let note = Note::Cleared { fingerprint: Fingerprint(1) };
         fleet.input(node, Input::Note(OutgoingNote { to: name("b-0"), note }));
     }
-    assert_eq!(seen.get(), 18);
+    assert_eq!(delivered.get(), 18);
 }
