--- a/core/tests/spread_budget.rs
+++ b/core/tests/spread_budget.rs
@@ -11,10 +11,10 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Half of the platform's limit of 2,000 calls a second over all readers.
-const MARGIN: usize = 1_000;
+const MAX_CALLS_PER_S: usize = 1_000;
 
 #[test]
-fn calls_of_a_quiet_day() {
+fn calls_in_steady_state() {
     // Readers' waiting watches are all that is left once the fleet has settled.
     let mut fleet = Fleet::new(10, 4);
     fleet.publish(1, &preset(1));
@@ -46,7 +46,7 @@
         fleet.run(5 * SECOND);
     }
     println!("peak {} calls a second", fleet.platform.peak());
-    assert!(fleet.platform.peak() < MARGIN, "{} calls in a second", fleet.platform.peak());
+    assert!(fleet.platform.peak() < MAX_CALLS_PER_S, "{} calls in a second", fleet.platform.peak());
     fleet.heal();
     fleet.run(3 * SECOND);
     assert!(fleet.versions().iter().all(|version| *version == 3));
@@ -62,7 +62,7 @@
     fleet.start_all();
     fleet.run(10 * SECOND);
     println!("peak {} calls a second", fleet.platform.peak());
-    assert!(fleet.platform.peak() < MARGIN, "{} calls in a second", fleet.platform.peak());
+    assert!(fleet.platform.peak() < MAX_CALLS_PER_S, "{} calls in a second", fleet.platform.peak());
     assert!(fleet.versions().iter().all(|version| *version == 1));
 }
 
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn start_without_lists_is_quiet() {
+fn start_without_lists_message_rate() {
     // Story: a whole fleet starts and its control traffic, paid by volume between regions, runs at
     // the speed of the links until the first list is read: two nodes without lists answered each
     // question of the other with a question of their own.
@@ -120,12 +120,12 @@
     });
     fleet.start_all();
     fleet.run(Duration::from_secs(5));
-    let per_node_and_second = sent.get() / (18 * 5);
-    assert!(per_node_and_second <= 40, "{per_node_and_second} messages a node and second");
+    let messages_per_node_per_s = sent.get() / (18 * 5);
+    assert!(messages_per_node_per_s <= 40, "{messages_per_node_per_s} messages a node and second");
 }
 
 #[test]
-fn start_without_version_is_quiet() {
+fn start_without_version_message_rate() {
     // Story: a fleet starts before its first version is published. A node that ended its round of
     // questions with nothing began the next one at once, and the fleet asked itself at the speed
     // of its links until a version came.
@@ -138,6 +138,6 @@
     });
     fleet.start_all();
     fleet.run(Duration::from_secs(5));
-    let per_node_and_second = sent.get() / (18 * 5);
-    assert!(per_node_and_second <= 40, "{per_node_and_second} messages a node and second");
+    let messages_per_node_per_s = sent.get() / (18 * 5);
+    assert!(messages_per_node_per_s <= 40, "{messages_per_node_per_s} messages a node and second");
 }
