--- a/core/tests/config.rs
+++ b/core/tests/config.rs
@@ -1,4 +1,4 @@
-//! Checks of published documents.
+//! Validation of published documents.
 
 use sycamore_core::Code;
 use sycamore_core::config::{InForce, validate};
@@ -38,8 +38,8 @@
 
 #[test]
 fn preset_torn() {
-    // Story: an operator publishes while a node reads. The node reads the new `in-force` and the
-    // old body. Were the two combined, the node would hold old content under the new version.
+    // Guards against a read that races with a publish: the node reads the new `in-force` value but
+    // the old body, and would apply old content under the new version.
     let newer = PRESET.replace("/rosters", "/crews");
     let found = validate::parse_preset(PRESET.as_bytes(), &publication(&newer));
     assert_eq!(found.map_err(|f| f.code), Err(Code::DigestMismatch));
@@ -47,8 +47,8 @@
 
 #[test]
 fn preset_trailing_data() {
-    // Story: a merge in version control leaves two documents one after the other in one file. A
-    // reader that stops at the end of the first puts half of the change into force.
+    // Guards against silently ignoring a second document concatenated to the first, for example by
+    // a faulty merge.
     let body = format!("{PRESET}\n{PRESET}");
     assert_eq!(check(&body), Err(Code::DocumentInvalid));
 }
@@ -70,8 +70,7 @@
 
 #[test]
 fn preset_duplicate_name() {
-    // Story: two changes that add a service of the same name are merged. A reader that lets the
-    // later one win drops the targets of the first without a word, and its calls get no answer.
+    // Guards against silently dropping the first of two services with the same name.
     let again = r#""roster":{"targets":[{"vm":"b","region":"r","zone":"z","gate":"127.0.0.1:2","peers":"127.0.0.1:9"}]}"#;
     let body = PRESET.replace(r#""services":{"#, &format!(r#""services":{{{again},"#));
     assert_eq!(check(&body), Err(Code::DocumentInvalid));
