--- a/core/tests/errors_doc.rs
+++ b/core/tests/errors_doc.rs
@@ -1,10 +1,10 @@
-//! docs/ERRORS.md against the codes that the programs use.
+//! Checks that docs/ERRORS.md and the codes used by the programs agree.
 
 use std::path::Path;
 use sycamore_core::Code;
 use sycamore_core::event::EventKind;
 
-/// Rows of the page's tables: number, meaning, what to do.
+/// Rows of the tables in docs/ERRORS.md: number, meaning, operator action.
 fn rows() -> Vec<[String; 3]> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/ERRORS.md");
     let page = std::fs::read_to_string(path).unwrap();
@@ -39,7 +39,7 @@
     assert_eq!(Code::from_number(999), None);
 }
 
-/// All source text of the programs, without the lists of codes and events themselves.
+/// Appends all source text below `dir`, except the definitions of codes and events.
 fn append_sources(dir: &Path, text: &mut String) {
     for entry in std::fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
@@ -53,8 +53,8 @@
 
 #[test]
 fn every_code_and_event_is_used() {
-    // Story: an operator sets an alarm on an event that the page lists and no program records.
-    // The alarm stays silent while requests crash their targets.
+    // Guards against codes and events that are documented but never emitted, on which an alert
+    // would never fire.
     let mut text = String::new();
     for folder in ["core/src", "node/src", "tools/src"] {
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
@@ -65,7 +65,7 @@
     for code in Code::ALL {
         assert!(used(&format!("Code::{code:?}")), "no program gives {code:?}");
     }
-    // The picture's marks name every kind, so that a kind in use stands twice.
+    // The timeline renderer refers to every kind once, so a recorded kind occurs at least twice.
     for kind in EventKind::ALL {
         let count = text.matches(&format!("EventKind::{kind:?}")).count();
         assert!(count > 1, "no program records {kind:?}");
