--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -1,4 +1,4 @@
-//! The deciders of a node joined behind one entry point.
+//! Tests of the combined node state machine.
 
 use std::time::Duration;
 use sycamore_core::call::{CallKey, entry};
@@ -67,7 +67,7 @@
 fn published_version_reaches_call_path() {
     let mut now = Time::from_millis(1_000_000);
     let mut node = Node::new(config(), now, 7);
-    assert!(!arrive(&mut node, now).iter().any(is_forward), "no route before a version");
+    assert!(!arrive(&mut node, now).iter().any(is_forward), "forwarded without a configuration");
     let mut out = Vec::new();
     node.handle(now, Input::Spread(spread::Input::Start), &mut out);
     for _ in 0..200 {
@@ -83,5 +83,5 @@
         node.handle(now, Input::Spread(spread::Input::Wake), &mut out);
     }
     assert_eq!(node.spread().in_force().map(|in_force| in_force.version), Some(1));
-    assert!(arrive(&mut node, now).iter().any(is_forward), "the route leads to its target");
+    assert!(arrive(&mut node, now).iter().any(is_forward), "not forwarded to the route's target");
 }
