--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -1,5 +1,5 @@
-//! A whole node under random inputs: replies that belong to no question, messages of peers that
-//! contradict each other, ends of calls that never began.
+//! Property test of a complete node under random inputs, including unsolicited replies,
+//! contradictory peer messages and completions of unknown calls.
 
 use proptest::prelude::*;
 use rand::seq::IndexedRandom;
@@ -25,13 +25,13 @@
 const VMS: [&str; 4] = ["a", "b", "c", "d"];
 const ZONES: [&str; 3] = ["z", "y", "x"];
 
-/// More outputs than this from one input mean that the node talks to itself.
+/// Maximum number of outputs from one input. More indicate a feedback loop.
 const MAX_OUTPUTS: usize = 1_000;
 
-/// Steps in which the platform answers every question, before anything else happens.
+/// Initial steps in which the platform answers every call.
 const WARM_UP_STEPS: usize = 100;
 
-/// Draws inputs from few names and numbers, so that they meet.
+/// Generates inputs from a small set of names and numbers, so that collisions are likely.
 struct InputGenerator(Pcg64Mcg);
 
 impl InputGenerator {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// What the platform answers: mostly what was asked for, sometimes anything.
+    /// A platform value for `key`: usually valid, sometimes missing or malformed.
     fn value(&mut self, key: &str, body: &str) -> Option<String> {
         let digest = Hash::of(body.as_bytes());
         match key {
@@ -235,7 +235,7 @@
     }
 
     fn reply(&mut self, platform_calls: &[(CallId, String)], body: &str) -> SourceReply {
-        // Old questions are mostly given up.
+        // Older calls have usually timed out.
         let recent = &platform_calls[platform_calls.len().saturating_sub(3)..];
         let known = recent.choose(&mut self.0).cloned();
         let unknown = (CallId(self.number()), "else".to_owned());
@@ -342,7 +342,7 @@
     }
 }
 
-/// What a node has asked and done so far.
+/// Platform calls and version observed from a node so far.
 #[derive(Default)]
 struct Observed {
     platform_calls: Vec<(CallId, String)>,
@@ -350,7 +350,7 @@
 }
 
 impl Observed {
-    /// Checks what follows from one input.
+    /// Checks and records the outputs of one input.
     fn check_outputs(&mut self, out: &mut Vec<Output>) -> Result<(), TestCaseError> {
         prop_assert!(out.len() < MAX_OUTPUTS, "{} outputs", out.len());
         for output in out.drain(..) {
@@ -359,7 +359,11 @@
                     self.platform_calls.push((call.id, call.key.to_string()));
                 }
                 Output::Spread(spread::Output::InForce(snapshot)) => {
-                    prop_assert!(snapshot.version() > self.version, "back from {}", self.version);
+                    prop_assert!(
+                        snapshot.version() > self.version,
+                        "not newer than {}",
+                        self.version
+                    );
                     self.version = snapshot.version();
                 }
                 Output::Entry(entry::Output::Forward(_))
@@ -374,8 +378,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Story: a peer of another release, a broken platform or an adapter that reports an end twice
-    /// stops a node, or takes it to an older version.
+    /// Guards against panics and version rollbacks caused by peers of another release, a faulty
+    /// platform or an adapter that reports a completion twice.
     #[test]
     fn node_never_panics_nor_goes_back(seed in any::<u64>(), steps in 1..400usize) {
         let mut generator = InputGenerator(Pcg64Mcg::seed_from_u64(seed));
@@ -383,7 +387,7 @@
         let (mut observed, mut out) = (Observed::default(), Vec::new());
         let body = generator.preset();
         node.handle(now, Input::Spread(spread::Input::Start), &mut out);
-        // A sound platform at first, so that the rest mostly finds a node with a version.
+        // Start with a working platform, so that most cases run on a configured node.
         for _ in 0..generator.choose(&[0, WARM_UP_STEPS]) {
             observed.check_outputs(&mut out)?;
             now = now + Duration::from_millis(20);
