--- a/core/tests/spread_confirm.rs
+++ b/core/tests/spread_confirm.rs
@@ -1,4 +1,4 @@
-//! After a pause a node counts its version as confirmed only by answers that came after it.
+//! After a suspension, only answers received afterwards confirm the version in force.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -10,9 +10,9 @@
 
 #[test]
 fn pause_confirms_only_what_is_in_force() {
-    // Story: a signing reaches a VM that has just woken from a pause. Meanwhile a version came
-    // into force that gives the signing's key to another target, which has run it. Were an answer
-    // that lay in the socket during the pause taken as a confirmation, it would run twice.
+    // Guards against duplicate execution after a suspension: an answer buffered in the socket must
+    // not confirm an outdated version, because the request key may have moved to another target
+    // that has already executed the request.
     for offset_ms in (0..1_500).step_by(50) {
         let mut fleet = Fleet::new(6, 3);
         fleet.publish(1, &preset(1));
@@ -21,13 +21,13 @@
         let node = 4;
         fleet.freeze(node);
         let before = fleet.nodes[node].confirmed.len();
-        assert!(before > 0, "confirmed before the pause");
+        assert!(before > 0, "not confirmed before the suspension, offset {offset_ms} ms");
         fleet.publish(2, &preset(2));
         fleet.run(8 * SECOND);
         fleet.thaw(node);
         fleet.run(8 * SECOND);
         let after = &fleet.nodes[node].confirmed[before..];
-        assert!(!after.is_empty(), "confirmed again, offset {offset_ms} ms");
+        assert!(!after.is_empty(), "not confirmed after the suspension, offset {offset_ms} ms");
         assert!(after.iter().all(|version| *version == 2), "offset {offset_ms} ms: {after:?}");
     }
 }
