--- a/core/tests/spread_conflict.rs
+++ b/core/tests/spread_conflict.rs
@@ -1,4 +1,4 @@
-//! Two operators and a fleet in two parts.
+//! Conflicting publications under one version during a network partition.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -11,9 +11,8 @@
 
 #[test]
 fn conflict_accepted_on_both_sides_of_a_cut() {
-    // Story: zone "a" is cut off with a platform that shows one body of version 2; everyone else
-    // is shown another body of version 2. Both sides accept what they see. After the heal the
-    // fleet would stay split under one number if each side kept its own.
+    // Guards against a permanently split fleet: both sides of a partition accept different bodies of
+    // version 2 and must converge on one of them once the partition heals.
     for (first, second) in [(2, 3), (3, 2)] {
         let mut fleet = Fleet::new(6, 3);
         fleet.publish(1, &preset(1));
@@ -21,7 +20,7 @@
         fleet.run(10 * SECOND);
         fleet.cut_zones(&["a"]);
         fleet.platform.cut = ["b", "c", "d", "e", "f"].map(name).to_vec();
-        // Ends the watches that are open, which the cut would leave.
+        // Terminates open watches, which the partition alone would leave pending.
         fleet.platform_down(true);
         fleet.run(SECOND);
         fleet.platform_down(false);
@@ -37,7 +36,7 @@
             fleet.nodes[node].in_force.last().unwrap().in_force.clone()
         };
         assert_eq!(fleet.versions(), vec![2; NODES]);
-        assert_ne!(held(&fleet, 0), held(&fleet, NODES - 1), "each side took what it saw");
+        assert_ne!(held(&fleet, 0), held(&fleet, NODES - 1), "both sides hold the same body");
         fleet.heal();
         fleet.run(30 * SECOND);
         let all: Vec<_> = (0..NODES).map(|node| held(&fleet, node)).collect();
