--- a/core/tests/spread_notes.rs
+++ b/core/tests/spread_notes.rs
@@ -1,4 +1,4 @@
-//! Notes between the nodes of a service find their way.
+//! Delivery of notes between the nodes of a service.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -15,9 +15,9 @@
 
 #[test]
 fn note_reaches_removed_target_in_another_zone() {
-    // Story: an operator publishes a version without the target b-0. Signings whose home it was
-    // are refused for ever with E458: their new home asks b-0 to let go of them, but its address
-    // stood only in the version before, and a leaf holds no list of another zone.
+    // Guards against notes that never reach a removed target: its keys could not be released, and
+    // requests with these keys would be rejected with E458 indefinitely. The target's address is
+    // only part of the previous version, and a leaf has no VM list of other zones.
     let mut fleet = Fleet::new(6, 3);
     let old_home = fleet.index("b-0");
     let address = fleet.nodes[old_home].cfg.address.to_string();
