--- a/core/tests/support/snapshot.rs
+++ b/core/tests/support/snapshot.rs
@@ -1,6 +1,6 @@
-//! Versions for tests of the call path.
+//! Snapshot fixtures for tests of the call path.
 
-// Each test file that takes this in uses what it needs of it.
+// Not every test that includes this module uses all of it.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     Name::new(text.to_owned()).unwrap()
 }
 
-/// Targets as JSON, each given as `vm/region/zone`; region and zone may be left out.
+/// Targets as a JSON array. Each spec has the form `vm/region/zone`; region and zone are optional.
 pub fn targets(specs: &[&str]) -> String {
     let target = |spec: &&str| {
         let mut parts = spec.split('/');
@@ -27,7 +27,7 @@
     format!("[{}]", targets.join(","))
 }
 
-/// A version with these services and routes, as JSON maps.
+/// A snapshot with the given services and routes, both JSON maps.
 pub fn version(version: u64, services: &str, routes: &str) -> Arc<Snapshot> {
     let text = format!(r#"{{"name":"p","services":{services},"routes":{routes}}}"#);
     let preset: Preset = serde_json::from_str(&text).unwrap();
@@ -35,7 +35,7 @@
     Snapshot::new(in_force, &preset).unwrap()
 }
 
-/// A version of one service `s` with these targets; `limits` and `routes` are JSON maps.
+/// A snapshot with a single service `s`; `limits` and `routes` are JSON maps.
 pub fn snapshot(version_number: u64, specs: &[&str], limits: &str, routes: &str) -> Arc<Snapshot> {
     let targets = targets(specs);
     version(
