--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -337,7 +337,7 @@
             match output {
                 node::Output::Spread(output) => self.carry_spread(node, output),
                 node::Output::Entry(output) => self.carry_entry(node, output),
-                node::Output::Gate(output) => self.carry_gate(node, output),
+                node::Output::Gatekeeper(output) => self.carry_gate(node, output),
                 node::Output::Event(event) => self.record_event(node, event),
             }
         }
--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -341,12 +341,12 @@
                 depth: 0,
                 deadline,
             };
-            node::Input::Gate(gatekeeper::Input::Arrive(arrival))
+            node::Input::Gatekeeper(gatekeeper::Input::Arrive(arrival))
         }
-        Given::QueueEnd(call) => node::Input::Gate(gatekeeper::Input::Expire(call)),
-        Given::Withdraw(call) => node::Input::Gate(gatekeeper::Input::Withdraw(call)),
-        Given::End { call, end } => node::Input::Gate(gatekeeper::Input::End { call, end }),
-        Given::Tick => node::Input::Gate(gatekeeper::Input::Tick),
+        Given::QueueEnd(call) => node::Input::Gatekeeper(gatekeeper::Input::Expire(call)),
+        Given::Withdraw(call) => node::Input::Gatekeeper(gatekeeper::Input::Withdraw(call)),
+        Given::End { call, end } => node::Input::Gatekeeper(gatekeeper::Input::End { call, end }),
+        Given::Tick => node::Input::Gatekeeper(gatekeeper::Input::Tick),
     };
     node.handle(now, input, out);
 }
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -18,7 +18,7 @@
     /// Input to the entry side of the call path.
     Entry(entry::Input<'a>),
     /// Input to the gatekeeper side of the call path.
-    Gate(gatekeeper::Input<'a>),
+    Gatekeeper(gatekeeper::Input<'a>),
 }
 
 /// An action requested by the node.
@@ -31,7 +31,7 @@
     Entry(entry::Output),
     /// Action of the gatekeeper side of the call path. Outgoing notes and events are handled
     /// internally and never appear here.
-    Gate(gatekeeper::Output),
+    Gatekeeper(gatekeeper::Output),
     /// Record a state change of the call path.
     Event(Event),
 }
@@ -42,7 +42,7 @@
 pub struct Node {
     spread: Spread,
     entry: Entry,
-    gate: Gatekeeper,
+    gatekeeper: Gatekeeper,
 }
 
 impl Node {
@@ -50,7 +50,7 @@
     pub fn new(cfg: spread::Config, now: Time, seed: u64) -> Node {
         Node {
             entry: Entry::new(cfg.place.clone(), seed),
-            gate: Gatekeeper::new(cfg.vm.clone(), now, seed),
+            gatekeeper: Gatekeeper::new(cfg.vm.clone(), now, seed),
             spread: Spread::new(cfg, seed),
         }
     }
@@ -65,7 +65,7 @@
         match input {
             Input::Spread(input) => self.handle_spread(now, input, out),
             Input::Entry(input) => self.handle_entry(now, input, out),
-            Input::Gate(input) => self.handle_gate(now, input, out),
+            Input::Gatekeeper(input) => self.handle_gatekeeper(now, input, out),
         }
     }
 
@@ -78,7 +78,7 @@
         }
         if is_stop {
             self.handle_entry(now, entry::Input::Drain, out);
-            self.handle_gate(now, gatekeeper::Input::Drain, out);
+            self.handle_gatekeeper(now, gatekeeper::Input::Drain, out);
         }
     }
 
@@ -87,20 +87,22 @@
             spread::Output::InForce(snapshot) => {
                 // The gatekeeper must release its keys before the entry side routes them to new
                 // homes.
-                self.handle_gate(now, gatekeeper::Input::Configure(snapshot.clone()), out);
+                self.handle_gatekeeper(now, gatekeeper::Input::Configure(snapshot.clone()), out);
                 self.handle_entry(now, entry::Input::Configure(snapshot.clone()), out);
                 out.push(Output::Spread(spread::Output::InForce(snapshot)));
             }
             spread::Output::Members(members) => {
                 let members = Arc::new(members);
-                self.handle_gate(now, gatekeeper::Input::View(members.clone()), out);
+                self.handle_gatekeeper(now, gatekeeper::Input::View(members.clone()), out);
                 self.handle_entry(now, entry::Input::View(members), out);
             }
             spread::Output::Note { from, note } => {
                 let input = gatekeeper::Input::Note { from: &from, note: &note };
-                self.handle_gate(now, input, out);
+                self.handle_gatekeeper(now, input, out);
+            }
+            spread::Output::Confirmed => {
+                self.handle_gatekeeper(now, gatekeeper::Input::Confirm, out)
             }
-            spread::Output::Confirmed => self.handle_gate(now, gatekeeper::Input::Confirm, out),
             other => out.push(Output::Spread(other)),
         }
     }
@@ -111,16 +113,21 @@
         out.extend(outputs.into_iter().map(Output::Entry));
     }
 
-    fn handle_gate(&mut self, now: Time, input: gatekeeper::Input<'_>, out: &mut Vec<Output>) {
+    fn handle_gatekeeper(
+        &mut self,
+        now: Time,
+        input: gatekeeper::Input<'_>,
+        out: &mut Vec<Output>,
+    ) {
         let mut outputs = Vec::new();
-        self.gate.handle(now, input, &mut outputs);
+        self.gatekeeper.handle(now, input, &mut outputs);
         for output in outputs {
             match output {
                 gatekeeper::Output::Send(note) => {
                     self.handle_spread(now, spread::Input::Note(note), out);
                 }
                 gatekeeper::Output::Record(kind) => out.push(Output::Event(Event::new(now, kind))),
-                other => out.push(Output::Gate(other)),
+                other => out.push(Output::Gatekeeper(other)),
             }
         }
     }
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -367,7 +367,9 @@
                     self.version = snapshot.version();
                 }
                 Output::Entry(entry::Output::Forward(_))
-                | Output::Gate(gatekeeper::Output::Run { .. }) => prop_assert!(self.version > 0),
+                | Output::Gatekeeper(gatekeeper::Output::Run { .. }) => {
+                    prop_assert!(self.version > 0)
+                }
                 _ => {}
             }
         }
@@ -406,7 +408,7 @@
             let input = match generator.0.random_range(0..4) {
                 0 | 1 => Input::Spread(generator.spread(&observed.platform_calls, &body)),
                 2 => Input::Entry(generator.entry()),
-                _ => Input::Gate(generator.gate(&from, &note)),
+                _ => Input::Gatekeeper(generator.gate(&from, &note)),
             };
             node.handle(now, input, &mut out);
         }
