--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -43,11 +43,11 @@
     }
 
     fn watch(purpose: Purpose, key: impl Into<String>, index: u64) -> DueCall {
-        let longest = match purpose {
+        let max_wait = match purpose {
             Purpose::List(_) | Purpose::Zones => LIST_WAIT,
             Purpose::InForce | Purpose::Body | Purpose::Part(_) => WATCH_WAIT,
         };
-        let wait = if index == 0 { Duration::ZERO } else { longest };
+        let wait = if index == 0 { Duration::ZERO } else { max_wait };
         DueCall { purpose, key: key.into(), index, wait }
     }
 }
@@ -59,8 +59,8 @@
         }
         let listed = self.members.list(&self.cfg.place.zone).is_some();
         if !listed {
-            let seeds_silent = self.join.as_ref().is_none_or(|join| !join.is_asking(now));
-            return if seeds_silent { Access::Orphan } else { Access::None };
+            let seeds_unresponsive = self.join.as_ref().is_none_or(|join| !join.is_asking(now));
+            return if seeds_unresponsive { Access::Orphan } else { Access::None };
         }
         let is_relay = self.topology.rank < TOP;
         if is_relay && (self.is_orphan() || self.lacks_zone_lists()) {
@@ -209,9 +209,9 @@
             add(watch.at, call);
         }
         // While the platform is unreachable, polling a single key is enough to detect its recovery.
-        let silent = self.source.answers == Some(false) && reads;
-        let relays = matches!(access, Access::Reader | Access::Relay);
-        if relays && !silent {
+        let unreachable = self.source.answers == Some(false) && reads;
+        let reads_lists = matches!(access, Access::Reader | Access::Relay);
+        if reads_lists && !unreachable {
             let watch = &self.source.zones;
             let index = if access == Access::Reader { watch.index } else { 0 };
             if index > 0 || self.members.zones().is_none() {
