--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -15,25 +15,25 @@
 use std::time::Duration;
 
 /// Run time assumed before any request has ended.
-const FIRST_RUN_TIME: Duration = Duration::from_millis(5);
+const INITIAL_RUN_TIME: Duration = Duration::from_millis(5);
 
 /// Weight of the newest run time in the running mean, as one part in so many.
-const RUN_TIME_WEIGHT: u32 = 8;
+const RUN_TIME_EWMA_DIVISOR: u32 = 8;
 
 /// Share of the slots that a target gets right after its start, in percent.
-const COLD_SHARE_PERCENT: u64 = 25;
+const WARM_UP_MIN_PERCENT: u64 = 25;
 
 /// Of so many slots given away while bulk requests wait, one goes to a bulk request, so that
 /// steady traffic of the classes before it can't hold it off for ever.
-const BULK_TURN: u32 = 8;
+const BULK_DISPATCH_INTERVAL: u32 = 8;
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct QueuedRequest {
     offer: Offer,
-    // Latest start for an answer within the objective; the same as `until` without one.
-    in_time: Time,
+    // Latest start for an answer within the objective; the same as `expires_at` without one.
+    latest_start: Time,
     // At most its caller's deadline.
-    until: Time,
+    expires_at: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -41,23 +41,23 @@
     class: Class,
     started: Time,
     // Bytes of its answer that have been given to the link, and that are expected beyond these.
-    sent: u64,
-    to_come: u64,
+    sent_bytes: u64,
+    remaining_bytes: u64,
 }
 
 /// The slots of one target and the queue before them.
 #[derive(Debug)]
 pub struct Slots {
     limits: ServiceLimits,
-    cold_since: Option<Time>,
+    warm_up_since: Option<Time>,
     running: IndexMap<CallKey, Running>,
     // Answers that the target has given whole and the link has not taken yet.
-    leaving: IndexMap<CallKey, Running>,
+    sending: IndexMap<CallKey, Running>,
     running_bulk: u32,
-    queues: [VecDeque<Waiting>; 3],
+    queues: [VecDeque<QueuedRequest>; 3],
     // Those that can't meet their objective any more, oldest first.
-    late: VecDeque<Waiting>,
-    bulk_turn: u32,
+    late: VecDeque<QueuedRequest>,
+    dispatches_since_bulk: u32,
     run_times: [Duration; 3],
     depths: Depths,
     link: Link,
@@ -69,14 +69,14 @@
     pub fn new(limits: ServiceLimits) -> Slots {
         Slots {
             limits,
-            cold_since: None,
+            warm_up_since: None,
             running: IndexMap::new(),
-            leaving: IndexMap::new(),
+            sending: IndexMap::new(),
             running_bulk: 0,
             queues: [VecDeque::new(), VecDeque::new(), VecDeque::new()],
             late: VecDeque::new(),
-            bulk_turn: 0,
-            run_times: [FIRST_RUN_TIME; 3],
+            dispatches_since_bulk: 0,
+            run_times: [INITIAL_RUN_TIME; 3],
             depths: Depths::new(),
             link: Link::new(None),
             policy: Policy::new(),
@@ -96,16 +96,16 @@
     }
 
     /// When the next bytes of the answer to `call` may be given to the link.
-    pub fn piece(&mut self, now: Time, call: CallKey, bytes: u64) -> Time {
-        let running = self.running.get_mut(&call).or_else(|| self.leaving.get_mut(&call));
+    pub fn schedule_chunk(&mut self, now: Time, call: CallKey, bytes: u64) -> Time {
+        let running = self.running.get_mut(&call).or_else(|| self.sending.get_mut(&call));
         let Some(running) = running else {
             return now;
         };
-        if running.class == Class::Bulk && running.sent == 0 {
+        if running.class == Class::Bulk && running.sent_bytes == 0 {
             self.link.began(now.since(running.started));
         }
-        running.sent += bytes;
-        running.to_come = running.to_come.saturating_sub(bytes);
+        running.sent_bytes += bytes;
+        running.remaining_bytes = running.remaining_bytes.saturating_sub(bytes);
         self.link.piece(now, running.class, bytes)
     }
 
@@ -115,8 +115,8 @@
     }
 
     /// Starts the slow start of a target that has just come up.
-    pub fn set_cold(&mut self, now: Time) {
-        self.cold_since = Some(now);
+    pub fn start_warm_up(&mut self, now: Time) {
+        self.warm_up_since = Some(now);
     }
 
     /// Takes a request in, or refuses it at once if it could not end in time.
@@ -138,35 +138,36 @@
         if self.queued() >= self.limits.queue {
             return Admission::Refuse(Code::QueueFull, wait);
         }
-        let patience = Duration::from_millis(self.limits.queue_wait_ms.into());
-        let until = offer.deadline.min(now + patience);
+        let max_wait = Duration::from_millis(self.limits.queue_wait_ms.into());
+        let expires_at = offer.deadline.min(now + max_wait);
         let Some(objective) = offer.objective else {
-            if now + wait > until {
+            if now + wait > expires_at {
                 return Admission::Refuse(Code::QueueFull, wait);
             }
-            self.enqueue(Waiting { offer, in_time: until, until });
-            return Admission::Queue(until);
+            self.enqueue(QueuedRequest { offer, latest_start: expires_at, expires_at });
+            return Admission::Queue(expires_at);
         };
         let run_time = self.run_times[offer.class as usize];
-        let in_time = objective.by - run_time;
+        let latest_start = objective.by - run_time;
         // Nothing is gained by a run that its caller's deadline cuts.
         let late_wait = run_time * self.policy.late_wait_percent / 100;
-        let until = until.min(in_time.max(now) + late_wait).min(offer.deadline - run_time);
-        let patience = match objective.patient {
+        let expires_at =
+            expires_at.min(latest_start.max(now) + late_wait).min(offer.deadline - run_time);
+        let wait_percent = match objective.allow_late {
             true => 100,
             false => self.policy.first_wait_percent,
         };
-        let longest = in_time.min(until).since(now) * patience / 100;
-        if now < in_time && wait <= longest {
-            self.enqueue(Waiting { offer, in_time, until });
-            return Admission::Queue(until);
+        let longest_wait = latest_start.min(expires_at).since(now) * wait_percent / 100;
+        if now < latest_start && wait <= longest_wait {
+            self.enqueue(QueuedRequest { offer, latest_start, expires_at });
+            return Admission::Queue(expires_at);
         }
-        let in_vain = now + wait + self.wait_behind_late(now, &offer) > until;
-        if !objective.patient || in_vain || !self.has_room_for_late() {
+        let too_late = now + wait + self.wait_behind_late(now, &offer) > expires_at;
+        if !objective.allow_late || too_late || !self.has_room_for_late() {
             return Admission::Refuse(Code::QueueFull, wait);
         }
-        self.late.push_back(Waiting { offer, in_time, until });
-        Admission::Queue(until)
+        self.late.push_back(QueuedRequest { offer, latest_start, expires_at });
+        Admission::Queue(expires_at)
     }
 
     /// Late requests wait at most as many as there are slots.
@@ -180,7 +181,8 @@
     /// Puts those that can't be in time any more behind the others.
     fn demote(&mut self, now: Time) {
         for index in 0..self.queues.len() {
-            let late = |waiting: &Waiting| waiting.in_time < now && waiting.until > now;
+            let late =
+                |waiting: &QueuedRequest| waiting.latest_start < now && waiting.expires_at > now;
             while let Some(at) = self.queues[index].iter().position(late) {
                 if !self.has_room_for_late() {
                     return;
@@ -194,21 +196,21 @@
     ///
     /// The deepest nested calls go first, since the requests that wait for them hold slots. New
     /// requests first would fill every slot with runs that can't finish.
-    fn enqueue(&mut self, waiting: Waiting) {
-        let queue = &mut self.queues[waiting.offer.queue() as usize];
-        let place = queue.partition_point(|other| other.offer.goes_before(&waiting.offer));
+    fn enqueue(&mut self, waiting: QueuedRequest) {
+        let queue = &mut self.queues[waiting.offer.queue_class() as usize];
+        let place = queue.partition_point(|other| other.offer.precedes(&waiting.offer));
         queue.insert(place, waiting);
     }
 
     /// Frees the slot of a request that did not reach the target.
-    pub fn give_back(&mut self, call: CallKey) {
+    pub fn release(&mut self, call: CallKey) {
         self.free(call);
     }
 
     /// Frees the slot of a request that ended, and learns from the time that it took.
     pub fn end(&mut self, now: Time, call: CallKey) {
         if let Some(ended) = self.end_run(now, call) {
-            self.count_sent(&ended);
+            self.record_response_size(&ended);
         }
     }
 
@@ -216,14 +218,14 @@
         let ended = self.free(call)?;
         let took = now.since(ended.started);
         let mean = &mut self.run_times[ended.class as usize];
-        *mean = (*mean * (RUN_TIME_WEIGHT - 1) + took) / RUN_TIME_WEIGHT;
+        *mean = (*mean * (RUN_TIME_EWMA_DIVISOR - 1) + took) / RUN_TIME_EWMA_DIVISOR;
         Some(ended)
     }
 
     /// Learns from the size of a large answer that has left.
-    fn count_sent(&mut self, answer: &Running) {
-        if answer.class == Class::Bulk && answer.sent > 0 {
-            self.link.sent(answer.sent);
+    fn record_response_size(&mut self, answer: &Running) {
+        if answer.class == Class::Bulk && answer.sent_bytes > 0 {
+            self.link.sent(answer.sent_bytes);
         }
     }
 
@@ -232,17 +234,17 @@
     ///
     /// Frees the slot of a large answer that waits for the VM's link and no longer needs the
     /// target.
-    pub fn read(&mut self, now: Time, call: CallKey, left: u64) {
+    pub fn response_read(&mut self, now: Time, call: CallKey, left: u64) {
         if let Some(ended) = self.end_run(now, call) {
-            self.leaving.insert(call, Running { to_come: left, ..ended });
+            self.sending.insert(call, Running { remaining_bytes: left, ..ended });
         }
     }
 
     /// The last byte of an answer that was read whole has been handed to the link, or nobody
     /// wants it any more.
-    pub fn left(&mut self, call: CallKey) {
-        if let Some(answer) = self.leaving.swap_remove(&call) {
-            self.count_sent(&answer);
+    pub fn response_sent(&mut self, call: CallKey) {
+        if let Some(answer) = self.sending.swap_remove(&call) {
+            self.record_response_size(&answer);
         }
     }
 
@@ -265,7 +267,7 @@
         self.demote(now);
         for queue in self.queues.iter_mut().chain([&mut self.late]) {
             // A nested request may stand before one whose time is up sooner.
-            if let Some(index) = queue.iter().position(|waiting| waiting.until <= now) {
+            if let Some(index) = queue.iter().position(|waiting| waiting.expires_at <= now) {
                 return queue.remove(index).map(|late| Popped::Expired(late.offer.call));
             }
         }
@@ -283,12 +285,12 @@
             in_flight: self.running.len() as u32,
             slots: self.slots(now),
             queued: self.queued() + self.late.len() as u32,
-            wait_ms: self.wait_of_newcomer(now).as_millis() as u32,
+            wait_ms: self.wait_of_new_request(now).as_millis() as u32,
         }
     }
 
     /// How long a caller's request of the last rank would wait that comes now.
-    fn wait_of_newcomer(&self, now: Time) -> Duration {
+    fn wait_of_new_request(&self, now: Time) -> Duration {
         if (self.running.len() as u32) < self.slots(now) {
             return Duration::ZERO;
         }
@@ -307,14 +309,14 @@
     fn slots(&self, now: Time) -> u32 {
         let full = self.limits.slots;
         let warm_up = u64::from(self.limits.warm_up_ms);
-        let Some(since) = self.cold_since else {
+        let Some(since) = self.warm_up_since else {
             return full;
         };
         let age = now.since(since).as_millis() as u64;
         if age >= warm_up {
             return full;
         }
-        let percent = COLD_SHARE_PERCENT + (100 - COLD_SHARE_PERCENT) * age / warm_up;
+        let percent = WARM_UP_MIN_PERCENT + (100 - WARM_UP_MIN_PERCENT) * age / warm_up;
         (u64::from(full) * percent / 100).max(1) as u32
     }
 
@@ -328,30 +330,32 @@
 
     fn has_slot(&self, now: Time, offer: &Offer) -> bool {
         let slots = self.slots(now);
-        let kept = match self.policy.has(Part::SlotsKept) {
+        let reserved = match self.policy.has(Part::SlotsKept) {
             true => self.depths.kept_free(slots, offer.depth),
             false => 0,
         };
-        let used = self.running.len() as u32 + kept;
+        let used = self.running.len() as u32 + reserved;
         let free = used < slots;
-        let bulk =
-            || self.running_bulk < self.bulk_slots(now) && self.link.has_room(now, self.to_come());
+        let bulk = || {
+            self.running_bulk < self.bulk_slots(now)
+                && self.link.has_room(now, self.remaining_bytes())
+        };
         free && (offer.class != Class::Bulk || bulk())
     }
 
     /// Bytes that the large answers which run will have.
-    fn to_come(&self) -> u64 {
-        let answers = self.running.values().chain(self.leaving.values());
-        answers.map(|answer| answer.to_come).sum()
+    fn remaining_bytes(&self) -> u64 {
+        let answers = self.running.values().chain(self.sending.values());
+        answers.map(|answer| answer.remaining_bytes).sum()
     }
 
     fn start(&mut self, now: Time, offer: &Offer) {
-        let mut to_come = 0;
+        let mut remaining_bytes = 0;
         if offer.class == Class::Bulk {
             self.running_bulk += 1;
-            to_come = self.link.likely_size();
+            remaining_bytes = self.link.likely_size();
         }
-        let running = Running { class: offer.class, started: now, sent: 0, to_come };
+        let running = Running { class: offer.class, started: now, sent_bytes: 0, remaining_bytes };
         self.running.insert(offer.call, running);
     }
 
@@ -369,25 +373,25 @@
 
     /// How many requests that wait go before this one.
     fn ahead_of(&self, offer: &Offer) -> usize {
-        let queue = offer.queue();
+        let queue = offer.queue_class();
         let before = self.queues[..queue as usize].iter().map(VecDeque::len).sum::<usize>();
         let own = &self.queues[queue as usize];
-        before + own.partition_point(|other| other.offer.goes_before(offer))
+        before + own.partition_point(|other| other.offer.precedes(offer))
     }
 
     /// How long a request would wait behind those that go before it, from the mean run times.
     fn expected_wait(&self, now: Time, offer: &Offer) -> Duration {
-        let queue = offer.queue() as usize;
+        let queue = offer.queue_class() as usize;
         let mut work = self.run_times[offer.class as usize];
         for (waiting, run_time) in self.queues.iter().zip(self.run_times).take(queue) {
             work += run_time * waiting.len() as u32;
         }
         let own = &self.queues[queue];
-        let same = own.partition_point(|other| other.offer.goes_before(offer));
+        let same = own.partition_point(|other| other.offer.precedes(offer));
         work += self.run_times[offer.class as usize] * same as u32;
         let wait = work / self.slots(now);
         match offer.class {
-            Class::Bulk => wait.max(self.link.wait(now, self.to_come(), same as u32)),
+            Class::Bulk => wait.max(self.link.wait(now, self.remaining_bytes(), same as u32)),
             Class::Gating | Class::Interactive => wait,
         }
     }
@@ -405,21 +409,25 @@
     fn next_class(&mut self, now: Time) -> Option<Class> {
         let bulk_waits =
             self.policy.has(Part::BulkTurn) && !self.queues[Class::Bulk as usize].is_empty();
-        if bulk_waits && self.bulk_turn + 1 >= BULK_TURN && self.may_run_next(now, Class::Bulk) {
-            self.bulk_turn = 0;
+        if bulk_waits
+            && self.dispatches_since_bulk + 1 >= BULK_DISPATCH_INTERVAL
+            && self.may_run_next(now, Class::Bulk)
+        {
+            self.dispatches_since_bulk = 0;
             return Some(Class::Bulk);
         }
         for class in [Class::Gating, Class::Interactive, Class::Bulk] {
             if self.may_run_next(now, class) {
-                let passed_over = bulk_waits && class != Class::Bulk;
-                self.bulk_turn = if passed_over { self.bulk_turn + 1 } else { 0 };
+                let bypassed_bulk = bulk_waits && class != Class::Bulk;
+                self.dispatches_since_bulk =
+                    if bypassed_bulk { self.dispatches_since_bulk + 1 } else { 0 };
                 return Some(class);
             }
         }
         None
     }
 
-    fn next_late(&mut self, now: Time) -> Option<Waiting> {
+    fn next_late(&mut self, now: Time) -> Option<QueuedRequest> {
         let first = self.late.front()?;
         self.has_slot(now, &first.offer).then(|| self.late.pop_front())?
     }
--- a/core/src/call/admit/offer.rs
+++ b/core/src/call/admit/offer.rs
@@ -49,12 +49,12 @@
     pub by: Time,
     /// Whether it may wait here although the answer will come later than that: no other target
     /// can give one in time either.
-    pub patient: bool,
+    pub allow_late: bool,
 }
 
 impl Offer {
     /// The class in which it waits: a caller's request waits for a nested one too.
-    pub(super) fn queue(&self) -> Class {
+    pub(super) fn queue_class(&self) -> Class {
         match self.class {
             Class::Interactive if self.depth > 0 => Class::Gating,
             class => class,
@@ -62,7 +62,7 @@
     }
 
     /// Whether this one, which waits in the same queue already, goes before one that comes now.
-    pub(super) fn goes_before(&self, newer: &Offer) -> bool {
+    pub(super) fn precedes(&self, newer: &Offer) -> bool {
         self.depth > newer.depth || (self.depth == newer.depth && self.rank <= newer.rank)
     }
 }
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -141,7 +141,7 @@
             Input::Expire(call) => self.expire(now, call, out),
             Input::Withdraw(call) => self.withdraw(call),
             Input::End { call, end } => self.end(now, call, end, out),
-            Input::Left(call) => self.slots.left(call),
+            Input::Left(call) => self.slots.response_sent(call),
             Input::Note { from, note } => self.take_note(now, from, note, out),
             Input::Tick => {}
         }
@@ -151,7 +151,7 @@
 
     /// When the next bytes of the answer to `call` may be given to the link.
     pub fn piece(&mut self, now: Time, call: CallKey, bytes: u64) -> Time {
-        self.slots.piece(now, call, bytes)
+        self.slots.schedule_chunk(now, call, bytes)
     }
 
     /// What the target runs and what waits for it.
@@ -238,7 +238,7 @@
         let call = arrival.call;
         // Work that others wait for counts as nested, also where callers do not tell the depth.
         let depth = arrival.depth.max((terms.class == Class::Gating).into());
-        let objective = Objective { by: terms.objective, patient: terms.patient };
+        let objective = Objective { by: terms.objective, allow_late: terms.patient };
         let offer = Offer {
             call,
             class: terms.class,
@@ -304,12 +304,12 @@
     /// moved, and the process may have been paused.
     fn run_popped(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
         let Some(known) = self.calls.get(&call).copied() else {
-            return self.slots.give_back(call);
+            return self.slots.release(call);
         };
         let refuse = known.key.and_then(|key| self.check_right(key));
         match refuse {
             Some(Checked::Refuse(outcome)) => {
-                self.slots.give_back(call);
+                self.slots.release(call);
                 self.forget_waiting(call);
                 let crashes = self.crashes_of(now, &known);
                 out.push(Output::Refuse { call, outcome, crashes });
@@ -338,7 +338,7 @@
 
     fn withdraw(&mut self, call: CallKey) {
         if !self.slots.withdraw(call) {
-            self.slots.give_back(call);
+            self.slots.release(call);
         }
         self.forget_waiting(call);
     }
@@ -363,12 +363,12 @@
                 self.target_answers(now, out);
             }
             End::Read { left } => {
-                self.slots.read(now, call, left);
+                self.slots.response_read(now, call, left);
                 self.clear(known.fingerprint, out);
                 self.target_answers(now, out);
             }
             End::NotSent => {
-                self.slots.give_back(call);
+                self.slots.release(call);
                 if let Some(key) = known.key {
                     self.once.not_run(key, call);
                 }
@@ -378,7 +378,7 @@
                 out.push(Output::Refuse { call, outcome, crashes });
             }
             End::Rejected(code) => {
-                self.slots.give_back(call);
+                self.slots.release(call);
                 if let Some(key) = known.key {
                     self.once.not_run(key, call);
                 }
@@ -388,7 +388,7 @@
                 out.push(Output::Refuse { call, outcome, crashes });
             }
             End::Broken { target_gone } => {
-                self.slots.give_back(call);
+                self.slots.release(call);
                 self.finish_key(&known, None);
                 self.suspect(now, &known, target_gone, out);
                 let outcome = Outcome::Unknown { code: Code::TargetFailed };
--- a/core/src/call/gatekeeper/suspects.rs
+++ b/core/src/call/gatekeeper/suspects.rs
@@ -58,7 +58,7 @@
 
     pub(super) fn target_answers(&mut self, now: Time, out: &mut Vec<Output>) {
         if !std::mem::replace(&mut self.target_up, true) {
-            self.slots.set_cold(now);
+            self.slots.start_warm_up(now);
             self.crash = None;
             out.push(Output::Record(EventKind::TargetBack));
         }
--- a/core/tests/call_admit.rs
+++ b/core/tests/call_admit.rs
@@ -198,7 +198,7 @@
     // Story: a target has just started and is slow at first; given its full share it would
     // collapse before it is warm.
     let mut slots = Slots::new(limits(12, 0));
-    slots.set_cold(START);
+    slots.start_warm_up(START);
     assert_eq!(slots.load(START).slots, 3);
     assert_eq!(slots.load(after(2_500)).slots, 7);
     assert_eq!(slots.load(after(5_000)).slots, 12);
--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -21,14 +21,14 @@
     ServiceLimits { slots: 12, queue: 64, queue_wait_ms: 3_000, ..ServiceLimits::default() }
 }
 
-fn offer(call: u64, now: u64, rank: u8, objective: Option<u64>, patient: bool) -> Offer {
+fn offer(call: u64, now: u64, rank: u8, objective: Option<u64>, allow_late: bool) -> Offer {
     Offer {
         call: CallKey(call),
         class: Class::Interactive,
         rank,
         depth: 0,
         deadline: at(now + DEADLINE),
-        objective: objective.map(|ms| Objective { by: at(now + ms), patient }),
+        objective: objective.map(|ms| Objective { by: at(now + ms), allow_late }),
     }
 }
 
@@ -168,7 +168,7 @@
     for now in 0..10_000 {
         while running.front().is_some_and(|(_, end)| *end <= now) {
             let (call, _) = running.pop_front().unwrap();
-            slots.piece(at(now), CallKey(call), LEDGER);
+            slots.schedule_chunk(at(now), CallKey(call), LEDGER);
             slots.end(at(now), CallKey(call));
             busy_until = busy_until.max(now) + LEDGER * 1_000 / LINK;
             longest = longest.max(busy_until - now);
@@ -269,16 +269,16 @@
     let mut slots = Slots::new(limits).with_link(Link::new(Some(LINK * 8 / 1_000)));
     let pack = |call| Offer { class: Class::Bulk, ..offer(call, 0, 0, Some(OBJECTIVE), true) };
     assert_eq!(slots.offer(at(0), pack(0)), Admission::Run);
-    assert_eq!(slots.piece(at(60), CallKey(0), 16_384), at(60));
-    slots.read(at(60), CallKey(0), LEDGER - 16_384);
+    assert_eq!(slots.schedule_chunk(at(60), CallKey(0), 16_384), at(60));
+    slots.response_read(at(60), CallKey(0), LEDGER - 16_384);
     let nested = Offer { class: Class::Gating, depth: 1, ..offer(1, 60, 0, None, false) };
     assert_eq!(slots.offer(at(60), nested), Admission::Run);
     slots.end(at(75), CallKey(1));
     // The rest still leaves at the pace of the link, and counts against further packs.
-    assert!(slots.piece(at(60), CallKey(0), 16_384) < at(80));
-    assert!(slots.piece(at(60), CallKey(0), 57_232) > at(60));
-    slots.left(CallKey(0));
-    assert_eq!(slots.piece(at(60), CallKey(0), 16_384), at(60));
+    assert!(slots.schedule_chunk(at(60), CallKey(0), 16_384) < at(80));
+    assert!(slots.schedule_chunk(at(60), CallKey(0), 57_232) > at(60));
+    slots.response_sent(CallKey(0));
+    assert_eq!(slots.schedule_chunk(at(60), CallKey(0), 16_384), at(60));
 }
 
 #[test]
@@ -291,7 +291,7 @@
         let now = call * 1_000;
         let pack = Offer { class: Class::Bulk, ..offer(call, now, 0, Some(OBJECTIVE), true) };
         assert_eq!(slots.offer(at(now), pack), Admission::Run);
-        slots.piece(at(now + 60), CallKey(call), small);
+        slots.schedule_chunk(at(now + 60), CallKey(call), small);
         slots.end(at(now + 60), CallKey(call));
     }
     // Many are let in at once: together they are as long on the link as two large ones.
