--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -1,4 +1,5 @@
-//! Admission to one target: slots, a short queue by class, and refusals that come early.
+//! Admission control for one target: concurrency slots, a bounded queue ordered by class, and early
+//! rejection of requests that cannot be served in time.
 
 mod offer;
 
@@ -14,25 +15,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Run time assumed before any request has ended.
+/// Run time assumed until the first request has completed.
 const INITIAL_RUN_TIME: Duration = Duration::from_millis(5);
 
-/// Weight of the newest run time in the running mean, as one part in so many.
+/// Weight of a new sample in the moving average of run times, as a divisor.
 const RUN_TIME_EWMA_DIVISOR: u32 = 8;
 
-/// Share of the slots that a target gets right after its start, in percent.
+/// Share of the slots that a target gets right after it starts, in percent.
 const WARM_UP_MIN_PERCENT: u64 = 25;
 
-/// Of so many slots given away while bulk requests wait, one goes to a bulk request, so that
-/// steady traffic of the classes before it can't hold it off for ever.
+/// While bulk requests are queued, one in this many dispatches goes to a bulk request, so that
+/// steady traffic of the higher-priority classes cannot starve them.
 const BULK_DISPATCH_INTERVAL: u32 = 8;
 
 #[derive(Clone, Copy, Debug)]
 struct QueuedRequest {
     offer: Offer,
-    // Latest start for an answer within the objective; the same as `expires_at` without one.
+    // Latest start that can still meet the objective; equal to `expires_at` if there is none.
     latest_start: Time,
-    // At most its caller's deadline.
+    // Never later than the caller's deadline.
     expires_at: Time,
 }
 
@@ -40,22 +41,22 @@
 struct Running {
     class: Class,
     started: Time,
-    // Bytes of its answer that have been given to the link, and that are expected beyond these.
+    // Bytes of the response already scheduled for the link, and bytes still expected.
     sent_bytes: u64,
     remaining_bytes: u64,
 }
 
-/// The slots of one target and the queue before them.
+/// Concurrency slots of one target and the queue of requests waiting for them.
 #[derive(Debug)]
 pub struct Slots {
     limits: ServiceLimits,
     warm_up_since: Option<Time>,
     running: IndexMap<CallKey, Running>,
-    // Answers that the target has given whole and the link has not taken yet.
+    // Responses read completely from the target that are still being sent over the link.
     sending: IndexMap<CallKey, Running>,
     running_bulk: u32,
     queues: [VecDeque<QueuedRequest>; 3],
-    // Those that can't meet their objective any more, oldest first.
+    // Requests that can no longer meet their objective, oldest first.
     late: VecDeque<QueuedRequest>,
     dispatches_since_bulk: u32,
     run_times: [Duration; 3],
@@ -65,7 +66,7 @@
 }
 
 impl Slots {
-    /// The slots of a target that is warm.
+    /// Creates the slots of a target that does not need to warm up.
     pub fn new(limits: ServiceLimits) -> Slots {
         Slots {
             limits,
@@ -83,19 +84,18 @@
         }
     }
 
-    /// The same slots with other mechanisms at work.
     pub fn with_policy(mut self, policy: Policy) -> Slots {
         self.policy = policy;
         self
     }
 
-    /// The same slots on a VM whose link is narrow.
+    /// Sets the VM's link, which limits when bulk responses are sent.
     pub fn with_link(mut self, link: Link) -> Slots {
         self.link = link;
         self
     }
 
-    /// When the next bytes of the answer to `call` may be given to the link.
+    /// Returns the time at which the next `bytes` of the response to `call` may be sent.
     pub fn schedule_chunk(&mut self, now: Time, call: CallKey, bytes: u64) -> Time {
         let running = self.running.get_mut(&call).or_else(|| self.sending.get_mut(&call));
         let Some(running) = running else {
@@ -109,17 +109,17 @@
         self.link.piece(now, running.class, bytes)
     }
 
-    /// Changes the limits. What runs or waits goes on.
+    /// Changes the limits. Running and queued requests are not affected.
     pub fn set_limits(&mut self, limits: ServiceLimits) {
         self.limits = limits;
     }
 
-    /// Starts the slow start of a target that has just come up.
+    /// Limits the slots while a target that has just started warms up.
     pub fn start_warm_up(&mut self, now: Time) {
         self.warm_up_since = Some(now);
     }
 
-    /// Takes a request in, or refuses it at once if it could not end in time.
+    /// Admits or queues a request, or rejects it at once if it cannot complete in time.
     pub fn offer(&mut self, now: Time, mut offer: Offer) -> Admission {
         if !self.policy.has(Part::NestedFirst) {
             offer.depth = 0;
@@ -149,7 +149,7 @@
         };
         let run_time = self.run_times[offer.class as usize];
         let latest_start = objective.by - run_time;
-        // Nothing is gained by a run that its caller's deadline cuts.
+        // A run that the caller's deadline would interrupt is wasted.
         let late_wait = run_time * self.policy.late_wait_percent / 100;
         let expires_at =
             expires_at.min(latest_start.max(now) + late_wait).min(offer.deadline - run_time);
@@ -170,15 +170,15 @@
         Admission::Queue(expires_at)
     }
 
-    /// Late requests wait at most as many as there are slots.
+    /// Whether another late request may be queued: at most one per slot.
     ///
-    /// Requests that can still be in time go first. Without this order a target that is slightly
-    /// overloaded answers every request late.
+    /// Requests that can still meet their objective run first. Otherwise a slightly overloaded
+    /// target would answer every request late.
     fn has_room_for_late(&self) -> bool {
         (self.late.len() as u32) < self.limits.slots
     }
 
-    /// Puts those that can't be in time any more behind the others.
+    /// Moves requests that can no longer meet their objective to the late queue.
     fn demote(&mut self, now: Time) {
         for index in 0..self.queues.len() {
             let late =
@@ -192,22 +192,22 @@
         }
     }
 
-    /// Puts a request behind those of its class that are nested as deep or deeper.
+    /// Queues a request behind those of its class that are nested at least as deeply.
     ///
-    /// The deepest nested calls go first, since the requests that wait for them hold slots. New
-    /// requests first would fill every slot with runs that can't finish.
+    /// The most deeply nested calls run first, because the requests waiting for them hold slots.
+    /// Otherwise new requests could fill every slot with runs that cannot finish.
     fn enqueue(&mut self, waiting: QueuedRequest) {
         let queue = &mut self.queues[waiting.offer.queue_class() as usize];
         let place = queue.partition_point(|other| other.offer.precedes(&waiting.offer));
         queue.insert(place, waiting);
     }
 
-    /// Frees the slot of a request that did not reach the target.
+    /// Releases the slot of a request that did not reach the target.
     pub fn release(&mut self, call: CallKey) {
         self.free(call);
     }
 
-    /// Frees the slot of a request that ended, and learns from the time that it took.
+    /// Releases the slot of a completed request and records its run time.
     pub fn end(&mut self, now: Time, call: CallKey) {
         if let Some(ended) = self.end_run(now, call) {
             self.record_response_size(&ended);
@@ -222,33 +222,32 @@
         Some(ended)
     }
 
-    /// Learns from the size of a large answer that has left.
+    /// Records the size of a bulk response that has been sent.
     fn record_response_size(&mut self, answer: &Running) {
         if answer.class == Class::Bulk && answer.sent_bytes > 0 {
             self.link.sent(answer.sent_bytes);
         }
     }
 
-    /// Frees the slot of a request whose answer has been read whole, `left` bytes of it still on
-    /// their way to the link.
+    /// Releases the slot of a request whose response has been read completely, with `left` bytes
+    /// not yet sent.
     ///
-    /// Frees the slot of a large answer that waits for the VM's link and no longer needs the
-    /// target.
+    /// A bulk response that is still being sent over the VM's link no longer occupies the target.
     pub fn response_read(&mut self, now: Time, call: CallKey, left: u64) {
         if let Some(ended) = self.end_run(now, call) {
             self.sending.insert(call, Running { remaining_bytes: left, ..ended });
         }
     }
 
-    /// The last byte of an answer that was read whole has been handed to the link, or nobody
-    /// wants it any more.
+    /// Records that the last byte of a completely read response has been sent, or that the caller
+    /// is gone.
     pub fn response_sent(&mut self, call: CallKey) {
         if let Some(answer) = self.sending.swap_remove(&call) {
             self.record_response_size(&answer);
         }
     }
 
-    /// Takes a waiting request out. Returns false if it does not wait.
+    /// Removes a queued request. Returns false if it is not queued.
     pub fn withdraw(&mut self, call: CallKey) -> bool {
         for queue in self.queues.iter_mut().chain([&mut self.late]) {
             if let Some(index) = queue.iter().position(|waiting| waiting.offer.call == call) {
@@ -259,14 +258,15 @@
         false
     }
 
-    /// The next request to leave the queue, if any may.
+    /// Removes the next request from the queue, if there is one to run or to expire.
     ///
-    /// One that waited too long is not run even if a slot is free: its caller has given up, or
-    /// this process was paused, and the work would be for nobody.
+    /// An expired request does not run even if a slot is free: its caller has given up, or this
+    /// process was paused, so the result would be discarded.
     pub fn pop(&mut self, now: Time) -> Option<Popped> {
         self.demote(now);
         for queue in self.queues.iter_mut().chain([&mut self.late]) {
-            // A nested request may stand before one whose time is up sooner.
+            // The queue is ordered by depth, so the entry that expires first need not be at the
+            // front.
             if let Some(index) = queue.iter().position(|waiting| waiting.expires_at <= now) {
                 return queue.remove(index).map(|late| Popped::Expired(late.offer.call));
             }
@@ -279,7 +279,7 @@
         Some(Popped::Run(waiting.offer.call))
     }
 
-    /// What the target runs and what waits for it.
+    /// The current load of the target and its queue.
     pub fn load(&self, now: Time) -> Load {
         Load {
             in_flight: self.running.len() as u32,
@@ -289,7 +289,7 @@
         }
     }
 
-    /// How long a caller's request of the last rank would wait that comes now.
+    /// Expected wait of a top-level request of the lowest rank that arrives now.
     fn wait_of_new_request(&self, now: Time) -> Duration {
         if (self.running.len() as u32) < self.slots(now) {
             return Duration::ZERO;
@@ -300,12 +300,12 @@
         (work + self.run_times[Class::Interactive as usize]) / self.slots(now)
     }
 
-    /// When a request that is refused now may come back.
+    /// The time after which a request rejected now may be retried.
     pub fn retry_after(&self, now: Time, offer: &Offer) -> Duration {
         self.expected_wait(now, offer)
     }
 
-    /// Slots in use now: fewer than the limit while the target is cold.
+    /// Slots available now: fewer than the limit while the target warms up.
     fn slots(&self, now: Time) -> u32 {
         let full = self.limits.slots;
         let warm_up = u64::from(self.limits.warm_up_ms);
@@ -343,7 +343,7 @@
         free && (offer.class != Class::Bulk || bulk())
     }
 
-    /// Bytes that the large answers which run will have.
+    /// Bytes still to be sent of all bulk responses in progress.
     fn remaining_bytes(&self) -> u64 {
         let answers = self.running.values().chain(self.sending.values());
         answers.map(|answer| answer.remaining_bytes).sum()
@@ -371,7 +371,7 @@
         self.queues.iter().map(|queue| queue.len() as u32).sum()
     }
 
-    /// How many requests that wait go before this one.
+    /// Number of queued requests that would run before this one.
     fn ahead_of(&self, offer: &Offer) -> usize {
         let queue = offer.queue_class();
         let before = self.queues[..queue as usize].iter().map(VecDeque::len).sum::<usize>();
@@ -379,7 +379,7 @@
         before + own.partition_point(|other| other.offer.precedes(offer))
     }
 
-    /// How long a request would wait behind those that go before it, from the mean run times.
+    /// Expected wait of a request behind those that run before it, from the mean run times.
     fn expected_wait(&self, now: Time, offer: &Offer) -> Duration {
         let queue = offer.queue_class() as usize;
         let mut work = self.run_times[offer.class as usize];
@@ -396,7 +396,7 @@
         }
     }
 
-    /// How much longer a late request would wait behind those of its class that are late already.
+    /// Additional expected wait of a late request behind the late requests of its class.
     fn wait_behind_late(&self, now: Time, offer: &Offer) -> Duration {
         let same = self.late.iter().filter(|late| late.offer.class == offer.class).count() as u32;
         let runs = self.run_times[offer.class as usize] * same / self.slots(now);
