--- a/core/src/call/admit/offer.rs
+++ b/core/src/call/admit/offer.rs
@@ -1,59 +1,59 @@
-//! A request as admission sees it, and what becomes of it.
+//! Input and results of admission control.
 
 use crate::call::CallKey;
 use crate::config::Class;
 use crate::{Code, Time};
 use std::time::Duration;
 
-/// What becomes of a request on arrival.
+/// The decision on an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs now.
+    /// Run now.
     Run,
-    /// It waits, at most until this time.
+    /// Wait for a slot, at most until this time.
     Queue(Time),
-    /// It is refused; come back after this time.
+    /// Rejected; may be retried after this time.
     Refuse(Code, Duration),
 }
 
-/// What leaves the queue.
+/// A request removed from the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Popped {
-    /// It runs now.
+    /// Run now.
     Run(CallKey),
-    /// It would be late even if it ran now.
+    /// Its maximum wait has passed.
     Expired(CallKey),
 }
 
-/// What admission looks at in a request.
+/// A request offered for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// The call.
     pub call: CallKey,
-    /// Class of its route.
     pub class: Class,
-    /// Order within the class and depth, the lowest first.
+    /// Priority within the class and depth; the lowest runs first.
     pub rank: u8,
-    /// Calls that wait for this one, each holding a slot: 0 for a caller's own request.
+    /// Nesting depth: the number of calls waiting for this one, each holding a slot. 0 for a
+    /// top-level request.
     pub depth: u8,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Time,
-    /// When an answer is worth most; absent if any time before the deadline is as good.
+    /// Response time objective; `None` if any response before the deadline is as good.
     pub objective: Option<Objective>,
 }
 
-/// When an answer is worth most to a caller.
+/// A response time objective, earlier than the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Objective {
-    /// The end of that time.
+    /// Time by which the response should arrive.
     pub by: Time,
-    /// Whether it may wait here although the answer will come later than that: no other target
-    /// can give one in time either.
+    /// Whether the request may be queued although its response will miss the objective, because no
+    /// other target can meet it either.
     pub allow_late: bool,
 }
 
 impl Offer {
-    /// The class in which it waits: a caller's request waits for a nested one too.
+    /// The class whose queue the request waits in. A nested interactive request gates the request
+    /// that made it.
     pub(super) fn queue_class(&self) -> Class {
         match self.class {
             Class::Interactive if self.depth > 0 => Class::Gating,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether this one, which waits in the same queue already, goes before one that comes now.
+    /// Whether this queued request runs before a newer one in the same queue.
     pub(super) fn precedes(&self, newer: &Offer) -> bool {
         self.depth > newer.depth || (self.depth == newer.depth && self.rank <= newer.rank)
     }
