--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -11,7 +11,7 @@
 use sycamore_core::Code;
 use sycamore_core::call::entry::{AttemptEnd, Forward};
 use sycamore_core::call::gatekeeper::{self, End};
-use sycamore_core::call::once::KeptAnswer;
+use sycamore_core::call::once::CachedResponse;
 use sycamore_core::call::{CallKey, Outcome};
 
 impl Fleet {
@@ -93,7 +93,7 @@
             return self.links.after(CRASH_SEEN, Happening::Call(Step::Done { gate, end }));
         }
         let body = Bytes::copy_from_slice(&request.number.to_be_bytes());
-        let kept = KeptAnswer { status: 200, headers: Vec::new(), body };
+        let kept = CachedResponse { status: 200, headers: Vec::new(), body };
         let end = End::Answered { kept: once.then(|| Arc::new(kept)) };
         self.links.after(request.work, Happening::Call(Step::Done { gate, end }));
     }
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -10,7 +10,7 @@
 use super::admit::{Admission, Objective, Offer, Popped, Slots};
 use super::home::Homes;
 use super::link::Link;
-use super::once::{KeptAnswer, Once};
+use super::once::{CachedResponse, IdempotencyTable};
 use super::policy::Policy;
 use super::quarantine::Suspects;
 use super::runs::{RunCounts, RunKind, Runs};
@@ -65,7 +65,7 @@
     service: Option<ServiceKey>,
     members: Arc<Members>,
     slots: Slots,
-    once: Once,
+    idempotency: IdempotencyTable,
     homes: Option<Homes>,
     suspects: Suspects,
     calls: IndexMap<CallKey, Call>,
@@ -94,7 +94,7 @@
             service: None,
             members: Arc::new(Members::new()),
             slots: Slots::new(ServiceLimits::default()),
-            once: Once::new(),
+            idempotency: IdempotencyTable::new(),
             homes: None,
             suspects: Suspects::new(),
             calls: IndexMap::new(),
@@ -264,7 +264,7 @@
         };
         self.calls.insert(call, known);
         if let (Some(key), Some(digest)) = (key, arrival.digest) {
-            self.once.wait(now, key, digest, call);
+            self.idempotency.insert_waiting(now, key, digest, call);
         }
         match admission {
             Admission::Queue(until) => out.push(Output::Queue(call, until)),
@@ -280,7 +280,7 @@
         self.runs.begin(known.kind, known.repeat);
         let once = known.key.is_some();
         if let Some(key) = known.key {
-            self.once.run(key, call);
+            self.idempotency.mark_running(key, call);
         }
         out.push(Output::Run { call, once });
     }
@@ -346,7 +346,7 @@
     fn forget_waiting(&mut self, call: CallKey) -> Option<Call> {
         let known = self.forget(call)?;
         if let Some(key) = known.key {
-            self.once.not_run(key, call);
+            self.idempotency.remove_not_run(key, call);
         }
         Some(known)
     }
@@ -370,7 +370,7 @@
             End::NotSent => {
                 self.slots.release(call);
                 if let Some(key) = known.key {
-                    self.once.not_run(key, call);
+                    self.idempotency.remove_not_run(key, call);
                 }
                 self.target_lost(out);
                 let outcome = Outcome::not_run(Code::TargetUnreachable, COME_BACK_LATER);
@@ -380,7 +380,7 @@
             End::Rejected(code) => {
                 self.slots.release(call);
                 if let Some(key) = known.key {
-                    self.once.not_run(key, call);
+                    self.idempotency.remove_not_run(key, call);
                 }
                 let wait = self.slots.retry_after(now, &known.offer);
                 let outcome = Outcome::not_run(code, self.spread_out(wait));
@@ -412,9 +412,9 @@
         Some(known)
     }
 
-    fn finish_key(&mut self, known: &Call, kept: Option<Arc<KeptAnswer>>) {
+    fn finish_key(&mut self, known: &Call, kept: Option<Arc<CachedResponse>>) {
         if let Some(key) = known.key {
-            self.once.end(key, kept);
+            self.idempotency.finish(key, kept);
         }
     }
 
--- a/core/src/call/gatekeeper/check.rs
+++ b/core/src/call/gatekeeper/check.rs
@@ -2,7 +2,7 @@
 
 use super::{Arrival, COME_BACK_LATER, COME_BACK_QUARANTINED, COME_BACK_SOON, Call, Gatekeeper};
 use crate::call::home::Right;
-use crate::call::once::{KeptAnswer, Seen};
+use crate::call::once::{CachedResponse, KeyStatus};
 use crate::call::quarantine::MAX_CRASHES;
 use crate::call::{MAX_CLOCK_SKEW, Outcome, RequestKey, Terms};
 use crate::config::snapshot::RouteEntry;
@@ -13,7 +13,7 @@
 /// What a check comes to.
 pub(super) enum Checked {
     Take(Terms, Option<RequestKey>),
-    Replay(Arc<KeptAnswer>),
+    Replay(Arc<CachedResponse>),
     Refuse(Outcome),
 }
 
@@ -34,12 +34,12 @@
         };
         // What is known of the key goes before every reason for a refusal: a request that ran is
         // never called not run.
-        match self.once.look_up(now, key, digest) {
-            Seen::Answered(answer) => Checked::Replay(answer),
-            Seen::InProgress => unknown(Code::KeyInProgress),
-            Seen::Unknown => unknown(Code::KeyOutcomeUnknown),
-            Seen::Reused => not_run(Code::KeyReused, COME_BACK_LATER),
-            Seen::New => match self.check_right(key) {
+        match self.idempotency.look_up(now, key, digest) {
+            KeyStatus::Answered(answer) => Checked::Replay(answer),
+            KeyStatus::InProgress => unknown(Code::KeyInProgress),
+            KeyStatus::Unknown => unknown(Code::KeyOutcomeUnknown),
+            KeyStatus::Reused => not_run(Code::KeyReused, COME_BACK_LATER),
+            KeyStatus::New => match self.check_right(key) {
                 Some(refuse) => refuse,
                 None => self.check_load(now, arrival, terms, Some(key)),
             },
--- a/core/src/call/gatekeeper/homes.rs
+++ b/core/src/call/gatekeeper/homes.rs
@@ -45,7 +45,7 @@
                 let taken =
                     self.homes.as_mut().is_some_and(|homes| homes.released(now, from, answer));
                 if taken {
-                    self.once.import(now, &answer.keys);
+                    self.idempotency.import(now, &answer.keys);
                 }
             }
             Note::Leaving => {
@@ -73,8 +73,8 @@
             homes.returns(from);
         }
         let left = ask.left.iter().cloned().collect();
-        let keys = self.once.ran(|key| homes.gives(from, &left, key));
-        let notes = homes.release(from, ask, &keys, self.once.forgotten());
+        let keys = self.idempotency.keys_that_ran(|key| homes.gives(from, &left, key));
+        let notes = homes.release(from, ask, &keys, self.idempotency.evicted_until());
         out.extend(notes.into_iter().map(Output::Send));
     }
 
--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -1,7 +1,7 @@
 //! What the gatekeeper's decider takes in and gives out.
 
 use crate::call::note::{Note, OutgoingNote};
-use crate::call::once::KeptAnswer;
+use crate::call::once::CachedResponse;
 use crate::call::{CallKey, Fingerprint, Members, Outcome, RequestKey, Terms};
 use crate::config::Snapshot;
 use crate::event::EventKind;
@@ -77,7 +77,7 @@
         /// The whole answer came; `kept` if it may be asked for again.
         Answered {
             /// The answer, of a request with a key.
-            kept: Option<Arc<KeptAnswer>>,
+            kept: Option<Arc<CachedResponse>>,
         },
         /// The whole answer has been read from the target, and some of it has not left yet;
         /// [`Input::Left`] says when it has.
@@ -111,7 +111,7 @@
         /// Let the request wait, at most until this time.
         Queue(CallKey, Time),
         /// Give the kept answer.
-        Replay(CallKey, Arc<KeptAnswer>),
+        Replay(CallKey, Arc<CachedResponse>),
         /// Tell the entry node that there is no answer.
         Refuse {
             /// The call.
--- a/core/src/call/once.rs
+++ b/core/src/call/once.rs
@@ -11,11 +11,11 @@
 pub const MAX_RECORDS: usize = 32_768;
 
 /// Bytes of kept answers. Beyond it the oldest answers are dropped; their keys stay known.
-pub const MAX_KEPT_BYTES: usize = 4 * 1_048_576;
+pub const MAX_CACHED_BYTES: usize = 4 * 1_048_576;
 
 data! {
     /// An answer that is kept for a caller that asks again.
-    pub struct KeptAnswer {
+    pub struct CachedResponse {
         /// HTTP status.
         pub status: u16,
         /// Header names and values.
@@ -25,13 +25,13 @@
     }
 
     /// What is known of a key.
-    pub enum Seen {
+    pub enum KeyStatus {
         /// Nothing: it has not run here.
         New,
         /// A request with it waits or runs.
         InProgress,
         /// It ran, and this is the answer.
-        Answered(Arc<KeptAnswer>),
+        Answered(Arc<CachedResponse>),
         /// It ran or may have run; the answer is not held.
         Unknown,
         /// It was used for a different request.
@@ -39,7 +39,7 @@
     }
 }
 
-impl KeptAnswer {
+impl CachedResponse {
     fn size(&self) -> usize {
         let headers: usize =
             self.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
@@ -48,10 +48,10 @@
 }
 
 #[derive(Debug)]
-enum State {
+enum RecordState {
     Waiting(CallKey),
     Running(CallKey),
-    Answered(Arc<KeptAnswer>),
+    Answered(Arc<CachedResponse>),
     Unknown,
 }
 
@@ -59,72 +59,72 @@
 struct Record {
     // None for a key that came from another home.
     digest: Option<Hash>,
-    state: State,
+    state: RecordState,
 }
 
 /// What this gatekeeper knows of each key. Bounded.
 #[derive(Debug)]
-pub struct Once {
+pub struct IdempotencyTable {
     // Ordered by the time of minting, which is the first part of a key.
     records: BTreeMap<RequestKey, Record>,
-    kept: VecDeque<RequestKey>,
-    kept_bytes: usize,
+    cached_keys: VecDeque<RequestKey>,
+    cached_bytes: usize,
     max_records: usize,
-    forgotten: Time,
+    evicted_until: Time,
 }
 
-impl Once {
+impl IdempotencyTable {
     /// Knows nothing.
-    pub fn new() -> Once {
-        Once {
+    pub fn new() -> IdempotencyTable {
+        IdempotencyTable {
             records: BTreeMap::new(),
-            kept: VecDeque::new(),
-            kept_bytes: 0,
+            cached_keys: VecDeque::new(),
+            cached_bytes: 0,
             max_records: MAX_RECORDS,
-            forgotten: Time::ZERO,
+            evicted_until: Time::ZERO,
         }
     }
 
     /// The same with another bound on the records.
-    pub fn with_max_records(mut self, max_records: usize) -> Once {
+    pub fn with_max_records(mut self, max_records: usize) -> IdempotencyTable {
         self.max_records = max_records;
         self
     }
 
     /// What is known of a key, for a request with this digest.
-    pub fn look_up(&self, now: Time, key: RequestKey, digest: &Hash) -> Seen {
+    pub fn look_up(&self, now: Time, key: RequestKey, digest: &Hash) -> KeyStatus {
         let Some(record) = self.records.get(&key) else {
-            let forgotten = key.minted() <= self.forgotten.max(oldest(now));
-            return if forgotten { Seen::Unknown } else { Seen::New };
+            let evicted = key.minted() <= self.evicted_until.max(oldest_accepted(now));
+            return if evicted { KeyStatus::Unknown } else { KeyStatus::New };
         };
         if record.digest.is_some_and(|known| known != *digest) {
-            return Seen::Reused;
+            return KeyStatus::Reused;
         }
         match &record.state {
-            State::Waiting(_) | State::Running(_) => Seen::InProgress,
-            State::Answered(answer) => Seen::Answered(answer.clone()),
-            State::Unknown => Seen::Unknown,
+            RecordState::Waiting(_) | RecordState::Running(_) => KeyStatus::InProgress,
+            RecordState::Answered(response) => KeyStatus::Answered(response.clone()),
+            RecordState::Unknown => KeyStatus::Unknown,
         }
     }
 
     /// Notes that a request waits for a slot. The key must be new.
-    pub fn wait(&mut self, now: Time, key: RequestKey, digest: Hash, call: CallKey) {
-        self.make_room(now);
-        let state = State::Waiting(call);
+    pub fn insert_waiting(&mut self, now: Time, key: RequestKey, digest: Hash, call: CallKey) {
+        self.evict(now);
+        let state = RecordState::Waiting(call);
         self.records.insert(key, Record { digest: Some(digest), state });
     }
 
     /// Notes that a request is about to reach the target.
-    pub fn run(&mut self, key: RequestKey, call: CallKey) {
+    pub fn mark_running(&mut self, key: RequestKey, call: CallKey) {
         if let Some(record) = self.records.get_mut(&key) {
-            record.state = State::Running(call);
+            record.state = RecordState::Running(call);
         }
     }
 
     /// Forgets a request that certainly did not reach the target.
-    pub fn not_run(&mut self, key: RequestKey, call: CallKey) {
+    pub fn remove_not_run(&mut self, key: RequestKey, call: CallKey) {
         let state = self.records.get(&key).map(|record| &record.state);
-        if let Some(State::Waiting(own) | State::Running(own)) = state {
+        if let Some(RecordState::Waiting(own) | RecordState::Running(own)) = state {
             if *own == call {
                 self.records.remove(&key);
             }
@@ -132,42 +132,44 @@
     }
 
     /// Notes how a request ended: with an answer to keep, or none.
-    pub fn end(&mut self, key: RequestKey, answer: Option<Arc<KeptAnswer>>) {
+    pub fn finish(&mut self, key: RequestKey, response: Option<Arc<CachedResponse>>) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        match answer {
-            Some(answer) => {
-                self.kept_bytes += answer.size();
-                self.kept.push_back(key);
-                record.state = State::Answered(answer);
+        match response {
+            Some(response) => {
+                self.cached_bytes += response.size();
+                self.cached_keys.push_back(key);
+                record.state = RecordState::Answered(response);
             }
-            None => record.state = State::Unknown,
+            None => record.state = RecordState::Unknown,
         }
-        while self.kept_bytes > MAX_KEPT_BYTES {
-            self.drop_oldest_answer();
+        while self.cached_bytes > MAX_CACHED_BYTES {
+            self.evict_oldest_response();
         }
     }
 
     /// Takes over keys that ran or may have run at another home.
     pub fn import(&mut self, now: Time, keys: &[RequestKey]) {
         for key in keys {
-            self.make_room(now);
-            let unknown = || Record { digest: None, state: State::Unknown };
+            self.evict(now);
+            let unknown = || Record { digest: None, state: RecordState::Unknown };
             self.records.entry(*key).or_insert_with(unknown);
         }
     }
 
-    /// Keys that ran or may have run and fulfil `wanted`.
-    pub fn ran(&self, wanted: impl Fn(RequestKey) -> bool) -> Vec<RequestKey> {
-        let ran =
-            self.records.iter().filter(|(_, record)| !matches!(record.state, State::Waiting(_)));
-        ran.map(|(key, _)| *key).filter(|key| wanted(*key)).collect()
+    /// Keys that ran or may have run and fulfil `filter`.
+    pub fn keys_that_ran(&self, filter: impl Fn(RequestKey) -> bool) -> Vec<RequestKey> {
+        let ran = self
+            .records
+            .iter()
+            .filter(|(_, record)| !matches!(record.state, RecordState::Waiting(_)));
+        ran.map(|(key, _)| *key).filter(|key| filter(*key)).collect()
     }
 
     /// Keys minted up to this time may have run although they aren't known here.
-    pub fn forgotten(&self) -> Time {
-        self.forgotten
+    pub fn evicted_until(&self) -> Time {
+        self.evicted_until
     }
 
     /// How many keys are known.
@@ -182,50 +184,54 @@
 
     /// Drops records of keys too old to be accepted. If the table is still full, `forgotten` rises
     /// to the newest dropped key, and every key up to it counts as unknown.
-    fn make_room(&mut self, now: Time) {
-        while self.records.first_key_value().is_some_and(|(key, _)| key.minted() < oldest(now)) {
-            self.drop_oldest_record();
+    fn evict(&mut self, now: Time) {
+        while self
+            .records
+            .first_key_value()
+            .is_some_and(|(key, _)| key.minted() < oldest_accepted(now))
+        {
+            self.evict_oldest_record();
         }
         while self.records.len() >= self.max_records {
-            let Some(key) = self.drop_oldest_record() else {
+            let Some(key) = self.evict_oldest_record() else {
                 return;
             };
-            self.forgotten = self.forgotten.max(key.minted());
+            self.evicted_until = self.evicted_until.max(key.minted());
         }
     }
 
-    fn drop_oldest_record(&mut self) -> Option<RequestKey> {
+    fn evict_oldest_record(&mut self) -> Option<RequestKey> {
         let (key, record) = self.records.pop_first()?;
-        if let State::Answered(answer) = record.state {
-            self.kept_bytes -= answer.size();
+        if let RecordState::Answered(response) = record.state {
+            self.cached_bytes -= response.size();
         }
-        while self.kept.front().is_some_and(|kept| !self.records.contains_key(kept)) {
-            self.kept.pop_front();
+        while self.cached_keys.front().is_some_and(|key| !self.records.contains_key(key)) {
+            self.cached_keys.pop_front();
         }
         Some(key)
     }
 
-    fn drop_oldest_answer(&mut self) {
-        let Some(key) = self.kept.pop_front() else {
-            self.kept_bytes = 0;
+    fn evict_oldest_response(&mut self) {
+        let Some(key) = self.cached_keys.pop_front() else {
+            self.cached_bytes = 0;
             return;
         };
         if let Some(record) = self.records.get_mut(&key) {
-            if let State::Answered(answer) = &record.state {
-                self.kept_bytes -= answer.size();
-                record.state = State::Unknown;
+            if let RecordState::Answered(response) = &record.state {
+                self.cached_bytes -= response.size();
+                record.state = RecordState::Unknown;
             }
         }
     }
 }
 
-impl Default for Once {
-    fn default() -> Once {
-        Once::new()
+impl Default for IdempotencyTable {
+    fn default() -> IdempotencyTable {
+        IdempotencyTable::new()
     }
 }
 
 /// Keys minted before this time are no longer taken.
-fn oldest(now: Time) -> Time {
+fn oldest_accepted(now: Time) -> Time {
     now - KEY_LIFE - MAX_CLOCK_SKEW
 }
--- a/core/tests/call_once.rs
+++ b/core/tests/call_once.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use sycamore_core::Time;
-use sycamore_core::call::once::{KeptAnswer, MAX_KEPT_BYTES, Once, Seen};
+use sycamore_core::call::once::{CachedResponse, IdempotencyTable, KeyStatus, MAX_CACHED_BYTES};
 use sycamore_core::call::{CallKey, KEY_LIFE, MAX_CLOCK_SKEW, MAX_DEADLINE, RequestKey};
 use sycamore_core::hash::Hash;
 
@@ -16,8 +16,8 @@
     RequestKey { high: minted.as_millis() << 16 | 7 << 12, low: low | 2 << 62 }
 }
 
-fn answer(size: usize) -> Arc<KeptAnswer> {
-    Arc::new(KeptAnswer { status: 200, headers: vec![], body: vec![b'x'; size].into() })
+fn response(size: usize) -> Arc<CachedResponse> {
+    Arc::new(CachedResponse { status: 200, headers: vec![], body: vec![b'x'; size].into() })
 }
 
 fn digest() -> Hash {
@@ -43,45 +43,45 @@
 fn once_forgotten_is_unknown() {
     // Story: the table is full, and the oldest record goes. Its caller asks again; the key is no
     // longer known, but it ran.
-    let mut once = Once::new().with_max_records(2);
+    let mut table = IdempotencyTable::new().with_max_records(2);
     for n in 0..3 {
-        once.wait(START, key(n, n), digest(), CallKey(n));
-        once.run(key(n, n), CallKey(n));
-        once.end(key(n, n), Some(answer(1)));
+        table.insert_waiting(START, key(n, n), digest(), CallKey(n));
+        table.mark_running(key(n, n), CallKey(n));
+        table.finish(key(n, n), Some(response(1)));
     }
-    assert_eq!(once.len(), 2);
-    assert_eq!(once.look_up(START, key(0, 0), &digest()), Seen::Unknown);
-    assert_eq!(once.look_up(START, key(0, 9), &digest()), Seen::Unknown);
-    assert!(matches!(once.look_up(START, key(2, 2), &digest()), Seen::Answered(_)));
-    assert_eq!(once.look_up(START, key(9, 9), &digest()), Seen::New);
+    assert_eq!(table.len(), 2);
+    assert_eq!(table.look_up(START, key(0, 0), &digest()), KeyStatus::Unknown);
+    assert_eq!(table.look_up(START, key(0, 9), &digest()), KeyStatus::Unknown);
+    assert!(matches!(table.look_up(START, key(2, 2), &digest()), KeyStatus::Answered(_)));
+    assert_eq!(table.look_up(START, key(9, 9), &digest()), KeyStatus::New);
 }
 
 #[test]
 fn once_old_key_is_unknown() {
-    let once = Once::new();
+    let table = IdempotencyTable::new();
     let now = START + KEY_LIFE + MAX_CLOCK_SKEW * 2;
-    assert_eq!(once.look_up(now, key(0, 0), &digest()), Seen::Unknown);
+    assert_eq!(table.look_up(now, key(0, 0), &digest()), KeyStatus::Unknown);
 }
 
 #[test]
 fn once_answers_bounded() {
-    let mut once = Once::new();
-    let count = MAX_KEPT_BYTES as u64 / 100_000 + 5;
+    let mut table = IdempotencyTable::new();
+    let count = MAX_CACHED_BYTES as u64 / 100_000 + 5;
     for n in 0..count {
-        once.wait(START, key(n, n), digest(), CallKey(n));
-        once.end(key(n, n), Some(answer(100_000)));
+        table.insert_waiting(START, key(n, n), digest(), CallKey(n));
+        table.finish(key(n, n), Some(response(100_000)));
     }
-    assert_eq!(once.look_up(START, key(0, 0), &digest()), Seen::Unknown);
-    let newest = once.look_up(START, key(count - 1, count - 1), &digest());
-    assert!(matches!(newest, Seen::Answered(_)));
-    assert_eq!(once.len() as u64, count);
+    assert_eq!(table.look_up(START, key(0, 0), &digest()), KeyStatus::Unknown);
+    let newest = table.look_up(START, key(count - 1, count - 1), &digest());
+    assert!(matches!(newest, KeyStatus::Answered(_)));
+    assert_eq!(table.len() as u64, count);
 }
 
 #[test]
 fn once_reused() {
-    let mut once = Once::new();
-    once.wait(START, key(1, 1), digest(), CallKey(1));
-    assert_eq!(once.look_up(START, key(1, 1), &Hash::of(b"other")), Seen::Reused);
+    let mut table = IdempotencyTable::new();
+    table.insert_waiting(START, key(1, 1), digest(), CallKey(1));
+    assert_eq!(table.look_up(START, key(1, 1), &Hash::of(b"other")), KeyStatus::Reused);
 }
 
 #[derive(Clone, Debug)]
@@ -108,7 +108,7 @@
     /// one knows more, but never lets a key run that has run.
     #[test]
     fn once_like_naive(most in 1usize..8, steps in prop::collection::vec(step(), 1..200)) {
-        let mut real = Once::new().with_max_records(most);
+        let mut real = IdempotencyTable::new().with_max_records(most);
         let mut ran: BTreeMap<RequestKey, u32> = BTreeMap::new();
         let mut open: Vec<(RequestKey, CallKey)> = Vec::new();
         let mut now = START;
@@ -119,22 +119,22 @@
                     let key = key(low * 30_000, low);
                     let seen = real.look_up(now, key, &digest());
                     if open.iter().any(|(other, _)| *other == key) {
-                        prop_assert!(matches!(seen, Seen::InProgress | Seen::Unknown));
+                        prop_assert!(matches!(seen, KeyStatus::InProgress | KeyStatus::Unknown));
                     }
-                    if seen == Seen::New {
-                        real.wait(now, key, digest(), call);
-                        real.run(key, call);
+                    if seen == KeyStatus::New {
+                        real.insert_waiting(now, key, digest(), call);
+                        real.mark_running(key, call);
                         open.push((key, call));
                         *ran.entry(key).or_default() += 1;
                     }
                 }
                 Step::End(at, kept) if !open.is_empty() => {
                     let (key, _) = open.remove(at % open.len());
-                    real.end(key, kept.then(|| answer(3)));
+                    real.finish(key, kept.then(|| response(3)));
                 }
                 Step::NotRun(at) if !open.is_empty() => {
                     let (key, call) = open.remove(at % open.len());
-                    real.not_run(key, call);
+                    real.remove_not_run(key, call);
                     ran.remove(&key);
                 }
                 Step::Pass(ms) => now = now + Duration::from_millis(ms),
--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -11,7 +11,7 @@
 use sycamore_core::Time;
 use sycamore_core::call::gatekeeper::{Arrival, End, Input, Output};
 use sycamore_core::call::note::OutgoingNote;
-use sycamore_core::call::once::KeptAnswer;
+use sycamore_core::call::once::CachedResponse;
 use sycamore_core::call::{CallKey, Fingerprint, Gatekeeper, Members, Outcome, RequestKey};
 use sycamore_core::config::Snapshot;
 use sycamore_core::hash::Hash;
@@ -146,7 +146,7 @@
             match output {
                 Output::Run { .. } => {
                     self.runs.entry(key).or_default().push((self.now, index));
-                    let kept = KeptAnswer { status: 200, headers: vec![], body: "x".into() };
+                    let kept = CachedResponse { status: 200, headers: vec![], body: "x".into() };
                     let end = End::Answered { kept: Some(Arc::new(kept)) };
                     self.handle(index, Input::End { call, end });
                     outcome = Some(Outcome::Answered);
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -29,7 +29,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use sycamore_core::call::gatekeeper::{Arrival, Input, Output};
-use sycamore_core::call::once::KeptAnswer;
+use sycamore_core::call::once::CachedResponse;
 use sycamore_core::call::{
     CallKey, Fingerprint, Gatekeeper, Load, Members, Note, Outcome, RequestKey, Runs,
 };
@@ -64,7 +64,7 @@
 enum Decision {
     Run { once: bool },
     Queue(Time, Receiver<Decision>),
-    Replay(Arc<KeptAnswer>),
+    Replay(Arc<CachedResponse>),
     Refuse(Outcome, u32),
 }
 
@@ -295,7 +295,7 @@
         &self,
         watch: &Arc<Watch>,
         id: &HeaderValue,
-        answer: &KeptAnswer,
+        answer: &CachedResponse,
         load: &HeaderValue,
     ) -> Response<Body> {
         let mut response = Response::new(Body::empty());
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -19,7 +19,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 use sycamore_core::call::gatekeeper::End;
-use sycamore_core::call::once::KeptAnswer;
+use sycamore_core::call::once::CachedResponse;
 use sycamore_core::call::{CallKey, Outcome};
 use sycamore_core::config::Class;
 use sycamore_core::{Code, Time};
@@ -133,7 +133,7 @@
         }
     }
 
-    async fn answer_once(self: &Arc<GateSide>, call: Call) -> Result<Arc<KeptAnswer>, Ended> {
+    async fn answer_once(self: &Arc<GateSide>, call: Call) -> Result<Arc<CachedResponse>, Ended> {
         let deadline = call.deadline;
         let Answering { response, connection, mut running } = self.send(call).await?;
         let (mut head, incoming) = response.into_parts();
@@ -313,10 +313,10 @@
     }
 }
 
-fn keep(status: StatusCode, headers: &HeaderMap, body: bytes::Bytes) -> KeptAnswer {
+fn keep(status: StatusCode, headers: &HeaderMap, body: bytes::Bytes) -> CachedResponse {
     let own = headers.iter().filter(|(name, _)| **name != CONTENT_LENGTH);
     let copy = |bytes: &[u8]| bytes::Bytes::copy_from_slice(bytes);
     let headers =
         own.map(|(name, value)| (copy(name.as_str().as_bytes()), copy(value.as_bytes()))).collect();
-    KeptAnswer { status: status.as_u16(), headers, body }
+    CachedResponse { status: status.as_u16(), headers, body }
 }
