--- a/core/src/call/once.rs
+++ b/core/src/call/once.rs
@@ -1,4 +1,4 @@
-//! Requests that run at most once: what this gatekeeper knows of each key.
+//! Idempotency table: the state of each `Idempotency-Key` that this gatekeeper has handled.
 
 use super::{CallKey, KEY_LIFE, MAX_CLOCK_SKEW, RequestKey};
 use crate::Time;
@@ -7,34 +7,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Keys that are known at once. Beyond it the oldest are forgotten and count as unknown.
+/// Maximum number of records. When it is exceeded, the oldest are evicted and their keys have an
+/// unknown outcome.
 pub const MAX_RECORDS: usize = 32_768;
 
-/// Bytes of kept answers. Beyond it the oldest answers are dropped; their keys stay known.
+/// Maximum size of all cached responses. When it is exceeded, the oldest responses are dropped;
+/// their keys stay in the table.
 pub const MAX_CACHED_BYTES: usize = 4 * 1_048_576;
 
 data! {
-    /// An answer that is kept for a caller that asks again.
+    /// A response cached for callers that repeat the request.
     pub struct CachedResponse {
-        /// HTTP status.
         pub status: u16,
-        /// Header names and values.
         pub headers: Vec<(Bytes, Bytes)>,
-        /// The whole body.
         pub body: Bytes,
     }
 
-    /// What is known of a key.
+    /// State of a key, as a request with that key sees it.
     pub enum KeyStatus {
-        /// Nothing: it has not run here.
+        /// Not in the table: no request with this key has run here.
         New,
-        /// A request with it waits or runs.
+        /// A request with this key is queued or running.
         InProgress,
-        /// It ran, and this is the answer.
+        /// The request ran, and this is its response.
         Answered(Arc<CachedResponse>),
-        /// It ran or may have run; the answer is not held.
+        /// The request ran or may have run, but its response is not cached.
         Unknown,
-        /// It was used for a different request.
+        /// The key was used for a different request.
         Reused,
     }
 }
@@ -57,15 +56,15 @@
 
 #[derive(Debug)]
 struct Record {
-    // None for a key that came from another home.
+    // `None` for a key imported from another home.
     digest: Option<Hash>,
     state: RecordState,
 }
 
-/// What this gatekeeper knows of each key. Bounded.
+/// Bounded table of idempotency keys.
 #[derive(Debug)]
 pub struct IdempotencyTable {
-    // Ordered by the time of minting, which is the first part of a key.
+    // Ordered by creation time, which is the first part of a key.
     records: BTreeMap<RequestKey, Record>,
     cached_keys: VecDeque<RequestKey>,
     cached_bytes: usize,
@@ -74,7 +73,6 @@
 }
 
 impl IdempotencyTable {
-    /// Knows nothing.
     pub fn new() -> IdempotencyTable {
         IdempotencyTable {
             records: BTreeMap::new(),
@@ -85,13 +83,13 @@
         }
     }
 
-    /// The same with another bound on the records.
+    /// Replaces [`MAX_RECORDS`].
     pub fn with_max_records(mut self, max_records: usize) -> IdempotencyTable {
         self.max_records = max_records;
         self
     }
 
-    /// What is known of a key, for a request with this digest.
+    /// Looks up a key for a request with this digest.
     pub fn look_up(&self, now: Time, key: RequestKey, digest: &Hash) -> KeyStatus {
         let Some(record) = self.records.get(&key) else {
             let evicted = key.minted() <= self.evicted_until.max(oldest_accepted(now));
@@ -107,21 +105,21 @@
         }
     }
 
-    /// Notes that a request waits for a slot. The key must be new.
+    /// Records a request that waits for a slot. The key must be new.
     pub fn insert_waiting(&mut self, now: Time, key: RequestKey, digest: Hash, call: CallKey) {
         self.evict(now);
         let state = RecordState::Waiting(call);
         self.records.insert(key, Record { digest: Some(digest), state });
     }
 
-    /// Notes that a request is about to reach the target.
+    /// Records that a request is about to be sent to the target.
     pub fn mark_running(&mut self, key: RequestKey, call: CallKey) {
         if let Some(record) = self.records.get_mut(&key) {
             record.state = RecordState::Running(call);
         }
     }
 
-    /// Forgets a request that certainly did not reach the target.
+    /// Removes a request that did not reach the target.
     pub fn remove_not_run(&mut self, key: RequestKey, call: CallKey) {
         let state = self.records.get(&key).map(|record| &record.state);
         if let Some(RecordState::Waiting(own) | RecordState::Running(own)) = state {
@@ -131,7 +129,7 @@
         }
     }
 
-    /// Notes how a request ended: with an answer to keep, or none.
+    /// Records that a request has ended, with a response to cache or with an unknown outcome.
     pub fn finish(&mut self, key: RequestKey, response: Option<Arc<CachedResponse>>) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
@@ -149,7 +147,7 @@
         }
     }
 
-    /// Takes over keys that ran or may have run at another home.
+    /// Imports keys that ran or may have run at another home.
     pub fn import(&mut self, now: Time, keys: &[RequestKey]) {
         for key in keys {
             self.evict(now);
@@ -158,7 +156,7 @@
         }
     }
 
-    /// Keys that ran or may have run and fulfil `filter`.
+    /// Returns the keys that ran or may have run and that match `filter`.
     pub fn keys_that_ran(&self, filter: impl Fn(RequestKey) -> bool) -> Vec<RequestKey> {
         let ran = self
             .records
@@ -167,23 +165,21 @@
         ran.map(|(key, _)| *key).filter(|key| filter(*key)).collect()
     }
 
-    /// Keys minted up to this time may have run although they aren't known here.
+    /// Keys created up to this time may have run even if they are not in the table.
     pub fn evicted_until(&self) -> Time {
         self.evicted_until
     }
 
-    /// How many keys are known.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is known.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Drops records of keys too old to be accepted. If the table is still full, `forgotten` rises
-    /// to the newest dropped key, and every key up to it counts as unknown.
+    /// Evicts records of expired keys. If the table is still full, evicts the oldest keys and
+    /// raises `evicted_until` to the newest of them; every key up to that time counts as unknown.
     fn evict(&mut self, now: Time) {
         while self
             .records
@@ -231,7 +227,7 @@
     }
 }
 
-/// Keys minted before this time are no longer taken.
+/// Keys created before this time are rejected.
 fn oldest_accepted(now: Time) -> Time {
     now - KEY_LIFE - MAX_CLOCK_SKEW
 }
