--- a/core/tests/call_once.rs
+++ b/core/tests/call_once.rs
@@ -1,4 +1,4 @@
-//! Requests that run at most once: the table of keys.
+//! Tests of the idempotency table.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -41,8 +41,7 @@
 
 #[test]
 fn once_forgotten_is_unknown() {
-    // Story: the table is full, and the oldest record goes. Its caller asks again; the key is no
-    // longer known, but it ran.
+    // An evicted key must not be treated as new, because it may have run.
     let mut table = IdempotencyTable::new().with_max_records(2);
     for n in 0..3 {
         table.insert_waiting(START, key(n, n), digest(), CallKey(n));
@@ -104,8 +103,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against a naive table that never forgets: the real one may say "unknown" where the naive
-    /// one knows more, but never lets a key run that has run.
+    /// Compares the table with an unbounded model: the table may report an unknown outcome where
+    /// the model knows more, but it must never let a key run twice.
     #[test]
     fn once_like_naive(most in 1usize..8, steps in prop::collection::vec(step(), 1..200)) {
         let mut real = IdempotencyTable::new().with_max_records(most);
