--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -142,10 +142,10 @@
             Input::Withdraw(call) => self.withdraw(call),
             Input::End { call, end } => self.end(now, call, end, out),
             Input::Left(call) => self.slots.response_sent(call),
-            Input::Note { from, note } => self.take_note(now, from, note, out),
+            Input::Note { from, note } => self.handle_note(now, from, note, out),
             Input::Tick => {}
         }
-        self.keep_homes(now, out);
+        self.poll_homes(now, out);
         self.run_waiting(now, out);
     }
 
@@ -195,7 +195,7 @@
         }
         self.target_leaving = target.is_some_and(|target| snapshot.target(target).target.leaving);
         if self.has_keys(&snapshot) {
-            self.take_up_homes(now, &snapshot);
+            self.update_homes(now, &snapshot);
         }
         self.snapshot = Some(snapshot);
     }
@@ -306,7 +306,7 @@
         let Some(known) = self.calls.get(&call).copied() else {
             return self.slots.release(call);
         };
-        let refuse = known.key.and_then(|key| self.check_right(key));
+        let refuse = known.key.and_then(|key| self.check_permission(key));
         match refuse {
             Some(Checked::Refuse(outcome)) => {
                 self.slots.release(call);
--- a/core/src/call/gatekeeper/check.rs
+++ b/core/src/call/gatekeeper/check.rs
@@ -1,7 +1,7 @@
 //! Whether a request may reach the target, before its load is looked at.
 
 use super::{Arrival, COME_BACK_LATER, COME_BACK_QUARANTINED, COME_BACK_SOON, Call, Gatekeeper};
-use crate::call::home::Right;
+use crate::call::home::RunPermission;
 use crate::call::once::{CachedResponse, KeyStatus};
 use crate::call::quarantine::MAX_CRASHES;
 use crate::call::{MAX_CLOCK_SKEW, Outcome, RequestKey, Terms};
@@ -35,11 +35,11 @@
         // What is known of the key goes before every reason for a refusal: a request that ran is
         // never called not run.
         match self.idempotency.look_up(now, key, digest) {
-            KeyStatus::Answered(answer) => Checked::Replay(answer),
+            KeyStatus::Answered(response) => Checked::Replay(response),
             KeyStatus::InProgress => unknown(Code::KeyInProgress),
             KeyStatus::Unknown => unknown(Code::KeyOutcomeUnknown),
             KeyStatus::Reused => not_run(Code::KeyReused, COME_BACK_LATER),
-            KeyStatus::New => match self.check_right(key) {
+            KeyStatus::New => match self.check_permission(key) {
                 Some(refuse) => refuse,
                 None => self.check_load(now, arrival, terms, Some(key)),
             },
@@ -77,15 +77,16 @@
         })
     }
 
-    pub(super) fn check_right(&self, key: RequestKey) -> Option<Checked> {
-        let right = self.homes.as_ref().map_or(Right::NotHome, |homes| homes.right(key));
-        match right {
-            Right::Unknown => Some(unknown(Code::KeyOutcomeUnknown)),
-            Right::Left => Some(not_run(Code::Draining, COME_BACK_SOON)),
-            Right::NotHome => Some(not_run(Code::NotHome, COME_BACK_SOON)),
-            Right::Moving => Some(not_run(Code::HomeMoving, COME_BACK_SOON)),
-            Right::Home if !self.confirmed => Some(not_run(Code::ClockGap, COME_BACK_SOON)),
-            Right::Home => None,
+    pub(super) fn check_permission(&self, key: RequestKey) -> Option<Checked> {
+        let permission =
+            self.homes.as_ref().map_or(RunPermission::NotHome, |homes| homes.permission(key));
+        match permission {
+            RunPermission::Unknown => Some(unknown(Code::KeyOutcomeUnknown)),
+            RunPermission::Draining => Some(not_run(Code::Draining, COME_BACK_SOON)),
+            RunPermission::NotHome => Some(not_run(Code::NotHome, COME_BACK_SOON)),
+            RunPermission::Moving => Some(not_run(Code::HomeMoving, COME_BACK_SOON)),
+            RunPermission::Home if !self.confirmed => Some(not_run(Code::ClockGap, COME_BACK_SOON)),
+            RunPermission::Home => None,
         }
     }
 
--- a/core/src/call/gatekeeper/homes.rs
+++ b/core/src/call/gatekeeper/homes.rs
@@ -2,14 +2,14 @@
 
 use super::{Gatekeeper, Output};
 use crate::call::home::Homes;
-use crate::call::note::{Ask, HomeList, Note};
+use crate::call::note::{HomeList, Note, ReleaseRequest};
 use crate::config::Snapshot;
 use crate::event::EventKind;
 use crate::{Name, Time};
 
 impl Gatekeeper {
     /// A gatekeeper that is no longer listed still answers for the keys that it was home of.
-    pub(super) fn take_up_homes(&mut self, now: Time, snapshot: &Snapshot) {
+    pub(super) fn update_homes(&mut self, now: Time, snapshot: &Snapshot) {
         let own = self.service.map(|service| snapshot.service(service).name.clone());
         let before = self.homes.as_ref().map(|homes| homes.service().clone());
         let Some(name) = own.or(before) else {
@@ -20,7 +20,7 @@
             self.homes = Some(self.first_homes(now, &name, &list));
         }
         if let Some(homes) = &mut self.homes {
-            homes.take_up(now, list);
+            homes.apply_list(now, list);
             if self.draining {
                 homes.leave();
             }
@@ -38,19 +38,27 @@
         }
     }
 
-    pub(super) fn take_note(&mut self, now: Time, from: &Name, note: &Note, out: &mut Vec<Output>) {
+    pub(super) fn handle_note(
+        &mut self,
+        now: Time,
+        from: &Name,
+        note: &Note,
+        out: &mut Vec<Output>,
+    ) {
         match note {
-            Note::AskRelease(ask) => self.release(from, ask, out),
-            Note::Released(answer) => {
-                let taken =
-                    self.homes.as_mut().is_some_and(|homes| homes.released(now, from, answer));
-                if taken {
-                    self.idempotency.import(now, &answer.keys);
+            Note::AskRelease(request) => self.release(from, request, out),
+            Note::Released(response) => {
+                let applied = self
+                    .homes
+                    .as_mut()
+                    .is_some_and(|homes| homes.apply_response(now, from, response));
+                if applied {
+                    self.idempotency.import(now, &response.keys);
                 }
             }
             Note::Leaving => {
                 if let Some(homes) = &mut self.homes {
-                    homes.says_leaving(now, from);
+                    homes.peer_leaving(now, from);
                 }
             }
             Note::Suspect { crash, fingerprints } => {
@@ -62,30 +70,30 @@
         }
     }
 
-    fn release(&mut self, from: &Name, ask: &Ask, out: &mut Vec<Output>) {
+    fn release(&mut self, from: &Name, request: &ReleaseRequest, out: &mut Vec<Output>) {
         let Some(homes) = &mut self.homes else {
             return;
         };
-        if !homes.may_release(&ask.service, &ask.list) {
+        if !homes.may_release(&request.service, &request.list) {
             return;
         }
-        if ask.since.is_none() {
-            homes.returns(from);
+        if request.since.is_none() {
+            homes.peer_restarted(from);
         }
-        let left = ask.left.iter().cloned().collect();
-        let keys = self.idempotency.keys_that_ran(|key| homes.gives(from, &left, key));
-        let notes = homes.release(from, ask, &keys, self.idempotency.evicted_until());
+        let departed = request.left.iter().cloned().collect();
+        let keys = self.idempotency.keys_that_ran(|key| homes.hands_over(from, &departed, key));
+        let notes = homes.release(from, request, &keys, self.idempotency.evicted_until());
         out.extend(notes.into_iter().map(Output::Send));
     }
 
-    pub(super) fn keep_homes(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn poll_homes(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(homes) = &mut self.homes else {
             return;
         };
         if !homes.moving() && !self.moving {
             return;
         }
-        homes.view(now, &self.members);
+        homes.update_members(now, &self.members);
         let mut notes = Vec::new();
         homes.tick(now, &mut notes);
         out.extend(notes.into_iter().map(Output::Send));
--- a/core/src/call/note.rs
+++ b/core/src/call/note.rs
@@ -27,7 +27,7 @@
 
     /// The sender is home of keys that the receiver may have been home of, and asks it to let go
     /// of them.
-    pub struct Ask {
+    pub struct ReleaseRequest {
         /// Names the question; the answer repeats it.
         pub id: u64,
         /// The service.
@@ -42,7 +42,7 @@
 
     /// One of several parts of an answer to [`Note::AskRelease`]: the sender holds the same list
     /// as the asker and has let go of every key whose home is the asker.
-    pub struct Release {
+    pub struct ReleaseResponse {
         /// The question that this answers.
         pub id: u64,
         /// Which part this is, from 0.
@@ -75,9 +75,9 @@
     #[serde(tag = "kind", rename_all = "kebab-case")]
     pub enum Note {
         /// The sender asks for keys.
-        AskRelease(Box<Ask>),
+        AskRelease(Box<ReleaseRequest>),
         /// The sender has let go of keys.
-        Released(Box<Release>),
+        Released(Box<ReleaseResponse>),
         /// The sender is leaving; whoever is next home of its keys may ask for them.
         Leaving,
         /// The sender's target stopped while it ran these requests.
@@ -127,7 +127,7 @@
     }
 
     /// The home of a key when some VMs have left.
-    pub fn home_without(&self, key: RequestKey, left: &IndexSet<Name>) -> Option<&Name> {
+    pub fn home_excluding(&self, key: RequestKey, left: &IndexSet<Name>) -> Option<&Name> {
         let staying = self.vms.iter().filter(|vm| !left.contains(*vm));
         HomeList::choose(&key.to_bytes(), staying)
     }
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -138,7 +138,7 @@
 
     fn note(&mut self) -> Note {
         match self.0.random_range(0..5) {
-            0 => Note::AskRelease(Box::new(note::Ask {
+            0 => Note::AskRelease(Box::new(note::ReleaseRequest {
                 id: self.number(),
                 service: Name::new("s").unwrap(),
                 list: self.list().digest(),
@@ -148,7 +148,7 @@
                 }),
                 left: self.vec_of(InputGenerator::vm),
             })),
-            1 => Note::Released(Box::new(note::Release {
+            1 => Note::Released(Box::new(note::ReleaseResponse {
                 id: self.number(),
                 part: self.number() as u32,
                 parts: self.number() as u32,
