--- a/core/src/call/home.rs
+++ b/core/src/call/home.rs
@@ -1,10 +1,10 @@
-//! Homes of keys: which gatekeeper may run a request that runs at most once.
+//! Homes of idempotency keys: which gatekeeper may run a request that must run at most once.
 //!
-//! The right to run a key is at one gatekeeper at a time. Its home follows from the targets that
-//! the version in force lists for the service; when a version lists others, the new home of a key
-//! takes over the right only from the one before it, which must have taken up the same list (and
-//! so no longer runs the key) and names the keys that it ran. docs/design/calls.md has the
-//! argument and the ways weighed.
+//! At most one gatekeeper at a time has the right to run a key. The home of a key is derived from
+//! the targets that the version in force lists for the service. When a new version changes the
+//! list, the new home of a key acquires the right only from the previous home, which must have
+//! applied the same list (so that it no longer runs the key) and must report the keys that it ran.
+//! docs/design/calls.md has the proof and the alternatives considered.
 
 use super::note::{
     HomeList, ListId, Note, OutgoingNote, ReleaseRequest, ReleaseResponse, Unreleased,
@@ -18,43 +18,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Earlier lists that are remembered.
 const MAX_PREVIOUS_LISTS: usize = 16;
 
-/// Keys in one part of an answer.
 const MAX_KEYS_PER_PART: usize = 512;
 
-/// No question has this number.
+/// Never used as the id of a release request.
 const NO_REQUEST: u64 = 0;
 
-/// First and longest time until a question is asked again.
+/// Shortest and longest interval between release requests to the same VM.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 const MAX_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Whether this gatekeeper may run a key that it knows nothing of.
+/// Whether this gatekeeper may run a key that is not in its idempotency table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPermission {
-    /// It may.
+    /// This gatekeeper is the key's home and may run it.
     Home,
     /// Another gatekeeper is the key's home.
     NotHome,
-    /// It is the home, but an earlier home has not let go yet.
+    /// It is the home, but a previous home has not released the key yet.
     Moving,
-    /// It is the home, but the key may have run already.
+    /// It is the home, but the key may already have run.
     Unknown,
-    /// It is leaving and has let go of every key.
+    /// This gatekeeper is leaving and has released all of its keys.
     Draining,
 }
 
-/// Keys that another home may hold.
+/// A set of keys that another home may hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum KeyScope {
-    // Any.
+    // All keys.
     All,
-    // Those whose home this gatekeeper was not under a list. Not only those whose home the other
-    // was: it may have taken others over from a home that left.
+    // Keys whose home under the list is any other gatekeeper. This is not limited to keys whose
+    // home is the VM in question, which may have taken over keys of a home that left.
     List(Arc<HomeList>, Hash),
-    // None yet: it is leaving and is asked for its keys.
+    // No key yet: the VM is leaving and has been asked for its keys.
     Leaving,
 }
 
@@ -71,18 +69,18 @@
 struct Inherited {
     vm: Name,
     scope: KeyScope,
-    // When the VM let go of what this gatekeeper waited for.
+    // When the VM released the keys that this gatekeeper was waiting for.
     released: Option<Time>,
 }
 
-/// Keys minted up to `until` that may have run without anyone knowing.
+/// Keys created up to `until` may have run without a record of it.
 #[derive(Debug)]
 struct Fence {
     scope: KeyScope,
     until: Time,
 }
 
-/// What this gatekeeper knows of the homes of its service's keys.
+/// The homes of a service's keys, as one gatekeeper knows them.
 #[derive(Debug)]
 pub struct Homes {
     own_vm: Name,
@@ -94,12 +92,12 @@
     pending: IndexMap<Name, PendingRelease>,
     inherited: Vec<Inherited>,
     released: IndexSet<Name>,
-    // VMs of the list in force that have left by their own word, so that the next home in order
-    // has their keys.
+    // VMs of the current list that are leaving and have released their keys to the next home in
+    // rendezvous order.
     departed: IndexSet<Name>,
-    // VMs that have come back since a view that calls them leaving.
+    // VMs known to have returned although the member view may still show them as leaving.
     returned: IndexSet<Name>,
-    // VMs that have started again since they were last asked whether they are leaving.
+    // VMs that have restarted since they were last asked for their keys as leaving VMs.
     restarted: IndexSet<Name>,
     leaving: bool,
     fences: Vec<Fence>,
@@ -107,8 +105,8 @@
 }
 
 impl Homes {
-    /// The homes as a gatekeeper sees them that has just started: any key may have run before,
-    /// and any other target may hold a key.
+    /// Creates the state of a gatekeeper that has just started: any key may already have run, and
+    /// every other target may hold keys.
     pub fn new(started: Time, own_vm: Name, service: Name, list: HomeList) -> Homes {
         let mut homes = Homes::joining(started, own_vm, service, list);
         for vm in homes.current.clone().vms.iter() {
@@ -117,8 +115,8 @@
         homes
     }
 
-    /// The homes as a gatekeeper sees them whose VM is not among the targets of `list`, the one
-    /// in force until now, but will be among those of the next.
+    /// Creates the state of a gatekeeper whose VM is not a target in `list`, the list in force so
+    /// far, but will be one in the next.
     pub fn joining(started: Time, own_vm: Name, service: Name, list: HomeList) -> Homes {
         Homes {
             own_vm,
@@ -139,12 +137,11 @@
         }
     }
 
-    /// The service whose keys these are.
     pub fn service(&self) -> &Name {
         &self.service
     }
 
-    /// Takes up the list of a newer version. Returns whether homes move.
+    /// Applies the list of a newer version. Returns whether homes move.
     pub fn apply_list(&mut self, now: Time, list: HomeList) -> bool {
         let digest = list.digest();
         if digest == self.digest {
@@ -166,7 +163,7 @@
         true
     }
 
-    /// Whether this gatekeeper may run a key that it knows nothing of.
+    /// Whether this gatekeeper may run a key that is not in its idempotency table.
     pub fn permission(&self, key: RequestKey) -> RunPermission {
         if self.leaving {
             return RunPermission::Draining;
@@ -174,7 +171,7 @@
         if self.current.home_excluding(key, &self.departed) != Some(&self.own_vm) {
             return RunPermission::NotHome;
         }
-        // First what may have run: a key that ran must never be called not run.
+        // Unknown outcomes are checked first: a key that ran must never be reported as not run.
         if key.minted() <= self.started + MAX_CLOCK_SKEW {
             return RunPermission::Unknown;
         }
@@ -200,21 +197,21 @@
         }
     }
 
-    /// Lets go of every key, since this gatekeeper is leaving. Final.
+    /// Releases all keys because this gatekeeper is leaving. This cannot be undone.
     pub fn leave(&mut self) -> Vec<OutgoingNote> {
         self.leaving = true;
         let others = self.current.vms.iter().filter(|vm| **vm != self.own_vm);
         others.map(|vm| OutgoingNote { to: vm.clone(), note: Note::Leaving }).collect()
     }
 
-    /// A gatekeeper says that it is leaving.
+    /// Handles the announcement that a gatekeeper is leaving.
     pub fn peer_leaving(&mut self, now: Time, vm: &Name) {
         self.returned.swap_remove(vm);
         self.request_from_leaving(now, vm);
     }
 
-    /// Asks a gatekeeper that is leaving for its keys. Only its answer to a question that is asked
-    /// from now on is heard: an earlier process on its VM may have answered long ago.
+    /// Requests the keys of a gatekeeper that is leaving. Discards the id of any earlier request,
+    /// whose response may come from an earlier process on that VM.
     fn request_from_leaving(&mut self, now: Time, vm: &Name) {
         let listed = self.current.vms.contains(vm) && *vm != self.own_vm;
         let requested =
@@ -231,15 +228,15 @@
         }
     }
 
-    /// Whether an earlier home is still waited for.
+    /// Whether this gatekeeper still waits for a previous home.
     pub fn moving(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Stops waiting for VMs that are gone for good.
+    /// Stops waiting for VMs that are gone permanently.
     ///
-    /// Such a VM runs nothing any more, but what it ran is not known: keys minted before now that
-    /// it may have held count as unknown.
+    /// Such a VM runs nothing any more, but the keys that it ran are lost: keys created before now
+    /// that it may have held count as unknown.
     pub fn update_members(&mut self, now: Time, members: &Members) {
         let gone = |vm: &Name| members.get(vm) == Some(&VmState::Gone);
         let gone_vms: Vec<Name> = self.pending.keys().filter(|vm| gone(vm)).cloned().collect();
@@ -255,7 +252,7 @@
         }
     }
 
-    /// Asks again those who have not answered.
+    /// Sends release requests that are due and drops expired entries.
     pub fn tick(&mut self, now: Time, out: &mut Vec<OutgoingNote>) {
         self.fences.retain(|fence| now.since(fence.until) <= KEY_LIFE + MAX_CLOCK_SKEW * 2);
         self.inherited.retain(|entry| entry.released.is_none_or(|at| now.since(at) <= KEY_LIFE));
@@ -284,23 +281,24 @@
         }
     }
 
-    /// Whether an asker holds the same list, so that this gatekeeper has let go of its keys.
+    /// Whether the requester has the same list, which means that this gatekeeper has released its
+    /// keys.
     ///
-    /// A release counts only under the list that it was asked for: under another list the key may
-    /// have another home.
+    /// A release is valid only under the list that it was requested for, because the key may have
+    /// another home under a different list.
     pub fn may_release(&self, service: &Name, list: &Hash) -> bool {
         *service == self.service && *list == self.digest
     }
 
-    /// Whether `vm` gets a key from here: it is the home once those whose keys it has taken over
-    /// don't count. A gatekeeper that is leaving gives every key to everyone, since it can't know
-    /// who will be next.
+    /// Whether `vm` receives a key from this gatekeeper: it is the key's home if the departed VMs
+    /// are excluded. A gatekeeper that is leaving hands every key to every requester, because it
+    /// cannot know which one will be the next home.
     pub fn hands_over(&self, vm: &Name, departed: &IndexSet<Name>, key: RequestKey) -> bool {
         self.leaving || self.current.home_excluding(key, departed) == Some(vm)
     }
 
-    /// A gatekeeper that has started again asks for its keys. They go back to it, and what its
-    /// earlier process still has to say of them is not heard.
+    /// Handles a gatekeeper that has restarted and asks for its keys. They return to it, and
+    /// responses from its earlier process are ignored.
     pub fn peer_restarted(&mut self, vm: &Name) {
         self.departed.swap_remove(vm);
         self.returned.insert(vm.clone());
@@ -313,8 +311,9 @@
         }
     }
 
-    /// The answer to an asker with the same list. `keys` are those that ran here or may have run
-    /// and that the asker gets; `forgotten` is the time up to which such keys were forgotten.
+    /// Builds the response to a requester with the same list. `keys` are the requester's keys that
+    /// ran or may have run here; `forgotten` is the time up to which such keys may have been
+    /// evicted.
     pub fn release(
         &self,
         to: &Name,
@@ -354,7 +353,7 @@
         all
     }
 
-    /// Takes one part of an answer in. Returns false if it answers no open question.
+    /// Applies one part of a response. Returns false if it does not match an open request.
     pub fn apply_response(&mut self, now: Time, from: &Name, response: &ReleaseResponse) -> bool {
         let Some(pending) = self.pending.get_mut(from) else {
             return false;
@@ -375,8 +374,9 @@
         }
         for entry in &response.unreleased {
             if newly_departed && entry.vm != *from {
-                // It let go before the home that is leaving was known to be: it is asked again,
-                // once, or two homes that leave would have each other asked for ever.
+                // This VM released its keys before the departure was known, so it is asked again.
+                // Only once: two leaving homes would otherwise have each other asked repeatedly
+                // without end.
                 self.released.swap_remove(&entry.vm);
             }
             self.wait_for(now, &entry.vm, KeyScope::from_list(entry.list.as_ref()));
@@ -386,21 +386,22 @@
             if response.left {
                 self.take_over(from, response.fence);
             } else {
-                // It is not leaving, whatever a view says that lags: it isn't asked for that again.
+                // The VM is not leaving, even if an outdated member view says so. Do not ask again.
                 self.returned.insert(from.clone());
             }
         }
         true
     }
 
-    /// The next home in order has the keys of `vm` from here on.
+    /// Records that the next home in rendezvous order has the keys of `vm` from now on.
     fn take_over(&mut self, vm: &Name, fence: Time) {
         self.departed.insert(vm.clone());
         let scope = KeyScope::List(self.current.clone(), self.digest);
         self.fences.push(Fence { scope, until: fence });
     }
 
-    /// Answers to questions of the previous list don't count as releases under the new one.
+    /// Discards open requests: responses requested under the previous list are not valid under the
+    /// new one.
     fn reset_requests(&mut self, now: Time) {
         for pending in self.pending.values_mut() {
             pending.request_id = NO_REQUEST;
@@ -410,12 +411,11 @@
         }
     }
 
-    /// Lists that an asker must know of who held the list `since` before the one in force: those
-    /// that this gatekeeper held after it, and, if this gatekeeper never held that list, the one
-    /// that it held instead.
+    /// Lists that a requester with the previous list `since` needs: those that this gatekeeper held
+    /// after it and, if it never held that list, the one that it held instead.
     ///
-    /// Lists since the given one. A key that should have moved under a skipped version is still at
-    /// its earlier home.
+    /// A key that should have moved under a version that this gatekeeper skipped is still at its
+    /// earlier home.
     fn lists_since(&self, since: Option<&ListId>) -> Vec<HomeList> {
         let version = since.map_or(0, |list| list.version);
         let newer = self.previous.partition_point(|list| list.version <= version);
@@ -426,7 +426,8 @@
         self.previous.range(first..).map(|list| HomeList::clone(list)).collect()
     }
 
-    /// `vm` holds nothing of ours any more; what it may have run up to `fence` is not known.
+    /// Records that `vm` holds no keys of this gatekeeper any more. Keys that it may have run up to
+    /// `fence` count as unknown.
     fn mark_released(&mut self, now: Time, vm: &Name, fence: Time) {
         let Some(pending) = self.pending.swap_remove(vm) else {
             return;
@@ -442,7 +443,7 @@
         }
     }
 
-    /// Remembers whom this gatekeeper still waits for under the list that it leaves: the next
+    /// Records the VMs that this gatekeeper still waits for under the list being replaced. The next
     /// home of such a key must wait for them too.
     fn inherit(&mut self) {
         for (vm, pending) in &self.pending {
@@ -458,7 +459,8 @@
     }
 
     fn wait_for(&mut self, now: Time, vm: &Name, scope: KeyScope) {
-        // A VM that has let go under this list has let go of every key that is ours under it.
+        // A VM that has released its keys under this list holds none that belong to this
+        // gatekeeper.
         if *vm != self.own_vm && !self.released.contains(vm) {
             self.add_scope(now, vm, scope);
         }
