--- a/core/src/call/note.rs
+++ b/core/src/call/note.rs
@@ -1,7 +1,7 @@
-//! What the call paths of two nodes tell each other besides calls.
+//! Messages between the call paths of two nodes, other than calls.
 //!
-//! Notes may be lost, repeated or late: whoever waits for the effect of one asks again, and an
-//! answer that belongs to no open question is ignored.
+//! Notes may be lost, duplicated or delayed. A sender that depends on the effect of a note repeats
+//! it, and a response that matches no open request is ignored.
 
 use super::{Fingerprint, RequestKey};
 use crate::hash::Hash;
@@ -9,7 +9,7 @@
 use indexmap::IndexSet;
 
 json! {
-    /// The targets of a service as one version lists them; they decide where a key's home is.
+    /// The targets of a service in one version; they determine the home of each key.
     pub struct HomeList {
         /// First version with this list that its holder saw.
         pub version: u64,
@@ -17,7 +17,7 @@
         pub vms: Vec<Name>,
     }
 
-    /// Names a list.
+    /// Identifies a list.
     pub struct ListId {
         /// First version with this list that its holder saw.
         pub version: u64,
@@ -25,86 +25,83 @@
         pub digest: Hash,
     }
 
-    /// The sender is home of keys that the receiver may have been home of, and asks it to let go
-    /// of them.
+    /// Asks a VM that may have been the home of some keys to release them to the sender, which is
+    /// their home now.
     pub struct ReleaseRequest {
-        /// Names the question; the answer repeats it.
+        /// Request id, repeated in the response.
         pub id: u64,
-        /// The service.
         pub service: Name,
-        /// Digest of the list of targets that makes the sender their home.
+        /// Digest of the list that makes the sender the home of the keys.
         pub list: Hash,
-        /// The list that the sender held before; absent if it has just started.
+        /// The previous list of the sender; absent if it has just started.
         pub since: Option<ListId>,
-        /// Homes whose keys the sender has taken over, since they are leaving.
+        /// Leaving VMs whose keys the sender has taken over.
         pub left: Vec<Name>,
     }
 
-    /// One of several parts of an answer to [`Note::AskRelease`]: the sender holds the same list
-    /// as the asker and has let go of every key whose home is the asker.
+    /// One part of the response to [`Note::AskRelease`]: the sender has the same list as the
+    /// requester and has released every key whose home is the requester.
     pub struct ReleaseResponse {
-        /// The question that this answers.
+        /// Id of the request.
         pub id: u64,
-        /// Which part this is, from 0.
+        /// Index of this part, from 0.
         pub part: u32,
-        /// How many parts there are.
+        /// Number of parts.
         pub parts: u32,
-        /// Keys that ran or may have run.
+        /// Keys that ran or may have run at the sender.
         pub keys: Vec<RequestKey>,
-        /// Keys minted before this time that are not named may have run all the same.
+        /// Keys created before this time may have run even if they are not listed.
         pub fence: Time,
-        /// Lists that the sender held before, for keys that passed through other homes.
+        /// Previous lists of the sender, for keys that have passed through other homes.
         pub lists: Vec<HomeList>,
-        /// Homes that the sender itself was still waiting for when it took the list up; of a
-        /// sender that is leaving, all that it is waiting for.
+        /// VMs that the sender was still waiting for when it applied the list; if it is leaving,
+        /// all VMs that it is still waiting for.
         pub unreleased: Vec<Unreleased>,
-        /// Whether the sender is leaving and has let go of every key, also of those whose home it
-        /// is: they go to the next home in order.
+        /// Whether the sender is leaving and has released every key, including those whose home it
+        /// is: they move to the next home in rendezvous order.
         pub left: bool,
     }
 
-    /// A VM that has not let go of keys yet.
+    /// A VM that has not released its keys yet.
     pub struct Unreleased {
-        /// The VM.
         pub vm: Name,
-        /// The list under which it was their home; absent if that isn't known, for any key.
+        /// The list under which the VM was the home of the keys; absent if unknown, which covers
+        /// all keys.
         pub list: Option<HomeList>,
     }
 
-    /// A note from one node's call path to another's.
+    /// A message from one node's call path to another's.
     #[serde(tag = "kind", rename_all = "kebab-case")]
     pub enum Note {
-        /// The sender asks for keys.
+        /// Requests keys.
         AskRelease(Box<ReleaseRequest>),
-        /// The sender has let go of keys.
+        /// Releases keys.
         Released(Box<ReleaseResponse>),
-        /// The sender is leaving; whoever is next home of its keys may ask for them.
+        /// The sender is leaving; the next home of its keys may request them.
         Leaving,
-        /// The sender's target stopped while it ran these requests.
+        /// The sender's target crashed while it ran these requests.
         Suspect {
-            /// Names the crash.
+            /// Crash id.
             crash: u64,
-            /// What it ran.
+            /// Requests that the target was running.
             fingerprints: Vec<Fingerprint>,
         },
-        /// The sender's target has answered a request that was suspected.
+        /// The sender's target has answered a suspected request.
         Cleared {
-            /// The request.
             fingerprint: Fingerprint,
         },
     }
 
-    /// A note on its way out.
+    /// A note to send.
     pub struct OutgoingNote {
-        /// VM of the node that the note is for.
+        /// Destination VM.
         pub to: Name,
-        /// The note.
         pub note: Note,
     }
 }
 
 impl HomeList {
-    /// Digest over the set of VMs: equal for equal lists whatever their version and order.
+    /// Digest of the set of VMs, independent of version and order.
     pub fn digest(&self) -> Hash {
         let mut vms: Vec<&Name> = self.vms.iter().collect();
         vms.sort();
@@ -116,23 +113,22 @@
         Hash::of(&buf)
     }
 
-    /// The list's name.
     pub fn id(&self) -> ListId {
         ListId { version: self.version, digest: self.digest() }
     }
 
-    /// The home of a key.
     pub fn home_of(&self, key: RequestKey) -> Option<&Name> {
         HomeList::choose(&key.to_bytes(), self.vms.iter())
     }
 
-    /// The home of a key when some VMs have left.
+    /// The home of a key if the VMs in `left` are excluded.
     pub fn home_excluding(&self, key: RequestKey, left: &IndexSet<Name>) -> Option<&Name> {
         let staying = self.vms.iter().filter(|vm| !left.contains(*vm));
         HomeList::choose(&key.to_bytes(), staying)
     }
 
-    /// The first `count` homes of a key in order: each is the home if those before it have left.
+    /// The first `count` homes of a key in rendezvous order: each is the home if those before it
+    /// are excluded.
     pub fn order<'a>(subject: &[u8], vms: &[&'a Name], count: usize) -> Vec<&'a Name> {
         let mut left: Vec<&Name> = vms.to_vec();
         let mut order = Vec::with_capacity(count);
@@ -146,8 +142,8 @@
         order
     }
 
-    /// The home among some VMs by rendezvous hashing: a VM that joins or leaves moves only the
-    /// keys that it wins.
+    /// Chooses the home among `vms` by rendezvous hashing: a VM that joins or leaves moves only the
+    /// keys whose home it becomes or was.
     pub fn choose<'a>(subject: &[u8], vms: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
         vms.max_by_key(|vm| (crate::hash::rendezvous_score(subject, vm.as_bytes()), *vm))
     }
