--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -120,7 +120,7 @@
             return;
         }
         let back = match &end {
-            End::Answered { .. } | End::Read { .. } => {
+            End::Answered { .. } | End::ResponseRead { .. } => {
                 AttemptEnd::Answering { load: None, waited: Duration::ZERO }
             }
             End::NotSent | End::Rejected(_) => AttemptEnd::Refused {
@@ -133,7 +133,7 @@
                 AttemptEnd::Failed { code: Code::TargetFailed, crashes: 0 }
             }
         };
-        let answered = matches!(end, End::Answered { .. } | End::Read { .. });
+        let answered = matches!(end, End::Answered { .. } | End::ResponseRead { .. });
         let number = calls.submissions[submission].request.number;
         self.give(node, Given::End { call: gate, end });
         self.answer(gate, back, answered.then_some(number));
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -100,7 +100,7 @@
         if departs > self.links.now() {
             // The target is done with it as soon as its gatekeeper has read it.
             self.free_target(node, run);
-            let end = End::Read { left: HEAD_BYTES + body };
+            let end = End::ResponseRead { unsent: HEAD_BYTES + body };
             self.tell_gate(node, gatekeeper::Input::End { call: run, end });
         }
         self.links.at(departs, Happening::Sent(run, failed));
@@ -113,7 +113,7 @@
         if mbps <= 0.0 {
             return now;
         }
-        let begins = self.nodes[node].gate.piece(now, run, bytes);
+        let begins = self.nodes[node].gate.schedule_chunk(now, run, bytes);
         let takes = Duration::from_secs_f64(bytes as f64 * 8.0 / (mbps * 1e6));
         let until = &mut self.nodes[node].link_until;
         *until = (*until).max(begins) + takes;
@@ -128,7 +128,7 @@
         let load = self.nodes[node].gate.load(self.links.now());
         let end = End::Answered { kept: None };
         self.tell_gate(node, gatekeeper::Input::End { call: run, end });
-        self.tell_gate(node, gatekeeper::Input::Left(run));
+        self.tell_gate(node, gatekeeper::Input::ResponseSent(run));
         self.gated.swap_remove(&run);
         let Some(call) = self.calls.get(&key) else { return };
         let to = call.node;
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -19,7 +19,7 @@
 use crate::config::{Class, OnceBy, ServiceKey, ServiceLimits, Snapshot, TargetKey};
 use crate::event::EventKind;
 use crate::{Code, Name, Time};
-use check::Checked;
+use check::CheckResult;
 use indexmap::IndexMap;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -36,9 +36,9 @@
 pub const TICK: Duration = Duration::from_millis(100);
 
 /// When to come back after refusals that have nothing to do with load.
-const COME_BACK_SOON: Duration = Duration::from_millis(200);
-const COME_BACK_LATER: Duration = Duration::from_secs(1);
-const COME_BACK_QUARANTINED: Duration = Duration::from_secs(10);
+const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
+const RETRY_AFTER_LONG: Duration = Duration::from_secs(1);
+const RETRY_AFTER_QUARANTINED: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
@@ -78,7 +78,7 @@
     draining: bool,
     confirmed: bool,
     moving: bool,
-    last_input: Option<Time>,
+    last_input_at: Option<Time>,
 }
 
 impl Gatekeeper {
@@ -105,7 +105,7 @@
             draining: false,
             confirmed: true,
             moving: false,
-            last_input: None,
+            last_input_at: None,
         }
     }
 
@@ -131,7 +131,7 @@
 
     /// The one entry: takes an input in and appends what follows from it.
     pub fn handle(&mut self, now: Time, input: Input<'_>, out: &mut Vec<Output>) {
-        self.notice_gap(now, out);
+        self.detect_clock_gap(now, out);
         match input {
             Input::Configure(snapshot) => self.configure(now, snapshot),
             Input::View(members) => self.members = members,
@@ -141,7 +141,7 @@
             Input::Expire(call) => self.expire(now, call, out),
             Input::Withdraw(call) => self.withdraw(call),
             Input::End { call, end } => self.end(now, call, end, out),
-            Input::Left(call) => self.slots.response_sent(call),
+            Input::ResponseSent(call) => self.slots.response_sent(call),
             Input::Note { from, note } => self.handle_note(now, from, note, out),
             Input::Tick => {}
         }
@@ -150,7 +150,7 @@
     }
 
     /// When the next bytes of the answer to `call` may be given to the link.
-    pub fn piece(&mut self, now: Time, call: CallKey, bytes: u64) -> Time {
+    pub fn schedule_chunk(&mut self, now: Time, call: CallKey, bytes: u64) -> Time {
         self.slots.schedule_chunk(now, call, bytes)
     }
 
@@ -161,13 +161,13 @@
 
     /// What the target runs, for the calls that its runs make.
     pub fn runs(&self) -> Runs {
-        self.runs.of_repeats()
+        self.runs.kinds_with_repeats()
     }
 
     /// After a pause of the process the list of homes may be stale. No request that may run only
     /// once is run until the version in force has been confirmed.
-    fn notice_gap(&mut self, now: Time, out: &mut Vec<Output>) {
-        let last = self.last_input.replace(now).unwrap_or(now);
+    fn detect_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
+        let last = self.last_input_at.replace(now).unwrap_or(now);
         if now.since(last) > CLOCK_GAP {
             self.confirmed = false;
             out.push(Output::Record(EventKind::ClockGap));
@@ -183,9 +183,9 @@
 
     fn configure(&mut self, now: Time, snapshot: Arc<Snapshot>) {
         let target = self.own_target(&snapshot);
-        let of_target = target.map(|target| snapshot.target(target).service);
-        let by_name = || snapshot.service_named(self.service_name.as_ref()?);
-        self.service = of_target.or_else(by_name);
+        let service_of_target = target.map(|target| snapshot.target(target).service);
+        let service_by_name = || snapshot.service_named(self.service_name.as_ref()?);
+        self.service = service_of_target.or_else(service_by_name);
         if let Some(service) = self.service {
             let mut limits = snapshot.service(service).limits.clone();
             let own_slots = target.and_then(|target| snapshot.target(target).target.slots);
@@ -194,7 +194,7 @@
             self.service_name = Some(snapshot.service(service).name.clone());
         }
         self.target_leaving = target.is_some_and(|target| snapshot.target(target).target.leaving);
-        if self.has_keys(&snapshot) {
+        if self.has_keyed_routes(&snapshot) {
             self.update_homes(now, &snapshot);
         }
         self.snapshot = Some(snapshot);
@@ -211,7 +211,7 @@
     }
 
     /// Whether keys need homes: a route to this service knows requests by their key, or did.
-    fn has_keys(&self, snapshot: &Snapshot) -> bool {
+    fn has_keyed_routes(&self, snapshot: &Snapshot) -> bool {
         let keyed = |entry: &RouteEntry| !entry.route.idempotent && entry.route.once == OnceBy::Key;
         let own = |entry: &RouteEntry| Some(entry.service) == self.service;
         let routes = snapshot.routes().iter();
@@ -220,9 +220,9 @@
 
     fn arrive(&mut self, now: Time, arrival: &Arrival<'_>, out: &mut Vec<Output>) {
         let refuse = match self.check(now, arrival) {
-            Checked::Take(terms, key) => return self.admit(now, arrival, &terms, key, out),
-            Checked::Replay(answer) => return out.push(Output::Replay(arrival.call, answer)),
-            Checked::Refuse(outcome) => outcome,
+            CheckResult::Accept(terms, key) => return self.admit(now, arrival, &terms, key, out),
+            CheckResult::Replay(answer) => return out.push(Output::Replay(arrival.call, answer)),
+            CheckResult::Refuse(outcome) => outcome,
         };
         self.refuse(now, arrival, refuse, out);
     }
@@ -250,10 +250,10 @@
         };
         let admission = self.slots.offer(now, offer);
         if let Admission::Refuse(code, wait) = admission {
-            let wait = self.spread_out(wait);
+            let wait = self.with_jitter(wait);
             return self.refuse(now, arrival, Outcome::not_run(code, wait), out);
         }
-        let known = Call {
+        let entry = Call {
             offer,
             key,
             fingerprint: arrival.fingerprint,
@@ -262,7 +262,7 @@
             kind: RunKind::of(terms),
             repeat: terms.repeat,
         };
-        self.calls.insert(call, known);
+        self.calls.insert(call, entry);
         if let (Some(key), Some(digest)) = (key, arrival.digest) {
             self.idempotency.insert_waiting(now, key, digest, call);
         }
@@ -273,13 +273,13 @@
     }
 
     fn run(&mut self, call: CallKey, out: &mut Vec<Output>) {
-        let Some(known) = self.calls.get_mut(&call) else {
+        let Some(entry) = self.calls.get_mut(&call) else {
             return;
         };
-        known.running = true;
-        self.runs.begin(known.kind, known.repeat);
-        let once = known.key.is_some();
-        if let Some(key) = known.key {
+        entry.running = true;
+        self.runs.begin(entry.kind, entry.repeat);
+        let once = entry.key.is_some();
+        if let Some(key) = entry.key {
             self.idempotency.mark_running(key, call);
         }
         out.push(Output::Run { call, once });
@@ -294,7 +294,7 @@
     fn run_waiting(&mut self, now: Time, out: &mut Vec<Output>) {
         while let Some(popped) = self.slots.pop(now) {
             match popped {
-                Popped::Run(call) => self.run_popped(now, call, out),
+                Popped::Run(call) => self.run_dequeued(now, call, out),
                 Popped::Expired(call) => self.refuse_waiting(now, call, out),
             }
         }
@@ -302,16 +302,16 @@
 
     /// Checks again what may have changed while the request waited: the home of its key may have
     /// moved, and the process may have been paused.
-    fn run_popped(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
-        let Some(known) = self.calls.get(&call).copied() else {
+    fn run_dequeued(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
+        let Some(entry) = self.calls.get(&call).copied() else {
             return self.slots.release(call);
         };
-        let refuse = known.key.and_then(|key| self.check_permission(key));
+        let refuse = entry.key.and_then(|key| self.check_permission(key));
         match refuse {
-            Some(Checked::Refuse(outcome)) => {
+            Some(CheckResult::Refuse(outcome)) => {
                 self.slots.release(call);
-                self.forget_waiting(call);
-                let crashes = self.crashes_of(now, &known);
+                self.remove_unstarted(call);
+                let crashes = self.crashes_of(now, &entry);
                 out.push(Output::Refuse { call, outcome, crashes });
             }
             _ => self.run(call, out),
@@ -325,14 +325,14 @@
     }
 
     fn refuse_waiting(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
-        let Some(known) = self.forget_waiting(call) else {
+        let Some(entry) = self.remove_unstarted(call) else {
             return;
         };
-        let late = known.offer.deadline <= now;
+        let late = entry.offer.deadline <= now;
         let code = if late { Code::DeadlinePassed } else { Code::QueueTimeout };
-        let wait = self.slots.retry_after(now, &known.offer);
-        let outcome = Outcome::not_run(code, self.spread_out(wait));
-        let crashes = self.crashes_of(now, &known);
+        let wait = self.slots.retry_after(now, &entry.offer);
+        let outcome = Outcome::not_run(code, self.with_jitter(wait));
+        let crashes = self.crashes_of(now, &entry);
         out.push(Output::Refuse { call, outcome, crashes });
     }
 
@@ -340,86 +340,86 @@
         if !self.slots.withdraw(call) {
             self.slots.release(call);
         }
-        self.forget_waiting(call);
+        self.remove_unstarted(call);
     }
 
-    fn forget_waiting(&mut self, call: CallKey) -> Option<Call> {
-        let known = self.forget(call)?;
-        if let Some(key) = known.key {
+    fn remove_unstarted(&mut self, call: CallKey) -> Option<Call> {
+        let entry = self.remove(call)?;
+        if let Some(key) = entry.key {
             self.idempotency.remove_not_run(key, call);
         }
-        Some(known)
+        Some(entry)
     }
 
     fn end(&mut self, now: Time, call: CallKey, end: End, out: &mut Vec<Output>) {
-        let Some(known) = self.calls.get(&call).copied().filter(|known| known.running) else {
+        let Some(entry) = self.calls.get(&call).copied().filter(|entry| entry.running) else {
             return;
         };
         match end {
             End::Answered { kept } => {
                 self.slots.end(now, call);
-                self.finish_key(&known, kept);
-                self.clear(known.fingerprint, out);
-                self.target_answers(now, out);
+                self.finish_key(&entry, kept);
+                self.clear(entry.fingerprint, out);
+                self.mark_target_up(now, out);
             }
-            End::Read { left } => {
-                self.slots.response_read(now, call, left);
-                self.clear(known.fingerprint, out);
-                self.target_answers(now, out);
+            End::ResponseRead { unsent } => {
+                self.slots.response_read(now, call, unsent);
+                self.clear(entry.fingerprint, out);
+                self.mark_target_up(now, out);
             }
             End::NotSent => {
                 self.slots.release(call);
-                if let Some(key) = known.key {
+                if let Some(key) = entry.key {
                     self.idempotency.remove_not_run(key, call);
                 }
-                self.target_lost(out);
-                let outcome = Outcome::not_run(Code::TargetUnreachable, COME_BACK_LATER);
-                let crashes = self.crashes_of(now, &known);
+                self.mark_target_down(out);
+                let outcome = Outcome::not_run(Code::TargetUnreachable, RETRY_AFTER_LONG);
+                let crashes = self.crashes_of(now, &entry);
                 out.push(Output::Refuse { call, outcome, crashes });
             }
             End::Rejected(code) => {
                 self.slots.release(call);
-                if let Some(key) = known.key {
+                if let Some(key) = entry.key {
                     self.idempotency.remove_not_run(key, call);
                 }
-                let wait = self.slots.retry_after(now, &known.offer);
-                let outcome = Outcome::not_run(code, self.spread_out(wait));
-                let crashes = self.crashes_of(now, &known);
+                let wait = self.slots.retry_after(now, &entry.offer);
+                let outcome = Outcome::not_run(code, self.with_jitter(wait));
+                let crashes = self.crashes_of(now, &entry);
                 out.push(Output::Refuse { call, outcome, crashes });
             }
             End::Broken { target_gone } => {
                 self.slots.release(call);
-                self.finish_key(&known, None);
-                self.suspect(now, &known, target_gone, out);
+                self.finish_key(&entry, None);
+                self.suspect(now, &entry, target_gone, out);
                 let outcome = Outcome::Unknown { code: Code::TargetFailed };
                 // The note of the previous crash may still be on its way.
-                let crashes = self.crashes_of(now, &known).max(known.crashes.saturating_add(1));
+                let crashes = self.crashes_of(now, &entry).max(entry.crashes.saturating_add(1));
                 out.push(Output::Refuse { call, outcome, crashes });
             }
             End::Cancelled => {
                 self.slots.end(now, call);
-                self.finish_key(&known, None);
+                self.finish_key(&entry, None);
             }
         }
-        self.forget(call);
+        self.remove(call);
     }
 
-    fn forget(&mut self, call: CallKey) -> Option<Call> {
-        let known = self.calls.swap_remove(&call)?;
-        if known.running {
-            self.runs.end(known.kind, known.repeat);
+    fn remove(&mut self, call: CallKey) -> Option<Call> {
+        let entry = self.calls.swap_remove(&call)?;
+        if entry.running {
+            self.runs.end(entry.kind, entry.repeat);
         }
-        Some(known)
+        Some(entry)
     }
 
-    fn finish_key(&mut self, known: &Call, kept: Option<Arc<CachedResponse>>) {
-        if let Some(key) = known.key {
+    fn finish_key(&mut self, entry: &Call, kept: Option<Arc<CachedResponse>>) {
+        if let Some(key) = entry.key {
             self.idempotency.finish(key, kept);
         }
     }
 
     /// Up to a quarter longer, so that those who were refused together don't return together.
-    fn spread_out(&mut self, wait: Duration) -> Duration {
+    fn with_jitter(&mut self, wait: Duration) -> Duration {
         wait + wait * self.rng.random_range(0..=25) / 100
     }
 }
--- a/core/src/call/gatekeeper/check.rs
+++ b/core/src/call/gatekeeper/check.rs
@@ -1,6 +1,8 @@
 //! Whether a request may reach the target, before its load is looked at.
 
-use super::{Arrival, COME_BACK_LATER, COME_BACK_QUARANTINED, COME_BACK_SOON, Call, Gatekeeper};
+use super::{
+    Arrival, Call, Gatekeeper, RETRY_AFTER_LONG, RETRY_AFTER_QUARANTINED, RETRY_AFTER_SHORT,
+};
 use crate::call::home::RunPermission;
 use crate::call::once::{CachedResponse, KeyStatus};
 use crate::call::quarantine::MAX_CRASHES;
@@ -11,34 +13,34 @@
 use std::time::Duration;
 
 /// What a check comes to.
-pub(super) enum Checked {
-    Take(Terms, Option<RequestKey>),
+pub(super) enum CheckResult {
+    Accept(Terms, Option<RequestKey>),
     Replay(Arc<CachedResponse>),
     Refuse(Outcome),
 }
 
 impl Gatekeeper {
-    pub(super) fn check(&self, now: Time, arrival: &Arrival<'_>) -> Checked {
+    pub(super) fn check(&self, now: Time, arrival: &Arrival<'_>) -> CheckResult {
         let terms = match self.terms(now, arrival) {
             Ok(terms) => terms,
-            Err(code) => return not_run(code, COME_BACK_SOON),
+            Err(code) => return not_run(code, RETRY_AFTER_SHORT),
         };
         if !terms.is_keyed() {
             return self.check_load(now, arrival, terms, None);
         }
         let Some(key) = arrival.key.filter(|key| key.minted() <= now + MAX_CLOCK_SKEW) else {
-            return not_run(Code::KeyMissing, COME_BACK_LATER);
+            return not_run(Code::KeyMissing, RETRY_AFTER_LONG);
         };
         let Some(digest) = &arrival.digest else {
-            return not_run(Code::RequestTooLarge, COME_BACK_LATER);
+            return not_run(Code::RequestTooLarge, RETRY_AFTER_LONG);
         };
         // What is known of the key goes before every reason for a refusal: a request that ran is
         // never called not run.
         match self.idempotency.look_up(now, key, digest) {
-            KeyStatus::Answered(response) => Checked::Replay(response),
+            KeyStatus::Answered(response) => CheckResult::Replay(response),
             KeyStatus::InProgress => unknown(Code::KeyInProgress),
             KeyStatus::Unknown => unknown(Code::KeyOutcomeUnknown),
-            KeyStatus::Reused => not_run(Code::KeyReused, COME_BACK_LATER),
+            KeyStatus::Reused => not_run(Code::KeyReused, RETRY_AFTER_LONG),
             KeyStatus::New => match self.check_permission(key) {
                 Some(refuse) => refuse,
                 None => self.check_load(now, arrival, terms, Some(key)),
@@ -52,9 +54,9 @@
     /// The entry node's terms go first: it may hold a version that this node has not got yet, or
     /// the other way round.
     fn terms(&self, now: Time, arrival: &Arrival<'_>) -> Result<Terms, Code> {
-        if let Some(told) = arrival.terms.as_ref().filter(|terms| !terms.is_keyed()) {
-            let own = self.service_name.as_ref() == Some(&told.service);
-            return if own { Ok(told.clone()) } else { Err(Code::NoTarget) };
+        if let Some(forwarded) = arrival.terms.as_ref().filter(|terms| !terms.is_keyed()) {
+            let own = self.service_name.as_ref() == Some(&forwarded.service);
+            return if own { Ok(forwarded.clone()) } else { Err(Code::NoTarget) };
         }
         let snapshot = self.snapshot.as_ref().ok_or(Code::NotConfigured)?;
         let route = snapshot.route_for(arrival.host, arrival.path);
@@ -77,15 +79,17 @@
         })
     }
 
-    pub(super) fn check_permission(&self, key: RequestKey) -> Option<Checked> {
+    pub(super) fn check_permission(&self, key: RequestKey) -> Option<CheckResult> {
         let permission =
             self.homes.as_ref().map_or(RunPermission::NotHome, |homes| homes.permission(key));
         match permission {
             RunPermission::Unknown => Some(unknown(Code::KeyOutcomeUnknown)),
-            RunPermission::Draining => Some(not_run(Code::Draining, COME_BACK_SOON)),
-            RunPermission::NotHome => Some(not_run(Code::NotHome, COME_BACK_SOON)),
-            RunPermission::Moving => Some(not_run(Code::HomeMoving, COME_BACK_SOON)),
-            RunPermission::Home if !self.confirmed => Some(not_run(Code::ClockGap, COME_BACK_SOON)),
+            RunPermission::Draining => Some(not_run(Code::Draining, RETRY_AFTER_SHORT)),
+            RunPermission::NotHome => Some(not_run(Code::NotHome, RETRY_AFTER_SHORT)),
+            RunPermission::Moving => Some(not_run(Code::HomeMoving, RETRY_AFTER_SHORT)),
+            RunPermission::Home if !self.confirmed => {
+                Some(not_run(Code::ClockGap, RETRY_AFTER_SHORT))
+            }
             RunPermission::Home => None,
         }
     }
@@ -96,14 +100,14 @@
         arrival: &Arrival<'_>,
         terms: Terms,
         key: Option<RequestKey>,
-    ) -> Checked {
+    ) -> CheckResult {
         if self.crashes(now, arrival) >= MAX_CRASHES as u32 {
-            return not_run(Code::Quarantined, COME_BACK_QUARANTINED);
+            return not_run(Code::Quarantined, RETRY_AFTER_QUARANTINED);
         }
         if self.draining || self.target_leaving {
-            return not_run(Code::Draining, COME_BACK_SOON);
+            return not_run(Code::Draining, RETRY_AFTER_SHORT);
         }
-        Checked::Take(terms, key)
+        CheckResult::Accept(terms, key)
     }
 
     pub(super) fn crashes(&self, now: Time, arrival: &Arrival<'_>) -> u32 {
@@ -115,10 +119,10 @@
     }
 }
 
-fn not_run(code: Code, retry_after: Duration) -> Checked {
-    Checked::Refuse(Outcome::not_run(code, retry_after))
+fn not_run(code: Code, retry_after: Duration) -> CheckResult {
+    CheckResult::Refuse(Outcome::not_run(code, retry_after))
 }
 
-fn unknown(code: Code) -> Checked {
-    Checked::Refuse(Outcome::Unknown { code })
+fn unknown(code: Code) -> CheckResult {
+    CheckResult::Refuse(Outcome::Unknown { code })
 }
--- a/core/src/call/gatekeeper/homes.rs
+++ b/core/src/call/gatekeeper/homes.rs
@@ -17,7 +17,7 @@
         };
         let list = home_list(snapshot, &name);
         if self.homes.as_ref().is_none_or(|homes| *homes.service() != name) {
-            self.homes = Some(self.first_homes(now, &name, &list));
+            self.homes = Some(self.initial_homes(now, &name, &list));
         }
         if let Some(homes) = &mut self.homes {
             homes.apply_list(now, list);
@@ -29,7 +29,7 @@
 
     /// The homes of a service that this VM is a target of for the first time since its start. If
     /// an earlier version is known, its targets are the homes to take over from.
-    fn first_homes(&self, now: Time, name: &Name, list: &HomeList) -> Homes {
+    fn initial_homes(&self, now: Time, name: &Name, list: &HomeList) -> Homes {
         let started = if self.homes.is_none() { self.started } else { now };
         let vm = self.vm.clone();
         match &self.snapshot {
@@ -62,7 +62,7 @@
                 }
             }
             Note::Suspect { crash, fingerprints } => {
-                self.take_suspects(now, *crash, fingerprints, out);
+                self.record_crash(now, *crash, fingerprints, out);
             }
             Note::Cleared { fingerprint } => {
                 self.suspects.clear(*fingerprint);
--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -60,7 +60,7 @@
             end: End,
         },
         /// The last byte of an answer that was read whole has left, or nobody wants it any more.
-        Left(CallKey),
+        ResponseSent(CallKey),
         /// Another gatekeeper says something.
         Note {
             /// VM of the sender.
@@ -80,10 +80,10 @@
             kept: Option<Arc<CachedResponse>>,
         },
         /// The whole answer has been read from the target, and some of it has not left yet;
-        /// [`Input::Left`] says when it has.
-        Read {
+        /// [`Input::ResponseSent`] says when it has.
+        ResponseRead {
             /// Bytes that have not left.
-            left: u64,
+            unsent: u64,
         },
         /// No byte of it left for the target.
         NotSent,
--- a/core/src/call/gatekeeper/suspects.rs
+++ b/core/src/call/gatekeeper/suspects.rs
@@ -17,46 +17,46 @@
         out: &mut Vec<Output>,
     ) {
         let mut fingerprints = vec![broken.fingerprint];
-        let fresh = rendezvous_score(self.vm.as_bytes(), &now.0.to_le_bytes());
+        let new_crash = rendezvous_score(self.vm.as_bytes(), &now.0.to_le_bytes());
         // What breaks before the target answers again breaks in one crash.
-        let crash = self.crash.filter(|_| target_gone).unwrap_or(fresh);
+        let crash = self.crash.filter(|_| target_gone).unwrap_or(new_crash);
         if target_gone {
             self.crash = Some(crash);
             let running = self.calls.values().filter(|call| call.running);
             fingerprints.extend(running.map(|call| call.fingerprint));
             fingerprints.sort();
             fingerprints.dedup();
-            self.target_lost(out);
+            self.mark_target_down(out);
         }
-        self.take_suspects(now, crash, &fingerprints, out);
-        self.tell_all(&Note::Suspect { crash, fingerprints }, out);
+        self.record_crash(now, crash, &fingerprints, out);
+        self.broadcast(&Note::Suspect { crash, fingerprints }, out);
     }
 
-    pub(super) fn take_suspects(
+    pub(super) fn record_crash(
         &mut self,
         now: Time,
         crash: u64,
         fingerprints: &[Fingerprint],
         out: &mut Vec<Output>,
     ) {
-        if self.suspects.add(now, crash, fingerprints) {
+        if self.suspects.record_crash(now, crash, fingerprints) {
             out.push(Output::Record(EventKind::Quarantined));
         }
     }
 
     pub(super) fn clear(&mut self, fingerprint: Fingerprint, out: &mut Vec<Output>) {
         if self.suspects.clear(fingerprint) {
-            self.tell_all(&Note::Cleared { fingerprint }, out);
+            self.broadcast(&Note::Cleared { fingerprint }, out);
         }
     }
 
-    pub(super) fn target_lost(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn mark_target_down(&mut self, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.target_up, false) {
             out.push(Output::Record(EventKind::TargetLost));
         }
     }
 
-    pub(super) fn target_answers(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn mark_target_up(&mut self, now: Time, out: &mut Vec<Output>) {
         if !std::mem::replace(&mut self.target_up, true) {
             self.slots.start_warm_up(now);
             self.crash = None;
@@ -64,7 +64,7 @@
         }
     }
 
-    fn tell_all(&self, note: &Note, out: &mut Vec<Output>) {
+    fn broadcast(&self, note: &Note, out: &mut Vec<Output>) {
         let (Some(snapshot), Some(service)) = (&self.snapshot, self.service) else {
             return;
         };
--- a/core/src/call/quarantine.rs
+++ b/core/src/call/quarantine.rs
@@ -13,7 +13,7 @@
 pub const MAX_CRASHES: usize = 2;
 
 /// How long a suspicion lasts after the last crash.
-pub const SUSPICION_LIFE: Duration = Duration::from_secs(60);
+pub const SUSPICION_TTL: Duration = Duration::from_secs(60);
 
 /// Requests suspected at once. Beyond it the oldest suspicion is dropped.
 pub const MAX_SUSPECTS: usize = 1_024;
@@ -21,13 +21,13 @@
 #[derive(Debug)]
 struct Suspect {
     crashes: Vec<u64>,
-    last: Time,
+    last_crash_at: Time,
 }
 
 /// Requests that ran when targets stopped. Bounded, and each entry expires.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    table: IndexMap<Fingerprint, Suspect>,
+    entries: IndexMap<Fingerprint, Suspect>,
 }
 
 impl Suspects {
@@ -38,50 +38,50 @@
 
     /// Counts a crash against what ran. A crash heard of twice counts once. Returns whether a
     /// request is held off from now on that was not before.
-    pub fn add(&mut self, now: Time, crash: u64, fingerprints: &[Fingerprint]) -> bool {
+    pub fn record_crash(&mut self, now: Time, crash: u64, fingerprints: &[Fingerprint]) -> bool {
         self.expire(now);
-        let mut held_off = false;
+        let mut quarantined = false;
         for fingerprint in fingerprints {
-            if self.table.len() >= MAX_SUSPECTS && !self.table.contains_key(fingerprint) {
-                self.table.shift_remove_index(0);
+            if self.entries.len() >= MAX_SUSPECTS && !self.entries.contains_key(fingerprint) {
+                self.entries.shift_remove_index(0);
             }
-            let fresh = || Suspect { crashes: Vec::new(), last: now };
-            let suspect = self.table.entry(*fingerprint).or_insert_with(fresh);
-            suspect.last = now;
+            let new_suspect = || Suspect { crashes: Vec::new(), last_crash_at: now };
+            let suspect = self.entries.entry(*fingerprint).or_insert_with(new_suspect);
+            suspect.last_crash_at = now;
             if suspect.crashes.len() < MAX_CRASHES && !suspect.crashes.contains(&crash) {
                 suspect.crashes.push(crash);
-                held_off |= suspect.crashes.len() == MAX_CRASHES;
+                quarantined |= suspect.crashes.len() == MAX_CRASHES;
             }
         }
-        held_off
+        quarantined
     }
 
     /// Clears a request that was answered. Returns whether it was suspected.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
-        !self.table.is_empty() && self.table.shift_remove(&fingerprint).is_some()
+        !self.entries.is_empty() && self.entries.shift_remove(&fingerprint).is_some()
     }
 
     /// Crashes counted against a request; at most [`MAX_CRASHES`].
     pub fn crashes(&self, now: Time, fingerprint: Fingerprint) -> usize {
-        if self.table.is_empty() {
+        if self.entries.is_empty() {
             return 0;
         }
-        let suspect = self.table.get(&fingerprint);
-        let valid = suspect.filter(|suspect| now.since(suspect.last) < SUSPICION_LIFE);
+        let suspect = self.entries.get(&fingerprint);
+        let valid = suspect.filter(|suspect| now.since(suspect.last_crash_at) < SUSPICION_TTL);
         valid.map_or(0, |suspect| suspect.crashes.len())
     }
 
     /// How many requests are suspected.
     pub fn len(&self) -> usize {
-        self.table.len()
+        self.entries.len()
     }
 
     /// Whether nothing is suspected.
     pub fn is_empty(&self) -> bool {
-        self.table.is_empty()
+        self.entries.is_empty()
     }
 
     fn expire(&mut self, now: Time) {
-        self.table.retain(|_, suspect| now.since(suspect.last) < SUSPICION_LIFE);
+        self.entries.retain(|_, suspect| now.since(suspect.last_crash_at) < SUSPICION_TTL);
     }
 }
--- a/core/src/call/runs.rs
+++ b/core/src/call/runs.rs
@@ -60,9 +60,9 @@
     ///
     /// Only runs of the same kind as some repeat count: the share of repeats among all runs would
     /// be too low where most runs make no calls.
-    pub fn of_repeats(&self) -> Runs {
-        let with_repeats = self.by_kind.values().filter(|runs| runs.repeats > 0);
-        with_repeats.fold(Runs::default(), |sum, runs| Runs {
+    pub fn kinds_with_repeats(&self) -> Runs {
+        let repeated = self.by_kind.values().filter(|runs| runs.repeats > 0);
+        repeated.fold(Runs::default(), |sum, runs| Runs {
             all: sum.all + runs.all,
             repeats: sum.repeats + runs.repeats,
         })
--- a/core/tests/call_quarantine.rs
+++ b/core/tests/call_quarantine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use support::name;
 use sycamore_core::call::gatekeeper::{Arrival, End, Input, Output};
-use sycamore_core::call::quarantine::{MAX_SUSPECTS, SUSPICION_LIFE, Suspects};
+use sycamore_core::call::quarantine::{MAX_SUSPECTS, SUSPICION_TTL, Suspects};
 use sycamore_core::call::{CallKey, Fingerprint, Gatekeeper, Outcome};
 use sycamore_core::config::Snapshot;
 use sycamore_core::event::EventKind;
@@ -102,7 +102,7 @@
     for at in 2..4 {
         assert!(fleet.submit(at, Fingerprint(1)).is_ok());
     }
-    fleet.now = fleet.now + SUSPICION_LIFE;
+    fleet.now = fleet.now + SUSPICION_TTL;
     assert!(fleet.submit(2, DEADLY).is_ok());
 }
 
@@ -159,7 +159,7 @@
 fn suspects_bounded() {
     let mut suspects = Suspects::new();
     for n in 0..MAX_SUSPECTS as u64 * 2 {
-        suspects.add(START, n, &[Fingerprint(n)]);
+        suspects.record_crash(START, n, &[Fingerprint(n)]);
     }
     assert_eq!(suspects.len(), MAX_SUSPECTS);
 }
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -151,7 +151,7 @@
         for Run { terms, .. } in &runs {
             counts.begin(RunKind::of(terms), terms.repeat);
         }
-        let own_runs = counts.of_repeats();
+        let own_runs = counts.kinds_with_repeats();
         for Run { entry, call, terms } in runs {
             let signing = !terms.idempotent;
             let end = match signing || self.nested(desk, terms.repeat, own_runs, shed) {
@@ -229,11 +229,11 @@
     let mut counts = RunCounts::new();
     (0..9).for_each(|_| counts.begin(signing, false));
     counts.begin(lookup, true);
-    assert_eq!(counts.of_repeats(), Runs { all: 1, repeats: 1 });
+    assert_eq!(counts.kinds_with_repeats(), Runs { all: 1, repeats: 1 });
     counts.begin(lookup, false);
-    assert_eq!(counts.of_repeats(), Runs { all: 2, repeats: 1 });
+    assert_eq!(counts.kinds_with_repeats(), Runs { all: 2, repeats: 1 });
     counts.end(lookup, true);
-    assert_eq!(counts.of_repeats(), Runs::default());
+    assert_eq!(counts.kinds_with_repeats(), Runs::default());
 }
 
 #[test]
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -168,7 +168,7 @@
     /// For how long the next bytes of the answer to `call` must wait for the link.
     pub(super) fn wait_for_link(&self, call: CallKey, bytes: u64) -> Duration {
         let now = self.shared.clock.now();
-        self.state.lock().gatekeeper.piece(now, call, bytes).since(now)
+        self.state.lock().gatekeeper.schedule_chunk(now, call, bytes).since(now)
     }
 
     /// Serves one request that another node forwards.
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -52,7 +52,7 @@
 
 impl Drop for Leaving {
     fn drop(&mut self) {
-        self.side.tell(Input::Left(self.call));
+        self.side.tell(Input::ResponseSent(self.call));
     }
 }
 
@@ -108,7 +108,7 @@
     pub fn read(&mut self, left: u64) {
         if let Some(slot) = self.running.take() {
             self.leaving = Some(Leaving { side: slot.side.clone(), call: slot.call });
-            slot.end(End::Read { left });
+            slot.end(End::ResponseRead { unsent: left });
             self.lease.over(true);
         }
     }
