--- a/core/src/call/quarantine.rs
+++ b/core/src/call/quarantine.rs
@@ -1,21 +1,21 @@
-//! Requests that crash the targets that run them.
+//! Quarantine of requests that crash the targets running them.
 //!
-//! What a target ran when it stopped is suspected. One crash proves little, since everything that
-//! ran beside the guilty request is suspected too; so a request is held off only after a second
-//! crash, and an answer to it clears it.
+//! Every request that a target was running when it crashed becomes a suspect. A single crash is
+//! weak evidence, because it also implicates requests that merely ran at the same time; a request
+//! is therefore quarantined only after a second crash, and a response to it clears it.
 
 use super::Fingerprint;
 use crate::Time;
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Crashes after which a request is held off.
+/// Number of crashes after which a request is quarantined.
 pub const MAX_CRASHES: usize = 2;
 
-/// How long a suspicion lasts after the last crash.
+/// Time after the last crash for which a request remains a suspect.
 pub const SUSPICION_TTL: Duration = Duration::from_secs(60);
 
-/// Requests suspected at once. Beyond it the oldest suspicion is dropped.
+/// Maximum number of suspects. When it is exceeded, the suspect added first is evicted.
 pub const MAX_SUSPECTS: usize = 1_024;
 
 #[derive(Debug)]
@@ -24,20 +24,19 @@
     last_crash_at: Time,
 }
 
-/// Requests that ran when targets stopped. Bounded, and each entry expires.
+/// Bounded table of requests that were running when targets crashed. Entries expire.
 #[derive(Debug, Default)]
 pub struct Suspects {
     entries: IndexMap<Fingerprint, Suspect>,
 }
 
 impl Suspects {
-    /// Suspects nothing.
     pub fn new() -> Suspects {
         Suspects::default()
     }
 
-    /// Counts a crash against what ran. A crash heard of twice counts once. Returns whether a
-    /// request is held off from now on that was not before.
+    /// Counts a crash against the requests that were running. Repeated reports of a crash count
+    /// once. Returns whether a request is newly quarantined.
     pub fn record_crash(&mut self, now: Time, crash: u64, fingerprints: &[Fingerprint]) -> bool {
         self.expire(now);
         let mut quarantined = false;
@@ -56,12 +55,12 @@
         quarantined
     }
 
-    /// Clears a request that was answered. Returns whether it was suspected.
+    /// Clears a request that was answered. Returns whether it was a suspect.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
         !self.entries.is_empty() && self.entries.shift_remove(&fingerprint).is_some()
     }
 
-    /// Crashes counted against a request; at most [`MAX_CRASHES`].
+    /// Number of crashes counted against a request, at most [`MAX_CRASHES`].
     pub fn crashes(&self, now: Time, fingerprint: Fingerprint) -> usize {
         if self.entries.is_empty() {
             return 0;
@@ -71,12 +70,10 @@
         valid.map_or(0, |suspect| suspect.crashes.len())
     }
 
-    /// How many requests are suspected.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is suspected.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
