--- a/core/src/call/runs.rs
+++ b/core/src/call/runs.rs
@@ -1,20 +1,21 @@
-//! What a target runs, for the calls that its runs make.
+//! Counts of the running requests of a target, used to classify the nested calls that they make.
 
 use super::Terms;
 use crate::config::Class;
 use indexmap::IndexMap;
 
 key! {
-    /// Runs of one target that are alike to some run which is a repeat.
+    /// Running requests of one target, limited to kinds of request of which at least one is a
+    /// repeat.
     #[derive(Default)]
     pub struct Runs {
-        /// All of them.
+        /// Number of running requests of these kinds.
         pub all: u32,
-        /// Those of them that are repeats.
+        /// Number of these that are repeats.
         pub repeats: u32,
     }
 
-    /// What a gatekeeper can tell runs of different routes apart by.
+    /// The route properties by which a gatekeeper distinguishes running requests.
     pub struct RunKind {
         class: Class,
         rank: u8,
@@ -22,33 +23,31 @@
     }
 }
 
-/// Runs by their kind, counted as they begin and end.
+/// Running requests by kind.
 #[derive(Clone, Debug, Default)]
 pub struct RunCounts {
     by_kind: IndexMap<RunKind, Runs>,
 }
 
 impl RunKind {
-    /// The kind of a run with these terms.
     pub fn of(terms: &Terms) -> RunKind {
         RunKind { class: terms.class, rank: terms.rank, idempotent: terms.idempotent }
     }
 }
 
 impl RunCounts {
-    /// Nothing runs.
     pub fn new() -> RunCounts {
         RunCounts::default()
     }
 
-    /// A run begins.
+    /// Records the start of a run.
     pub fn begin(&mut self, kind: RunKind, repeat: bool) {
         let runs = self.by_kind.entry(kind).or_default();
         runs.all += 1;
         runs.repeats += u32::from(repeat);
     }
 
-    /// It ends.
+    /// Records the end of a run.
     pub fn end(&mut self, kind: RunKind, repeat: bool) {
         if let Some(runs) = self.by_kind.get_mut(&kind) {
             runs.all = runs.all.saturating_sub(1);
@@ -56,10 +55,10 @@
         }
     }
 
-    /// The runs among which a nested call looks for the one that makes it.
+    /// The running requests that may have made a nested call.
     ///
-    /// Only runs of the same kind as some repeat count: the share of repeats among all runs would
-    /// be too low where most runs make no calls.
+    /// Only kinds with at least one repeat are counted: among all running requests the share of
+    /// repeats would be too low if most of them make no calls.
     pub fn kinds_with_repeats(&self) -> Runs {
         let repeated = self.by_kind.values().filter(|runs| runs.repeats > 0);
         repeated.fold(Runs::default(), |sum, runs| Runs {
