--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -1,4 +1,5 @@
-//! Decisions beside the target: what reaches it, when, and what is said of what does not.
+//! The gatekeeper of a target: decides which requests reach the target and when, and how requests
+//! that do not reach it are rejected.
 
 mod check;
 mod homes;
@@ -28,14 +29,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A longer time without any input means that the process was not running: the adapter ticks at
+/// A longer gap without any input means that the process was suspended: the adapter sends a tick at
 /// least every [`TICK`].
 pub const CLOCK_GAP: Duration = Duration::from_secs(3);
 
-/// How often the adapter ticks.
+/// Interval of the adapter's ticks.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// When to come back after refusals that have nothing to do with load.
+/// `Retry-After` of rejections that are not caused by load.
 const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
 const RETRY_AFTER_LONG: Duration = Duration::from_secs(1);
 const RETRY_AFTER_QUARANTINED: Duration = Duration::from_secs(10);
@@ -45,18 +46,18 @@
     offer: Offer,
     key: Option<RequestKey>,
     fingerprint: Fingerprint,
-    // Crashes that the entry node knows of.
+    // Crashes reported by the entry node.
     crashes: u32,
     running: bool,
     kind: RunKind,
     repeat: bool,
 }
 
-/// The gatekeeper of one target.
 #[derive(Debug)]
 pub struct Gatekeeper {
     vm: Name,
-    // Where the targets are discovered apart from a version, the own one is known by this.
+    // If targets are discovered separately from the configuration version, the address by which
+    // this gatekeeper finds its own target's entry.
     gate: Option<SocketAddr>,
     service_name: Option<Name>,
     started: Time,
@@ -70,10 +71,10 @@
     suspects: Suspects,
     calls: IndexMap<CallKey, Call>,
     runs: RunCounts,
-    // The crash after which the target has not answered yet.
+    // The last crash, until the target answers again.
     crash: Option<u64>,
     target_up: bool,
-    // By its entry in the configuration.
+    // Whether the configuration lists the target as leaving.
     target_leaving: bool,
     draining: bool,
     confirmed: bool,
@@ -82,7 +83,7 @@
 }
 
 impl Gatekeeper {
-    /// The gatekeeper on `vm`, whose process started at `started`, without any configuration.
+    /// Creates a gatekeeper without configuration on `vm`, whose process started at `started`.
     pub fn new(vm: Name, started: Time, seed: u64) -> Gatekeeper {
         Gatekeeper {
             vm,
@@ -109,27 +110,26 @@
         }
     }
 
-    /// The same gatekeeper beside a target that is listed under a name of its own, by the address
-    /// of its gatekeeper. `service` is what the target runs, known before any configuration.
+    /// Identifies the target by the address of its gatekeeper instead of by the VM. `service` is
+    /// the service that it provides, known before any configuration.
     pub fn with_discovered_target(mut self, gate: SocketAddr, service: Name) -> Gatekeeper {
         self.gate = Some(gate);
         self.service_name = Some(service);
         self
     }
 
-    /// The same gatekeeper on a VM whose link takes this many kilobits a second.
+    /// Sets the bandwidth of the VM's link in kilobits per second.
     pub fn with_link(mut self, kbps: Option<u64>) -> Gatekeeper {
         self.slots = self.slots.with_link(Link::new(kbps));
         self
     }
 
-    /// The same gatekeeper with other mechanisms at work.
     pub fn with_policy(mut self, policy: Policy) -> Gatekeeper {
         self.slots = self.slots.with_policy(policy);
         self
     }
 
-    /// The one entry: takes an input in and appends what follows from it.
+    /// Handles one input and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: Time, input: Input<'_>, out: &mut Vec<Output>) {
         self.detect_clock_gap(now, out);
         match input {
@@ -149,23 +149,23 @@
         self.run_waiting(now, out);
     }
 
-    /// When the next bytes of the answer to `call` may be given to the link.
+    /// Returns the time at which the next `bytes` of the response to `call` may be sent.
     pub fn schedule_chunk(&mut self, now: Time, call: CallKey, bytes: u64) -> Time {
         self.slots.schedule_chunk(now, call, bytes)
     }
 
-    /// What the target runs and what waits for it.
+    /// The current load of the target and its queue.
     pub fn load(&self, now: Time) -> Load {
         self.slots.load(now)
     }
 
-    /// What the target runs, for the calls that its runs make.
+    /// The running requests that may be making nested calls.
     pub fn runs(&self) -> Runs {
         self.runs.kinds_with_repeats()
     }
 
-    /// After a pause of the process the list of homes may be stale. No request that may run only
-    /// once is run until the version in force has been confirmed.
+    /// Detects that the process was suspended. The list of homes may then be outdated, so no
+    /// request that must run at most once runs until the version in force has been confirmed.
     fn detect_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let last = self.last_input_at.replace(now).unwrap_or(now);
         if now.since(last) > CLOCK_GAP {
@@ -200,8 +200,8 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// The entry of the target on this VM. Of two under one address the later one holds: the
-    /// earlier is a run that has ended and whose entry has not lapsed yet.
+    /// The entry of the target on this VM. If two have the same address, the later one applies: the
+    /// earlier belongs to a process that has ended and whose entry has not expired yet.
     fn own_target(&self, snapshot: &Snapshot) -> Option<TargetKey> {
         let Some(gate) = self.gate else {
             return snapshot.target_on(&self.vm);
@@ -210,7 +210,8 @@
         Some(TargetKey(last as u32))
     }
 
-    /// Whether keys need homes: a route to this service knows requests by their key, or did.
+    /// Whether keys need homes: a route to this service identifies requests by key, or did so
+    /// before.
     fn has_keyed_routes(&self, snapshot: &Snapshot) -> bool {
         let keyed = |entry: &RouteEntry| !entry.route.idempotent && entry.route.once == OnceBy::Key;
         let own = |entry: &RouteEntry| Some(entry.service) == self.service;
@@ -236,7 +237,7 @@
         out: &mut Vec<Output>,
     ) {
         let call = arrival.call;
-        // Work that others wait for counts as nested, also where callers do not tell the depth.
+        // Gating requests count as nested even if the caller does not send the depth.
         let depth = arrival.depth.max((terms.class == Class::Gating).into());
         let objective = Objective { by: terms.objective, allow_late: terms.patient };
         let offer = Offer {
@@ -245,7 +246,7 @@
             rank: terms.rank,
             depth,
             deadline: arrival.deadline,
-            // Work that others wait for is worth as much at any time before its deadline.
+            // Nested requests have no objective: any time before the deadline is equally good.
             objective: (depth == 0).then_some(objective),
         };
         let admission = self.slots.offer(now, offer);
@@ -290,7 +291,7 @@
         out.push(Output::Refuse { call: arrival.call, outcome, crashes });
     }
 
-    /// Gives free slots to waiting requests.
+    /// Assigns free slots to queued requests and rejects those that have expired.
     fn run_waiting(&mut self, now: Time, out: &mut Vec<Output>) {
         while let Some(popped) = self.slots.pop(now) {
             match popped {
@@ -300,8 +301,8 @@
         }
     }
 
-    /// Checks again what may have changed while the request waited: the home of its key may have
-    /// moved, and the process may have been paused.
+    /// Runs a dequeued request unless its key's home has moved or the process was suspended in the
+    /// meantime.
     fn run_dequeued(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
         let Some(entry) = self.calls.get(&call).copied() else {
             return self.slots.release(call);
@@ -392,7 +393,7 @@
                 self.finish_key(&entry, None);
                 self.suspect(now, &entry, target_gone, out);
                 let outcome = Outcome::Unknown { code: Code::TargetFailed };
-                // The note of the previous crash may still be on its way.
+                // The note about the previous crash may not have arrived yet.
                 let crashes = self.crashes_of(now, &entry).max(entry.crashes.saturating_add(1));
                 out.push(Output::Refuse { call, outcome, crashes });
             }
@@ -418,7 +419,7 @@
         }
     }
 
-    /// Up to a quarter longer, so that those who were refused together don't return together.
+    /// Adds up to 25 % of jitter, so that clients rejected together do not retry together.
     fn with_jitter(&mut self, wait: Duration) -> Duration {
         wait + wait * self.rng.random_range(0..=25) / 100
     }
