--- a/core/src/call/gatekeeper/check.rs
+++ b/core/src/call/gatekeeper/check.rs
@@ -1,4 +1,4 @@
-//! Whether a request may reach the target, before its load is looked at.
+//! Checks on an arriving request that do not depend on load: route, key, quarantine and draining.
 
 use super::{
     Arrival, Call, Gatekeeper, RETRY_AFTER_LONG, RETRY_AFTER_QUARANTINED, RETRY_AFTER_SHORT,
@@ -12,7 +12,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a check comes to.
 pub(super) enum CheckResult {
     Accept(Terms, Option<RequestKey>),
     Replay(Arc<CachedResponse>),
@@ -34,8 +33,8 @@
         let Some(digest) = &arrival.digest else {
             return not_run(Code::RequestTooLarge, RETRY_AFTER_LONG);
         };
-        // What is known of the key goes before every reason for a refusal: a request that ran is
-        // never called not run.
+        // The state of the key takes precedence over every reason for a rejection: a request that
+        // ran must never be reported as not run.
         match self.idempotency.look_up(now, key, digest) {
             KeyStatus::Answered(response) => CheckResult::Replay(response),
             KeyStatus::InProgress => unknown(Code::KeyInProgress),
@@ -48,11 +47,9 @@
         }
     }
 
-    /// What is asked for: as the entry node says, except for keys, whose homes follow from the
-    /// version that this node itself holds.
-    ///
-    /// The entry node's terms go first: it may hold a version that this node has not got yet, or
-    /// the other way round.
+    /// The terms of a request. The entry node's terms take precedence, because the two nodes may
+    /// hold different versions. Keyed requests are the exception: their homes are derived from the
+    /// version that this node holds, and so are their terms.
     fn terms(&self, now: Time, arrival: &Arrival<'_>) -> Result<Terms, Code> {
         if let Some(forwarded) = arrival.terms.as_ref().filter(|terms| !terms.is_keyed()) {
             let own = self.service_name.as_ref() == Some(&forwarded.service);
