--- a/core/src/call/gatekeeper/homes.rs
+++ b/core/src/call/gatekeeper/homes.rs
@@ -1,4 +1,4 @@
-//! How a gatekeeper follows the homes of its service's keys: versions and notes that concern them.
+//! Updates of the homes of keys, from new versions and from notes of other gatekeepers.
 
 use super::{Gatekeeper, Output};
 use crate::call::home::Homes;
@@ -8,7 +8,8 @@
 use crate::{Name, Time};
 
 impl Gatekeeper {
-    /// A gatekeeper that is no longer listed still answers for the keys that it was home of.
+    /// Applies the home list of a snapshot. A gatekeeper that is no longer listed still responds
+    /// for keys whose home it was.
     pub(super) fn update_homes(&mut self, now: Time, snapshot: &Snapshot) {
         let own = self.service.map(|service| snapshot.service(service).name.clone());
         let before = self.homes.as_ref().map(|homes| homes.service().clone());
@@ -27,8 +28,8 @@
         }
     }
 
-    /// The homes of a service that this VM is a target of for the first time since its start. If
-    /// an earlier version is known, its targets are the homes to take over from.
+    /// Creates the homes of a service whose target this VM becomes for the first time since the
+    /// process started. If an earlier version is known, keys are taken over from its targets.
     fn initial_homes(&self, now: Time, name: &Name, list: &HomeList) -> Homes {
         let started = if self.homes.is_none() { self.started } else { now };
         let vm = self.vm.clone();
