--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -1,4 +1,4 @@
-//! What the gatekeeper's decider takes in and gives out.
+//! Inputs and outputs of the gatekeeper.
 
 use crate::call::note::{Note, OutgoingNote};
 use crate::call::once::CachedResponse;
@@ -10,115 +10,110 @@
 use std::sync::Arc;
 
 data! {
-    /// A request as the adapter has read it.
+    /// A request as read by the adapter.
     pub struct Arrival<'a> {
-        /// The call.
         pub call: CallKey,
-        /// Host without a port, in lower case; empty if there is none.
+        /// Host in lower case, without port; empty if absent.
         pub host: &'a str,
-        /// Path without query.
+        /// Path without query string.
         pub path: &'a str,
-        /// What the entry node's route says; absent from a node that does not tell.
+        /// Terms sent by the entry node; absent if it sends none.
         pub terms: Option<Terms>,
         /// The `Idempotency-Key`.
         pub key: Option<RequestKey>,
-        /// Digest over method, path and body: equal for the same request. Absent if the body is
-        /// too large to be held.
+        /// Digest of method, path and body, to recognise a repeated request. Absent if the body is
+        /// too large to buffer.
         pub digest: Option<Hash>,
-        /// The same for the quarantine.
+        /// Identifies the request for the quarantine.
         pub fingerprint: Fingerprint,
-        /// Crashes that the entry node knows of.
+        /// Crashes reported by the entry node.
         pub crashes: u32,
-        /// Calls that wait for this one: 0 for a caller's own request.
+        /// Nesting depth: the number of calls waiting for this one. 0 for a top-level request.
         pub depth: u8,
-        /// When its caller stops waiting.
+        /// Time at which the caller stops waiting.
         pub deadline: Time,
     }
 
-    /// What comes in.
+    /// An input of the gatekeeper.
     pub enum Input<'a> {
-        /// A version came into force.
+        /// A new version is in force.
         Configure(Arc<Snapshot>),
-        /// The states of VMs changed.
+        /// The states of VMs have changed.
         View(Arc<Members>),
-        /// Peers or the platform confirmed that the version in force is the newest.
+        /// Peers or the platform have confirmed that the version in force is the newest.
         Confirm,
-        /// The planned stop starts.
+        /// The planned shutdown has started.
         Drain,
-        /// A request came.
+        /// A request has arrived.
         Arrive(Arrival<'a>),
-        /// A waiting request's time is up.
+        /// The maximum wait of a queued request has passed.
         Expire(CallKey),
-        /// The caller of a waiting request went away. It was not forwarded, even if a slot was
-        /// given to it meanwhile.
+        /// The caller of a queued request has disconnected. The request was not forwarded, even if
+        /// it has been assigned a slot in the meantime.
         Withdraw(CallKey),
-        /// A running request ended.
+        /// A running request has ended.
         End {
-            /// The call.
             call: CallKey,
-            /// How.
             end: End,
         },
-        /// The last byte of an answer that was read whole has left, or nobody wants it any more.
+        /// The last byte of a completely read response has been sent, or the caller has
+        /// disconnected.
         ResponseSent(CallKey),
-        /// Another gatekeeper says something.
+        /// A note from another gatekeeper has arrived.
         Note {
-            /// VM of the sender.
+            /// The sender's VM.
             from: &'a Name,
-            /// What it says.
             note: &'a Note,
         },
-        /// Time passes.
+        /// Time has passed.
         Tick,
     }
 
     /// How a running request ended.
     pub enum End {
-        /// The whole answer came; `kept` if it may be asked for again.
+        /// The complete response has been received.
         Answered {
-            /// The answer, of a request with a key.
+            /// The response to cache, if the request has a key.
             kept: Option<Arc<CachedResponse>>,
         },
-        /// The whole answer has been read from the target, and some of it has not left yet;
-        /// [`Input::ResponseSent`] says when it has.
+        /// The complete response has been read from the target but not sent to the caller yet;
+        /// [`Input::ResponseSent`] follows.
         ResponseRead {
-            /// Bytes that have not left.
+            /// Bytes not sent yet.
             unsent: u64,
         },
-        /// No byte of it left for the target.
+        /// No byte of the request was sent to the target.
         NotSent,
-        /// The target says that it has not run the request, and why.
+        /// The target reports that it has not run the request, with the reason.
         Rejected(Code),
-        /// The connection to the target broke after a byte may have left.
+        /// The connection to the target failed after a byte may have been sent.
         Broken {
-            /// Whether the target takes no more connections.
+            /// Whether the target accepts no more connections.
             target_gone: bool,
         },
-        /// It was cancelled, at its deadline or because the caller went away.
+        /// The request was cancelled, at its deadline or because the caller disconnected.
         Cancelled,
     }
 
-    /// What is to be done.
+    /// An action for the adapter.
     pub enum Output {
         /// Forward the request to the target now.
         Run {
-            /// The call.
             call: CallKey,
-            /// Whether it runs only once: its answer is kept, and it isn't cancelled when its
-            /// caller goes away.
+            /// Whether the request must run at most once: its response is cached, and it is not
+            /// cancelled if the caller disconnects.
             once: bool,
         },
-        /// Let the request wait, at most until this time.
+        /// Queue the request, at most until this time.
         Queue(CallKey, Time),
-        /// Give the kept answer.
+        /// Send the cached response.
         Replay(CallKey, Arc<CachedResponse>),
-        /// Tell the entry node that there is no answer.
+        /// Reject the request.
         Refuse {
-            /// The call.
             call: CallKey,
-            /// What to say.
+            /// The outcome to report to the entry node.
             outcome: Outcome,
-            /// Crashes that the request is suspected of.
+            /// Number of crashes attributed to the request.
             crashes: u32,
         },
         /// Send a note.
