--- a/core/src/call/gatekeeper/suspects.rs
+++ b/core/src/call/gatekeeper/suspects.rs
@@ -1,4 +1,4 @@
-//! What crashed the target, told to the gatekeepers of its service; and whether the target answers.
+//! Crash reports to the other gatekeepers of the service, and the state of the target.
 
 use super::{Call, Gatekeeper, Output};
 use crate::Time;
@@ -8,7 +8,8 @@
 use crate::hash::rendezvous_score;
 
 impl Gatekeeper {
-    /// A request that broke alone is suspected alone; when the target has gone, all that it ran.
+    /// Records a crash: if the target is gone, all of its running requests become suspects,
+    /// otherwise only the broken one.
     pub(super) fn suspect(
         &mut self,
         now: Time,
@@ -18,7 +19,7 @@
     ) {
         let mut fingerprints = vec![broken.fingerprint];
         let new_crash = rendezvous_score(self.vm.as_bytes(), &now.0.to_le_bytes());
-        // What breaks before the target answers again breaks in one crash.
+        // Requests that break before the target answers again belong to the same crash.
         let crash = self.crash.filter(|_| target_gone).unwrap_or(new_crash);
         if target_gone {
             self.crash = Some(crash);
