--- a/core/src/call/gatekeeper/check.rs
+++ b/core/src/call/gatekeeper/check.rs
@@ -25,7 +25,7 @@
             Err(code) => return not_run(code, RETRY_AFTER_SHORT),
         };
         if !terms.is_keyed() {
-            return self.check_load(now, arrival, terms, None);
+            return self.check_availability(now, arrival, terms, None);
         }
         let Some(key) = arrival.key.filter(|key| key.minted() <= now + MAX_CLOCK_SKEW) else {
             return not_run(Code::KeyMissing, RETRY_AFTER_LONG);
@@ -42,7 +42,7 @@
             KeyStatus::Reused => not_run(Code::KeyReused, RETRY_AFTER_LONG),
             KeyStatus::New => match self.check_permission(key) {
                 Some(refuse) => refuse,
-                None => self.check_load(now, arrival, terms, Some(key)),
+                None => self.check_availability(now, arrival, terms, Some(key)),
             },
         }
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    fn check_load(
+    fn check_availability(
         &self,
         now: Time,
         arrival: &Arrival<'_>,
