--- a/core/tests/call_homes.rs
+++ b/core/tests/call_homes.rs
@@ -30,7 +30,7 @@
             assert_eq!(code(fleet.submit(other, key)), Some(Code::NotHome));
         }
     }
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -50,7 +50,7 @@
     assert_eq!(fleet.submit(new, key), Some(Outcome::Unknown { code: Code::KeyOutcomeUnknown }));
     let fresh = fleet.moving_key(1, 2);
     assert_eq!(fleet.submit(new, fresh), Some(Outcome::Answered));
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -68,16 +68,16 @@
     assert_eq!(code(fleet.submit(new, key)), Some(Code::HomeMoving));
     assert_eq!(fleet.submit(old, key), Some(Outcome::Answered));
     // The platform lists the old home's VM as gone: it runs nothing more, and what it ran is lost.
-    fleet.stop(old);
-    fleet.view(new);
-    fleet.pass(100);
+    fleet.mark_gone(old);
+    fleet.update_members(new);
+    fleet.advance(100);
     assert_eq!(code(fleet.submit(new, key)), Some(Code::KeyOutcomeUnknown));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let later = (0..).map(|low| key_at(fleet.now, low));
     let later =
         later.into_iter().find(|key| (fleet.home(1, *key), fleet.home(2, *key)) == (old, new));
     assert_eq!(fleet.submit(new, later.unwrap()), Some(Outcome::Answered));
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -89,13 +89,13 @@
     let key = key_at(fleet.now, 1);
     let home = fleet.home(1, key);
     assert_eq!(fleet.submit(home, key), Some(Outcome::Answered));
-    fleet.pass(100);
+    fleet.advance(100);
     fleet.restart(home);
     let unknown = Some(Outcome::Unknown { code: Code::KeyOutcomeUnknown });
     assert_eq!(fleet.submit(home, key), unknown);
     fleet.settle();
     assert_eq!(fleet.submit(home, key), unknown);
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -122,7 +122,7 @@
     fleet.adopt(2, 3);
     fleet.settle();
     assert_eq!(code(fleet.submit(3, fresh)), Some(Code::KeyOutcomeUnknown));
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let key = key.unwrap();
     assert_eq!(fleet.submit(0, key), Some(Outcome::Answered));
     assert_eq!(code(fleet.submit(4, key)), Some(Code::HomeMoving));
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -157,7 +157,7 @@
     let key = key_at(fleet.now, 1);
     assert_eq!(fleet.submit(fleet.home(1, key), key), Some(Outcome::Answered));
     assert_eq!(code(fleet.submit(3, key)), Some(Code::HomeMoving));
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -182,13 +182,13 @@
     assert!(outcomes.contains(&Outcome::Unknown { code: Code::KeyOutcomeUnknown }));
     assert!(next(&mut fleet, fresh).contains(&Outcome::Answered));
     fleet.restart(0);
-    fleet.gone.clear();
+    fleet.members.clear();
     fleet.settle();
     assert_eq!(code(fleet.submit(0, fresh)), Some(Code::KeyOutcomeUnknown));
     let later = with_home(&fleet, 0);
     assert!(!next(&mut fleet, later).contains(&Outcome::Answered));
     assert_eq!(fleet.submit(0, later), Some(Outcome::Answered));
-    fleet.check();
+    fleet.assert_at_most_one_run();
 }
 
 #[test]
@@ -219,10 +219,10 @@
         let last = fleet.notes.len() - 1;
         fleet.deliver(last, false);
     }
-    let late = std::mem::take(&mut fleet.notes);
-    assert!(!late.is_empty());
+    let delayed = std::mem::take(&mut fleet.notes);
+    assert!(!delayed.is_empty());
     fleet.adopt(0, 3);
-    fleet.notes = late;
+    fleet.notes = delayed;
     while !fleet.notes.is_empty() {
         fleet.deliver(0, false);
     }
@@ -244,13 +244,13 @@
     fleet.leave(0);
     fleet.notes = vec![ask];
     fleet.deliver(0, false);
-    let late = std::mem::take(&mut fleet.notes);
+    let delayed = std::mem::take(&mut fleet.notes);
     fleet.restart(0);
     fleet.notes.retain(|(from, _)| *from == 0);
     while !fleet.notes.is_empty() {
         fleet.deliver(0, false);
     }
-    fleet.notes = late;
+    fleet.notes = delayed;
     while !fleet.notes.is_empty() {
         fleet.deliver(0, false);
     }
@@ -264,14 +264,14 @@
     Publish(u8),
     Adopt(usize, u64),
     Deliver(usize, bool),
-    Lose(usize),
-    Pass(u64),
+    Drop(usize),
+    Advance(u64),
     Submit(usize, u64),
     Resend(usize, usize),
     Restart(usize),
-    Stop(usize),
+    MarkGone(usize),
     Leave(usize),
-    View(usize),
+    UpdateMembers(usize),
     Settle,
 }
 
@@ -281,14 +281,14 @@
         2 => (1u8..32).prop_map(Step::Publish),
         6 => (node.clone(), 0u64..3).prop_map(|(node, ahead)| Step::Adopt(node, ahead)),
         20 => (any::<usize>(), prop::bool::weighted(0.2)).prop_map(|(at, keep)| Step::Deliver(at, keep)),
-        3 => any::<usize>().prop_map(Step::Lose),
-        6 => (1u64..1_500).prop_map(Step::Pass),
+        3 => any::<usize>().prop_map(Step::Drop),
+        6 => (1u64..1_500).prop_map(Step::Advance),
         14 => (node.clone(), 0u64..1_000).prop_map(|(node, low)| Step::Submit(node, low)),
         14 => (node.clone(), 0usize..8).prop_map(|(node, back)| Step::Resend(node, back)),
         1 => node.clone().prop_map(Step::Restart),
-        1 => node.clone().prop_map(Step::Stop),
+        1 => node.clone().prop_map(Step::MarkGone),
         2 => node.clone().prop_map(Step::Leave),
-        2 => node.prop_map(Step::View),
+        2 => node.prop_map(Step::UpdateMembers),
         2 => Just(Step::Settle),
     ]
 }
@@ -308,12 +308,12 @@
                 fleet.adopt(*node, version);
             }
             Step::Deliver(at, keep) => fleet.deliver(*at, *keep),
-            Step::Lose(at) if !fleet.notes.is_empty() => {
+            Step::Drop(at) if !fleet.notes.is_empty() => {
                 let at = at % fleet.notes.len();
                 fleet.notes.swap_remove(at);
             }
-            Step::Lose(_) => {}
-            Step::Pass(millis) => fleet.pass(*millis),
+            Step::Drop(_) => {}
+            Step::Advance(millis) => fleet.advance(*millis),
             Step::Submit(node, low) => {
                 let key = key_at(fleet.now, low << 16 | number as u64);
                 keys.push(key);
@@ -326,9 +326,9 @@
             }
             Step::Restart(node) if fleet.may_restart(*node) => fleet.restart(*node),
             Step::Restart(_) => {}
-            Step::Stop(node) => fleet.stop(*node),
+            Step::MarkGone(node) => fleet.mark_gone(*node),
             Step::Leave(node) => fleet.leave(*node),
-            Step::View(node) => fleet.view(*node),
+            Step::UpdateMembers(node) => fleet.update_members(*node),
             Step::Settle => fleet.settle(),
         }
     }
@@ -342,6 +342,6 @@
     /// gone: no key runs twice.
     #[test]
     fn homes_history(steps in prop::collection::vec(step(), 1..150)) {
-        run(&steps).check();
+        run(&steps).assert_at_most_one_run();
     }
 }
--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -1,9 +1,9 @@
 //! A few gatekeepers in one thread, with versions, notes and restarts between them.
 
 #[path = "snapshot.rs"]
-mod made;
+mod snapshots;
 
-pub use made::name;
+pub use snapshots::name;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 
 pub fn snapshot(version: u64, vms: &[&str]) -> Arc<Snapshot> {
     let routes = r#"{"once":{"path_prefix":"/once","service":"s","idempotent":false}}"#;
-    made::snapshot(version, vms, "{}", routes)
+    snapshots::snapshot(version, vms, "{}", routes)
 }
 
 pub fn key_at(minted: Time, low: u64) -> RequestKey {
@@ -35,8 +35,8 @@
     pub versions: Vec<Vec<&'static str>>,
     pub nodes: Vec<Node>,
     pub notes: Vec<(usize, OutgoingNote)>,
-    pub gone: Members,
-    pub next_call: u64,
+    pub members: Members,
+    pub last_call: u64,
     pub runs: BTreeMap<RequestKey, Vec<(Time, usize)>>,
 }
 
@@ -53,8 +53,8 @@
             versions: vec![vms.to_vec()],
             nodes: Vec::new(),
             notes: Vec::new(),
-            gone: Members::new(),
-            next_call: 0,
+            members: Members::new(),
+            last_call: 0,
             runs: BTreeMap::new(),
         };
         for (index, vm) in VMS.iter().enumerate() {
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
         for index in 0..self.nodes.len() {
             self.handle(index, Input::Tick);
@@ -119,7 +119,7 @@
     /// Lets time pass until nothing is left to say.
     pub fn settle(&mut self) {
         for _ in 0..40 {
-            self.pass(100);
+            self.advance(100);
             while !self.notes.is_empty() {
                 self.deliver(0, false);
             }
@@ -127,8 +127,8 @@
     }
 
     pub fn submit(&mut self, index: usize, key: RequestKey) -> Option<Outcome> {
-        self.next_call += 1;
-        let call = CallKey(self.next_call);
+        self.last_call += 1;
+        let call = CallKey(self.last_call);
         let arrival = Arrival {
             host: "",
             terms: None,
@@ -146,8 +146,9 @@
             match output {
                 Output::Run { .. } => {
                     self.runs.entry(key).or_default().push((self.now, index));
-                    let kept = CachedResponse { status: 200, headers: vec![], body: "x".into() };
-                    let end = End::Answered { kept: Some(Arc::new(kept)) };
+                    let response =
+                        CachedResponse { status: 200, headers: vec![], body: "x".into() };
+                    let end = End::Answered { kept: Some(Arc::new(response)) };
                     self.handle(index, Input::End { call, end });
                     outcome = Some(Outcome::Answered);
                 }
@@ -180,21 +181,21 @@
         node.alive && !self.nodes.iter().zip(&VMS).any(behind)
     }
 
-    pub fn stop(&mut self, index: usize) {
+    pub fn mark_gone(&mut self, index: usize) {
         self.nodes[index].alive = false;
-        self.gone.insert(name(VMS[index]), VmState::Gone);
+        self.members.insert(name(VMS[index]), VmState::Gone);
     }
 
     /// Starts the planned stop of a VM, which the list shows as leaving.
     pub fn leave(&mut self, index: usize) {
         if self.nodes[index].alive {
-            self.gone.insert(name(VMS[index]), VmState::Leaving);
+            self.members.insert(name(VMS[index]), VmState::Leaving);
             self.handle(index, Input::Drain);
         }
     }
 
-    pub fn view(&mut self, index: usize) {
-        let members = Arc::new(self.gone.clone());
+    pub fn update_members(&mut self, index: usize) {
+        let members = Arc::new(self.members.clone());
         self.handle(index, Input::View(members));
     }
 
@@ -213,7 +214,7 @@
             .unwrap()
     }
 
-    pub fn check(&self) {
+    pub fn assert_at_most_one_run(&self) {
         for (key, runs) in &self.runs {
             assert!(runs.len() <= 1, "{key:?} ran {runs:?}, versions {:?}", self.versions);
         }
