--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -94,7 +94,7 @@
         }
         let body = Bytes::copy_from_slice(&request.number.to_be_bytes());
         let kept = CachedResponse { status: 200, headers: Vec::new(), body };
-        let end = End::Answered { kept: once.then(|| Arc::new(kept)) };
+        let end = End::Answered { cached: once.then(|| Arc::new(kept)) };
         self.links.after(request.work, Happening::Call(Step::Done { gate, end }));
     }
 
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -126,7 +126,7 @@
         let (node, key, kind, waited) = (gated.node, gated.call, gated.kind, gated.waited);
         self.free_target(node, run);
         let load = self.nodes[node].gate.load(self.links.now());
-        let end = End::Answered { kept: None };
+        let end = End::Answered { cached: None };
         self.tell_gate(node, gatekeeper::Input::End { call: run, end });
         self.tell_gate(node, gatekeeper::Input::ResponseSent(run));
         self.gated.swap_remove(&run);
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -357,9 +357,9 @@
             return;
         };
         match end {
-            End::Answered { kept } => {
+            End::Answered { cached } => {
                 self.slots.end(now, call);
-                self.finish_key(&entry, kept);
+                self.finish_key(&entry, cached);
                 self.clear(entry.fingerprint, out);
                 self.mark_target_up(now, out);
             }
@@ -413,9 +413,9 @@
         Some(entry)
     }
 
-    fn finish_key(&mut self, entry: &Call, kept: Option<Arc<CachedResponse>>) {
+    fn finish_key(&mut self, entry: &Call, cached: Option<Arc<CachedResponse>>) {
         if let Some(key) = entry.key {
-            self.idempotency.finish(key, kept);
+            self.idempotency.finish(key, cached);
         }
     }
 
--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -74,7 +74,7 @@
         /// The complete response has been received.
         Answered {
             /// The response to cache, if the request has a key.
-            kept: Option<Arc<CachedResponse>>,
+            cached: Option<Arc<CachedResponse>>,
         },
         /// The complete response has been read from the target but not sent to the caller yet;
         /// [`Input::ResponseSent`] follows.
--- a/core/tests/call_quarantine.rs
+++ b/core/tests/call_quarantine.rs
@@ -119,7 +119,7 @@
         calls.into_iter().for_each(|call| fleet.end(at, call, End::Broken { target_gone: true }));
         for one in &bystanders {
             let call = fleet.submit(3, *one).unwrap();
-            fleet.end(3, call, End::Answered { kept: None });
+            fleet.end(3, call, End::Answered { cached: None });
         }
     }
     assert_eq!(fleet.submit(2, DEADLY), Err(Code::Quarantined));
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -319,7 +319,7 @@
             }),
             4 => gatekeeper::Input::Expire(call),
             5 => gatekeeper::Input::Withdraw(call),
-            6 => gatekeeper::Input::End { call, end: gatekeeper::End::Answered { kept: None } },
+            6 => gatekeeper::Input::End { call, end: gatekeeper::End::Answered { cached: None } },
             7 => gatekeeper::Input::End { call, end: broken },
             8 => gatekeeper::Input::End { call, end: gatekeeper::End::Cancelled },
             9 => gatekeeper::Input::Note { from, note },
--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -148,7 +148,7 @@
                     self.runs.entry(key).or_default().push((self.now, index));
                     let response =
                         CachedResponse { status: 200, headers: vec![], body: "x".into() };
-                    let end = End::Answered { kept: Some(Arc::new(response)) };
+                    let end = End::Answered { cached: Some(Arc::new(response)) };
                     self.handle(index, Input::End { call, end });
                     outcome = Some(Outcome::Answered);
                 }
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -117,7 +117,7 @@
     pub fn over(mut self, whole: bool) {
         if whole {
             if let Some(slot) = self.running.take() {
-                slot.end(End::Answered { kept: None });
+                slot.end(End::Answered { cached: None });
             }
         }
         // The connection holds the slot before it is closed.
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -144,7 +144,7 @@
                 let kept = Arc::new(keep(head.status, &head.headers, buf));
                 connection.give_back();
                 if let Some(slot) = running.take() {
-                    slot.end(End::Answered { kept: Some(kept.clone()) });
+                    slot.end(End::Answered { cached: Some(kept.clone()) });
                 }
                 Ok(kept)
             }
