--- a/core/tests/call_admit.rs
+++ b/core/tests/call_admit.rs
@@ -18,10 +18,10 @@
 }
 
 fn offer(slots: &mut Slots, call: u64, class: Class) -> Admission {
-    offer_at(slots, call, class, 0)
+    offer_nested(slots, call, class, 0)
 }
 
-fn offer_at(slots: &mut Slots, call: u64, class: Class, depth: u8) -> Admission {
+fn offer_nested(slots: &mut Slots, call: u64, class: Class, depth: u8) -> Admission {
     slots.offer(
         START,
         Offer {
@@ -43,7 +43,7 @@
     let mut slots = Slots::new(limits(1, 10));
     assert_eq!(offer(&mut slots, 0, Class::Interactive), Admission::Run);
     for (call, depth) in [(1, 0), (2, 1), (3, 0), (4, 8), (5, 1)] {
-        let queued = offer_at(&mut slots, call, Class::Interactive, depth);
+        let queued = offer_nested(&mut slots, call, Class::Interactive, depth);
         assert_eq!(queued, Admission::Queue(after(1_000)));
     }
     let mut order = Vec::new();
@@ -55,8 +55,8 @@
 }
 
 /// How many of these requests, nested so deep, run at once.
-fn running_at(slots: &mut Slots, depth: u8, calls: std::ops::Range<u64>) -> usize {
-    let runs = |call: &u64| offer_at(slots, *call, Class::Interactive, depth) == Admission::Run;
+fn admitted_at_depth(slots: &mut Slots, depth: u8, calls: std::ops::Range<u64>) -> usize {
+    let runs = |call: &u64| offer_nested(slots, *call, Class::Interactive, depth) == Admission::Run;
     calls.filter(runs).count()
 }
 
@@ -66,13 +66,13 @@
     // to the same service. None can end before its deadline.
     let mut slots = Slots::new(limits(12, 100));
     for call in 0..200 {
-        offer_at(&mut slots, call, Class::Interactive, if call % 8 < 4 { 0 } else { 4 });
+        offer_nested(&mut slots, call, Class::Interactive, if call % 8 < 4 { 0 } else { 4 });
         slots.end(START, CallKey(call));
     }
-    assert_eq!(running_at(&mut slots, 0, 1_000..1_020), 9);
-    assert_eq!(running_at(&mut slots, 1, 1_020..1_040), 1);
-    assert_eq!(running_at(&mut slots, 2, 1_040..1_050), 1);
-    assert_eq!(running_at(&mut slots, 3, 1_050..1_060), 1);
+    assert_eq!(admitted_at_depth(&mut slots, 0, 1_000..1_020), 9);
+    assert_eq!(admitted_at_depth(&mut slots, 1, 1_020..1_040), 1);
+    assert_eq!(admitted_at_depth(&mut slots, 2, 1_040..1_050), 1);
+    assert_eq!(admitted_at_depth(&mut slots, 3, 1_050..1_060), 1);
 }
 
 #[test]
@@ -82,11 +82,11 @@
     // deadlines, and the lookups that held slots for them failed.
     let mut slots = Slots::new(limits(12, 100));
     for call in 0..200 {
-        offer_at(&mut slots, call, Class::Interactive, (call % 2) as u8);
+        offer_nested(&mut slots, call, Class::Interactive, (call % 2) as u8);
         slots.end(START, CallKey(call));
     }
-    assert_eq!(running_at(&mut slots, 0, 1_000..1_020), 9);
-    assert_eq!(running_at(&mut slots, 1, 1_020..1_040), 3);
+    assert_eq!(admitted_at_depth(&mut slots, 0, 1_000..1_020), 9);
+    assert_eq!(admitted_at_depth(&mut slots, 1, 1_020..1_040), 3);
 }
 
 #[test]
@@ -209,13 +209,13 @@
 struct Naive {
     waiting: Vec<(Offer, Time)>,
     running: Vec<Offer>,
-    turn: u32,
+    dispatches_since_bulk: u32,
     // Share of arrivals that are deeper than the index.
     deeper: [u32; 4],
 }
 
 /// A request nested in another waits with those that others wait for.
-fn queue(offer: &Offer) -> Class {
+fn queue_class(offer: &Offer) -> Class {
     match offer.class {
         Class::Interactive if offer.depth > 0 => Class::Gating,
         class => class,
@@ -233,17 +233,18 @@
 
     fn free(&self, limits: &ServiceLimits, offer: &Offer) -> bool {
         let bulk = self.running.iter().filter(|running| running.class == Class::Bulk).count();
-        let most = (limits.slots * limits.bulk_share_percent / 100).max(1);
+        let max_bulk = (limits.slots * limits.bulk_share_percent / 100).max(1);
         let share = limits.slots * self.deeper[0];
-        let kept = share.div_ceil(1_024).min(limits.slots / 4).saturating_sub(offer.depth.into());
-        let kept = if self.deeper[usize::from(offer.depth)] < 16 { 0 } else { kept };
+        let reserved =
+            share.div_ceil(1_024).min(limits.slots / 4).saturating_sub(offer.depth.into());
+        let reserved = if self.deeper[usize::from(offer.depth)] < 16 { 0 } else { reserved };
         let slots_left = limits.slots - self.running.len() as u32;
-        slots_left > kept && (offer.class != Class::Bulk || (bulk as u32) < most)
+        slots_left > reserved && (offer.class != Class::Bulk || (bulk as u32) < max_bulk)
     }
 
     /// The place in the list of the next of a class: the deepest, of these the oldest.
     fn next(&self, class: Class) -> Option<usize> {
-        let of_class = |at: &usize| queue(&self.waiting[*at].0) == class;
+        let of_class = |at: &usize| queue_class(&self.waiting[*at].0) == class;
         let deepest = (0..self.waiting.len()).filter(of_class).map(|at| self.waiting[at].0.depth);
         let deepest = deepest.max()?;
         (0..self.waiting.len()).filter(of_class).find(|at| self.waiting[*at].0.depth == deepest)
@@ -251,11 +252,11 @@
 
     /// Whether a request must wait for one that waits already.
     fn blocked(&self, offer: &Offer) -> bool {
-        let before = |(other, _): &(Offer, Time)| {
-            queue(other) < queue(offer)
-                || (queue(other) == queue(offer) && other.depth >= offer.depth)
+        let precedes = |(other, _): &(Offer, Time)| {
+            queue_class(other) < queue_class(offer)
+                || (queue_class(other) == queue_class(offer) && other.depth >= offer.depth)
         };
-        if offer.depth == 0 { !self.waiting.is_empty() } else { self.waiting.iter().any(before) }
+        if offer.depth == 0 { !self.waiting.is_empty() } else { self.waiting.iter().any(precedes) }
     }
 
     /// The late ones in order of class, depth and age.
@@ -263,7 +264,7 @@
         let late = (0..self.waiting.len()).filter(|at| self.waiting[*at].1 <= now);
         let rank = |at: &usize| {
             let offer = &self.waiting[*at].0;
-            (queue(offer), std::cmp::Reverse(offer.depth), *at)
+            (queue_class(offer), std::cmp::Reverse(offer.depth), *at)
         };
         let first = late.min_by_key(rank)?;
         Some(self.waiting.remove(first).0.call)
@@ -275,13 +276,17 @@
         }
         let bulk_waits = self.next(Class::Bulk).is_some();
         let mut order = vec![Class::Gating, Class::Interactive, Class::Bulk];
-        if bulk_waits && self.turn >= 7 {
+        if bulk_waits && self.dispatches_since_bulk >= 7 {
             order.insert(0, Class::Bulk);
         }
         for class in order {
             let next = self.next(class).filter(|at| self.free(limits, &self.waiting[*at].0));
             if let Some(at) = next {
-                self.turn = if bulk_waits && class != Class::Bulk { self.turn + 1 } else { 0 };
+                self.dispatches_since_bulk = if bulk_waits && class != Class::Bulk {
+                    self.dispatches_since_bulk + 1
+                } else {
+                    0
+                };
                 let (offer, _) = self.waiting.remove(at);
                 self.running.push(offer);
                 return Some(Popped::Run(offer.call));
@@ -296,7 +301,7 @@
     Offer(Class, u8),
     End(usize),
     Withdraw(usize),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -306,7 +311,7 @@
         5 => (class, depth).prop_map(|(class, depth)| Step::Offer(class, depth)),
         4 => any::<usize>().prop_map(Step::End),
         1 => any::<usize>().prop_map(Step::Withdraw),
-        1 => (0u64..800).prop_map(Step::Pass),
+        1 => (0u64..800).prop_map(Step::Advance),
     ]
 }
 
@@ -358,7 +363,7 @@
                     let (gone, _) = naive.waiting.remove(at % naive.waiting.len());
                     prop_assert!(real.withdraw(gone.call));
                 }
-                Step::Pass(ms) => now = now + Duration::from_millis(ms),
+                Step::Advance(ms) => now = now + Duration::from_millis(ms),
                 _ => {}
             }
             loop {
