--- a/core/tests/call_once.rs
+++ b/core/tests/call_once.rs
@@ -88,15 +88,15 @@
     Submit(u64),
     End(usize, bool),
     NotRun(usize),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0u64..12).prop_map(Step::Submit),
-        3 => (any::<usize>(), any::<bool>()).prop_map(|(at, kept)| Step::End(at, kept)),
+        3 => (any::<usize>(), any::<bool>()).prop_map(|(at, cached)| Step::End(at, cached)),
         1 => any::<usize>().prop_map(Step::NotRun),
-        1 => (0u64..400_000).prop_map(Step::Pass),
+        1 => (0u64..400_000).prop_map(Step::Advance),
     ]
 }
 
@@ -106,8 +106,8 @@
     /// Compares the table with an unbounded model: the table may report an unknown outcome where
     /// the model knows more, but it must never let a key run twice.
     #[test]
-    fn once_like_naive(most in 1usize..8, steps in prop::collection::vec(step(), 1..200)) {
-        let mut real = IdempotencyTable::new().with_max_records(most);
+    fn once_like_naive(max_records in 1usize..8, steps in prop::collection::vec(step(), 1..200)) {
+        let mut real = IdempotencyTable::new().with_max_records(max_records);
         let mut ran: BTreeMap<RequestKey, u32> = BTreeMap::new();
         let mut open: Vec<(RequestKey, CallKey)> = Vec::new();
         let mut now = START;
@@ -127,19 +127,19 @@
                         *ran.entry(key).or_default() += 1;
                     }
                 }
-                Step::End(at, kept) if !open.is_empty() => {
+                Step::End(at, cached) if !open.is_empty() => {
                     let (key, _) = open.remove(at % open.len());
-                    real.finish(key, kept.then(|| response(3)));
+                    real.finish(key, cached.then(|| response(3)));
                 }
                 Step::NotRun(at) if !open.is_empty() => {
                     let (key, call) = open.remove(at % open.len());
                     real.remove_not_run(key, call);
                     ran.remove(&key);
                 }
-                Step::Pass(ms) => now = now + Duration::from_millis(ms),
+                Step::Advance(ms) => now = now + Duration::from_millis(ms),
                 _ => {}
             }
-            prop_assert!(real.len() <= most);
+            prop_assert!(real.len() <= max_records);
             prop_assert!(ran.values().all(|runs| *runs <= 1), "{:?}", ran);
         }
     }
