--- a/core/tests/call_once_by_attempt.rs
+++ b/core/tests/call_once_by_attempt.rs
@@ -20,8 +20,9 @@
     let service = |vms: &[&str]| {
         let mut targets = support::targets(vms);
         for vm in vms {
-            let named = format!(r#""vm":"{vm}","#);
-            targets = targets.replace(&named, &format!(r#"{named}"incarnation":"run-{vm}","#));
+            let vm_field = format!(r#""vm":"{vm}","#);
+            targets =
+                targets.replace(&vm_field, &format!(r#"{vm_field}"incarnation":"run-{vm}","#));
         }
         let limits = r#"{"retry_budget_percent":100,"retry_reserve":1000}"#;
         format!(r#"{{"limits":{limits},"targets":{targets}}}"#)
@@ -42,13 +43,13 @@
 
 struct Driver {
     entry: Entry,
-    next: u64,
+    last_call: u64,
 }
 
 impl Driver {
     fn new(seed: u64) -> Driver {
         let place = Place { region: name("r"), zone: name("z") };
-        let mut driver = Driver { entry: Entry::new(place, seed), next: 0 };
+        let mut driver = Driver { entry: Entry::new(place, seed), last_call: 0 };
         driver.input(Input::Configure(snapshot()));
         driver
     }
@@ -60,10 +61,10 @@
     }
 
     fn arrive(&mut self, host: &str, path: &str) -> Option<Output> {
-        self.next += 1;
+        self.last_call += 1;
         let arrival = Arrival {
             time_left: Some(Duration::from_secs(4)),
-            ..Arrival::new(CallKey(self.next), host, path)
+            ..Arrival::new(CallKey(self.last_call), host, path)
         };
         self.input(Input::Arrive(arrival))
     }
@@ -108,8 +109,8 @@
     for end in ends {
         let mut driver = Driver::new(1);
         let sent = driver.sign();
-        let told = outcome(driver.end(sent.call, end.clone()));
-        assert!(matches!(told, Outcome::Unknown { .. }), "{end:?}: {told:?}");
+        let reported = outcome(driver.end(sent.call, end.clone()));
+        assert!(matches!(reported, Outcome::Unknown { .. }), "{end:?}: {reported:?}");
     }
     // A target's own failure is its answer.
     let mut driver = Driver::new(1);
@@ -125,8 +126,8 @@
         let next = forward(driver.end(sent.call, refused(code)));
         assert_ne!(next.vm, sent.vm, "{code:?}");
         // Once it may have run, a later refusal does not make it one that has not.
-        let told = outcome(driver.end(next.call, AttemptEnd::Lost));
-        assert!(matches!(told, Outcome::Unknown { .. }), "{told:?}");
+        let reported = outcome(driver.end(next.call, AttemptEnd::Lost));
+        assert!(matches!(reported, Outcome::Unknown { .. }), "{reported:?}");
     }
 }
 
@@ -137,8 +138,8 @@
     let sent = driver.sign();
     let next = forward(driver.end(sent.call, refused(Code::QueueFull)));
     let next = forward(driver.end(next.call, refused(Code::TargetRefused)));
-    let told = outcome(driver.end(next.call, refused(Code::TargetRefused)));
-    assert!(matches!(told, Outcome::NotRun { code: Code::TargetRefused, .. }), "{told:?}");
+    let reported = outcome(driver.end(next.call, refused(Code::TargetRefused)));
+    assert!(matches!(reported, Outcome::NotRun { code: Code::TargetRefused, .. }), "{reported:?}");
 }
 
 #[test]
@@ -153,8 +154,8 @@
         sent = forward(driver.end(sent.call, refused(Code::QueueFull)));
     }
     assert!(sent.terms.patient, "it waits at the last one");
-    let told = outcome(driver.end(sent.call, refused(Code::QueueFull)));
-    assert!(matches!(told, Outcome::NotRun { code: Code::QueueFull, .. }), "{told:?}");
+    let reported = outcome(driver.end(sent.call, refused(Code::QueueFull)));
+    assert!(matches!(reported, Outcome::NotRun { code: Code::QueueFull, .. }), "{reported:?}");
 }
 
 #[test]
@@ -170,8 +171,8 @@
 fn route_of_the_host_alone() {
     let mut driver = Driver::new(1);
     for (host, path) in [("other.example", "/sign/1"), ("", "/sign/1"), ("h.example", "/signs/1")] {
-        let told = outcome(driver.arrive(host, path));
-        assert!(matches!(told, Outcome::NotRun { code: Code::NoRoute, .. }), "{host} {path}");
+        let reported = outcome(driver.arrive(host, path));
+        assert!(matches!(reported, Outcome::NotRun { code: Code::NoRoute, .. }), "{host} {path}");
     }
 }
 
@@ -197,10 +198,10 @@
     // its answer comes too late in any case.
     let mut driver = Driver::new(1);
     driver.sign();
-    driver.next += 1;
+    driver.last_call += 1;
     let arrival = Arrival {
         time_left: Some(Duration::from_millis(3_500)),
-        ..Arrival::new(CallKey(driver.next), "h.example", "/sign/1")
+        ..Arrival::new(CallKey(driver.last_call), "h.example", "/sign/1")
     };
     let sent = forward(driver.input(Input::Arrive(arrival)));
     assert_eq!(sent.terms.objective, START + Duration::from_millis(100));
@@ -213,6 +214,6 @@
     let mut driver = Driver::new(1);
     let sent = forward(driver.arrive("h.example", "/look/1"));
     let next = forward(driver.end(sent.call, AttemptEnd::AnsweringFailure { load: None }));
-    let told = outcome(driver.end(next.call, refused(Code::TargetRefused)));
-    assert!(matches!(told, Outcome::Unknown { code: Code::TargetFailed }), "{told:?}");
+    let reported = outcome(driver.end(next.call, refused(Code::TargetRefused)));
+    assert!(matches!(reported, Outcome::Unknown { code: Code::TargetFailed }), "{reported:?}");
 }
