--- a/core/tests/call_quarantine.rs
+++ b/core/tests/call_quarantine.rs
@@ -16,7 +16,7 @@
 
 const START: Time = Time(1_700_000_000_000_000);
 const VMS: [&str; 4] = ["a", "b", "c", "d"];
-const DEADLY: Fingerprint = Fingerprint(666);
+const CRASHING: Fingerprint = Fingerprint(666);
 
 fn snapshot() -> Arc<Snapshot> {
     let routes = r#"{"idem":{"path_prefix":"/idem","service":"s","idempotent":true}}"#;
@@ -25,14 +25,14 @@
 
 struct Fleet {
     now: Time,
-    next: u64,
+    last_call: u64,
     nodes: Vec<Gatekeeper>,
 }
 
 impl Fleet {
     fn new() -> Fleet {
         let nodes = VMS.iter().map(|vm| Gatekeeper::new(name(vm), START, 1)).collect();
-        let mut fleet = Fleet { now: START, next: 0, nodes };
+        let mut fleet = Fleet { now: START, last_call: 0, nodes };
         (0..VMS.len()).for_each(|at| {
             fleet.handle(at, Input::Configure(snapshot()));
         });
@@ -55,8 +55,8 @@
     }
 
     fn submit(&mut self, at: usize, fingerprint: Fingerprint) -> Result<CallKey, Code> {
-        self.next += 1;
-        let call = CallKey(self.next);
+        self.last_call += 1;
+        let call = CallKey(self.last_call);
         let deadline = self.now + Duration::from_secs(1);
         let (path, key, digest, crashes) = ("/idem", None, None, 0);
         let arrival = Arrival {
@@ -93,17 +93,17 @@
     // not take a third target, and other requests of its route must go on.
     let mut fleet = Fleet::new();
     for at in 0..2 {
-        let call = fleet.submit(at, DEADLY).unwrap();
+        let call = fleet.submit(at, CRASHING).unwrap();
         fleet.end(at, call, End::Broken { target_gone: true });
     }
     for at in 0..4 {
-        assert_eq!(fleet.submit(at, DEADLY), Err(Code::Quarantined));
+        assert_eq!(fleet.submit(at, CRASHING), Err(Code::Quarantined));
     }
     for at in 2..4 {
         assert!(fleet.submit(at, Fingerprint(1)).is_ok());
     }
     fleet.now = fleet.now + SUSPICION_TTL;
-    assert!(fleet.submit(2, DEADLY).is_ok());
+    assert!(fleet.submit(2, CRASHING).is_ok());
 }
 
 #[test]
@@ -113,28 +113,29 @@
     let mut fleet = Fleet::new();
     let bystanders: Vec<Fingerprint> = (0..5).map(Fingerprint).collect();
     for at in 0..2 {
-        let calls: Vec<_> = bystanders.iter().map(|one| fleet.submit(at, *one).unwrap()).collect();
-        let deadly = fleet.submit(at, DEADLY).unwrap();
-        fleet.end(at, deadly, End::Broken { target_gone: true });
+        let calls: Vec<_> =
+            bystanders.iter().map(|bystander| fleet.submit(at, *bystander).unwrap()).collect();
+        let crashing = fleet.submit(at, CRASHING).unwrap();
+        fleet.end(at, crashing, End::Broken { target_gone: true });
         calls.into_iter().for_each(|call| fleet.end(at, call, End::Broken { target_gone: true }));
-        for one in &bystanders {
-            let call = fleet.submit(3, *one).unwrap();
+        for bystander in &bystanders {
+            let call = fleet.submit(3, *bystander).unwrap();
             fleet.end(3, call, End::Answered { cached: None });
         }
     }
-    assert_eq!(fleet.submit(2, DEADLY), Err(Code::Quarantined));
-    assert!(bystanders.iter().all(|one| fleet.submit(2, *one).is_ok()));
+    assert_eq!(fleet.submit(2, CRASHING), Err(Code::Quarantined));
+    assert!(bystanders.iter().all(|bystander| fleet.submit(2, *bystander).is_ok()));
 }
 
 #[test]
 fn quarantine_one_crash_counts_once() {
     // The requests that a target ran break one after the other; that is one crash.
     let mut fleet = Fleet::new();
-    let calls: Vec<_> = (0..5).map(|_| fleet.submit(0, DEADLY).unwrap()).collect();
+    let calls: Vec<_> = (0..5).map(|_| fleet.submit(0, CRASHING).unwrap()).collect();
     for call in calls {
         fleet.handle(0, Input::End { call, end: End::Broken { target_gone: true } });
     }
-    assert!(fleet.submit(1, DEADLY).is_ok());
+    assert!(fleet.submit(1, CRASHING).is_ok());
 }
 
 #[test]
@@ -144,7 +145,7 @@
     let mut fleet = Fleet::new();
     let mut recorded = Vec::new();
     for at in 0..2 {
-        let call = fleet.submit(at, DEADLY).unwrap();
+        let call = fleet.submit(at, CRASHING).unwrap();
         let end = End::Broken { target_gone: true };
         let out = fleet.handle(at, Input::End { call, end });
         let is_record = |output: &&Output| matches!(output, Output::Record(EventKind::Quarantined));
