--- a/core/tests/call_quarantine_late.rs
+++ b/core/tests/call_quarantine_late.rs
@@ -18,9 +18,9 @@
     // and takes a third target down. Found by history_process, seed 29.
     let routes = r#"{"i":{"path_prefix":"/i","service":"s","idempotent":true}}"#;
     let snapshot = support::snapshot(1, &["a"], "{}", routes);
-    let mut gate = Gatekeeper::new(name("a"), START, 1);
+    let mut gatekeeper = Gatekeeper::new(name("a"), START, 1);
     let mut out = Vec::new();
-    gate.handle(START, Input::Configure(snapshot), &mut out);
+    gatekeeper.handle(START, Input::Configure(snapshot), &mut out);
     let call = CallKey(1);
     let arrival = Arrival {
         host: "",
@@ -34,12 +34,12 @@
         depth: 0,
         deadline: Time(START.0 + 1_000_000),
     };
-    gate.handle(START, Input::Arrive(arrival), &mut out);
+    gatekeeper.handle(START, Input::Arrive(arrival), &mut out);
     let end = End::Broken { target_gone: true };
-    gate.handle(START, Input::End { call, end }, &mut out);
-    let told = out.iter().find_map(|output| match output {
+    gatekeeper.handle(START, Input::End { call, end }, &mut out);
+    let reported = out.iter().find_map(|output| match output {
         Output::Refuse { crashes, .. } => Some(*crashes as usize),
         _ => None,
     });
-    assert_eq!(told, Some(MAX_CRASHES));
+    assert_eq!(reported, Some(MAX_CRASHES));
 }
