--- a/core/tests/call_admit.rs
+++ b/core/tests/call_admit.rs
@@ -1,4 +1,4 @@
-//! Admission: slots exactly, a bounded queue, order by class, early refusals.
+//! Tests of admission control: slot accounting, the bounded queue, order by class, early rejection.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -37,9 +37,8 @@
 
 #[test]
 fn slots_nested_first() {
-    // Story: nine services deep, each call holds a slot while it waits for the next. After a
-    // short stall new calls take every slot that comes free, the nested ones wait behind them,
-    // nothing ends in time, and callers ask again for as long as they live.
+    // Nested calls run before new ones. Otherwise new calls take every slot that becomes free while
+    // the requests that hold slots wait for their nested calls, and nothing completes.
     let mut slots = Slots::new(limits(1, 10));
     assert_eq!(offer(&mut slots, 0, Class::Interactive), Admission::Run);
     for (call, depth) in [(1, 0), (2, 1), (3, 0), (4, 8), (5, 1)] {
@@ -54,7 +53,7 @@
     assert_eq!(order, [4, 2, 5, 1, 3].map(|call| Some(Popped::Run(CallKey(call)))));
 }
 
-/// How many of these requests, nested so deep, run at once.
+/// Number of these requests, at the given depth, that are admitted at once.
 fn admitted_at_depth(slots: &mut Slots, depth: u8, calls: std::ops::Range<u64>) -> usize {
     let runs = |call: &u64| offer_nested(slots, *call, Class::Interactive, depth) == Admission::Run;
     calls.filter(runs).count()
@@ -62,8 +61,8 @@
 
 #[test]
 fn slots_kept_for_nested() {
-    // Story: callers' requests take every slot of a service, and each waits for a nested request
-    // to the same service. None can end before its deadline.
+    // Top-level requests must not take every slot of a service that their own nested calls need, or
+    // none completes before its deadline.
     let mut slots = Slots::new(limits(12, 100));
     for call in 0..200 {
         offer_nested(&mut slots, call, Class::Interactive, if call % 8 < 4 { 0 } else { 4 });
@@ -77,9 +76,7 @@
 
 #[test]
 fn slots_not_kept_for_deeper_than_come() {
-    // Story: lookups of one service call another, which calls nobody. Kept free for calls that
-    // never come, one of its slots stood empty while nested calls waited and missed their
-    // deadlines, and the lookups that held slots for them failed.
+    // Slots must not be reserved for calls nested more deeply than any that arrive.
     let mut slots = Slots::new(limits(12, 100));
     for call in 0..200 {
         offer_nested(&mut slots, call, Class::Interactive, (call % 2) as u8);
@@ -98,8 +95,7 @@
 
 #[test]
 fn slots_gating_first() {
-    // Story: a target is busy with ledgers and lookups wait behind them, although a sign-up waits
-    // for each lookup. Gating work goes first.
+    // Gating requests run first, because other requests wait for them.
     let mut slots = Slots::new(limits(1, 10));
     assert_eq!(offer(&mut slots, 0, Class::Bulk), Admission::Run);
     for (call, class) in [(1, Class::Bulk), (2, Class::Interactive), (3, Class::Gating)] {
@@ -125,8 +121,7 @@
 
 #[test]
 fn slots_bulk_not_starved() {
-    // Story: lookups come without pause, and a route map that must arrive before dawn waits for
-    // ever behind them.
+    // Steady gating traffic must not starve bulk requests.
     let mut slots = Slots::new(limits(1, 100));
     offer(&mut slots, 0, Class::Gating);
     offer(&mut slots, 1, Class::Bulk);
@@ -145,8 +140,7 @@
 
 #[test]
 fn slots_expired_not_run() {
-    // Story: the process is paused for longer than callers wait. Work whose caller has given up
-    // must not run when it wakes.
+    // Requests that expired while the process was suspended must not run when it resumes.
     let mut slots = Slots::new(limits(1, 10));
     offer(&mut slots, 0, Class::Interactive);
     offer(&mut slots, 1, Class::Interactive);
@@ -158,7 +152,8 @@
 
 #[test]
 fn slots_refused_early() {
-    // A request that could not end in time is refused at once, with the time to come back.
+    // A request that cannot complete in time is rejected at once, with the time after which to
+    // retry.
     let mut slots = Slots::new(limits(1, 100));
     for call in 0..8 {
         let class = Class::Interactive;
@@ -195,8 +190,7 @@
 
 #[test]
 fn slots_cold() {
-    // Story: a target has just started and is slow at first; given its full share it would
-    // collapse before it is warm.
+    // A target that has just started gets only a share of its slots until it has warmed up.
     let mut slots = Slots::new(limits(12, 0));
     slots.start_warm_up(START);
     assert_eq!(slots.load(START).slots, 3);
@@ -204,17 +198,17 @@
     assert_eq!(slots.load(after(5_000)).slots, 12);
 }
 
-/// An obviously right version: one list of everything, looked through each time.
+/// Reference model: one list of all requests, searched linearly.
 #[derive(Default)]
 struct Naive {
     waiting: Vec<(Offer, Time)>,
     running: Vec<Offer>,
     dispatches_since_bulk: u32,
-    // Share of arrivals that are deeper than the index.
+    // Share of arrivals nested more deeply than the index, in 1/1024.
     deeper: [u32; 4],
 }
 
-/// A request nested in another waits with those that others wait for.
+/// A nested interactive request waits in the gating queue.
 fn queue_class(offer: &Offer) -> Class {
     match offer.class {
         Class::Interactive if offer.depth > 0 => Class::Gating,
@@ -242,7 +236,7 @@
         slots_left > reserved && (offer.class != Class::Bulk || (bulk as u32) < max_bulk)
     }
 
-    /// The place in the list of the next of a class: the deepest, of these the oldest.
+    /// Index of the next request of a class: the oldest of the most deeply nested.
     fn next(&self, class: Class) -> Option<usize> {
         let of_class = |at: &usize| queue_class(&self.waiting[*at].0) == class;
         let deepest = (0..self.waiting.len()).filter(of_class).map(|at| self.waiting[at].0.depth);
@@ -250,7 +244,7 @@
         (0..self.waiting.len()).filter(of_class).find(|at| self.waiting[*at].0.depth == deepest)
     }
 
-    /// Whether a request must wait for one that waits already.
+    /// Whether a queued request must run before this one.
     fn blocked(&self, offer: &Offer) -> bool {
         let precedes = |(other, _): &(Offer, Time)| {
             queue_class(other) < queue_class(offer)
@@ -259,7 +253,7 @@
         if offer.depth == 0 { !self.waiting.is_empty() } else { self.waiting.iter().any(precedes) }
     }
 
-    /// The late ones in order of class, depth and age.
+    /// Removes the first expired request by class, depth and age.
     fn expired(&mut self, now: Time) -> Option<CallKey> {
         let late = (0..self.waiting.len()).filter(|at| self.waiting[*at].1 <= now);
         let rank = |at: &usize| {
@@ -318,7 +312,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The same random sequence through the real decision and the naive one.
+    /// Compares the implementation with the reference model on random sequences.
     #[test]
     fn slots_like_naive(
         slots in 1u32..10,
@@ -348,7 +342,8 @@
                             naive.waiting.push((offer, until));
                         }
                         Admission::Refuse(code, _) => {
-                            // Early refusals depend on the mean run time; a full queue must refuse.
+                            // Early rejection depends on the mean run time, which the model lacks;
+                            // only the code is checked.
                             prop_assert_eq!(code, Code::QueueFull);
                             prop_assert!(!may_run);
                         }
