--- a/core/tests/call_homes.rs
+++ b/core/tests/call_homes.rs
@@ -1,5 +1,5 @@
-//! Homes of keys: a request that may run only once runs once, whatever versions, restarts and
-//! lost notes do.
+//! Tests of the homes of keys: a request that must run at most once does so despite version
+//! changes, restarts and lost notes.
 
 #[path = "support/homes.rs"]
 mod support;
@@ -35,9 +35,8 @@
 
 #[test]
 fn homes_move() {
-    // Story: a version moves a key's home. The caller signed at the old home and lost the answer;
-    // it asks again, and the call goes to the new home. It must not run there a second time, nor
-    // be told that it did not run.
+    // A request repeated at the new home of its key must neither run again nor be reported as not
+    // run.
     let mut fleet = Fleet::new(&["a", "b", "c"]);
     fleet.settle();
     fleet.publish(vec!["a", "b", "c", "d"]);
@@ -55,9 +54,8 @@
 
 #[test]
 fn homes_old_home_cut_off() {
-    // Story: a version moves homes while one zone is cut off. The old home there stays on the old
-    // version and goes on running its keys. Were the new home not to wait, a signing sent into
-    // both parts would run in both.
+    // The old home is partitioned and still runs its keys under the old version, so the new home
+    // must wait for it to release them.
     let mut fleet = Fleet::new(&["a", "b", "c"]);
     fleet.settle();
     fleet.publish(vec!["a", "b", "c", "d"]);
@@ -67,7 +65,8 @@
     fleet.settle();
     assert_eq!(code(fleet.submit(new, key)), Some(Code::HomeMoving));
     assert_eq!(fleet.submit(old, key), Some(Outcome::Answered));
-    // The platform lists the old home's VM as gone: it runs nothing more, and what it ran is lost.
+    // The platform now lists the old home's VM as gone: it runs nothing more, and its records are
+    // lost.
     fleet.mark_gone(old);
     fleet.update_members(new);
     fleet.advance(100);
@@ -82,8 +81,7 @@
 
 #[test]
 fn homes_restart() {
-    // Story: a gatekeeper dies after it ran a signing and starts again without its table. The
-    // caller asks again.
+    // A restarted gatekeeper has lost its idempotency table and must not run a key again.
     let mut fleet = Fleet::new(&["a", "b", "c"]);
     fleet.settle();
     let key = key_at(fleet.now, 1);
@@ -100,15 +98,15 @@
 
 #[test]
 fn homes_chain_skipped() {
-    // Story: versions come fast. The key's home goes from one VM over a second to a third, which
-    // never saw the version between. The second still runs the key.
+    // The last home of a key skips the version under which another VM was its home. That VM may
+    // still run the key.
     let mut fleet = Fleet::new(&["a", "b"]);
     fleet.settle();
     fleet.publish(vec!["a", "b", "c"]);
     fleet.publish(vec!["a", "b", "c", "d"]);
     let wanted = |fleet: &Fleet, key| (fleet.home(2, key), fleet.home(3, key)) == (2, 3);
     let key = (0..).map(|low| key_at(fleet.now, low)).find(|key| wanted(&fleet, *key)).unwrap();
-    // Those two, and the home before them, take the version between up; the last home skips it.
+    // The first three VMs apply the version in between; the last home skips it.
     (0..3).for_each(|index| fleet.adopt(index, 2));
     fleet.settle();
     fleet.adopt(3, 3);
@@ -127,9 +125,9 @@
 
 #[test]
 fn homes_skipped_between() {
-    // Story: the home of a key is `a`, then `d`, then `e`. `d` skips the version that makes it the
-    // home and so never gets the key, which `a`, cut off, still runs. `e` must not take `d`'s word
-    // for the key. (Found by `homes_history`; the key ran at both.)
+    // The home of a key is `a`, then `d`, then `e`. `d` skips the version that makes it the home
+    // and never receives the key, which the partitioned `a` still runs. `e` must not rely on the
+    // release by `d`.
     let mut fleet = Fleet::new(&["a", "b", "c"]);
     fleet.settle();
     fleet.publish(vec!["c", "d"]);
@@ -147,8 +145,8 @@
 
 #[test]
 fn homes_replaced_whole() {
-    // Story: a version replaces all targets of a service by a VM that was none. The old homes are
-    // cut off and go on. (Found by `homes_history`; the new one waited for nobody.)
+    // A version replaces all targets of a service by a new VM. The old homes are partitioned and
+    // still run their keys, so the new home must wait for them.
     let mut fleet = Fleet::new(&["a", "b"]);
     fleet.settle();
     fleet.publish(vec!["d"]);
@@ -162,8 +160,8 @@
 
 #[test]
 fn homes_leave() {
-    // Story: a VM is stopped as planned. Its keys go to the next home in order at once, so that
-    // signings with them are taken; one that ran before is not run again. Then the VM comes back.
+    // After a planned shutdown the next home in rendezvous order runs new keys at once but does not
+    // repeat any that ran. The keys return when the VM comes back.
     let mut fleet = Fleet::new(&["a", "b", "c"]);
     fleet.settle();
     let with_home = |fleet: &Fleet, home| {
@@ -193,8 +191,8 @@
 
 #[test]
 fn homes_pause() {
-    // Story: a gatekeeper is paused for longer than any view stays fresh, and its VM is given up
-    // for gone. It wakes and must not run a signing before its version is confirmed.
+    // A gatekeeper resumes after its VM was considered gone. It must not run a request before its
+    // version is confirmed.
     let mut fleet = Fleet::new(&["a"]);
     fleet.settle();
     fleet.now = fleet.now + Duration::from_secs(30);
@@ -206,8 +204,8 @@
 
 #[test]
 fn homes_answer_of_earlier_list() {
-    // Story: an answer to a question under one list arrives after the asker took up another. It
-    // says nothing about who holds what under the new one, and its sender goes on under the old.
+    // A response requested under an earlier list must be ignored: its sender may still run keys
+    // under that list.
     let mut fleet = Fleet::new(&["a", "b", "c"]);
     fleet.settle();
     fleet.publish(vec!["a", "b"]);
@@ -234,8 +232,8 @@
 
 #[test]
 fn homes_answer_of_earlier_process() {
-    // Story: a gatekeeper leaves and says so to one that asks; the answer is late. Meanwhile it
-    // has started again and has its keys back. The late answer must not make the other their home.
+    // A gatekeeper announces that it is leaving, then restarts and gets its keys back. A delayed
+    // response from its earlier process must not make another gatekeeper their home.
     let mut fleet = Fleet::new(&["a", "b"]);
     fleet.settle();
     fleet.restart(1);
@@ -338,8 +336,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random versions (some skipped), lost, late and repeated notes, restarts and VMs that are
-    /// gone: no key runs twice.
+    /// No key runs twice under random version changes (some skipped), lost, delayed and duplicated
+    /// notes, restarts and VMs that are gone.
     #[test]
     fn homes_history(steps in prop::collection::vec(step(), 1..150)) {
         run(&steps).assert_at_most_one_run();
