--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -1,4 +1,4 @@
-//! A few gatekeepers in one thread, with versions, notes and restarts between them.
+//! Simulated gatekeepers in one thread, with versions, notes and restarts.
 
 #[path = "snapshot.rs"]
 mod snapshots;
@@ -29,7 +29,7 @@
     RequestKey { high: minted.as_millis() << 16 | 7 << 12, low: low | 2 << 62 }
 }
 
-/// A few gatekeepers in one thread with notes between them that may be lost, late or repeated.
+/// Simulated gatekeepers whose notes may be lost, delayed or duplicated.
 pub struct Fleet {
     pub now: Time,
     pub versions: Vec<Vec<&'static str>>,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Lets time pass until nothing is left to say.
+    /// Advances the clock by 4 s and delivers all notes.
     pub fn settle(&mut self) {
         for _ in 0..40 {
             self.advance(100);
@@ -160,7 +160,7 @@
         outcome
     }
 
-    /// Ends the process on a VM and starts another there, which holds nothing but the version.
+    /// Restarts the process on a VM. Only the configuration version survives.
     pub fn restart(&mut self, index: usize) {
         let gatekeeper = Gatekeeper::new(name(VMS[index]), self.now, index as u64);
         let node = &mut self.nodes[index];
@@ -170,8 +170,8 @@
         self.adopt(index, version);
     }
 
-    /// What isn't promised (docs/design/calls.md): a home that restarts while a removed target
-    /// lives on behind it, cut off on an older version.
+    /// Whether a restart is covered by the guarantee. docs/design/calls.md excludes a home that
+    /// restarts while a removed target is still running, partitioned, on an older version.
     pub fn may_restart(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         let listed = &self.versions[node.version as usize - 1];
@@ -186,7 +186,7 @@
         self.members.insert(name(VMS[index]), VmState::Gone);
     }
 
-    /// Starts the planned stop of a VM, which the list shows as leaving.
+    /// Starts the planned shutdown of a VM; the member list then shows it as leaving.
     pub fn leave(&mut self, index: usize) {
         if self.nodes[index].alive {
             self.members.insert(name(VMS[index]), VmState::Leaving);
@@ -206,7 +206,7 @@
         VMS.iter().position(|vm| *vm == home.as_str()).unwrap()
     }
 
-    /// A key minted now whose home moves from one VM to another between two versions.
+    /// A key created now whose home differs between the two versions.
     pub fn moving_key(&self, from: u64, to: u64) -> RequestKey {
         (0..10_000)
             .map(|low| key_at(self.now, low))
