--- a/core/tests/call_admit.rs
+++ b/core/tests/call_admit.rs
@@ -135,7 +135,7 @@
             other => panic!("{other:?}"),
         }
     }
-    panic!("the bulk request never ran");
+    panic!("the bulk request was starved by gating requests");
 }
 
 #[test]
