--- a/core/tests/call_once_by_attempt.rs
+++ b/core/tests/call_once_by_attempt.rs
@@ -1,4 +1,5 @@
-//! Requests that run at most once and carry no key, split routes, and what an entry node tells.
+//! Tests of unkeyed requests that run at most once, of split routes, and of the terms that an entry
+//! node sends.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -15,7 +16,7 @@
 
 const START: Time = Time(1_700_000_000_000_000);
 
-/// Two services; every target names its run.
+/// Two services whose targets have incarnations.
 fn snapshot() -> Arc<Snapshot> {
     let service = |vms: &[&str]| {
         let mut targets = support::targets(vms);
@@ -99,8 +100,7 @@
 
 #[test]
 fn once_never_again_after_it_may_have_run() {
-    // Story: a target runs a signing, and the answer is lost. Sent again it would land twice, and
-    // a grower is billed for the same bark a second time.
+    // A request must not be retried once a target may have run it.
     let ends = [
         AttemptEnd::Lost,
         AttemptEnd::Failed { code: Code::TargetFailed, crashes: 0 },
@@ -112,7 +112,7 @@
         let reported = outcome(driver.end(sent.call, end.clone()));
         assert!(matches!(reported, Outcome::Unknown { .. }), "{end:?}: {reported:?}");
     }
-    // A target's own failure is its answer.
+    // A failure reported by the target itself is a response.
     let mut driver = Driver::new(1);
     let sent = driver.sign();
     assert_eq!(driver.end(sent.call, AttemptEnd::AnsweringFailure { load: None }), None);
@@ -125,7 +125,7 @@
         let sent = driver.sign();
         let next = forward(driver.end(sent.call, refused(code)));
         assert_ne!(next.vm, sent.vm, "{code:?}");
-        // Once it may have run, a later refusal does not make it one that has not.
+        // Once the request may have run, a later rejection does not prove that it has not.
         let reported = outcome(driver.end(next.call, AttemptEnd::Lost));
         assert!(matches!(reported, Outcome::Unknown { .. }), "{reported:?}");
     }
@@ -133,7 +133,7 @@
 
 #[test]
 fn once_attempts_count_targets_alone() {
-    // Refusals of gatekeepers cost no target any work; two refusals of targets use the attempts up.
+    // Rejections by gatekeepers do not count as attempts; rejections by targets do.
     let mut driver = Driver::new(1);
     let sent = driver.sign();
     let next = forward(driver.end(sent.call, refused(Code::QueueFull)));
@@ -144,16 +144,15 @@
 
 #[test]
 fn waits_where_no_target_is_in_time() {
-    // Story: every target of a service is full. A request that is refused by all of them at once
-    // is turned away, although its caller would wait for seconds. Of the two further gatekeepers
-    // that its route allows, it waits at the second.
+    // If every target is full, the request waits at the last gatekeeper that its route allows
+    // instead of being rejected by all of them.
     let mut driver = Driver::new(1);
     let mut sent = driver.sign();
     for _ in 0..2 {
         assert!(!sent.terms.patient);
         sent = forward(driver.end(sent.call, refused(Code::QueueFull)));
     }
-    assert!(sent.terms.patient, "it waits at the last one");
+    assert!(sent.terms.patient, "the last gatekeeper must queue the request");
     let reported = outcome(driver.end(sent.call, refused(Code::QueueFull)));
     assert!(matches!(reported, Outcome::NotRun { code: Code::QueueFull, .. }), "{reported:?}");
 }
@@ -178,8 +177,8 @@
 
 #[test]
 fn split_shares_over_few_requests_a_node() {
-    // Story: a tenth of the requests is to go to another service, and forty nodes see five requests
-    // each. Nodes that all begin with the larger part send it everything.
+    // Weights must hold across nodes that see few requests each: nodes that all start with the
+    // larger part would never reach the smaller one.
     let mut shares: BTreeMap<Name, u32> = BTreeMap::new();
     for seed in 0..40 {
         let mut driver = Driver::new(seed);
@@ -189,13 +188,15 @@
         }
     }
     let smaller = shares.get(&name("t")).copied().unwrap_or(0);
-    assert!((10..=30).contains(&smaller), "{smaller} of 200");
+    assert!(
+        (10..=30).contains(&smaller),
+        "{smaller} of 200 requests were sent to the smaller part"
+    );
 }
 
 #[test]
 fn caller_that_asks_again_has_waited() {
-    // Story: a caller is turned away, comes back, and looks new: it is put before others although
-    // its answer comes too late in any case.
+    // Time that the caller has already waited counts against the objective of a retry.
     let mut driver = Driver::new(1);
     driver.sign();
     driver.last_call += 1;
@@ -209,8 +210,8 @@
 
 #[test]
 fn failure_that_was_tried_again_is_not_called_not_run() {
-    // Story: a target runs a lookup and answers with a failure. It is sent again, every other
-    // target refuses, and the caller is told that its request has not run, though it has.
+    // A request that a target ran and failed must not be reported as not run after other targets
+    // reject the retry.
     let mut driver = Driver::new(1);
     let sent = forward(driver.arrive("h.example", "/look/1"));
     let next = forward(driver.end(sent.call, AttemptEnd::AnsweringFailure { load: None }));
