--- a/core/tests/call_quarantine.rs
+++ b/core/tests/call_quarantine.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each target that runs it, and those that ran beside it.
+//! Tests of the quarantine: requests that crash targets, and requests that ran at the same time.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -39,7 +39,7 @@
         fleet
     }
 
-    /// Handles an input and delivers what the gatekeepers tell each other.
+    /// Handles an input and delivers the resulting notes.
     fn handle(&mut self, at: usize, input: Input<'_>) -> Vec<Output> {
         let mut out = Vec::new();
         self.nodes[at].handle(self.now, input, &mut out);
@@ -78,7 +78,7 @@
                 _ => {}
             }
         }
-        panic!("neither run nor refused");
+        panic!("the request was neither run nor rejected");
     }
 
     fn end(&mut self, at: usize, call: CallKey, end: End) {
@@ -89,8 +89,7 @@
 
 #[test]
 fn quarantine_third_target() {
-    // Story: a request crashes each target that runs it, and its caller sends it again. It must
-    // not take a third target, and other requests of its route must go on.
+    // A request that crashed two targets must not reach a third; other requests of its route must.
     let mut fleet = Fleet::new();
     for at in 0..2 {
         let call = fleet.submit(at, CRASHING).unwrap();
@@ -108,8 +107,8 @@
 
 #[test]
 fn quarantine_bystanders() {
-    // Story: requests ran beside the one that crashed a target. They are answered elsewhere, and
-    // the next crash must not hold them off.
+    // Requests that ran during a crash and are answered elsewhere must not be quarantined by the
+    // next crash.
     let mut fleet = Fleet::new();
     let bystanders: Vec<Fingerprint> = (0..5).map(Fingerprint).collect();
     for at in 0..2 {
@@ -129,7 +128,7 @@
 
 #[test]
 fn quarantine_one_crash_counts_once() {
-    // The requests that a target ran break one after the other; that is one crash.
+    // The requests of a crashed target fail one after another but count as one crash.
     let mut fleet = Fleet::new();
     let calls: Vec<_> = (0..5).map(|_| fleet.submit(0, CRASHING).unwrap()).collect();
     for call in calls {
@@ -140,8 +139,8 @@
 
 #[test]
 fn quarantine_recorded() {
-    // Story: a request is held off, its caller complains, and the operator finds nothing in the
-    // time line. Every gatekeeper that begins to hold it off records that once.
+    // Each gatekeeper records an event once when it quarantines a request, so that operators can
+    // see it.
     let mut fleet = Fleet::new();
     let mut recorded = Vec::new();
     for at in 0..2 {
