--- a/core/tests/call_quarantine_late.rs
+++ b/core/tests/call_quarantine_late.rs
@@ -1,4 +1,4 @@
-//! A request of death that is faster than what gatekeepers tell each other.
+//! Test of a crashing request that reaches the next target before the note of the first crash does.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -10,12 +10,11 @@
 use sycamore_core::call::{CallKey, Fingerprint, Gatekeeper};
 
 const START: Time = Time(1_700_000_000_000_000);
+
 #[test]
 fn crashes_of_one_call_add_up() {
-    // Story: a request crashes the first target, and its entry node sends it to a second within
-    // two milliseconds, before the note of the first crash is there. The second target crashes
-    // too. If its gatekeeper counts only what it has heard, the entry node is told of one crash,
-    // and takes a third target down. Found by history_process, seed 29.
+    // The reported number of crashes must include those reported by the entry node, or the request
+    // would be sent to a third target.
     let routes = r#"{"i":{"path_prefix":"/i","service":"s","idempotent":true}}"#;
     let snapshot = support::snapshot(1, &["a"], "{}", routes);
     let mut gatekeeper = Gatekeeper::new(name("a"), START, 1);
