--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -216,7 +216,11 @@
 
     pub fn assert_at_most_one_run(&self) {
         for (key, runs) in &self.runs {
-            assert!(runs.len() <= 1, "{key:?} ran {runs:?}, versions {:?}", self.versions);
+            assert!(
+                runs.len() <= 1,
+                "{key:?} ran more than once: {runs:?}, versions {:?}",
+                self.versions
+            );
         }
     }
 }
