--- a/core/tests/call_once.rs
+++ b/core/tests/call_once.rs
@@ -11,9 +11,9 @@
 
 const START: Time = Time(1_700_000_000_000_000);
 
-fn key(minted_ms: u64, low: u64) -> RequestKey {
-    let minted = START + Duration::from_millis(minted_ms);
-    RequestKey { high: minted.as_millis() << 16 | 7 << 12, low: low | 2 << 62 }
+fn key(created_ms: u64, low: u64) -> RequestKey {
+    let created = START + Duration::from_millis(created_ms);
+    RequestKey { high: created.as_millis() << 16 | 7 << 12, low: low | 2 << 62 }
 }
 
 fn response(size: usize) -> Arc<CachedResponse> {
--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -25,8 +25,8 @@
     snapshots::snapshot(version, vms, "{}", routes)
 }
 
-pub fn key_at(minted: Time, low: u64) -> RequestKey {
-    RequestKey { high: minted.as_millis() << 16 | 7 << 12, low: low | 2 << 62 }
+pub fn key_at(created: Time, low: u64) -> RequestKey {
+    RequestKey { high: created.as_millis() << 16 | 7 << 12, low: low | 2 << 62 }
 }
 
 /// Simulated gatekeepers whose notes may be lost, delayed or duplicated.
