--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -10,7 +10,7 @@
 //! [`Pace::lapse`] reads the store itself, whatever the reason. Each message names the whole of
 //! what the reader holds by a digest; a follower that holds anything else asks for the difference.
 
-use super::announce::{Announcements, position};
+use super::announce::{Announcements, region_rank};
 use super::pace::Pace;
 use super::port::{Config, Publication};
 use super::view::{View, difference};
@@ -228,7 +228,7 @@
             }
             _ => {
                 self.rival = Some((from, now));
-                self.announcements.answer(now, from, link);
+                self.announcements.queue_reply(now, from, link);
                 false
             }
         }
@@ -248,10 +248,10 @@
             self.announcements.stop();
             return Vec::new();
         }
-        let delay = self.pace.announcement_delay(position(cfg, view));
+        let delay = self.pace.announcement_delay(region_rank(cfg, view));
         let others = self
             .announcements
-            .round(now, delay, cfg, view, |address| self.followers.contains_key(&address));
+            .next_round(now, delay, cfg, view, |address| self.followers.contains_key(&address));
         if !others.is_empty() {
             self.expected_until = now + EXPECT_FOLLOWERS;
             self.told.get_or_insert_with(|| view.clone());
