--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -92,7 +92,7 @@
 impl Discovery {
     /// A node that has not started. `seed` feeds its random choices.
     pub fn new(cfg: Config, seed: u64) -> Discovery {
-        let pace = Pace::within(cfg.change_bound);
+        let pace = Pace::for_bound(cfg.change_bound);
         let relay = Relay::new(pace);
         let role = if relay.may_read(&cfg) { Role::MayRead } else { Role::Follows };
         Discovery {
--- a/core/src/discovery/follow.rs
+++ b/core/src/discovery/follow.rs
@@ -198,7 +198,7 @@
         let mut request = request.clone();
         let settling = self.failed_at.is_some_and(|failed| now.since(failed) < SETTLING);
         if let Request::Watch { wait, .. } = &mut request {
-            let longest = if self.for_others { self.pace.wait } else { WATCH_WAIT };
+            let longest = if self.for_others { self.pace.max_watch_wait } else { WATCH_WAIT };
             *wait = if settling { longest.min(SETTLING_WAIT) } else { longest };
         }
         self.next_id += 1;
@@ -244,7 +244,7 @@
         self.failures = 0;
         let quick = now.since(self.watch_since) < EMPTY_PAUSE;
         let pause = match reply.changes.is_empty() {
-            false if self.for_others => self.pace.pause,
+            false if self.for_others => self.pace.batch_delay,
             false => PAUSE,
             true if quick => EMPTY_PAUSE,
             true => Duration::ZERO,
--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -7,7 +7,7 @@
 //! follows nobody follows the first that it hears of.
 //!
 //! A reader speaks only when the store has answered it, so a follower that has heard nothing for
-//! [`Pace::lapse`] reads the store itself, whatever the reason. Each message names the whole of
+//! [`Pace::reader_timeout`] reads the store itself, whatever the reason. Each message names the whole of
 //! what the reader holds by a digest; a follower that holds anything else asks for the difference.
 
 use super::announce::{Announcements, region_rank};
@@ -175,14 +175,14 @@
     /// When [`Relay::renew`], [`Relay::announce`] or [`Relay::lapses`] has something to do.
     pub fn wake_at(&self) -> Option<Time> {
         match &self.reader {
-            Some(reader) => Some(reader.renew_at.min(reader.heard + self.pace.lapse)),
+            Some(reader) => Some(reader.renew_at.min(reader.heard + self.pace.reader_timeout)),
             None => self.announcements.wake_at(),
         }
     }
 
     /// Whether the reader has been silent for too long.
     pub fn lapses(&self, now: Time) -> bool {
-        self.reader.as_ref().is_some_and(|reader| now >= reader.heard + self.pace.lapse)
+        self.reader.as_ref().is_some_and(|reader| now >= reader.heard + self.pace.reader_timeout)
     }
 
     /// Whether a message comes from the node that is followed or asked.
@@ -394,13 +394,13 @@
     }
 
     fn is_fresh(&self, now: Time) -> bool {
-        self.store_age(now).is_some_and(|age| age < self.pace.lapse)
+        self.store_age(now).is_some_and(|age| age < self.pace.reader_timeout)
     }
 
     /// How long ago the store answered the sender, if that is recent enough to rely on.
     fn age(&self, summary: &Summary) -> Option<Duration> {
         let age = Duration::from_millis(summary.store_age_ms?.into());
-        Some(age).filter(|age| *age < self.pace.lapse)
+        Some(age).filter(|age| *age < self.pace.reader_timeout)
     }
 
     /// Bytes of the resources of one difference that all followers may be sent at once.
--- a/core/tests/discovery_relay.rs
+++ b/core/tests/discovery_relay.rs
@@ -296,7 +296,7 @@
             fleet.store.changes.push(version(newest, 5 + next(20) as usize));
             let target = next(NODES as u64) as usize;
             fleet.store.changes.push(entry(target, TargetState::Draining, 2));
-            fleet.pass(BOUND + Pace::within(BOUND).lapse * next(2) as u32);
+            fleet.pass(BOUND + Pace::for_bound(BOUND).reader_timeout * next(2) as u32);
             // A node that has just reached the store again may still wait for a time-out.
             if !behind(&fleet).is_empty() {
                 fleet.pass(ms(4_000));
