--- a/core/src/discovery/nested.rs
+++ b/core/src/discovery/nested.rs
@@ -9,7 +9,7 @@
 ///
 /// A route is for nested calls if its requests must be over before an answer to a request that
 /// runs only once is worth less: whoever waits so shortly has another caller waiting behind it.
-pub fn mark(preset: &mut Preset) {
+pub fn mark_gating_routes(preset: &mut Preset) {
     let once = preset.routes.values().filter(|route| !route.idempotent);
     let Some(shortest) = once.map(|route| route.objective_ms).min() else {
         return;
--- a/core/src/discovery/port.rs
+++ b/core/src/discovery/port.rs
@@ -145,7 +145,7 @@
 impl Publication {
     /// A version with these services and routes; the routes of nested calls are marked.
     pub fn new(version: u64, mut preset: Preset) -> Publication {
-        nested::mark(&mut preset);
+        nested::mark_gating_routes(&mut preset);
         Publication { version, preset }
     }
 }
