--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -49,7 +49,7 @@
         let link = self.cfg.place.link_to(&from.place);
         let msg = match &pull.base {
             None => {
-                self.offers.given_to(from.address);
+                self.offers.on_state_sent(from.address);
                 self.whole_for(pull)
             }
             Some(base) => {
@@ -83,8 +83,8 @@
             return;
         };
         let silent = self.store_answers == Some(false) && !self.relay.is_follower();
-        self.offers.set_wide(silent || !self.follow.has_listed());
-        for (to, link) in self.offers.round(now, &self.cfg, &held, &mut self.rng) {
+        self.offers.set_random_offers(silent || !self.follow.has_listed());
+        for (to, link) in self.offers.next_round(now, &self.cfg, &held, &mut self.rng) {
             let msg = PeerMsg::Notice(Box::new(held.summary(None)));
             out.push(Output::Send { to, link, msg });
         }
@@ -101,8 +101,8 @@
         let known = self.published.as_ref().map_or(0, |held| held.version);
         let same = self.held.as_ref().is_some_and(|held| held.digest == summary.whole);
         let ask = match summary.in_force.version.cmp(&known) {
-            Ordering::Greater => self.offers.may_ask(now, summary.whole),
-            Ordering::Equal => !same && self.offers.may_merge(now, summary.whole),
+            Ordering::Greater => self.offers.may_pull(now, summary.whole),
+            Ordering::Equal => !same && self.offers.may_pull_same_version(now, summary.whole),
             Ordering::Less => false,
         };
         if ask {
