--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -37,7 +37,7 @@
     Call, Change, Config, Input, Output, Publication, ReadError, Reply, Request, TargetEntry,
     TargetState, View,
 };
-pub use registry::{RETURN_GRACE, Registry};
+pub use registry::{RECOVERY_GRACE, Registry};
 
 use crate::call::note::OutgoingNote;
 use crate::config::{InForce, Snapshot};
@@ -146,7 +146,7 @@
         }
         self.follow.read_for_others(now, self.relay.reads_for_others(now));
         out.extend(self.follow.next_call(now).map(Output::Read));
-        self.stale |= self.registry.expire(now);
+        self.stale |= self.registry.expire_missing(now);
         if std::mem::take(&mut self.stale) {
             self.put_in_force(now, out);
         }
@@ -185,20 +185,20 @@
         self.note_answer(now, answered, out);
         match answered {
             true => {
-                self.registry.store_answers(now);
+                self.registry.on_store_success(now);
             }
-            false => self.registry.store_fails(now),
+            false => self.registry.on_store_failure(now),
         }
         let (changes, listed) = self.follow.take(now, result, &mut self.rng);
         let is_target = |change: &Change| !matches!(change, Change::Published(_));
         let (targets, publications): (Vec<_>, Vec<_>) = changes.into_iter().partition(is_target);
         self.stale |= match listed {
-            true => self.registry.replace(now, targets),
-            false => self.registry.change(now, targets),
+            true => self.registry.apply_list(now, targets),
+            false => self.registry.apply_changes(now, targets),
         };
         // Half a list says nothing of what has changed since the last answer, and a target that is
         // missing may be known to have left to those that the store has answered all the while.
-        if answered && !self.follow.is_listing() && !self.registry.keeps_missing() {
+        if answered && !self.follow.is_listing() && !self.registry.has_missing() {
             self.relay.store_answers(now);
             self.proven = true;
         }
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -150,7 +150,7 @@
                 let entries = targets.flat_map(|(service, listed)| {
                     listed.iter().map(|target| (target.vm.clone(), rejoin::entry(service, target)))
                 });
-                self.registry.take_from_reader(entries.collect());
+                self.registry.replace_from_reader(entries.collect());
                 self.take_version(now, after.published, out);
                 self.stale = true;
                 self.in_step(now, from, &delta.summary, out);
@@ -189,7 +189,7 @@
         match rejoin::read(delta) {
             Ok((published, entries)) => {
                 if !self.follow.has_listed() {
-                    self.stale |= self.registry.take_from_peer(now, entries);
+                    self.stale |= self.registry.merge_from_peer(now, entries);
                     self.follow.told_by_peer(now, &mut self.rng);
                     self.rejoin.told_by_peer(now);
                 }
--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -4,7 +4,7 @@
 //! targets. Targets of one service travel together; routes and limits travel one by one.
 
 use super::port::Publication;
-use super::registry::Listed;
+use super::registry::ServiceTarget;
 use crate::config::resource::{Resource, ResourceId, ResourceKind};
 use crate::config::{InForce, Preset, Service, Target, validate};
 use crate::hash::Hash;
@@ -28,7 +28,7 @@
 
 impl View {
     /// The view of a node that lists these targets.
-    pub fn new(published: Arc<Publication>, listed: &[Listed]) -> View {
+    pub fn new(published: Arc<Publication>, listed: &[ServiceTarget]) -> View {
         let mut targets: BTreeMap<Name, Vec<Target>> = BTreeMap::new();
         for entry in listed {
             targets.entry(entry.service.clone()).or_default().push(entry.target.clone());
