--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -305,8 +305,8 @@
         if self.follow.has_listed() {
             return self.rejoin.stop();
         }
-        if let Some(to) = self.rejoin.question_for(now, &self.cfg.seeds, &mut self.rng) {
-            let msg = rejoin::question(self.published.as_ref().map(|held| held.version));
+        if let Some(to) = self.rejoin.next_seed(now, &self.cfg.seeds, &mut self.rng) {
+            let msg = rejoin::full_state_request(self.published.as_ref().map(|held| held.version));
             out.push(Output::Send { to, link: Link::Region, msg });
         }
     }
--- a/core/src/discovery/follow.rs
+++ b/core/src/discovery/follow.rs
@@ -137,7 +137,7 @@
 
     /// A peer has told all that is in force: a node that others may read for lists the store only
     /// if none of them does so soon.
-    pub fn told_by_peer(&mut self, now: Time, rng: &mut Pcg64Mcg) {
+    pub fn on_peer_state(&mut self, now: Time, rng: &mut Pcg64Mcg) {
         let first = !std::mem::replace(&mut self.told, true);
         if first && self.role == Role::Follows && !self.listed && self.failed_at.is_none() {
             self.list(now + self.wait_for_reader(WAIT_INFORMED, rng), true);
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -66,7 +66,7 @@
         else {
             return PeerMsg::Missing(self.snapshot.as_ref().map_or(0, |held| held.version()));
         };
-        self.whole.get_or_insert_with(|| rejoin::whole(snapshot)).clone()
+        self.whole.get_or_insert_with(|| rejoin::full_state(snapshot)).clone()
     }
 
     /// The process beside a gatekeeper could not be reached: when it is back, it may know nothing.
@@ -107,7 +107,7 @@
         };
         if ask {
             let link = self.cfg.place.link_to(&from.place);
-            let msg = rejoin::question(self.published.as_ref().map(|held| held.version));
+            let msg = rejoin::full_state_request(self.published.as_ref().map(|held| held.version));
             out.push(Output::Send { to: from.address, link, msg });
         }
     }
@@ -135,7 +135,7 @@
                 return self.in_step(now, from, summary, out);
             }
             Some(held) => relay::question(held),
-            None => rejoin::question(None),
+            None => rejoin::full_state_request(None),
         };
         out.extend(self.relay.resync(now, msg).map(send));
     }
@@ -148,7 +148,9 @@
             Ok(after) => {
                 let targets = after.targets.iter();
                 let entries = targets.flat_map(|(service, listed)| {
-                    listed.iter().map(|target| (target.vm.clone(), rejoin::entry(service, target)))
+                    listed
+                        .iter()
+                        .map(|target| (target.vm.clone(), rejoin::target_entry(service, target)))
                 });
                 self.registry.replace_from_reader(entries.collect());
                 self.take_version(now, after.published, out);
@@ -186,12 +188,12 @@
     /// Takes what a peer holds until the store answers: its version if it is newer, and its
     /// targets if none are known.
     fn take_delta(&mut self, now: Time, delta: &Delta, out: &mut Vec<Output>) {
-        match rejoin::read(delta) {
+        match rejoin::parse_full_state(delta) {
             Ok((published, entries)) => {
                 if !self.follow.has_listed() {
                     self.stale |= self.registry.merge_from_peer(now, entries);
-                    self.follow.told_by_peer(now, &mut self.rng);
-                    self.rejoin.told_by_peer(now);
+                    self.follow.on_peer_state(now, &mut self.rng);
+                    self.rejoin.on_peer_state(now);
                 }
                 self.take_version(now, Arc::new(published), out);
                 self.stale |= self.published.is_some();
--- a/core/src/discovery/rejoin.rs
+++ b/core/src/discovery/rejoin.rs
@@ -19,69 +19,69 @@
 use std::time::Duration;
 
 /// Pause between two questions, up to a quarter longer by chance. Peers may be starting themselves.
-const PAUSE: Duration = Duration::from_millis(200);
+const PULL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pause after a peer has told everything: who reads the store speaks by itself then.
-const PAUSE_INFORMED: Duration = Duration::from_secs(2);
+const INFORMED_PULL_DELAY: Duration = Duration::from_secs(2);
 
 /// The questions of a node after its start.
 #[derive(Debug)]
 pub struct Rejoin {
-    next: Option<Time>,
-    asked: usize,
+    next_pull_at: Option<Time>,
+    seed_index: usize,
 }
 
 impl Rejoin {
     /// Asks nothing.
     pub fn new() -> Rejoin {
-        Rejoin { next: None, asked: 0 }
+        Rejoin { next_pull_at: None, seed_index: 0 }
     }
 
     /// The node has started.
     pub fn start(&mut self, now: Time, rng: &mut Pcg64Mcg) {
-        self.next = Some(now);
-        self.asked = rng.random_range(0..usize::from(u8::MAX));
+        self.next_pull_at = Some(now);
+        self.seed_index = rng.random_range(0..usize::from(u8::MAX));
     }
 
     /// The store has told everything.
     pub fn stop(&mut self) {
-        self.next = None;
+        self.next_pull_at = None;
     }
 
     /// A peer has told everything.
-    pub fn told_by_peer(&mut self, now: Time) {
-        self.next = self.next.map(|next| next.max(now + PAUSE_INFORMED));
+    pub fn on_peer_state(&mut self, now: Time) {
+        self.next_pull_at = self.next_pull_at.map(|next| next.max(now + INFORMED_PULL_DELAY));
     }
 
     /// When the next question is due.
     pub fn wake_at(&self) -> Option<Time> {
-        self.next
+        self.next_pull_at
     }
 
     /// Whom to ask now: one seed after the other, since each answers with everything.
-    pub fn question_for(
+    pub fn next_seed(
         &mut self,
         now: Time,
         seeds: &[SocketAddr],
         rng: &mut Pcg64Mcg,
     ) -> Option<SocketAddr> {
-        if self.next.is_none_or(|next| next > now) {
+        if self.next_pull_at.is_none_or(|next| next > now) {
             return None;
         }
-        self.next = Some(now + PAUSE * rng.random_range(100..=125) / 100);
-        self.asked += 1;
-        seeds.get(self.asked % seeds.len().max(1)).copied()
+        self.next_pull_at = Some(now + PULL_INTERVAL * rng.random_range(100..=125) / 100);
+        self.seed_index += 1;
+        seeds.get(self.seed_index % seeds.len().max(1)).copied()
     }
 }
 
 /// Asks for all that a peer holds.
-pub fn question(held: Option<u64>) -> PeerMsg {
+pub fn full_state_request(held: Option<u64>) -> PeerMsg {
     let version = held.unwrap_or(0);
     PeerMsg::Pull(Box::new(Pull { version, base: None, scope: None }))
 }
 
 /// Everything that a snapshot holds, as one message.
-pub fn whole(snapshot: &Snapshot) -> PeerMsg {
+pub fn full_state(snapshot: &Snapshot) -> PeerMsg {
     let resources = resource::split_preset(&snapshot.to_preset());
     let digest = resource::manifest(&resources).digest();
     let summary =
@@ -91,12 +91,13 @@
 }
 
 /// Reads a peer's answer: the version without its targets, and the targets.
-pub fn read(delta: &Delta) -> Result<(Publication, Vec<(Name, TargetEntry)>)> {
-    let preset = Snapshot::assemble_preset(&delta.summary.in_force.preset, &resources(delta)?)?;
+pub fn parse_full_state(delta: &Delta) -> Result<(Publication, Vec<(Name, TargetEntry)>)> {
+    let preset =
+        Snapshot::assemble_preset(&delta.summary.in_force.preset, &verified_resources(delta)?)?;
     let mut entries = Vec::new();
     for (service, content) in &preset.services {
         let targets = content.targets.iter();
-        entries.extend(targets.map(|target| (target.vm.clone(), entry(service, target))));
+        entries.extend(targets.map(|target| (target.vm.clone(), target_entry(service, target))));
     }
     let preset = without_targets(preset);
     validate::preset_without_targets(&preset)?;
@@ -104,7 +105,7 @@
 }
 
 /// The whole must match its digest.
-fn resources(delta: &Delta) -> Result<IndexMap<ResourceId, resource::Resource>> {
+fn verified_resources(delta: &Delta) -> Result<IndexMap<ResourceId, resource::Resource>> {
     let content =
         |(id, body): &(ResourceId, Bytes)| (id.clone(), resource::Resource::new(body.clone()));
     let resources: IndexMap<_, _> = delta.changed.iter().map(content).collect();
@@ -116,7 +117,7 @@
 }
 
 /// The entry of a target as another node lists it.
-pub fn entry(service: &Name, target: &Target) -> TargetEntry {
+pub fn target_entry(service: &Name, target: &Target) -> TargetEntry {
     TargetEntry {
         service: service.clone(),
         // Only its IP counts: the ports of nodes are the same everywhere.
