--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -46,7 +46,7 @@
 use crate::place::Link;
 use crate::spread::PeerMsg;
 use crate::{Code, Time};
-use follow::{Follow, Role};
+use follow::{Role, StoreWatcher};
 use offer::Offers;
 use peers::send;
 use rand::SeedableRng;
@@ -59,15 +59,16 @@
 
 /// A longer time without any input means that the process was paused: a call to the store ends
 /// sooner, whatever becomes of it.
-const CLOCK_GAP: Duration =
-    follow::WATCH_WAIT.saturating_add(follow::ANSWER_WAIT).saturating_add(follow::ANSWER_WAIT);
+const CLOCK_GAP: Duration = follow::MAX_WATCH_WAIT
+    .saturating_add(follow::RESPONSE_TIMEOUT)
+    .saturating_add(follow::RESPONSE_TIMEOUT);
 
 /// The decider of one node.
 #[derive(Debug)]
 pub struct Discovery {
     cfg: Config,
     rng: Pcg64Mcg,
-    follow: Follow,
+    watcher: StoreWatcher,
     registry: Registry,
     published: Option<Arc<Publication>>,
     // Newest version refused, so that it is reported once.
@@ -94,10 +95,10 @@
     pub fn new(cfg: Config, seed: u64) -> Discovery {
         let pace = Pace::for_bound(cfg.change_bound);
         let relay = Relay::new(pace);
-        let role = if relay.may_read(&cfg) { Role::MayRead } else { Role::Follows };
+        let role = if relay.may_read(&cfg) { Role::EligibleReader } else { Role::FollowerOnly };
         Discovery {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            follow: Follow::new(pace, role),
+            watcher: StoreWatcher::new(pace, role),
             registry: Registry::new(),
             published: None,
             refused: 0,
@@ -121,7 +122,7 @@
         self.notice_gap(now, out);
         match input {
             Input::Start => {
-                self.follow.start(now, &mut self.rng);
+                self.watcher.start(now, &mut self.rng);
                 self.rejoin.start(now, &mut self.rng);
             }
             Input::Reply { id, result } => self.take_reply(now, id, result, out),
@@ -144,8 +145,8 @@
         if self.relay.lapses(now) {
             self.leave_reader(now, out);
         }
-        self.follow.read_for_others(now, self.relay.reads_for_others(now));
-        out.extend(self.follow.next_call(now).map(Output::Read));
+        self.watcher.set_serves_followers(now, self.relay.reads_for_others(now));
+        out.extend(self.watcher.next_call(now).map(Output::Read));
         self.stale |= self.registry.expire_missing(now);
         if std::mem::take(&mut self.stale) {
             self.put_in_force(now, out);
@@ -156,7 +157,7 @@
         let relay = self.held.as_ref().and_then(|_| self.relay.wake_at());
         let offers = self.held.as_ref().and_then(|_| self.offers.wake_at());
         let wakes =
-            [self.follow.wake_at(), self.registry.wake_at(), self.rejoin.wake_at(), offers, relay];
+            [self.watcher.wake_at(), self.registry.wake_at(), self.rejoin.wake_at(), offers, relay];
         if let Some(wake) = wakes.into_iter().flatten().min() {
             out.push(Output::WakeAt(wake));
         }
@@ -178,7 +179,7 @@
         result: Result<Reply, ReadError>,
         out: &mut Vec<Output>,
     ) {
-        if !self.follow.awaits(id) {
+        if !self.watcher.is_pending(id) {
             return;
         }
         let answered = !matches!(result, Err(ReadError::Failed(_)));
@@ -189,7 +190,7 @@
             }
             false => self.registry.on_store_failure(now),
         }
-        let (changes, listed) = self.follow.take(now, result, &mut self.rng);
+        let (changes, listed) = self.watcher.handle_result(now, result, &mut self.rng);
         let is_target = |change: &Change| !matches!(change, Change::Published(_));
         let (targets, publications): (Vec<_>, Vec<_>) = changes.into_iter().partition(is_target);
         self.stale |= match listed {
@@ -198,7 +199,7 @@
         };
         // Half a list says nothing of what has changed since the last answer, and a target that is
         // missing may be known to have left to those that the store has answered all the while.
-        if answered && !self.follow.is_listing() && !self.registry.has_missing() {
+        if answered && !self.watcher.is_listing() && !self.registry.has_missing() {
             self.relay.store_answers(now);
             self.proven = true;
         }
@@ -302,7 +303,7 @@
     }
 
     fn ask_peers(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.follow.has_listed() {
+        if self.watcher.has_listed() {
             return self.rejoin.stop();
         }
         if let Some(to) = self.rejoin.next_seed(now, &self.cfg.seeds, &mut self.rng) {
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -30,7 +30,7 @@
             }
             PeerMsg::Notice(summary) => {
                 let link = self.cfg.place.link_to(&from.place);
-                let informed = self.held.is_some() || self.follow.has_listed();
+                let informed = self.held.is_some() || self.watcher.has_listed();
                 let sender = (from.address, link);
                 match informed && self.relay.hears(now, &self.cfg, sender, &summary) {
                     true => self.take_notice(now, from, &summary, out),
@@ -53,7 +53,7 @@
                 self.whole_for(pull)
             }
             Some(base) => {
-                let held = self.held.as_ref().filter(|_| self.follow.has_listed());
+                let held = self.held.as_ref().filter(|_| self.watcher.has_listed());
                 self.relay.answer(now, &self.cfg, (from.address, link), base, held)
             }
         };
@@ -83,7 +83,7 @@
             return;
         };
         let silent = self.store_answers == Some(false) && !self.relay.is_follower();
-        self.offers.set_random_offers(silent || !self.follow.has_listed());
+        self.offers.set_random_offers(silent || !self.watcher.has_listed());
         for (to, link) in self.offers.next_round(now, &self.cfg, &held, &mut self.rng) {
             let msg = PeerMsg::Notice(Box::new(held.summary(None)));
             out.push(Output::Send { to, link, msg });
@@ -95,7 +95,7 @@
     /// Only a process that has not read the store since its start accepts an offer, and never an
     /// older version: the peer may be cut off from the store.
     fn take_offer(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
-        if self.follow.has_listed() {
+        if self.watcher.has_listed() {
             return;
         }
         let known = self.published.as_ref().map_or(0, |held| held.version);
@@ -170,7 +170,7 @@
 
     fn in_step(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         if self.relay.in_step(now, summary) {
-            self.follow.rely_on_reader();
+            self.watcher.follow_reader();
             out.extend(self.relay.dismiss_followers().into_iter().map(send));
             out.push(Output::Event(Event::new(now, EventKind::ParentChosen).with_peer(&from.vm)));
         }
@@ -179,7 +179,7 @@
     /// Reads the store again, if another node was followed.
     pub(super) fn leave_reader(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.relay.let_go() {
-            self.follow.resume(now, &mut self.rng);
+            self.watcher.resume(now, &mut self.rng);
             self.confirm = self.relay.ask_other(now);
             out.push(Output::Event(Event::new(now, EventKind::ParentLost)));
         }
@@ -190,9 +190,9 @@
     fn take_delta(&mut self, now: Time, delta: &Delta, out: &mut Vec<Output>) {
         match rejoin::parse_full_state(delta) {
             Ok((published, entries)) => {
-                if !self.follow.has_listed() {
+                if !self.watcher.has_listed() {
                     self.stale |= self.registry.merge_from_peer(now, entries);
-                    self.follow.on_peer_state(now, &mut self.rng);
+                    self.watcher.on_peer_state(now, &mut self.rng);
                     self.rejoin.on_peer_state(now);
                 }
                 self.take_version(now, Arc::new(published), out);
