--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -144,7 +144,7 @@
         let Some(held) = self.held.clone() else {
             return;
         };
-        match held.after(delta) {
+        match held.apply_delta(delta) {
             Ok(after) => {
                 let targets = after.targets.iter();
                 let entries = targets.flat_map(|(service, listed)| {
--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -13,7 +13,7 @@
 use super::announce::{Announcements, region_rank};
 use super::pace::Pace;
 use super::port::{Config, Publication};
-use super::view::{View, difference};
+use super::view::{View, delta_between};
 use crate::Time;
 use crate::place::Link;
 use crate::spread::PeerMsg;
@@ -354,8 +354,14 @@
         let known = self.told.as_ref().filter(|told| told.digest == base.digest);
         let largest = self.largest_difference(cfg);
         let older = self.version(base.version);
-        let delta =
-            difference(view, base, older, known.map(|told| &**told), largest, self.store_age(now));
+        let delta = delta_between(
+            view,
+            base,
+            older,
+            known.map(|told| &**told),
+            largest,
+            self.store_age(now),
+        );
         delta.map_or(PeerMsg::Missing(view.published.version), |delta| {
             PeerMsg::Delta(Arc::new(delta))
         })
@@ -372,7 +378,7 @@
         let age = self.store_age(now);
         let changed = told.filter(|told| told.digest != view.digest).and_then(|told| {
             let base = Base { version: told.published.version, digest: told.digest };
-            difference(view, &base, self.version(base.version), Some(&told), largest, age)
+            delta_between(view, &base, self.version(base.version), Some(&told), largest, age)
         });
         let msg =
             changed.map_or_else(|| notice(view, age), |delta| PeerMsg::Delta(Arc::new(delta)));
--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -33,10 +33,10 @@
         for entry in listed {
             targets.entry(entry.service.clone()).or_default().push(entry.target.clone());
         }
-        View::of(published, targets)
+        View::with_targets(published, targets)
     }
 
-    fn of(published: Arc<Publication>, mut targets: BTreeMap<Name, Vec<Target>>) -> View {
+    fn with_targets(published: Arc<Publication>, mut targets: BTreeMap<Name, Vec<Target>>) -> View {
         targets.retain(|_, listed| !listed.is_empty());
         for listed in targets.values_mut() {
             listed.sort_by(|a, b| a.vm.cmp(&b.vm));
@@ -59,7 +59,7 @@
 
     /// The view after a difference. Fails if it is not from this view, or if something else comes
     /// out than its sender holds.
-    pub fn after(&self, delta: &Delta) -> Result<View> {
+    pub fn apply_delta(&self, delta: &Delta) -> Result<View> {
         let base = delta.base.as_ref().map(|base| base.version);
         if base != Some(self.published.version) {
             return Err(Fault::new(Code::PeerHashMismatch));
@@ -72,7 +72,7 @@
                 continue;
             }
             let preset: &mut Preset = preset.get_or_insert_with(|| self.published.preset.clone());
-            change(preset, id, body)?;
+            apply_resource(preset, id, body)?;
         }
         for id in &delta.removed {
             let preset = preset.get_or_insert_with(|| self.published.preset.clone());
@@ -91,7 +91,7 @@
                 Arc::new(Publication { version, preset })
             }
         };
-        let view = View::of(published, targets);
+        let view = View::with_targets(published, targets);
         match view.digest == delta.digest {
             true => Ok(view),
             false => Err(Fault::new(Code::PeerHashMismatch)),
@@ -102,18 +102,18 @@
 /// The difference to `view` from a node that holds `base`: `older` is the version of `base`, and
 /// `known` the view that it holds, where these are known. `None` if the version is not known any
 /// more, or if its resources have more than `largest` bytes.
-pub fn difference(
+pub fn delta_between(
     view: &View,
     base: &Base,
     older: Option<&Publication>,
     known: Option<&View>,
-    largest: usize,
+    max_size: usize,
     store_age: Option<Duration>,
 ) -> Option<Delta> {
     let mut changed: Vec<(ResourceId, Bytes)> = Vec::new();
     let mut removed: Vec<ResourceId> = Vec::new();
     if base.version != view.published.version {
-        compare_versions(&older?.preset, &view.published.preset, &mut changed, &mut removed);
+        diff_presets(&older?.preset, &view.published.preset, &mut changed, &mut removed);
     }
     let none = BTreeMap::new();
     let before = known.map_or(&none, |known| &known.targets);
@@ -129,7 +129,7 @@
         removed.push(ResourceId::new(ResourceKind::Targets, service));
     }
     let size: usize = changed.iter().map(|(_, body)| body.len()).sum();
-    (size <= largest).then(|| Delta {
+    (size <= max_size).then(|| Delta {
         summary: view.summary(store_age),
         base: Some(base.clone()),
         changed,
@@ -138,7 +138,7 @@
     })
 }
 
-fn compare_versions(
+fn diff_presets(
     before: &Preset,
     after: &Preset,
     changed: &mut Vec<(ResourceId, Bytes)>,
@@ -163,7 +163,7 @@
     removed.extend(routes.map(|name| ResourceId::new(ResourceKind::Route, name)));
 }
 
-fn change(preset: &mut Preset, id: &ResourceId, body: &Bytes) -> Result<()> {
+fn apply_resource(preset: &mut Preset, id: &ResourceId, body: &Bytes) -> Result<()> {
     let resource = Resource::new(body.clone());
     match id.kind {
         ResourceKind::Route => {
