--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -130,7 +130,7 @@
             Input::Note(note) => self.send_note(&note, out),
             Input::PeerLost(gate) => self.lose_peer(now, gate),
             Input::Seeds(seeds) => self.cfg.seeds = seeds,
-            Input::Leaving => out.extend(self.relay.leave().into_iter().map(send)),
+            Input::Leaving => out.extend(self.relay.stop_reading().into_iter().map(send)),
             Input::Wake => {}
         }
         self.advance(now, out);
@@ -142,10 +142,10 @@
     }
 
     fn advance(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.relay.lapses(now) {
+        if self.relay.reader_timed_out(now) {
             self.leave_reader(now, out);
         }
-        self.watcher.set_serves_followers(now, self.relay.reads_for_others(now));
+        self.watcher.set_serves_followers(now, self.relay.serves_followers(now));
         out.extend(self.watcher.next_call(now).map(Output::Read));
         self.stale |= self.registry.expire_missing(now);
         if std::mem::take(&mut self.stale) {
@@ -200,7 +200,7 @@
         // Half a list says nothing of what has changed since the last answer, and a target that is
         // missing may be known to have left to those that the store has answered all the while.
         if answered && !self.watcher.is_listing() && !self.registry.has_missing() {
-            self.relay.store_answers(now);
+            self.relay.on_store_success(now);
             self.proven = true;
         }
         for publication in publications {
@@ -266,7 +266,7 @@
         let listed = self.registry.targets(&self.cfg);
         self.held = Some(Arc::new(Held::new(published.clone(), &listed)));
         self.whole = None;
-        self.relay.remember(&published);
+        self.relay.record_version(&published);
         for target in listed {
             if let Some(service) = preset.services.get_mut(&target.service) {
                 service.targets.push(target.target);
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -23,21 +23,21 @@
             PeerMsg::Pull(pull) => self.answer(now, from, &pull, out),
             PeerMsg::Delta(delta) if delta.base.is_none() => {
                 self.take_delta(now, &delta, out);
-                self.confirm |= self.relay.listens_to(from.address);
+                self.confirm |= self.relay.is_upstream(from.address);
             }
-            PeerMsg::Delta(delta) if self.relay.listens_to(from.address) => {
+            PeerMsg::Delta(delta) if self.relay.is_upstream(from.address) => {
                 self.take_difference(now, from, &delta, out);
             }
             PeerMsg::Notice(summary) => {
                 let link = self.cfg.place.link_to(&from.place);
                 let informed = self.held.is_some() || self.watcher.has_listed();
                 let sender = (from.address, link);
-                match informed && self.relay.hears(now, &self.cfg, sender, &summary) {
+                match informed && self.relay.accept_notice(now, &self.cfg, sender, &summary) {
                     true => self.take_notice(now, from, &summary, out),
                     false => self.take_offer(now, from, &summary, out),
                 }
             }
-            PeerMsg::Missing(_) if self.relay.listens_to(from.address) => {
+            PeerMsg::Missing(_) if self.relay.is_upstream(from.address) => {
                 self.leave_reader(now, out);
             }
             // Peers that spread versions themselves say more; here the store does.
@@ -54,7 +54,7 @@
             }
             Some(base) => {
                 let held = self.held.as_ref().filter(|_| self.watcher.has_listed());
-                self.relay.answer(now, &self.cfg, (from.address, link), base, held)
+                self.relay.handle_pull(now, &self.cfg, (from.address, link), base, held)
             }
         };
         out.push(Output::Send { to: from.address, link, msg });
@@ -119,12 +119,12 @@
             return;
         };
         if std::mem::take(&mut self.proven) {
-            out.extend(self.relay.tell(now, &self.cfg, &held).into_iter().map(send));
+            out.extend(self.relay.update_followers(now, &self.cfg, &held).into_iter().map(send));
         }
         if std::mem::take(&mut self.confirm) {
-            out.extend(self.relay.resync(now, relay::question(&held)).map(send));
+            out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send));
         }
-        out.extend(self.relay.renew(now, &held).map(send));
+        out.extend(self.relay.renew_lease(now, &held).map(send));
         out.extend(self.relay.announce(now, &self.cfg, &held).into_iter().map(send));
     }
 
@@ -132,9 +132,9 @@
     fn take_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         let msg = match &self.held {
             Some(held) if held.digest == summary.whole => {
-                return self.in_step(now, from, summary, out);
+                return self.mark_in_sync(now, from, summary, out);
             }
-            Some(held) => relay::question(held),
+            Some(held) => relay::delta_request(held),
             None => rejoin::full_state_request(None),
         };
         out.extend(self.relay.resync(now, msg).map(send));
@@ -155,11 +155,11 @@
                 self.registry.replace_from_reader(entries.collect());
                 self.take_version(now, after.published, out);
                 self.stale = true;
-                self.in_step(now, from, &delta.summary, out);
+                self.mark_in_sync(now, from, &delta.summary, out);
             }
             // Made for another state than this node's, as after a message that was lost.
             Err(_) if delta.base.as_ref().is_none_or(|base| base.digest != held.digest) => {
-                out.extend(self.relay.resync(now, relay::question(&held)).map(send));
+                out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send));
             }
             Err(fault) => {
                 out.push(Output::Refused(fault));
@@ -168,8 +168,8 @@
         }
     }
 
-    fn in_step(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
-        if self.relay.in_step(now, summary) {
+    fn mark_in_sync(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
+        if self.relay.mark_in_sync(now, summary) {
             self.watcher.follow_reader();
             out.extend(self.relay.dismiss_followers().into_iter().map(send));
             out.push(Output::Event(Event::new(now, EventKind::ParentChosen).with_peer(&from.vm)));
@@ -178,9 +178,9 @@
 
     /// Reads the store again, if another node was followed.
     pub(super) fn leave_reader(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.relay.let_go() {
+        if self.relay.drop_reader() {
             self.watcher.resume(now, &mut self.rng);
-            self.confirm = self.relay.ask_other(now);
+            self.confirm = self.relay.switch_to_standby(now);
             out.push(Output::Event(Event::new(now, EventKind::ParentLost)));
         }
     }
--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -26,7 +26,7 @@
 
 /// Fewer targets than this are read for by nobody: their calls cost little, and one node less stands
 /// between a node and the store.
-const MIN_FLEET: usize = 32;
+const MIN_FLEET_TARGETS: usize = 32;
 
 /// Narrowest link of a node that reads for others, in kbit/s: it must take the largest versions
 /// several times a second.
@@ -36,46 +36,46 @@
 const DEFAULT_LINK_KBPS: u64 = 1_000_000;
 
 /// Longest time that a reader's link may be filled by one change that it sends to all followers.
-const LINK_TIME: Duration = Duration::from_millis(500);
+const MAX_LINK_BUSY: Duration = Duration::from_millis(500);
 
 /// Bytes of resources that travel as one byte: lists of routes and targets repeat themselves.
-const PACKED: u64 = 8;
+const COMPRESSION_RATIO: u64 = 8;
 
 /// Differences of up to this size, in bytes of their resources, are sent over any link.
-const SMALL_DIFFERENCE: u64 = 65_536;
+const MIN_DELTA_LIMIT: u64 = 65_536;
 
 /// Largest difference, in bytes of its resources, that fits into one message.
-const MAX_DIFFERENCE: u64 = 4_194_304;
+const MAX_DELTA_LIMIT: u64 = 4_194_304;
 
 /// How often a follower says that it is still there, and for how long it is told things without.
-const RENEW: Duration = Duration::from_secs(2);
+const LEASE_RENEW_INTERVAL: Duration = Duration::from_secs(2);
 const FOLLOWER_LEASE: Duration = Duration::from_secs(5);
 
 /// How long a node reads the store at a reader's pace after it has announced itself.
-const EXPECT_FOLLOWERS: Duration = Duration::from_secs(3);
+const FOLLOWER_WAIT: Duration = Duration::from_secs(3);
 
 /// How long an announcing node is waited for before another is heard.
-const ASK_WAIT: Duration = Duration::from_millis(300);
+const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long an announcement is remembered while another node is followed.
-const OTHER_LIFE: Duration = Duration::from_millis(1_500);
+const STANDBY_RETENTION: Duration = Duration::from_millis(1_500);
 
 /// How long another reader is given to follow this one; longer than the time between two of its
 /// announcements after twice this.
-const RIVAL_WAIT: Duration = Duration::from_millis(700);
+const COMPETITOR_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Shortest time between two questions for a difference.
-const RESYNC_PAUSE: Duration = Duration::from_millis(150);
+const RESYNC_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Versions from which a difference can be made.
-const HISTORY: usize = 4;
+const MAX_HISTORY: usize = 4;
 
 /// Whom this node follows.
 #[derive(Debug)]
 struct Reader {
     address: SocketAddr,
     link: Link,
-    heard: Time,
+    store_answered_at: Time,
     renew_at: Time,
 }
 
@@ -87,7 +87,7 @@
 
 /// A node that has announced itself and has been asked for what it holds.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Candidate {
     address: SocketAddr,
     link: Link,
     since: Time,
@@ -98,20 +98,20 @@
 pub struct Relay {
     pace: Pace,
     reader: Option<Reader>,
-    asked: Option<Asked>,
+    candidate: Option<Candidate>,
     // Another node that has announced itself of late.
-    other: Option<Asked>,
+    standby: Option<Candidate>,
     resync_at: Time,
     followers: IndexMap<SocketAddr, Follower>,
     announcements: Announcements,
     // Another node that announces itself, and when it was first heard.
-    rival: Option<(SocketAddr, Time)>,
-    expected_until: Time,
+    competitor: Option<(SocketAddr, Time)>,
+    followers_expected_until: Time,
     // The process is about to stop.
     leaving: bool,
     // When the store last answered this node.
-    proof: Option<Time>,
-    told: Option<Arc<View>>,
+    store_answered_at: Option<Time>,
+    last_sent: Option<Arc<View>>,
     history: VecDeque<Arc<Publication>>,
 }
 
@@ -132,16 +132,16 @@
         Relay {
             pace,
             reader: None,
-            asked: None,
-            other: None,
+            candidate: None,
+            standby: None,
             resync_at: Time::ZERO,
             followers: IndexMap::new(),
             announcements: Announcements::new(),
-            rival: None,
-            expected_until: Time::ZERO,
+            competitor: None,
+            followers_expected_until: Time::ZERO,
             leaving: false,
-            proof: None,
-            told: None,
+            store_answered_at: None,
+            last_sent: None,
             history: VecDeque::new(),
         }
     }
@@ -152,67 +152,72 @@
     }
 
     /// Whether the store is to be read so often that others can rely on it.
-    pub fn reads_for_others(&self, now: Time) -> bool {
-        !self.followers.is_empty() || now < self.expected_until
+    pub fn serves_followers(&self, now: Time) -> bool {
+        !self.followers.is_empty() || now < self.followers_expected_until
     }
 
     /// The store has answered.
-    pub fn store_answers(&mut self, now: Time) {
-        self.proof = Some(now);
+    pub fn on_store_success(&mut self, now: Time) {
+        self.store_answered_at = Some(now);
     }
 
     /// A version came into force, from which others may need a difference.
-    pub fn remember(&mut self, published: &Arc<Publication>) {
+    pub fn record_version(&mut self, published: &Arc<Publication>) {
         if self.history.back().is_some_and(|newest| newest.version == published.version) {
             return;
         }
         self.history.push_back(published.clone());
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
-    /// When [`Relay::renew`], [`Relay::announce`] or [`Relay::lapses`] has something to do.
+    /// When [`Relay::renew_lease`], [`Relay::announce`] or [`Relay::reader_timed_out`] has something to do.
     pub fn wake_at(&self) -> Option<Time> {
         match &self.reader {
-            Some(reader) => Some(reader.renew_at.min(reader.heard + self.pace.reader_timeout)),
+            Some(reader) => {
+                Some(reader.renew_at.min(reader.store_answered_at + self.pace.reader_timeout))
+            }
             None => self.announcements.wake_at(),
         }
     }
 
     /// Whether the reader has been silent for too long.
-    pub fn lapses(&self, now: Time) -> bool {
-        self.reader.as_ref().is_some_and(|reader| now >= reader.heard + self.pace.reader_timeout)
+    pub fn reader_timed_out(&self, now: Time) -> bool {
+        self.reader
+            .as_ref()
+            .is_some_and(|reader| now >= reader.store_answered_at + self.pace.reader_timeout)
     }
 
     /// Whether a message comes from the node that is followed or asked.
-    pub fn listens_to(&self, from: SocketAddr) -> bool {
+    pub fn is_upstream(&self, from: SocketAddr) -> bool {
         let reader = self.reader.as_ref().map(|reader| reader.address);
-        reader.or(self.asked.map(|asked| asked.address)) == Some(from)
+        reader.or(self.candidate.map(|candidate| candidate.address)) == Some(from)
     }
 
     /// Whether to take up what a node names: it is followed or asked, or reads the store and may do
     /// so for this one.
-    pub fn hears(
+    pub fn accept_notice(
         &mut self,
         now: Time,
         cfg: &Config,
         (from, link): (SocketAddr, Link),
         summary: &Summary,
     ) -> bool {
-        let reads = self.age(summary).is_some();
-        if self.listens_to(from) || link == Link::CrossRegion || !reads {
-            return self.listens_to(from) && reads;
+        let reads = self.fresh_age(summary).is_some();
+        if self.is_upstream(from) || link == Link::CrossRegion || !reads {
+            return self.is_upstream(from) && reads;
         }
-        let waits = self.asked.is_some_and(|asked| now.since(asked.since) < ASK_WAIT);
+        let waits =
+            self.candidate.is_some_and(|candidate| now.since(candidate.since) < CANDIDATE_TIMEOUT);
         if self.reader.is_some() || waits {
-            self.other = Some(Asked { address: from, link, since: now });
+            self.standby = Some(Candidate { address: from, link, since: now });
             return false;
         }
-        if !self.followers.is_empty() && !self.yields_to(now, cfg, from, link) {
+        if !self.followers.is_empty() && !self.should_yield_to(now, cfg, from, link) {
             return false;
         }
-        self.asked = Some(Asked { address: from, link, since: now });
+        self.candidate = Some(Candidate { address: from, link, since: now });
         true
     }
 
@@ -220,14 +225,20 @@
     ///
     /// A node that has just started follows once it has been told of this reader. One that goes on
     /// announcing itself has followers, and the later of the two in the order of the region yields.
-    fn yields_to(&mut self, now: Time, cfg: &Config, from: SocketAddr, link: Link) -> bool {
-        match self.rival {
-            Some((rival, since)) if rival == from && now.since(since) < RIVAL_WAIT => false,
-            Some((rival, since)) if rival == from && now.since(since) < 2 * RIVAL_WAIT => {
+    fn should_yield_to(&mut self, now: Time, cfg: &Config, from: SocketAddr, link: Link) -> bool {
+        match self.competitor {
+            Some((competitor, since))
+                if competitor == from && now.since(since) < COMPETITOR_TIMEOUT =>
+            {
+                false
+            }
+            Some((competitor, since))
+                if competitor == from && now.since(since) < 2 * COMPETITOR_TIMEOUT =>
+            {
                 cfg.ranks_before(&from)
             }
             _ => {
-                self.rival = Some((from, now));
+                self.competitor = Some((from, now));
                 self.announcements.queue_reply(now, from, link);
                 false
             }
@@ -235,15 +246,15 @@
     }
 
     /// Tells the reader that this node is still there, when that is due.
-    pub fn renew(&mut self, now: Time, view: &View) -> Option<Outgoing> {
+    pub fn renew_lease(&mut self, now: Time, view: &View) -> Option<Outgoing> {
         let reader = self.reader.as_mut().filter(|reader| now >= reader.renew_at)?;
-        reader.renew_at = now + RENEW;
-        Some(Outgoing { to: reader.address, link: reader.link, msg: question(view) })
+        reader.renew_at = now + LEASE_RENEW_INTERVAL;
+        Some(Outgoing { to: reader.address, link: reader.link, msg: delta_request(view) })
     }
 
     /// Names what is held to nodes of the region that do not follow this one.
     pub fn announce(&mut self, now: Time, cfg: &Config, view: &Arc<View>) -> Vec<Outgoing> {
-        let small = view.targets.values().map(Vec::len).sum::<usize>() < MIN_FLEET;
+        let small = view.targets.values().map(Vec::len).sum::<usize>() < MIN_FLEET_TARGETS;
         if small || !self.may_read(cfg) || self.is_follower() || !self.is_fresh(now) {
             self.announcements.stop();
             return Vec::new();
@@ -253,8 +264,8 @@
             .announcements
             .next_round(now, delay, cfg, view, |address| self.followers.contains_key(&address));
         if !others.is_empty() {
-            self.expected_until = now + EXPECT_FOLLOWERS;
-            self.told.get_or_insert_with(|| view.clone());
+            self.followers_expected_until = now + FOLLOWER_WAIT;
+            self.last_sent.get_or_insert_with(|| view.clone());
         }
         let age = self.store_age(now);
         let send = |(to, link)| Outgoing { to, link, msg: notice(view, age) };
@@ -262,20 +273,20 @@
     }
 
     /// The reader holds what this node holds. Returns whether it is followed from now on.
-    pub fn in_step(&mut self, now: Time, summary: &Summary) -> bool {
-        let Some(heard) = self.age(summary).map(|age| now - age) else {
+    pub fn mark_in_sync(&mut self, now: Time, summary: &Summary) -> bool {
+        let Some(store_answered_at) = self.fresh_age(summary).map(|age| now - age) else {
             return false;
         };
         if let Some(reader) = &mut self.reader {
-            reader.heard = reader.heard.max(heard);
+            reader.store_answered_at = reader.store_answered_at.max(store_answered_at);
             return false;
         }
-        let Some(Asked { address, link, .. }) = self.asked.take() else {
+        let Some(Candidate { address, link, .. }) = self.candidate.take() else {
             return false;
         };
-        self.reader = Some(Reader { address, link, heard, renew_at: now });
+        self.reader = Some(Reader { address, link, store_answered_at, renew_at: now });
         self.announcements.stop();
-        self.expected_until = now;
+        self.followers_expected_until = now;
         true
     }
 
@@ -290,9 +301,9 @@
     }
 
     /// Reads for nobody from now on: the process is about to stop.
-    pub fn leave(&mut self) -> Vec<Outgoing> {
+    pub fn stop_reading(&mut self) -> Vec<Outgoing> {
         self.leaving = true;
-        self.expected_until = Time::ZERO;
+        self.followers_expected_until = Time::ZERO;
         self.dismiss_followers()
     }
 
@@ -301,29 +312,31 @@
         if now < self.resync_at {
             return None;
         }
-        self.resync_at = now + RESYNC_PAUSE;
+        self.resync_at = now + RESYNC_INTERVAL;
         let reader = self.reader.as_ref().map(|reader| (reader.address, reader.link));
-        let (to, link) = reader.or(self.asked.map(|asked| (asked.address, asked.link)))?;
+        let (to, link) =
+            reader.or(self.candidate.map(|candidate| (candidate.address, candidate.link)))?;
         Some(Outgoing { to, link, msg })
     }
 
     /// The node that was asked or followed can't say what has changed. Returns whether it was
     /// followed.
-    pub fn let_go(&mut self) -> bool {
-        self.asked = None;
+    pub fn drop_reader(&mut self) -> bool {
+        self.candidate = None;
         self.reader.take().is_some()
     }
 
     /// Turns to another node that has announced itself of late. Returns whether there is one.
-    pub fn ask_other(&mut self, now: Time) -> bool {
-        let recent = |other: &Asked| now.since(other.since) < OTHER_LIFE;
-        self.asked = self.other.take().filter(recent).map(|other| Asked { since: now, ..other });
+    pub fn switch_to_standby(&mut self, now: Time) -> bool {
+        let recent = |standby: &Candidate| now.since(standby.since) < STANDBY_RETENTION;
+        self.candidate =
+            self.standby.take().filter(recent).map(|standby| Candidate { since: now, ..standby });
         self.resync_at = now;
-        self.asked.is_some()
+        self.candidate.is_some()
     }
 
     /// Answers a question: from a node that holds `base`.
-    pub fn answer(
+    pub fn handle_pull(
         &mut self,
         now: Time,
         cfg: &Config,
@@ -339,27 +352,27 @@
             return nobody;
         };
         // Two nodes that ask each other at once must not follow each other.
-        if self.asked.is_some_and(|asked| asked.address == from.0) {
+        if self.candidate.is_some_and(|candidate| candidate.address == from.0) {
             if cfg.ranks_before(&from.0) {
                 return nobody;
             }
-            self.asked = None;
+            self.candidate = None;
         }
         let follower = Follower { link: from.1, until: now + FOLLOWER_LEASE };
         self.followers.insert(from.0, follower);
-        self.told.get_or_insert_with(|| view.clone());
+        self.last_sent.get_or_insert_with(|| view.clone());
         if base.digest == view.digest {
             return notice(view, self.store_age(now));
         }
-        let known = self.told.as_ref().filter(|told| told.digest == base.digest);
-        let largest = self.largest_difference(cfg);
-        let older = self.version(base.version);
+        let known = self.last_sent.as_ref().filter(|last_sent| last_sent.digest == base.digest);
+        let max_size = self.max_delta_size(cfg);
+        let older = self.find_version(base.version);
         let delta = delta_between(
             view,
             base,
             older,
-            known.map(|told| &**told),
-            largest,
+            known.map(|last_sent| &**last_sent),
+            max_size,
             self.store_age(now),
         );
         delta.map_or(PeerMsg::Missing(view.published.version), |delta| {
@@ -368,18 +381,26 @@
     }
 
     /// What followers are told after the store has answered.
-    pub fn tell(&mut self, now: Time, cfg: &Config, view: &Arc<View>) -> Vec<Outgoing> {
+    pub fn update_followers(&mut self, now: Time, cfg: &Config, view: &Arc<View>) -> Vec<Outgoing> {
         self.followers.retain(|_, follower| follower.until > now);
-        let told = self.told.replace(view.clone());
+        let last_sent = self.last_sent.replace(view.clone());
         if self.followers.is_empty() {
             return Vec::new();
         }
-        let largest = self.largest_difference(cfg);
+        let max_size = self.max_delta_size(cfg);
         let age = self.store_age(now);
-        let changed = told.filter(|told| told.digest != view.digest).and_then(|told| {
-            let base = Base { version: told.published.version, digest: told.digest };
-            delta_between(view, &base, self.version(base.version), Some(&told), largest, age)
-        });
+        let changed =
+            last_sent.filter(|last_sent| last_sent.digest != view.digest).and_then(|last_sent| {
+                let base = Base { version: last_sent.published.version, digest: last_sent.digest };
+                delta_between(
+                    view,
+                    &base,
+                    self.find_version(base.version),
+                    Some(&last_sent),
+                    max_size,
+                    age,
+                )
+            });
         let msg =
             changed.map_or_else(|| notice(view, age), |delta| PeerMsg::Delta(Arc::new(delta)));
         let send = |(to, follower): (&SocketAddr, &Follower)| Outgoing {
@@ -396,7 +417,7 @@
     }
 
     fn store_age(&self, now: Time) -> Option<Duration> {
-        self.proof.map(|proof| now.since(proof))
+        self.store_answered_at.map(|store_answered_at| now.since(store_answered_at))
     }
 
     fn is_fresh(&self, now: Time) -> bool {
@@ -404,26 +425,26 @@
     }
 
     /// How long ago the store answered the sender, if that is recent enough to rely on.
-    fn age(&self, summary: &Summary) -> Option<Duration> {
+    fn fresh_age(&self, summary: &Summary) -> Option<Duration> {
         let age = Duration::from_millis(summary.store_age_ms?.into());
         Some(age).filter(|age| *age < self.pace.reader_timeout)
     }
 
     /// Bytes of the resources of one difference that all followers may be sent at once.
-    fn largest_difference(&self, cfg: &Config) -> usize {
+    fn max_delta_size(&self, cfg: &Config) -> usize {
         let kbps = cfg.link_kbps.unwrap_or(DEFAULT_LINK_KBPS);
-        let link_bytes = kbps * LINK_TIME.as_millis() as u64 / 8;
-        let each = link_bytes * PACKED / self.followers.len().max(1) as u64;
-        each.clamp(SMALL_DIFFERENCE, MAX_DIFFERENCE) as usize
+        let link_bytes = kbps * MAX_LINK_BUSY.as_millis() as u64 / 8;
+        let each = link_bytes * COMPRESSION_RATIO / self.followers.len().max(1) as u64;
+        each.clamp(MIN_DELTA_LIMIT, MAX_DELTA_LIMIT) as usize
     }
 
-    fn version(&self, version: u64) -> Option<&Publication> {
+    fn find_version(&self, version: u64) -> Option<&Publication> {
         self.history.iter().find(|held| held.version == version).map(|held| &**held)
     }
 }
 
 /// Asks for the difference from what is held.
-pub fn question(view: &View) -> PeerMsg {
+pub fn delta_request(view: &View) -> PeerMsg {
     let version = view.published.version;
     let base = Some(Base { version, digest: view.digest });
     PeerMsg::Pull(Box::new(Pull { version, base, scope: None }))
