--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -48,7 +48,7 @@
 use crate::{Code, Time};
 use follow::{Role, StoreWatcher};
 use offer::Offers;
-use peers::send;
+use peers::send_output;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rejoin::Rejoin;
@@ -126,11 +126,11 @@
                 self.rejoin.start(now, &mut self.rng);
             }
             Input::Reply { id, result } => self.take_reply(now, id, result, out),
-            Input::Peer { from, msg } => self.take_message(now, &from, msg, out),
+            Input::Peer { from, msg } => self.handle_message(now, &from, msg, out),
             Input::Note(note) => self.send_note(&note, out),
-            Input::PeerLost(gate) => self.lose_peer(now, gate),
+            Input::PeerLost(gate) => self.handle_peer_lost(now, gate),
             Input::Seeds(seeds) => self.cfg.seeds = seeds,
-            Input::Leaving => out.extend(self.relay.stop_reading().into_iter().map(send)),
+            Input::Leaving => out.extend(self.relay.stop_reading().into_iter().map(send_output)),
             Input::Wake => {}
         }
         self.advance(now, out);
@@ -143,7 +143,7 @@
 
     fn advance(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.relay.reader_timed_out(now) {
-            self.leave_reader(now, out);
+            self.abandon_reader(now, out);
         }
         self.watcher.set_serves_followers(now, self.relay.serves_followers(now));
         out.extend(self.watcher.next_call(now).map(Output::Read));
@@ -152,8 +152,8 @@
             self.put_in_force(now, out);
         }
         self.ask_peers(now, out);
-        self.make_offers(now, out);
-        self.relay_news(now, out);
+        self.send_offers(now, out);
+        self.send_relay_messages(now, out);
         let relay = self.held.as_ref().and_then(|_| self.relay.wake_at());
         let offers = self.held.as_ref().and_then(|_| self.offers.wake_at());
         let wakes =
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Discovery {
-    pub(super) fn take_message(
+    pub(super) fn handle_message(
         &mut self,
         now: Time,
         from: &Peer,
@@ -20,37 +20,37 @@
     ) {
         match msg {
             PeerMsg::Note(note) => out.push(Output::Note { from: from.vm.clone(), note }),
-            PeerMsg::Pull(pull) => self.answer(now, from, &pull, out),
+            PeerMsg::Pull(pull) => self.handle_pull(now, from, &pull, out),
             PeerMsg::Delta(delta) if delta.base.is_none() => {
-                self.take_delta(now, &delta, out);
+                self.handle_full_state(now, &delta, out);
                 self.confirm |= self.relay.is_upstream(from.address);
             }
             PeerMsg::Delta(delta) if self.relay.is_upstream(from.address) => {
-                self.take_difference(now, from, &delta, out);
+                self.handle_delta(now, from, &delta, out);
             }
             PeerMsg::Notice(summary) => {
                 let link = self.cfg.place.link_to(&from.place);
                 let informed = self.held.is_some() || self.watcher.has_listed();
                 let sender = (from.address, link);
                 match informed && self.relay.accept_notice(now, &self.cfg, sender, &summary) {
-                    true => self.take_notice(now, from, &summary, out),
-                    false => self.take_offer(now, from, &summary, out),
+                    true => self.handle_notice(now, from, &summary, out),
+                    false => self.handle_offer(now, from, &summary, out),
                 }
             }
             PeerMsg::Missing(_) if self.relay.is_upstream(from.address) => {
-                self.leave_reader(now, out);
+                self.abandon_reader(now, out);
             }
             // Peers that spread versions themselves say more; here the store does.
             _ => {}
         }
     }
 
-    fn answer(&mut self, now: Time, from: &Peer, pull: &Pull, out: &mut Vec<Output>) {
+    fn handle_pull(&mut self, now: Time, from: &Peer, pull: &Pull, out: &mut Vec<Output>) {
         let link = self.cfg.place.link_to(&from.place);
         let msg = match &pull.base {
             None => {
                 self.offers.on_state_sent(from.address);
-                self.whole_for(pull)
+                self.full_state_for(pull)
             }
             Some(base) => {
                 let held = self.held.as_ref().filter(|_| self.watcher.has_listed());
@@ -61,7 +61,7 @@
     }
 
     /// Everything in force, unless nothing is held that the asker lacks. Made once for all askers.
-    fn whole_for(&mut self, pull: &Pull) -> PeerMsg {
+    fn full_state_for(&mut self, pull: &Pull) -> PeerMsg {
         let Some(snapshot) = self.snapshot.as_ref().filter(|held| held.version() >= pull.version)
         else {
             return PeerMsg::Missing(self.snapshot.as_ref().map_or(0, |held| held.version()));
@@ -70,7 +70,7 @@
     }
 
     /// The process beside a gatekeeper could not be reached: when it is back, it may know nothing.
-    pub(super) fn lose_peer(&mut self, now: Time, gate: SocketAddr) {
+    pub(super) fn handle_peer_lost(&mut self, now: Time, gate: SocketAddr) {
         let address = SocketAddr::new(gate.ip(), self.cfg.peers_port);
         if address != self.cfg.address {
             self.offers.peer_lost(now, address);
@@ -78,7 +78,7 @@
     }
 
     /// Names what is held to peers that may have lost it.
-    pub(super) fn make_offers(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn send_offers(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(held) = self.held.clone() else {
             return;
         };
@@ -94,7 +94,7 @@
     ///
     /// Only a process that has not read the store since its start accepts an offer, and never an
     /// older version: the peer may be cut off from the store.
-    fn take_offer(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
+    fn handle_offer(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         if self.watcher.has_listed() {
             return;
         }
@@ -114,22 +114,24 @@
 
     /// Tells followers what the store has said and others that it is read here, or renews with the
     /// node that is followed.
-    pub(super) fn relay_news(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn send_relay_messages(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(held) = self.held.clone() else {
             return;
         };
         if std::mem::take(&mut self.proven) {
-            out.extend(self.relay.update_followers(now, &self.cfg, &held).into_iter().map(send));
+            out.extend(
+                self.relay.update_followers(now, &self.cfg, &held).into_iter().map(send_output),
+            );
         }
         if std::mem::take(&mut self.confirm) {
-            out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send));
+            out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send_output));
         }
-        out.extend(self.relay.renew_lease(now, &held).map(send));
-        out.extend(self.relay.announce(now, &self.cfg, &held).into_iter().map(send));
+        out.extend(self.relay.renew_lease(now, &held).map(send_output));
+        out.extend(self.relay.announce(now, &self.cfg, &held).into_iter().map(send_output));
     }
 
     /// The reader, or whoever is asked to be it, names what it holds.
-    fn take_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
+    fn handle_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         let msg = match &self.held {
             Some(held) if held.digest == summary.whole => {
                 return self.mark_in_sync(now, from, summary, out);
@@ -137,10 +139,10 @@
             Some(held) => relay::delta_request(held),
             None => rejoin::full_state_request(None),
         };
-        out.extend(self.relay.resync(now, msg).map(send));
+        out.extend(self.relay.resync(now, msg).map(send_output));
     }
 
-    fn take_difference(&mut self, now: Time, from: &Peer, delta: &Delta, out: &mut Vec<Output>) {
+    fn handle_delta(&mut self, now: Time, from: &Peer, delta: &Delta, out: &mut Vec<Output>) {
         let Some(held) = self.held.clone() else {
             return;
         };
@@ -159,11 +161,11 @@
             }
             // Made for another state than this node's, as after a message that was lost.
             Err(_) if delta.base.as_ref().is_none_or(|base| base.digest != held.digest) => {
-                out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send));
+                out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send_output));
             }
             Err(fault) => {
                 out.push(Output::Refused(fault));
-                self.leave_reader(now, out);
+                self.abandon_reader(now, out);
             }
         }
     }
@@ -171,13 +173,13 @@
     fn mark_in_sync(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         if self.relay.mark_in_sync(now, summary) {
             self.watcher.follow_reader();
-            out.extend(self.relay.dismiss_followers().into_iter().map(send));
+            out.extend(self.relay.dismiss_followers().into_iter().map(send_output));
             out.push(Output::Event(Event::new(now, EventKind::ParentChosen).with_peer(&from.vm)));
         }
     }
 
     /// Reads the store again, if another node was followed.
-    pub(super) fn leave_reader(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn abandon_reader(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.relay.drop_reader() {
             self.watcher.resume(now, &mut self.rng);
             self.confirm = self.relay.switch_to_standby(now);
@@ -187,7 +189,7 @@
 
     /// Takes what a peer holds until the store answers: its version if it is newer, and its
     /// targets if none are known.
-    fn take_delta(&mut self, now: Time, delta: &Delta, out: &mut Vec<Output>) {
+    fn handle_full_state(&mut self, now: Time, delta: &Delta, out: &mut Vec<Output>) {
         match rejoin::parse_full_state(delta) {
             Ok((published, entries)) => {
                 if !self.watcher.has_listed() {
@@ -203,6 +205,6 @@
     }
 }
 
-pub(super) fn send(Outgoing { to, link, msg }: Outgoing) -> Output {
+pub(super) fn send_output(Outgoing { to, link, msg }: Outgoing) -> Output {
     Output::Send { to, link, msg }
 }
