--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -34,8 +34,8 @@
 
 pub use pace::Pace;
 pub use port::{
-    Call, Change, Config, Input, Output, Publication, ReadError, Reply, Request, TargetEntry,
-    TargetState, View,
+    Call, Change, Config, Input, Output, Publication, ReadError, Reply, Request, Status,
+    TargetEntry, TargetState,
 };
 pub use registry::{RECOVERY_GRACE, Registry};
 
@@ -217,11 +217,11 @@
             false => Event::new(now, EventKind::SourceLost).with_code(Code::SourceUnreachable),
         };
         out.push(Output::Event(event));
-        out.push(Output::View(self.view()));
+        out.push(Output::Status(self.status()));
     }
 
-    fn view(&self) -> View {
-        View {
+    fn status(&self) -> Status {
+        Status {
             newest: self.published.as_ref().map_or(0, |published| published.version),
             store_answers: self.store_answers,
         }
@@ -284,7 +284,7 @@
                     out.push(Output::Event(event));
                 }
                 out.push(Output::InForce(snapshot));
-                out.push(Output::View(self.view()));
+                out.push(Output::Status(self.status()));
             }
             Err(fault) => out.push(Output::Refused(fault)),
         }
--- a/core/src/discovery/port.rs
+++ b/core/src/discovery/port.rs
@@ -209,14 +209,14 @@
     /// Record a change of state.
     Event(Event),
     /// Show operators what is known.
-    View(View),
+    Status(Status),
     /// Come back at this time.
     WakeAt(Time),
 }
 
 data! {
     /// What operators see.
-    pub struct View {
+    pub struct Status {
         /// The newest version held.
         pub newest: u64,
         /// Whether the store answered the last call.
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -198,10 +198,10 @@
                 shared.update_spread(|shown| shown.last_refusal = Some(fault));
             }
             Output::Event(event) => shared.record(event),
-            Output::View(view) => shared.update_spread(|shown| {
-                shown.newest_heard = view.newest;
-                shown.platform_answers = view.store_answers;
-                shown.confirmed = view.store_answers == Some(true);
+            Output::Status(status) => shared.update_spread(|shown| {
+                shown.newest_heard = status.newest;
+                shown.platform_answers = status.store_answers;
+                shown.confirmed = status.store_answers == Some(true);
             }),
             Output::WakeAt(at) => self.wake = Some(at),
         }
