--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -55,7 +55,7 @@
 use relay::Relay;
 use std::sync::Arc;
 use std::time::Duration;
-use view::View as Held;
+use view::View;
 
 /// A longer time without any input means that the process was paused: a call to the store ends
 /// sooner, whatever becomes of it.
@@ -72,20 +72,20 @@
     registry: Registry,
     published: Option<Arc<Publication>>,
     // Newest version refused, so that it is reported once.
-    refused: u64,
+    rejected_version: u64,
     snapshot: Option<Arc<Snapshot>>,
     rejoin: Rejoin,
     offers: Offers,
     relay: Relay,
     // What is in force, as it is compared with what other nodes hold.
-    held: Option<Arc<Held>>,
+    view: Option<Arc<View>>,
     // Everything in force as one message, for peers that hold nothing.
-    whole: Option<PeerMsg>,
-    stale: bool,
+    full_state: Option<PeerMsg>,
+    snapshot_stale: bool,
     // The store has answered since followers were told last.
-    proven: bool,
+    broadcast_due: bool,
     // A peer's whole state was taken, which the node that is asked to read has yet to confirm.
-    confirm: bool,
+    resync_due: bool,
     store_answers: Option<bool>,
     last_input: Option<Time>,
 }
@@ -101,16 +101,16 @@
             watcher: StoreWatcher::new(pace, role),
             registry: Registry::new(),
             published: None,
-            refused: 0,
+            rejected_version: 0,
             snapshot: None,
             rejoin: Rejoin::new(),
             offers: Offers::new(),
             relay,
-            held: None,
-            whole: None,
-            stale: false,
-            proven: false,
-            confirm: false,
+            view: None,
+            full_state: None,
+            snapshot_stale: false,
+            broadcast_due: false,
+            resync_due: false,
             store_answers: None,
             last_input: None,
             cfg,
@@ -119,13 +119,13 @@
 
     /// The one entry: takes an input in and appends what follows from it.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.notice_gap(now, out);
+        self.detect_clock_gap(now, out);
         match input {
             Input::Start => {
                 self.watcher.start(now, &mut self.rng);
                 self.rejoin.start(now, &mut self.rng);
             }
-            Input::Reply { id, result } => self.take_reply(now, id, result, out),
+            Input::Reply { id, result } => self.handle_reply(now, id, result, out),
             Input::Peer { from, msg } => self.handle_message(now, &from, msg, out),
             Input::Note(note) => self.send_note(&note, out),
             Input::PeerLost(gate) => self.handle_peer_lost(now, gate),
@@ -147,15 +147,15 @@
         }
         self.watcher.set_serves_followers(now, self.relay.serves_followers(now));
         out.extend(self.watcher.next_call(now).map(Output::Read));
-        self.stale |= self.registry.expire_missing(now);
-        if std::mem::take(&mut self.stale) {
-            self.put_in_force(now, out);
+        self.snapshot_stale |= self.registry.expire_missing(now);
+        if std::mem::take(&mut self.snapshot_stale) {
+            self.rebuild_snapshot(now, out);
         }
-        self.ask_peers(now, out);
+        self.query_peers(now, out);
         self.send_offers(now, out);
         self.send_relay_messages(now, out);
-        let relay = self.held.as_ref().and_then(|_| self.relay.wake_at());
-        let offers = self.held.as_ref().and_then(|_| self.offers.wake_at());
+        let relay = self.view.as_ref().and_then(|_| self.relay.wake_at());
+        let offers = self.view.as_ref().and_then(|_| self.offers.wake_at());
         let wakes =
             [self.watcher.wake_at(), self.registry.wake_at(), self.rejoin.wake_at(), offers, relay];
         if let Some(wake) = wakes.into_iter().flatten().min() {
@@ -165,14 +165,14 @@
 
     /// Records that the process was paused. Nothing else follows: the call to the store that was
     /// under way has passed its time-out by then, and the next one is made at once.
-    fn notice_gap(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn detect_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.since(last) > CLOCK_GAP {
             out.push(Output::Event(Event::new(now, EventKind::ClockGap).with_default_code()));
         }
     }
 
-    fn take_reply(
+    fn handle_reply(
         &mut self,
         now: Time,
         id: u64,
@@ -183,7 +183,7 @@
             return;
         }
         let answered = !matches!(result, Err(ReadError::Failed(_)));
-        self.note_answer(now, answered, out);
+        self.record_store_status(now, answered, out);
         match answered {
             true => {
                 self.registry.on_store_success(now);
@@ -193,7 +193,7 @@
         let (changes, listed) = self.watcher.handle_result(now, result, &mut self.rng);
         let is_target = |change: &Change| !matches!(change, Change::Published(_));
         let (targets, publications): (Vec<_>, Vec<_>) = changes.into_iter().partition(is_target);
-        self.stale |= match listed {
+        self.snapshot_stale |= match listed {
             true => self.registry.apply_list(now, targets),
             false => self.registry.apply_changes(now, targets),
         };
@@ -201,14 +201,14 @@
         // missing may be known to have left to those that the store has answered all the while.
         if answered && !self.watcher.is_listing() && !self.registry.has_missing() {
             self.relay.on_store_success(now);
-            self.proven = true;
+            self.broadcast_due = true;
         }
         for publication in publications {
-            self.take_publication(now, publication, out);
+            self.handle_publication(now, publication, out);
         }
     }
 
-    fn note_answer(&mut self, now: Time, answered: bool, out: &mut Vec<Output>) {
+    fn record_store_status(&mut self, now: Time, answered: bool, out: &mut Vec<Output>) {
         if self.store_answers.replace(answered) == Some(answered) {
             return;
         }
@@ -227,7 +227,7 @@
         }
     }
 
-    fn take_publication(&mut self, now: Time, change: Change, out: &mut Vec<Output>) {
+    fn handle_publication(&mut self, now: Time, change: Change, out: &mut Vec<Output>) {
         let published = match change {
             Change::Published(Ok(published)) => published,
             Change::Published(Err(fault)) => {
@@ -238,15 +238,15 @@
             }
             Change::Target { .. } | Change::Removed { .. } => return,
         };
-        self.take_version(now, published, out);
+        self.accept_version(now, published, out);
     }
 
     /// A version that is not newer than the one held changes nothing, whatever its source.
-    fn take_version(&mut self, now: Time, published: Arc<Publication>, out: &mut Vec<Output>) {
+    fn accept_version(&mut self, now: Time, published: Arc<Publication>, out: &mut Vec<Output>) {
         let version = published.version;
         let held = self.published.as_ref().map_or(0, |held| held.version);
-        if version < held && self.refused != version {
-            self.refused = version;
+        if version < held && self.rejected_version != version {
+            self.rejected_version = version;
             let event = Event::new(now, EventKind::VersionRefused).with_version(version);
             return out.push(Output::Event(event.with_code(Code::VersionOlder)));
         }
@@ -254,18 +254,18 @@
             return;
         }
         self.published = Some(published);
-        self.stale = true;
+        self.snapshot_stale = true;
         out.push(Output::Event(Event::new(now, EventKind::VersionHeard).with_version(version)));
     }
 
-    fn put_in_force(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn rebuild_snapshot(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(published) = self.published.clone() else {
             return;
         };
         let mut preset = published.preset.clone();
         let listed = self.registry.targets(&self.cfg);
-        self.held = Some(Arc::new(Held::new(published.clone(), &listed)));
-        self.whole = None;
+        self.view = Some(Arc::new(View::new(published.clone(), &listed)));
+        self.full_state = None;
         self.relay.record_version(&published);
         for target in listed {
             if let Some(service) = preset.services.get_mut(&target.service) {
@@ -302,7 +302,7 @@
         }
     }
 
-    fn ask_peers(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn query_peers(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.watcher.has_listed() {
             return self.rejoin.stop();
         }
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -23,14 +23,14 @@
             PeerMsg::Pull(pull) => self.handle_pull(now, from, &pull, out),
             PeerMsg::Delta(delta) if delta.base.is_none() => {
                 self.handle_full_state(now, &delta, out);
-                self.confirm |= self.relay.is_upstream(from.address);
+                self.resync_due |= self.relay.is_upstream(from.address);
             }
             PeerMsg::Delta(delta) if self.relay.is_upstream(from.address) => {
                 self.handle_delta(now, from, &delta, out);
             }
             PeerMsg::Notice(summary) => {
                 let link = self.cfg.place.link_to(&from.place);
-                let informed = self.held.is_some() || self.watcher.has_listed();
+                let informed = self.view.is_some() || self.watcher.has_listed();
                 let sender = (from.address, link);
                 match informed && self.relay.accept_notice(now, &self.cfg, sender, &summary) {
                     true => self.handle_notice(now, from, &summary, out),
@@ -53,7 +53,7 @@
                 self.full_state_for(pull)
             }
             Some(base) => {
-                let held = self.held.as_ref().filter(|_| self.watcher.has_listed());
+                let held = self.view.as_ref().filter(|_| self.watcher.has_listed());
                 self.relay.handle_pull(now, &self.cfg, (from.address, link), base, held)
             }
         };
@@ -66,7 +66,7 @@
         else {
             return PeerMsg::Missing(self.snapshot.as_ref().map_or(0, |held| held.version()));
         };
-        self.whole.get_or_insert_with(|| rejoin::full_state(snapshot)).clone()
+        self.full_state.get_or_insert_with(|| rejoin::full_state(snapshot)).clone()
     }
 
     /// The process beside a gatekeeper could not be reached: when it is back, it may know nothing.
@@ -79,7 +79,7 @@
 
     /// Names what is held to peers that may have lost it.
     pub(super) fn send_offers(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(held) = self.held.clone() else {
+        let Some(held) = self.view.clone() else {
             return;
         };
         let silent = self.store_answers == Some(false) && !self.relay.is_follower();
@@ -99,7 +99,7 @@
             return;
         }
         let known = self.published.as_ref().map_or(0, |held| held.version);
-        let same = self.held.as_ref().is_some_and(|held| held.digest == summary.whole);
+        let same = self.view.as_ref().is_some_and(|held| held.digest == summary.whole);
         let ask = match summary.in_force.version.cmp(&known) {
             Ordering::Greater => self.offers.may_pull(now, summary.whole),
             Ordering::Equal => !same && self.offers.may_pull_same_version(now, summary.whole),
@@ -115,15 +115,15 @@
     /// Tells followers what the store has said and others that it is read here, or renews with the
     /// node that is followed.
     pub(super) fn send_relay_messages(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(held) = self.held.clone() else {
+        let Some(held) = self.view.clone() else {
             return;
         };
-        if std::mem::take(&mut self.proven) {
+        if std::mem::take(&mut self.broadcast_due) {
             out.extend(
                 self.relay.update_followers(now, &self.cfg, &held).into_iter().map(send_output),
             );
         }
-        if std::mem::take(&mut self.confirm) {
+        if std::mem::take(&mut self.resync_due) {
             out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send_output));
         }
         out.extend(self.relay.renew_lease(now, &held).map(send_output));
@@ -132,7 +132,7 @@
 
     /// The reader, or whoever is asked to be it, names what it holds.
     fn handle_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
-        let msg = match &self.held {
+        let msg = match &self.view {
             Some(held) if held.digest == summary.whole => {
                 return self.mark_in_sync(now, from, summary, out);
             }
@@ -143,7 +143,7 @@
     }
 
     fn handle_delta(&mut self, now: Time, from: &Peer, delta: &Delta, out: &mut Vec<Output>) {
-        let Some(held) = self.held.clone() else {
+        let Some(held) = self.view.clone() else {
             return;
         };
         match held.apply_delta(delta) {
@@ -155,8 +155,8 @@
                         .map(|target| (target.vm.clone(), rejoin::target_entry(service, target)))
                 });
                 self.registry.replace_from_reader(entries.collect());
-                self.take_version(now, after.published, out);
-                self.stale = true;
+                self.accept_version(now, after.published, out);
+                self.snapshot_stale = true;
                 self.mark_in_sync(now, from, &delta.summary, out);
             }
             // Made for another state than this node's, as after a message that was lost.
@@ -182,7 +182,7 @@
     pub(super) fn abandon_reader(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.relay.drop_reader() {
             self.watcher.resume(now, &mut self.rng);
-            self.confirm = self.relay.switch_to_standby(now);
+            self.resync_due = self.relay.switch_to_standby(now);
             out.push(Output::Event(Event::new(now, EventKind::ParentLost)));
         }
     }
@@ -193,12 +193,12 @@
         match rejoin::parse_full_state(delta) {
             Ok((published, entries)) => {
                 if !self.watcher.has_listed() {
-                    self.stale |= self.registry.merge_from_peer(now, entries);
+                    self.snapshot_stale |= self.registry.merge_from_peer(now, entries);
                     self.watcher.on_peer_state(now, &mut self.rng);
                     self.rejoin.on_peer_state(now);
                 }
-                self.take_version(now, Arc::new(published), out);
-                self.stale |= self.published.is_some();
+                self.accept_version(now, Arc::new(published), out);
+                self.snapshot_stale |= self.published.is_some();
             }
             Err(fault) => out.push(Output::Refused(fault)),
         }
