--- a/core/tests/discovery_relay.rs
+++ b/core/tests/discovery_relay.rs
@@ -40,14 +40,14 @@
     fleet.store.changes.push(version(1, 10));
     fleet.store.changes.extend((0..NODES).map(|node| entry(node, TargetState::Ready, 1)));
     (0..NODES).for_each(|node| fleet.input(node, Input::Start));
-    fleet.pass(ms(6_000));
+    fleet.advance(ms(6_000));
     fleet
 }
 
 /// Nodes that read the store of late, for themselves or for others.
 fn readers(fleet: &Fleet) -> Vec<usize> {
     let reads = |node: &usize| {
-        fleet.nodes[*node].up && fleet.now.since(fleet.nodes[*node].called) < ms(1_100)
+        fleet.nodes[*node].up && fleet.now.since(fleet.nodes[*node].last_call_at) < ms(1_100)
     };
     (0..NODES).filter(reads).collect()
 }
@@ -77,7 +77,7 @@
     };
     let behind = |node: &usize| {
         let node = &fleet.nodes[*node];
-        node.up && !node.cut && !holds(node)
+        node.up && !node.store_unreachable && !holds(node)
     };
     (0..NODES).filter(behind).collect()
 }
@@ -87,7 +87,7 @@
     // Story: sixty nodes that each watch the store pay for two thousand calls in half a minute.
     let mut fleet = fleet();
     let before = fleet.store.calls;
-    fleet.pass(ms(30_000));
+    fleet.advance(ms(30_000));
     let calls = fleet.store.calls - before;
     assert_eq!(behind(&fleet), Vec::<usize>::new());
     // Two readers make two calls a second each.
@@ -100,7 +100,7 @@
     for step in 0..20 {
         fleet.store.changes.push(version(2 + step, 10 + step as usize));
         fleet.store.changes.push(entry(step as usize, TargetState::Draining, 2));
-        fleet.pass(ms(700));
+        fleet.advance(ms(700));
         assert_eq!(behind(&fleet), Vec::<usize>::new(), "step {step}");
     }
 }
@@ -124,11 +124,11 @@
     let mut fleet = fleet();
     let first = readers(&fleet);
     first.iter().for_each(|node| fleet.stop(*node));
-    fleet.pass(ms(5_000));
+    fleet.advance(ms(5_000));
     let second = readers(&fleet);
     assert_eq!(second.len(), 2, "one a region");
     first.iter().for_each(|node| fleet.start(*node));
-    fleet.pass(ms(5_000));
+    fleet.advance(ms(5_000));
     assert_eq!(readers(&fleet), second);
 }
 
@@ -137,14 +137,14 @@
 fn relay_reader_stops_as_planned() {
     for phase in 0..9 {
         let mut fleet = fleet();
-        fleet.pass(ms(100 * phase));
+        fleet.advance(ms(100 * phase));
         for node in readers(&fleet) {
             fleet.input(node, Input::Leaving);
-            fleet.pass(ms(20));
+            fleet.advance(ms(20));
             fleet.stop(node);
         }
         fleet.store.changes.push(entry(3, TargetState::Draining, 2));
-        fleet.pass(ms(700));
+        fleet.advance(ms(700));
         assert_eq!(behind(&fleet), Vec::<usize>::new(), "phase {phase}");
     }
 }
@@ -156,11 +156,11 @@
     for phase in 0..9 {
         let mut fleet = fleet();
         for node in readers(&fleet) {
-            fleet.nodes[node].cut = true;
+            fleet.nodes[node].store_unreachable = true;
         }
-        fleet.pass(ms(900 + 200 * phase));
+        fleet.advance(ms(900 + 200 * phase));
         fleet.store.changes.push(version(2, 10));
-        fleet.pass(BOUND);
+        fleet.advance(BOUND);
         assert_eq!(behind(&fleet), Vec::<usize>::new(), "phase {phase}");
     }
 }
@@ -171,11 +171,11 @@
     let mut fleet = fleet();
     let before = fleet.store.calls;
     fleet.store.changes.push(version(2, 1_200));
-    fleet.pass(ms(1_500));
+    fleet.advance(ms(1_500));
     assert_eq!(behind(&fleet), Vec::<usize>::new());
     // Of JSON text, DEFLATE leaves at most an eighth.
     let followers = NODES as u64 / 2 - 1;
-    let link_ms = fleet.largest as u64 / 8 * followers * 8 / WIDE_KBPS;
+    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / WIDE_KBPS;
     assert!(link_ms <= 500, "{link_ms} ms of a reader's link");
     let calls = fleet.store.calls - before;
     assert!(calls <= 12, "{calls}: followers must not all read the store");
@@ -186,10 +186,10 @@
 fn relay_huge_version_read_from_store() {
     let mut fleet = fleet();
     fleet.store.changes.push(version_with_paths(2, 6_000, &"r".repeat(800)));
-    fleet.pass(ms(2_500));
+    fleet.advance(ms(2_500));
     assert_eq!(behind(&fleet), Vec::<usize>::new());
     let followers = NODES as u64 / 2 - 1;
-    let link_ms = fleet.largest as u64 / 8 * followers * 8 / WIDE_KBPS;
+    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / WIDE_KBPS;
     assert!(link_ms <= 500, "{link_ms} ms of a reader's link");
 }
 
@@ -204,12 +204,12 @@
         fleet.stop(node);
     }
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
-    fleet.pass(BOUND);
+    fleet.advance(BOUND);
     assert_eq!(behind(&fleet), Vec::<usize>::new());
     // Others take over, so that the calls do not stay many.
-    fleet.pass(ms(8_000));
+    fleet.advance(ms(8_000));
     let before = fleet.store.calls;
-    fleet.pass(ms(10_000));
+    fleet.advance(ms(10_000));
     assert!(fleet.store.calls - before <= 60, "{}", fleet.store.calls - before);
 }
 
@@ -219,10 +219,10 @@
     // hear nothing wrong, since silence is what a store without changes looks like.
     let mut fleet = fleet();
     for node in readers(&fleet) {
-        fleet.nodes[node].cut = true;
+        fleet.nodes[node].store_unreachable = true;
     }
     fleet.store.changes.push(version(2, 10));
-    fleet.pass(BOUND);
+    fleet.advance(BOUND);
     assert_eq!(behind(&fleet), Vec::<usize>::new());
 }
 
@@ -232,10 +232,10 @@
     // so that its followers see nothing wrong, and do without the change.
     let mut fleet = fleet();
     // Past the question that every follower asks each two seconds and that would tell it too.
-    fleet.pass(ms(500));
+    fleet.advance(ms(500));
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
-    fleet.deaf_until = fleet.now + ms(50);
-    fleet.pass(ms(1_200));
+    fleet.drop_messages_until = fleet.now + ms(50);
+    fleet.advance(ms(1_200));
     assert_eq!(behind(&fleet), Vec::<usize>::new());
 }
 
@@ -250,9 +250,9 @@
     for node in &readers {
         fleet.nodes[*node].up = false;
     }
-    fleet.pass(ms(1_000));
+    fleet.advance(ms(1_000));
     fleet.store.changes.push(version(2, 10));
-    fleet.pass(ms(3_000));
+    fleet.advance(ms(3_000));
     assert_eq!(behind(&fleet), Vec::<usize>::new());
     for (at, node) in readers.iter().enumerate() {
         fleet.nodes[*node].up = true;
@@ -260,7 +260,7 @@
         fleet.nodes[*node].wake = wakes[at];
     }
     for _ in 0..100 {
-        fleet.pass(ms(20));
+        fleet.advance(ms(20));
         let old = |node: &&Node| node.snapshot.as_ref().is_some_and(|held| held.version() < 2);
         let old = fleet.nodes.iter().filter(old).count();
         assert!(old <= readers.len(), "{old} nodes went back");
@@ -287,19 +287,19 @@
                 let reader = readers.get(next(4) as usize).copied().unwrap_or(any);
                 match next(4) {
                     0 => fleet.stop(reader),
-                    1 => fleet.nodes[reader].cut = true,
+                    1 => fleet.nodes[reader].store_unreachable = true,
                     2 if !fleet.nodes[any].up => fleet.start(any),
-                    _ => fleet.nodes[any].cut = false,
+                    _ => fleet.nodes[any].store_unreachable = false,
                 }
             }
             newest += 1;
             fleet.store.changes.push(version(newest, 5 + next(20) as usize));
             let target = next(NODES as u64) as usize;
             fleet.store.changes.push(entry(target, TargetState::Draining, 2));
-            fleet.pass(BOUND + Pace::for_bound(BOUND).reader_timeout * next(2) as u32);
+            fleet.advance(BOUND + Pace::for_bound(BOUND).reader_timeout * next(2) as u32);
             // A node that has just reached the store again may still wait for a time-out.
             if !behind(&fleet).is_empty() {
-                fleet.pass(ms(4_000));
+                fleet.advance(ms(4_000));
             }
             assert_eq!(behind(&fleet), Vec::<usize>::new(), "seed {seed}, step {step}");
         }
--- a/core/tests/discovery_return.rs
+++ b/core/tests/discovery_return.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
-use support::{Fleet, Node, config, gate, ms, name, seeds, version};
+use support::{Fleet, Node, config, gate_address, ms, name, seeds, version};
 use sycamore_core::discovery::{Change, Config, Input, TargetState};
 use sycamore_core::place::Place;
 
@@ -48,12 +48,12 @@
         inner.store.changes.extend((0..NODES).map(|node| entry(node, TargetState::Ready, 1)));
         (0..NODES).for_each(|node| inner.input(node, Input::Start));
         let mut fleet = Returning { inner, rng: Pcg64Mcg::seed_from_u64(seed) };
-        fleet.pass(Duration::from_secs(1));
+        fleet.advance(Duration::from_secs(1));
         assert_eq!(fleet.holding(1), NODES);
         fleet
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         for step in 0..(span.as_millis() / 10) as usize {
             self.inner.step();
             if step % CALL_STEPS == 0 {
@@ -66,14 +66,14 @@
     fn call_somebody(&mut self, node: usize) {
         let to = self.rng.random_range(0..NODES);
         if self.inner.nodes[node].snapshot.is_some() && !self.inner.nodes[to].up {
-            self.inner.input(node, Input::PeerLost(gate(to)));
+            self.inner.input(node, Input::PeerLost(gate_address(to)));
         }
     }
 
     /// Kills these and restarts them 0.6 s later.
     fn lose(&mut self, killed: &[usize]) {
         killed.iter().for_each(|node| self.inner.stop(*node));
-        self.pass(ms(600));
+        self.advance(ms(600));
         killed.iter().for_each(|node| self.inner.start(*node));
     }
 
@@ -93,10 +93,10 @@
     // among them. They are back after 0.6 s and ask their seeds, which know nothing either. Callers
     // of 16 nodes get refusals until the store is back, although two nodes hold everything.
     let mut fleet = Returning::new(1);
-    fleet.inner.set_silent(true);
-    fleet.pass(Duration::from_secs(2));
+    fleet.inner.set_store_unreachable(true);
+    fleet.advance(Duration::from_secs(2));
     fleet.lose(&(0..16).collect::<Vec<_>>());
-    fleet.pass(BOUND);
+    fleet.advance(BOUND);
     assert_eq!(fleet.holding(1), NODES);
 }
 
@@ -104,14 +104,14 @@
 fn return_store_takes_over() {
     // What the store says when it is back goes before what peers have handed on.
     let mut fleet = Returning::new(2);
-    fleet.inner.set_silent(true);
-    fleet.pass(Duration::from_secs(2));
+    fleet.inner.set_store_unreachable(true);
+    fleet.advance(Duration::from_secs(2));
     fleet.lose(&(0..16).collect::<Vec<_>>());
-    fleet.pass(BOUND);
+    fleet.advance(BOUND);
     fleet.inner.store.changes.push(version(2, 1));
     fleet.inner.store.changes.push(entry(3, TargetState::Draining, 2));
-    fleet.inner.set_silent(false);
-    fleet.pass(Duration::from_secs(6));
+    fleet.inner.set_store_unreachable(false);
+    fleet.advance(Duration::from_secs(6));
     assert_eq!(fleet.holding(2), NODES);
     let leaving = |node: &Node| {
         let snapshot = node.snapshot.as_ref().unwrap();
@@ -128,12 +128,12 @@
     let behind = 17;
     fleet.inner.nodes[behind].up = false;
     fleet.inner.store.changes.push(version(2, 1));
-    fleet.pass(Duration::from_secs(5));
+    fleet.advance(Duration::from_secs(5));
     fleet.inner.nodes[behind].up = true;
-    fleet.inner.set_silent(true);
-    fleet.pass(Duration::from_secs(2));
+    fleet.inner.set_store_unreachable(true);
+    fleet.advance(Duration::from_secs(2));
     fleet.lose(&(0..16).collect::<Vec<_>>());
-    fleet.pass(BOUND);
+    fleet.advance(BOUND);
     assert!(fleet.holding(2) >= NODES - 1, "{}", fleet.holding(2));
 }
 
@@ -141,9 +141,9 @@
 fn return_quiet_times_no_offer() {
     // Offers cost bytes between zones, so that none is made while nothing is lost.
     let mut fleet = Returning::new(4);
-    (fleet.inner.offers, fleet.inner.across) = (0, 0);
-    fleet.pass(Duration::from_secs(20));
-    assert_eq!((fleet.inner.offers, fleet.inner.across), (0, 0));
+    (fleet.inner.offers_sent, fleet.inner.cross_region_messages) = (0, 0);
+    fleet.advance(Duration::from_secs(20));
+    assert_eq!((fleet.inner.offers_sent, fleet.inner.cross_region_messages), (0, 0));
 }
 
 #[test]
@@ -152,12 +152,12 @@
     // that, offers to it end once nobody finds it gone any more.
     let mut fleet = Returning::new(5);
     fleet.inner.stop(3);
-    fleet.pass(Duration::from_secs(1));
-    assert!(fleet.inner.offers > 0);
-    fleet.inner.pass(Duration::from_secs(5));
-    (fleet.inner.offers, fleet.inner.across) = (0, 0);
-    fleet.inner.pass(Duration::from_secs(5));
-    assert_eq!((fleet.inner.offers, fleet.inner.across), (0, 0));
+    fleet.advance(Duration::from_secs(1));
+    assert!(fleet.inner.offers_sent > 0);
+    fleet.inner.advance(Duration::from_secs(5));
+    (fleet.inner.offers_sent, fleet.inner.cross_region_messages) = (0, 0);
+    fleet.inner.advance(Duration::from_secs(5));
+    assert_eq!((fleet.inner.offers_sent, fleet.inner.cross_region_messages), (0, 0));
 }
 
 proptest! {
@@ -169,14 +169,14 @@
     #[test]
     fn return_any_survivor(seed in any::<u32>(), killed in 9usize..NODES, again in 0usize..6) {
         let mut fleet = Returning::new(seed.into());
-        fleet.inner.set_silent(true);
-        fleet.pass(Duration::from_secs(2));
+        fleet.inner.set_store_unreachable(true);
+        fleet.advance(Duration::from_secs(2));
         let mut nodes: Vec<usize> = (0..NODES).collect();
         nodes.shuffle(&mut fleet.rng);
         fleet.lose(&nodes[..killed]);
-        fleet.pass(ms(700));
+        fleet.advance(ms(700));
         fleet.lose(&nodes[..again]);
-        fleet.pass(BOUND);
+        fleet.advance(BOUND);
         prop_assert_eq!(fleet.holding(1), NODES);
     }
 }
--- a/core/tests/support/store_fleet.rs
+++ b/core/tests/support/store_fleet.rs
@@ -21,12 +21,12 @@
 pub const START: Time = Time(1_700_000_000_000_000);
 
 /// Time of a message, or of a call that the store answers at once.
-const WAY: Duration = Duration::from_millis(2);
+const MESSAGE_LATENCY: Duration = Duration::from_millis(2);
 
 /// Ports of every node's peers and gatekeeper, and of its target.
-const PEERS: u16 = 7;
-const GATE: u16 = 5;
-const TARGET: u16 = 80;
+const PEERS_PORT: u16 = 7;
+const GATE_PORT: u16 = 5;
+const TARGET_PORT: u16 = 80;
 
 pub fn name(text: impl Into<String>) -> Name {
     Name::new(text.into()).unwrap()
@@ -48,33 +48,33 @@
 }
 
 /// Address of the gatekeeper on a node.
-pub fn gate(node: usize) -> SocketAddr {
-    address(node, GATE)
+pub fn gate_address(node: usize) -> SocketAddr {
+    address(node, GATE_PORT)
 }
 
 /// The settings of a node without seeds on a wide link.
 pub fn config(node: usize, place: Place) -> Config {
     Config {
         place,
-        address: address(node, PEERS),
+        address: address(node, PEERS_PORT),
         link_kbps: None,
         change_bound: Duration::from_millis(2_500),
         seeds: Vec::new(),
-        gate_port: GATE,
-        peers_port: PEERS,
+        gate_port: GATE_PORT,
+        peers_port: PEERS_PORT,
     }
 }
 
 /// Addresses of these nodes as seeds.
 pub fn seeds(nodes: std::ops::Range<usize>) -> Vec<SocketAddr> {
-    nodes.map(|node| address(node, PEERS)).collect()
+    nodes.map(|node| address(node, PEERS_PORT)).collect()
 }
 
 /// The entry that the target beside a node writes.
 pub fn entry(node: usize, place: Place, state: TargetState, sequence: u64) -> Change {
     let entry = TargetEntry {
         service: name("s"),
-        address: address(node, TARGET),
+        address: address(node, TARGET_PORT),
         place,
         slots: 11,
         state,
@@ -143,22 +143,22 @@
     pub discovery: Discovery,
     pub up: bool,
     /// The store does not answer it.
-    pub cut: bool,
+    pub store_unreachable: bool,
     /// The call under way, and since when.
     pub call: Option<(Call, Time)>,
     /// When it last made a call.
-    pub called: Time,
+    pub last_call_at: Time,
     pub wake: Option<Time>,
     pub snapshot: Option<Arc<Snapshot>>,
     // Counts the starts: what was sent to the process before does not reach the next.
-    life: u32,
+    incarnation: u32,
 }
 
 struct Message {
     due: Time,
     from: usize,
     to: usize,
-    life: u32,
+    incarnation: u32,
     msg: PeerMsg,
 }
 
@@ -168,12 +168,12 @@
     pub store: Store,
     pub nodes: Vec<Node>,
     /// Drops every message until then.
-    pub deaf_until: Time,
+    pub drop_messages_until: Time,
     /// Bytes of the largest difference sent.
-    pub largest: usize,
+    pub largest_delta: usize,
     /// Offers to peers that may have lost everything, and messages that leave their region.
-    pub offers: usize,
-    pub across: usize,
+    pub offers_sent: usize,
+    pub cross_region_messages: usize,
     config: fn(usize) -> Config,
     step: Duration,
     seed: u64,
@@ -187,10 +187,10 @@
             now: START,
             store: Store::default(),
             nodes: Vec::new(),
-            deaf_until: START,
-            largest: 0,
-            offers: 0,
-            across: 0,
+            drop_messages_until: START,
+            largest_delta: 0,
+            offers_sent: 0,
+            cross_region_messages: 0,
             config,
             step,
             seed,
@@ -200,17 +200,17 @@
         fleet
     }
 
-    fn new_node(&mut self, node: usize, life: u32) -> Node {
+    fn new_node(&mut self, node: usize, incarnation: u32) -> Node {
         self.seed += 1;
         Node {
             discovery: Discovery::new((self.config)(node), self.seed),
             up: true,
-            cut: false,
+            store_unreachable: false,
             call: None,
-            called: START,
+            last_call_at: START,
             wake: None,
             snapshot: None,
-            life,
+            incarnation,
         }
     }
 
@@ -222,30 +222,30 @@
         self.nodes[node].wake = None;
         self.nodes[node].discovery.handle(self.now, input, &mut out);
         for output in out {
-            self.carry_out(node, output);
+            self.apply_output(node, output);
         }
     }
 
-    fn carry_out(&mut self, node: usize, output: Output) {
+    fn apply_output(&mut self, node: usize, output: Output) {
         match output {
             Output::Read(call) => {
                 self.store.calls += 1;
                 self.store.lists += usize::from(matches!(call.request, Request::List { .. }));
                 self.nodes[node].call = Some((call, self.now));
-                self.nodes[node].called = self.now;
+                self.nodes[node].last_call_at = self.now;
             }
             Output::Send { to, msg, link } => {
                 if let PeerMsg::Delta(delta) = &msg {
                     let size = delta.changed.iter().map(|(_, body)| body.len()).sum();
-                    self.largest = self.largest.max(size);
+                    self.largest_delta = self.largest_delta.max(size);
                 }
                 let offer = |summary: &Summary| summary.store_age_ms.is_none();
                 let offers = matches!(&msg, PeerMsg::Notice(summary) if offer(summary));
-                self.offers += usize::from(offers);
-                self.across += usize::from(link == Link::CrossRegion);
-                let (to, due) = (node_at(to), self.now + WAY);
-                let life = self.nodes[to].life;
-                self.messages.push_back(Message { due, from: node, to, life, msg });
+                self.offers_sent += usize::from(offers);
+                self.cross_region_messages += usize::from(link == Link::CrossRegion);
+                let (to, due) = (node_at(to), self.now + MESSAGE_LATENCY);
+                let incarnation = self.nodes[to].incarnation;
+                self.messages.push_back(Message { due, from: node, to, incarnation, msg });
             }
             Output::InForce(snapshot) => self.nodes[node].snapshot = Some(snapshot),
             Output::WakeAt(at) => self.nodes[node].wake = Some(at),
@@ -254,7 +254,7 @@
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.step();
@@ -265,8 +265,8 @@
     pub fn step(&mut self) {
         self.now = self.now + self.step;
         while self.messages.front().is_some_and(|message| message.due <= self.now) {
-            let Message { from, to, life, msg, .. } = self.messages.pop_front().unwrap();
-            if self.now >= self.deaf_until && self.nodes[to].life == life {
+            let Message { from, to, incarnation, msg, .. } = self.messages.pop_front().unwrap();
+            if self.now >= self.drop_messages_until && self.nodes[to].incarnation == incarnation {
                 let cfg = (self.config)(from);
                 let (vm, address) = (name(format!("t{from}")), cfg.address);
                 let from = Peer { vm, place: cfg.place, address };
@@ -286,21 +286,22 @@
         let Some((call, since)) = self.nodes[node].call.clone() else {
             return;
         };
-        let late = self.now >= since + call.timeout;
+        let timed_out = self.now >= since + call.timeout;
         let reply = match call.request {
             Request::List { stale, .. } => Some(self.store.list(stale)),
             Request::Entries { revision } => Some(self.store.entries_since(revision)),
             Request::Document => Some(self.store.document()),
             Request::Watch { revision, wait } => {
                 let reply = self.store.changes_since(revision);
-                let over = self.now >= since + wait;
-                (over || !reply.changes.is_empty()).then_some(reply)
+                let wait_elapsed = self.now >= since + wait;
+                (wait_elapsed || !reply.changes.is_empty()).then_some(reply)
             }
         };
-        let reply = reply.filter(|_| self.now >= since + WAY && !self.nodes[node].cut);
+        let reply = reply
+            .filter(|_| self.now >= since + MESSAGE_LATENCY && !self.nodes[node].store_unreachable);
         let result = match reply {
             Some(reply) => Ok(reply),
-            None if late => Err(ReadError::Failed(Code::SourceUnreachable)),
+            None if timed_out => Err(ReadError::Failed(Code::SourceUnreachable)),
             None => return,
         };
         self.nodes[node].call = None;
@@ -315,15 +316,15 @@
 
     /// Another process of the same VM starts, and can reach the store unless it is cut.
     pub fn start(&mut self, node: usize) {
-        let life = self.nodes[node].life + 1;
-        let cut = self.nodes[node].cut;
-        let started = self.new_node(node, life);
-        self.nodes[node] = Node { cut, ..started };
+        let incarnation = self.nodes[node].incarnation + 1;
+        let store_unreachable = self.nodes[node].store_unreachable;
+        let started = self.new_node(node, incarnation);
+        self.nodes[node] = Node { store_unreachable, ..started };
         self.input(node, Input::Start);
     }
 
     /// The store answers nobody, or everybody again.
-    pub fn set_silent(&mut self, silent: bool) {
-        self.nodes.iter_mut().for_each(|node| node.cut = silent);
+    pub fn set_store_unreachable(&mut self, silent: bool) {
+        self.nodes.iter_mut().for_each(|node| node.store_unreachable = silent);
     }
 }
