--- a/core/tests/discovery.rs
+++ b/core/tests/discovery.rs
@@ -25,7 +25,7 @@
     let mut node = Node::new();
     let next = Some("servers/a".to_owned());
     let page = Reply { revision: 10, changes: vec![publication(1), ready("a", 1)], next };
-    node.end(Ok(page));
+    node.finish_call(Ok(page));
     assert_eq!(node.targets().len(), 0, "half a list is none");
     let call = node.call();
     assert!(
@@ -38,7 +38,7 @@
     // What has changed since the oldest page is read before the list counts.
     let entries = &node.calls[0].request;
     assert!(matches!(entries, Request::Entries { revision: 10 }), "{entries:?}");
-    node.catch_up(15, vec![ready("c", 3)], vec![publication(2)]);
+    node.finish_list(15, vec![ready("c", 3)], vec![publication(2)]);
     assert_eq!((node.version(), node.targets().len()), (2, 3));
     let watch = node.call().request;
     assert!(matches!(watch, Request::Watch { revision: 15, .. }), "{watch:?}");
@@ -51,7 +51,7 @@
     node.reply(10, vec![publication(1), ready("old", 1)]);
     assert_eq!(node.version(), 0, "nothing is in force by a stale list alone");
     let removed = Change::Removed { id: name("old") };
-    node.catch_up(15, vec![removed, ready("new", 1)], vec![publication(3)]);
+    node.finish_list(15, vec![removed, ready("new", 1)], vec![publication(3)]);
     assert_eq!((node.version(), node.targets()), (3, vec!["new".into()]));
 }
 
@@ -61,7 +61,7 @@
 fn follow_stale_list_without_history() {
     let mut node = Node::new();
     node.reply(10, vec![publication(1), ready("a", 1)]);
-    node.end(Err(ReadError::HistoryGone));
+    node.finish_call(Err(ReadError::HistoryGone));
     let list = &node.calls[0].request;
     assert!(matches!(list, Request::List { stale: false, .. }), "{list:?}");
     node.reply(15, vec![publication(2), ready("b", 1)]);
@@ -72,7 +72,7 @@
 fn follow_version_never_falls() {
     let mut node = Node::with_targets(vec![ready("a", 1)]);
     node.reply(11, vec![publication(9)]);
-    node.pass(ms(2_000));
+    node.advance(ms(2_000));
     node.reply(12, vec![publication(3)]);
     assert_eq!(node.version(), 9);
 }
@@ -83,7 +83,7 @@
     let fault = sycamore_core::Fault::new(Code::DocumentInvalid);
     node.reply(11, vec![Change::Published(Err(fault))]);
     assert_eq!((node.version(), node.targets().len()), (1, 1));
-    node.pass(ms(2_000));
+    node.advance(ms(2_000));
     node.reply(12, vec![publication(2)]);
     assert_eq!(node.version(), 2);
 }
@@ -91,7 +91,7 @@
 #[test]
 fn follow_history_gone_lists_again() {
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
-    node.end(Err(ReadError::HistoryGone));
+    node.finish_call(Err(ReadError::HistoryGone));
     node.reply(40, vec![ready("b", 2)]);
     assert_eq!(node.targets(), ["b"]);
 }
@@ -102,8 +102,8 @@
     // holds. The store cut the watches, took new ones, and dropped its history only then; it says
     // so when the wait of such a watch is over, and nothing that changed meanwhile is heard.
     let mut node = Node::with_targets(vec![]);
-    node.fail();
-    node.pass(ms(1_000));
+    node.fail_call();
+    node.advance(ms(1_000));
     match node.call().request {
         Request::Watch { wait, .. } => assert!(wait <= ms(1_000), "{wait:?}"),
         other => panic!("{other:?}"),
@@ -121,10 +121,10 @@
             node.reply(100 + step, vec![publication(10 + step)]);
             read += 1;
         }
-        node.pass(ms(60));
+        node.advance(ms(60));
     }
     assert!((4..=9).contains(&read), "{read} reads");
-    node.pass(ms(1_100));
+    node.advance(ms(1_100));
     node.reply(900, vec![publication(900)]);
     assert_eq!(node.version(), 900);
 }
@@ -136,9 +136,9 @@
     for _ in 0..100 {
         while !node.calls.is_empty() {
             calls += 1;
-            node.fail();
+            node.fail_call();
         }
-        node.pass(ms(100));
+        node.advance(ms(100));
     }
     // Ten seconds, about 0.75 s between two calls.
     assert!((8..=25).contains(&calls), "{calls} calls");
@@ -177,7 +177,7 @@
     node.reply(11, vec![target("a", draining), target("a", older)]);
     assert_eq!(node.targets(), ["b"]);
     // A new run under the same id counts anew.
-    node.pass(ms(1_000));
+    node.advance(ms(1_000));
     let again = entry("10.0.0.1:80", TargetState::Ready, 2_000, 1);
     node.reply(12, vec![target("a", again)]);
     assert_eq!(node.targets().len(), 2);
@@ -206,22 +206,22 @@
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
     node.outage(ms(8_000));
     assert_eq!(node.targets().len(), 2);
-    node.pass(ms(1_000));
+    node.advance(ms(1_000));
     let removed = |id| Change::Removed { id: name(id) };
     node.reply(30, vec![removed("a"), removed("b")]);
     assert_eq!(node.targets().len(), 2, "they may come back");
-    node.pass(ms(1_000));
+    node.advance(ms(1_000));
     node.reply(31, vec![ready("a", 1)]);
     // One is back; the other is taken as gone two seconds after the store's return.
-    node.pass(ms(1_500));
+    node.advance(ms(1_500));
     assert_eq!(node.targets(), ["a"]);
 }
 
 #[test]
 fn registry_one_cut_watch_is_no_outage() {
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
-    node.fail();
-    node.pass(ms(400));
+    node.fail_call();
+    node.advance(ms(400));
     node.reply(12, vec![Change::Removed { id: name("a") }]);
     assert_eq!(node.targets(), ["b"]);
 }
--- a/core/tests/discovery_peers.rs
+++ b/core/tests/discovery_peers.rs
@@ -29,10 +29,10 @@
     assert_eq!((node.version(), node.targets().len()), (1, 2));
     // The store returns with other targets; what it says goes before the peer's word.
     node.outage(ms(1_000));
-    node.pass(ms(1_000));
-    node.list(50, vec![publication(2)]);
+    node.advance(ms(1_000));
+    node.reply_list(50, vec![publication(2)]);
     node.reply(50, vec![ready("c", 3)]);
-    node.pass(ms(2_500));
+    node.advance(ms(2_500));
     assert_eq!((node.version(), node.targets()), (2, vec!["c".into()]));
 }
 
@@ -56,7 +56,7 @@
     let mut node = Node::with_targets(vec![ready("a", 1)]);
     // At the start alone, when the store has not answered yet.
     assert_eq!(std::mem::take(&mut node.sent).len(), 1);
-    node.pass(ms(5_000));
+    node.advance(ms(5_000));
     assert!(node.sent.is_empty());
 }
 
@@ -134,7 +134,7 @@
 fn follower() -> Node {
     let targets = fleet(vec![ready("a", 1), ready("b", 2), ready("c", 3)]);
     let mut node = Node::with_targets(targets);
-    node.pass(ms(2_000));
+    node.advance(ms(2_000));
     let announced = node.sent.iter().find_map(|(_, msg)| match msg {
         PeerMsg::Notice(summary) => Some(summary.clone()),
         _ => None,
@@ -158,10 +158,10 @@
         summary.store_age_ms = Some(age_ms);
         node.input(Input::Peer { from: reader(), msg: PeerMsg::Notice(summary) });
     };
-    node.pass(ms(1_200));
+    node.advance(ms(1_200));
     announce(&mut node, 1_200);
     node.calls.clear();
-    node.pass(ms(200));
+    node.advance(ms(200));
     assert!(!node.calls.is_empty(), "the store has not answered the reader for 1.4 s");
 }
 
@@ -180,13 +180,13 @@
 #[test]
 fn relay_listing_node_is_no_reader() {
     let mut node = follower();
-    node.pass(ms(1_500));
+    node.advance(ms(1_500));
     node.sent.clear();
     let targets = fleet(vec![ready("a", 1), ready("b", 2), ready("c", 3)]);
     node.reply(20, [vec![publication(1)], targets].concat());
-    node.pass(ms(400));
+    node.advance(ms(400));
     node.reply(21, vec![ready("d", 4)]);
-    node.pass(ms(400));
+    node.advance(ms(400));
     let claims = |(_, msg): &(SocketAddr, PeerMsg)| match msg {
         PeerMsg::Notice(summary) => summary.store_age_ms.is_some(),
         PeerMsg::Delta(_) => true,
@@ -198,7 +198,7 @@
     assert!(!node.sent.iter().any(claims), "{:?}", node.sent);
     // It reads for others once it knows what has changed.
     node.reply(21, vec![publication(2)]);
-    node.pass(ms(600));
+    node.advance(ms(600));
     assert!(node.sent.iter().any(claims), "{:?}", node.sent);
 }
 
@@ -211,7 +211,7 @@
     let mut node = Node::with_link(Some(14_000));
     for _ in 0..4 {
         node.input(Input::Peer { from: from.clone(), msg: answer.clone() });
-        node.pass(ms(1_000));
+        node.advance(ms(1_000));
     }
     assert!(!node.calls.is_empty(), "no call within four seconds of the start");
 }
@@ -222,8 +222,8 @@
 fn relay_reader_after_outage_waits() {
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2), ready("c", 3)]);
     node.outage(ms(3_000));
-    node.pass(ms(1_000));
-    node.end(Err(ReadError::HistoryGone));
+    node.advance(ms(1_000));
+    node.finish_call(Err(ReadError::HistoryGone));
     node.reply(30, vec![publication(2), ready("a", 1), ready("c", 3)]);
     assert_eq!(node.targets(), ["a", "b", "c"], "b may have lapsed while the store was away");
     let asks = |node: &mut Node| {
@@ -234,7 +234,7 @@
         node.sent.iter().any(|(_, msg)| matches!(msg, PeerMsg::Delta(_)))
     };
     assert!(!asks(&mut node), "{:?}", node.sent);
-    node.pass(ms(2_200));
+    node.advance(ms(2_200));
     node.reply(31, vec![]);
     assert_eq!(node.targets(), ["a", "c"]);
     assert!(asks(&mut node), "{:?}", node.sent);
--- a/core/tests/support/store_node.rs
+++ b/core/tests/support/store_node.rs
@@ -97,18 +97,18 @@
         let mut node = Node::new();
         let mut changes = vec![publication(1)];
         changes.extend(targets);
-        node.list(10, changes);
+        node.reply_list(10, changes);
         node
     }
 
     /// Answers a list by stale reads, after which nothing has changed.
-    pub fn list(&mut self, revision: u64, changes: Vec<Change>) {
+    pub fn reply_list(&mut self, revision: u64, changes: Vec<Change>) {
         self.reply(revision, changes);
-        self.catch_up(revision, vec![], vec![]);
+        self.finish_list(revision, vec![], vec![]);
     }
 
     /// Answers what is read after the last page of such a list.
-    pub fn catch_up(&mut self, revision: u64, entries: Vec<Change>, document: Vec<Change>) {
+    pub fn finish_list(&mut self, revision: u64, entries: Vec<Change>, document: Vec<Change>) {
         assert!(matches!(self.calls[0].request, Request::Entries { .. }), "{:?}", self.calls);
         self.reply(revision, entries);
         assert!(matches!(self.calls[0].request, Request::Document), "{:?}", self.calls);
@@ -131,7 +131,7 @@
     }
 
     /// Lets time pass, with every wake on the way.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(wake) = self.wake.filter(|wake| *wake <= until) {
             self.now = self.now.max(wake);
@@ -146,17 +146,17 @@
         self.calls.remove(0)
     }
 
-    pub fn end(&mut self, result: Result<Reply, ReadError>) {
+    pub fn finish_call(&mut self, result: Result<Reply, ReadError>) {
         let call = self.call();
         self.input(Input::Reply { id: call.id, result });
     }
 
     pub fn reply(&mut self, revision: u64, changes: Vec<Change>) {
-        self.end(Ok(Reply { revision, changes, next: None }));
+        self.finish_call(Ok(Reply { revision, changes, next: None }));
     }
 
-    pub fn fail(&mut self) {
-        self.end(Err(ReadError::Failed(Code::SourceUnreachable)));
+    pub fn fail_call(&mut self) {
+        self.finish_call(Err(ReadError::Failed(Code::SourceUnreachable)));
     }
 
     /// The targets in force that take work.
@@ -175,9 +175,9 @@
         let until = self.now + span;
         while self.now < until {
             while !self.calls.is_empty() {
-                self.fail();
+                self.fail_call();
             }
-            self.pass(ms(100));
+            self.advance(ms(100));
         }
     }
 }
