--- a/core/tests/discovery.rs
+++ b/core/tests/discovery.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn follow_storm_is_read_in_few_calls() {
+fn follow_batches_frequent_versions() {
     // Story: versions come every 60 ms for five seconds. A node that reads each one whole fills
     // the links between regions.
     let mut node = Node::with_targets(vec![ready("a", 1)]);
@@ -145,14 +145,14 @@
 }
 
 #[test]
-fn registry_malformed_entry_harms_no_other() {
-    let rubbish = Change::Target { id: name("x"), entry: None };
-    let node = Node::with_targets(vec![ready("a", 1), rubbish, ready("b", 2)]);
+fn registry_malformed_entry_ignored() {
+    let malformed = Change::Target { id: name("x"), entry: None };
+    let node = Node::with_targets(vec![ready("a", 1), malformed, ready("b", 2)]);
     assert_eq!(node.targets(), ["a", "b"]);
 }
 
 #[test]
-fn registry_unknown_service_is_no_target() {
+fn registry_unknown_service_ignored() {
     let mut other = entry("10.0.0.3:80", TargetState::Ready, 1, 1);
     other.service = name("nobody");
     let node = Node::with_targets(vec![ready("a", 1), target("x", other)]);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn registry_removed_at_once_in_calm() {
+fn registry_removal_immediate_while_store_healthy() {
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
     node.reply(11, vec![Change::Removed { id: name("a") }]);
     assert_eq!(node.targets(), ["b"]);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn registry_one_cut_watch_is_no_outage() {
+fn registry_single_failed_watch_is_no_outage() {
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
     node.fail_call();
     node.advance(ms(400));
