--- a/core/tests/discovery_peers.rs
+++ b/core/tests/discovery_peers.rs
@@ -79,32 +79,32 @@
     // Story: a target reports that it leaves, and one of two survivors has not heard of it. Callers
     // of a process that has learned from that one are sent to a target that is about to end.
     let draining = entry("10.0.0.3:80", TargetState::Draining, 1_000, 5);
-    let mut behind = Node::with_targets(vec![ready("a", 2), ready("b", 3)]);
-    let mut knowing = Node::with_targets(vec![ready("a", 2), target("b", draining)]);
-    let (first, first_offer, first_answer) = offer(&mut behind, 21);
-    let (second, second_offer, second_answer) = offer(&mut knowing, 22);
+    let mut outdated = Node::with_targets(vec![ready("a", 2), ready("b", 3)]);
+    let mut up_to_date = Node::with_targets(vec![ready("a", 2), target("b", draining)]);
+    let (first, first_offer, first_answer) = offer(&mut outdated, 21);
+    let (second, second_offer, second_answer) = offer(&mut up_to_date, 22);
     let mut node = Node::new();
     node.outage(ms(500));
     node.sent.clear();
-    let asked = |node: &Node, peer: &Peer| {
+    let sent_pull = |node: &Node, peer: &Peer| {
         let pull =
             |(to, msg): &(_, PeerMsg)| *to == peer.address && matches!(msg, PeerMsg::Pull(_));
         node.sent.iter().any(pull)
     };
     node.input(Input::Peer { from: first.clone(), msg: first_offer.clone() });
-    assert!(asked(&node, &first));
+    assert!(sent_pull(&node, &first));
     node.input(Input::Peer { from: first.clone(), msg: first_answer.clone() });
     assert_eq!(node.targets(), ["a", "b"]);
     node.outage(ms(500));
     node.input(Input::Peer { from: second.clone(), msg: second_offer });
-    assert!(asked(&node, &second), "the same version with other targets");
+    assert!(sent_pull(&node, &second), "the same version with other targets");
     node.input(Input::Peer { from: second, msg: second_answer });
     assert_eq!(node.targets(), ["a"]);
     // What it has had already is not asked for again, and changes nothing if it comes.
     node.outage(ms(500));
     node.sent.clear();
     node.input(Input::Peer { from: first.clone(), msg: first_offer });
-    assert!(!asked(&node, &first));
+    assert!(!sent_pull(&node, &first));
     node.input(Input::Peer { from: first, msg: first_answer });
     assert_eq!(node.targets(), ["a"]);
 }
@@ -187,7 +187,7 @@
     node.advance(ms(400));
     node.reply(21, vec![ready("d", 4)]);
     node.advance(ms(400));
-    let claims = |(_, msg): &(SocketAddr, PeerMsg)| match msg {
+    let claims_reader_role = |(_, msg): &(SocketAddr, PeerMsg)| match msg {
         PeerMsg::Notice(summary) => summary.store_age_ms.is_some(),
         PeerMsg::Delta(_) => true,
         _ => false,
@@ -195,11 +195,11 @@
     let base = Some(Base { version: 1, digest: Hash::of(b"") });
     let pull = PeerMsg::Pull(Box::new(Pull { version: 1, base, scope: None }));
     node.input(Input::Peer { from: reader(), msg: pull });
-    assert!(!node.sent.iter().any(claims), "{:?}", node.sent);
+    assert!(!node.sent.iter().any(claims_reader_role), "{:?}", node.sent);
     // It reads for others once it knows what has changed.
     node.reply(21, vec![publication(2)]);
     node.advance(ms(600));
-    assert!(node.sent.iter().any(claims), "{:?}", node.sent);
+    assert!(node.sent.iter().any(claims_reader_role), "{:?}", node.sent);
 }
 
 /// Guards against a node that never reads the store, since peers that do not read it either tell it
@@ -226,16 +226,16 @@
     node.finish_call(Err(ReadError::HistoryGone));
     node.reply(30, vec![publication(2), ready("a", 1), ready("c", 3)]);
     assert_eq!(node.targets(), ["a", "b", "c"], "b may have lapsed while the store was away");
-    let asks = |node: &mut Node| {
+    let answers_pull = |node: &mut Node| {
         node.sent.clear();
         let base = Some(Base { version: 1, digest: Hash::of(b"") });
         let pull = PeerMsg::Pull(Box::new(Pull { version: 1, base, scope: None }));
         node.input(Input::Peer { from: reader(), msg: pull });
         node.sent.iter().any(|(_, msg)| matches!(msg, PeerMsg::Delta(_)))
     };
-    assert!(!asks(&mut node), "{:?}", node.sent);
+    assert!(!answers_pull(&mut node), "{:?}", node.sent);
     node.advance(ms(2_200));
     node.reply(31, vec![]);
     assert_eq!(node.targets(), ["a", "c"]);
-    assert!(asks(&mut node), "{:?}", node.sent);
+    assert!(answers_pull(&mut node), "{:?}", node.sent);
 }
