--- a/core/tests/discovery_relay.rs
+++ b/core/tests/discovery_relay.rs
@@ -13,11 +13,11 @@
 /// Nodes, half of them in each of two regions; one in four has a wide link.
 const NODES: usize = 40;
 
-const WIDE_KBPS: u64 = 140_000;
-const NARROW_KBPS: u64 = 15_400;
+const FAST_LINK_KBPS: u64 = 140_000;
+const SLOW_LINK_KBPS: u64 = 15_400;
 
 /// Within this time each node must hold a change.
-const BOUND: Duration = Duration::from_millis(2_500);
+const CHANGE_BOUND: Duration = Duration::from_millis(2_500);
 
 fn place(node: usize) -> Place {
     let region = if node % 2 == 0 { "east" } else { "west" };
@@ -25,8 +25,8 @@
 }
 
 fn settings(node: usize) -> Config {
-    let wide = node / 2 % 4 == 0;
-    let link_kbps = Some(if wide { WIDE_KBPS } else { NARROW_KBPS });
+    let fast = node / 2 % 4 == 0;
+    let link_kbps = Some(if fast { FAST_LINK_KBPS } else { SLOW_LINK_KBPS });
     Config { link_kbps, ..config(node, place(node)) }
 }
 
@@ -53,7 +53,7 @@
 }
 
 /// Nodes that run, reach the store, and don't hold what it holds.
-fn behind(fleet: &Fleet) -> Vec<usize> {
+fn out_of_sync(fleet: &Fleet) -> Vec<usize> {
     let mut version = 0;
     let mut leaving = [false; NODES];
     for change in &fleet.store.changes {
@@ -75,11 +75,11 @@
             snapshot.version() == version && snapshot.targets().iter().all(same)
         })
     };
-    let behind = |node: &usize| {
+    let out_of_sync = |node: &usize| {
         let node = &fleet.nodes[*node];
         node.up && !node.store_unreachable && !holds(node)
     };
-    (0..NODES).filter(behind).collect()
+    (0..NODES).filter(out_of_sync).collect()
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let before = fleet.store.calls;
     fleet.advance(ms(30_000));
     let calls = fleet.store.calls - before;
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
     // Two readers make two calls a second each.
     assert!(calls <= 150, "{calls}");
 }
@@ -101,7 +101,7 @@
         fleet.store.changes.push(version(2 + step, 10 + step as usize));
         fleet.store.changes.push(entry(step as usize, TargetState::Draining, 2));
         fleet.advance(ms(700));
-        assert_eq!(behind(&fleet), Vec::<usize>::new(), "step {step}");
+        assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "step {step}");
     }
 }
 
@@ -109,12 +109,12 @@
 #[test]
 fn relay_start_few_calls() {
     let fleet = fleet();
-    let narrow = (0..NODES).filter(|node| settings(*node).link_kbps == Some(NARROW_KBPS)).count();
+    let slow = (0..NODES).filter(|node| settings(*node).link_kbps == Some(SLOW_LINK_KBPS)).count();
     let (lists, calls) = (fleet.store.lists, fleet.store.calls);
     assert!(lists <= NODES, "{lists} pages");
     // Nodes with wide links list the store and read what has changed since; the others are told.
     let fresh = calls - lists;
-    assert!(fresh <= 6 * (NODES - narrow) + 2 * 6, "{fresh} calls beside them");
+    assert!(fresh <= 6 * (NODES - slow) + 2 * 6, "{fresh} calls beside them");
 }
 
 /// Guards against a reader that gives way to every node before it in the order that starts, though
@@ -145,14 +145,14 @@
         }
         fleet.store.changes.push(entry(3, TargetState::Draining, 2));
         fleet.advance(ms(700));
-        assert_eq!(behind(&fleet), Vec::<usize>::new(), "phase {phase}");
+        assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "phase {phase}");
     }
 }
 
 /// Guards against a follower that turns again and again to a reader which has lost the store and
 /// announces what it held.
 #[test]
-fn relay_cut_reader_attracts_nobody() {
+fn relay_disconnected_reader_gets_no_followers() {
     for phase in 0..9 {
         let mut fleet = fleet();
         for node in readers(&fleet) {
@@ -160,8 +160,8 @@
         }
         fleet.advance(ms(900 + 200 * phase));
         fleet.store.changes.push(version(2, 10));
-        fleet.advance(BOUND);
-        assert_eq!(behind(&fleet), Vec::<usize>::new(), "phase {phase}");
+        fleet.advance(CHANGE_BOUND);
+        assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "phase {phase}");
     }
 }
 
@@ -172,10 +172,10 @@
     let before = fleet.store.calls;
     fleet.store.changes.push(version(2, 1_200));
     fleet.advance(ms(1_500));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
     // Of JSON text, DEFLATE leaves at most an eighth.
     let followers = NODES as u64 / 2 - 1;
-    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / WIDE_KBPS;
+    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / FAST_LINK_KBPS;
     assert!(link_ms <= 500, "{link_ms} ms of a reader's link");
     let calls = fleet.store.calls - before;
     assert!(calls <= 12, "{calls}: followers must not all read the store");
@@ -187,9 +187,9 @@
     let mut fleet = fleet();
     fleet.store.changes.push(version_with_paths(2, 6_000, &"r".repeat(800)));
     fleet.advance(ms(2_500));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
     let followers = NODES as u64 / 2 - 1;
-    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / WIDE_KBPS;
+    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / FAST_LINK_KBPS;
     assert!(link_ms <= 500, "{link_ms} ms of a reader's link");
 }
 
@@ -204,8 +204,8 @@
         fleet.stop(node);
     }
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
-    fleet.advance(BOUND);
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    fleet.advance(CHANGE_BOUND);
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
     // Others take over, so that the calls do not stay many.
     fleet.advance(ms(8_000));
     let before = fleet.store.calls;
@@ -222,8 +222,8 @@
         fleet.nodes[node].store_unreachable = true;
     }
     fleet.store.changes.push(version(2, 10));
-    fleet.advance(BOUND);
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    fleet.advance(CHANGE_BOUND);
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
 }
 
 #[test]
@@ -236,7 +236,7 @@
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
     fleet.drop_messages_until = fleet.now + ms(50);
     fleet.advance(ms(1_200));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
 }
 
 #[test]
@@ -253,7 +253,7 @@
     fleet.advance(ms(1_000));
     fleet.store.changes.push(version(2, 10));
     fleet.advance(ms(3_000));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
     for (at, node) in readers.iter().enumerate() {
         fleet.nodes[*node].up = true;
         fleet.nodes[*node].call = calls[at].clone();
@@ -265,7 +265,7 @@
         let old = fleet.nodes.iter().filter(old).count();
         assert!(old <= readers.len(), "{old} nodes went back");
     }
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
 }
 
 #[test]
@@ -296,12 +296,14 @@
             fleet.store.changes.push(version(newest, 5 + next(20) as usize));
             let target = next(NODES as u64) as usize;
             fleet.store.changes.push(entry(target, TargetState::Draining, 2));
-            fleet.advance(BOUND + Pace::for_bound(BOUND).reader_timeout * next(2) as u32);
+            fleet.advance(
+                CHANGE_BOUND + Pace::for_bound(CHANGE_BOUND).reader_timeout * next(2) as u32,
+            );
             // A node that has just reached the store again may still wait for a time-out.
-            if !behind(&fleet).is_empty() {
+            if !out_of_sync(&fleet).is_empty() {
                 fleet.advance(ms(4_000));
             }
-            assert_eq!(behind(&fleet), Vec::<usize>::new(), "seed {seed}, step {step}");
+            assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "seed {seed}, step {step}");
         }
     }
 }
