--- a/core/tests/discovery_return.rs
+++ b/core/tests/discovery_return.rs
@@ -16,10 +16,10 @@
 const SEEDS: usize = 3;
 
 /// A node's calls to others go to a random one of them once in so many steps.
-const CALL_STEPS: usize = 5;
+const STEPS_PER_CALL: usize = 5;
 
 /// Within this time of their restart all processes hold everything again.
-const BOUND: Duration = Duration::from_secs(2);
+const RECOVERY_BOUND: Duration = Duration::from_secs(2);
 
 fn place(node: usize) -> Place {
     let region = ["east", "mid", "west"][node % 3];
@@ -35,35 +35,35 @@
 }
 
 /// A fleet whose nodes also call each other's targets, and so find out who is gone.
-struct Returning {
+struct RecoveringFleet {
     inner: Fleet,
     rng: Pcg64Mcg,
 }
 
-impl Returning {
+impl RecoveringFleet {
     /// A fleet that has read version 1 and every target.
-    fn new(seed: u64) -> Returning {
+    fn new(seed: u64) -> RecoveringFleet {
         let mut inner = Fleet::new(NODES, settings, ms(10), seed);
         inner.store.changes.push(version(1, 1));
         inner.store.changes.extend((0..NODES).map(|node| entry(node, TargetState::Ready, 1)));
         (0..NODES).for_each(|node| inner.input(node, Input::Start));
-        let mut fleet = Returning { inner, rng: Pcg64Mcg::seed_from_u64(seed) };
+        let mut fleet = RecoveringFleet { inner, rng: Pcg64Mcg::seed_from_u64(seed) };
         fleet.advance(Duration::from_secs(1));
-        assert_eq!(fleet.holding(1), NODES);
+        assert_eq!(fleet.count_holding(1), NODES);
         fleet
     }
 
     fn advance(&mut self, span: Duration) {
         for step in 0..(span.as_millis() / 10) as usize {
             self.inner.step();
-            if step % CALL_STEPS == 0 {
-                (0..NODES).for_each(|node| self.call_somebody(node));
+            if step % STEPS_PER_CALL == 0 {
+                (0..NODES).for_each(|node| self.call_random_target(node));
             }
         }
     }
 
     /// The call path of a node that serves sends a call to some target, and finds its node gone.
-    fn call_somebody(&mut self, node: usize) {
+    fn call_random_target(&mut self, node: usize) {
         let to = self.rng.random_range(0..NODES);
         if self.inner.nodes[node].snapshot.is_some() && !self.inner.nodes[to].up {
             self.inner.input(node, Input::PeerLost(gate_address(to)));
@@ -71,14 +71,14 @@
     }
 
     /// Kills these and restarts them 0.6 s later.
-    fn lose(&mut self, killed: &[usize]) {
+    fn kill_and_restart(&mut self, killed: &[usize]) {
         killed.iter().for_each(|node| self.inner.stop(*node));
         self.advance(ms(600));
         killed.iter().for_each(|node| self.inner.start(*node));
     }
 
     /// Nodes that hold this version with every target.
-    fn holding(&self, version: u64) -> usize {
+    fn count_holding(&self, version: u64) -> usize {
         let holds = |node: &&Node| {
             let snapshot = node.snapshot.as_ref();
             snapshot.is_some_and(|held| held.version() == version && held.targets().len() == NODES)
@@ -92,27 +92,27 @@
     // Story: the store falls silent, and two seconds later 16 of 18 processes are killed, the seeds
     // among them. They are back after 0.6 s and ask their seeds, which know nothing either. Callers
     // of 16 nodes get refusals until the store is back, although two nodes hold everything.
-    let mut fleet = Returning::new(1);
+    let mut fleet = RecoveringFleet::new(1);
     fleet.inner.set_store_unreachable(true);
     fleet.advance(Duration::from_secs(2));
-    fleet.lose(&(0..16).collect::<Vec<_>>());
-    fleet.advance(BOUND);
-    assert_eq!(fleet.holding(1), NODES);
+    fleet.kill_and_restart(&(0..16).collect::<Vec<_>>());
+    fleet.advance(RECOVERY_BOUND);
+    assert_eq!(fleet.count_holding(1), NODES);
 }
 
 #[test]
 fn return_store_takes_over() {
     // What the store says when it is back goes before what peers have handed on.
-    let mut fleet = Returning::new(2);
+    let mut fleet = RecoveringFleet::new(2);
     fleet.inner.set_store_unreachable(true);
     fleet.advance(Duration::from_secs(2));
-    fleet.lose(&(0..16).collect::<Vec<_>>());
-    fleet.advance(BOUND);
+    fleet.kill_and_restart(&(0..16).collect::<Vec<_>>());
+    fleet.advance(RECOVERY_BOUND);
     fleet.inner.store.changes.push(version(2, 1));
     fleet.inner.store.changes.push(entry(3, TargetState::Draining, 2));
     fleet.inner.set_store_unreachable(false);
     fleet.advance(Duration::from_secs(6));
-    assert_eq!(fleet.holding(2), NODES);
+    assert_eq!(fleet.count_holding(2), NODES);
     let leaving = |node: &Node| {
         let snapshot = node.snapshot.as_ref().unwrap();
         snapshot.targets().iter().filter(|entry| entry.target.leaving).count()
@@ -124,23 +124,23 @@
 fn return_older_survivor_pulls_nobody_back() {
     // Story: one survivor was cut off while version 2 was published. Processes that start between
     // it and one that holds version 2 end up with version 2.
-    let mut fleet = Returning::new(3);
-    let behind = 17;
-    fleet.inner.nodes[behind].up = false;
+    let mut fleet = RecoveringFleet::new(3);
+    let outdated = 17;
+    fleet.inner.nodes[outdated].up = false;
     fleet.inner.store.changes.push(version(2, 1));
     fleet.advance(Duration::from_secs(5));
-    fleet.inner.nodes[behind].up = true;
+    fleet.inner.nodes[outdated].up = true;
     fleet.inner.set_store_unreachable(true);
     fleet.advance(Duration::from_secs(2));
-    fleet.lose(&(0..16).collect::<Vec<_>>());
-    fleet.advance(BOUND);
-    assert!(fleet.holding(2) >= NODES - 1, "{}", fleet.holding(2));
+    fleet.kill_and_restart(&(0..16).collect::<Vec<_>>());
+    fleet.advance(RECOVERY_BOUND);
+    assert!(fleet.count_holding(2) >= NODES - 1, "{}", fleet.count_holding(2));
 }
 
 #[test]
 fn return_quiet_times_no_offer() {
     // Offers cost bytes between zones, so that none is made while nothing is lost.
-    let mut fleet = Returning::new(4);
+    let mut fleet = RecoveringFleet::new(4);
     (fleet.inner.offers_sent, fleet.inner.cross_region_messages) = (0, 0);
     fleet.advance(Duration::from_secs(20));
     assert_eq!((fleet.inner.offers_sent, fleet.inner.cross_region_messages), (0, 0));
@@ -150,7 +150,7 @@
 fn return_offers_end() {
     // A node that does not come back is not called for ever: its target's entry lapses, and before
     // that, offers to it end once nobody finds it gone any more.
-    let mut fleet = Returning::new(5);
+    let mut fleet = RecoveringFleet::new(5);
     fleet.inner.stop(3);
     fleet.advance(Duration::from_secs(1));
     assert!(fleet.inner.offers_sent > 0);
@@ -168,15 +168,15 @@
     /// Any one survivor is enough, whichever it is, and kills may go on during the return.
     #[test]
     fn return_any_survivor(seed in any::<u32>(), killed in 9usize..NODES, again in 0usize..6) {
-        let mut fleet = Returning::new(seed.into());
+        let mut fleet = RecoveringFleet::new(seed.into());
         fleet.inner.set_store_unreachable(true);
         fleet.advance(Duration::from_secs(2));
         let mut nodes: Vec<usize> = (0..NODES).collect();
         nodes.shuffle(&mut fleet.rng);
-        fleet.lose(&nodes[..killed]);
+        fleet.kill_and_restart(&nodes[..killed]);
         fleet.advance(ms(700));
-        fleet.lose(&nodes[..again]);
-        fleet.advance(BOUND);
-        prop_assert_eq!(fleet.holding(1), NODES);
+        fleet.kill_and_restart(&nodes[..again]);
+        fleet.advance(RECOVERY_BOUND);
+        prop_assert_eq!(fleet.count_holding(1), NODES);
     }
 }
