--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -130,7 +130,7 @@
             Input::Note(note) => self.send_note(&note, out),
             Input::PeerLost(gate) => self.handle_peer_lost(now, gate),
             Input::Seeds(seeds) => self.cfg.seeds = seeds,
-            Input::Leaving => out.extend(self.relay.stop_reading().into_iter().map(send_output)),
+            Input::Leaving => out.extend(self.relay.stop_serving().into_iter().map(send_output)),
             Input::Wake => {}
         }
         self.advance(now, out);
--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -204,13 +204,13 @@
         (from, link): (SocketAddr, Link),
         summary: &Summary,
     ) -> bool {
-        let reads = self.fresh_age(summary).is_some();
-        if self.is_upstream(from) || link == Link::CrossRegion || !reads {
-            return self.is_upstream(from) && reads;
+        let is_reader = self.fresh_age(summary).is_some();
+        if self.is_upstream(from) || link == Link::CrossRegion || !is_reader {
+            return self.is_upstream(from) && is_reader;
         }
-        let waits =
+        let awaits_candidate =
             self.candidate.is_some_and(|candidate| now.since(candidate.since) < CANDIDATE_TIMEOUT);
-        if self.reader.is_some() || waits {
+        if self.reader.is_some() || awaits_candidate {
             self.standby = Some(Candidate { address: from, link, since: now });
             return false;
         }
@@ -254,8 +254,9 @@
 
     /// Names what is held to nodes of the region that do not follow this one.
     pub fn announce(&mut self, now: Time, cfg: &Config, view: &Arc<View>) -> Vec<Outgoing> {
-        let small = view.targets.values().map(Vec::len).sum::<usize>() < MIN_FLEET_TARGETS;
-        if small || !self.may_read(cfg) || self.is_follower() || !self.is_fresh(now) {
+        let below_threshold =
+            view.targets.values().map(Vec::len).sum::<usize>() < MIN_FLEET_TARGETS;
+        if below_threshold || !self.may_read(cfg) || self.is_follower() || !self.is_fresh(now) {
             self.announcements.stop();
             return Vec::new();
         }
@@ -301,7 +302,7 @@
     }
 
     /// Reads for nobody from now on: the process is about to stop.
-    pub fn stop_reading(&mut self) -> Vec<Outgoing> {
+    pub fn stop_serving(&mut self) -> Vec<Outgoing> {
         self.leaving = true;
         self.followers_expected_until = Time::ZERO;
         self.dismiss_followers()
@@ -344,17 +345,17 @@
         base: &Base,
         view: Option<&Arc<View>>,
     ) -> PeerMsg {
-        let nobody = PeerMsg::Missing(0);
+        let not_serving = PeerMsg::Missing(0);
         if !self.may_read(cfg) || self.is_follower() {
-            return nobody;
+            return not_serving;
         }
         let Some(view) = view.filter(|_| self.is_fresh(now)) else {
-            return nobody;
+            return not_serving;
         };
         // Two nodes that ask each other at once must not follow each other.
         if self.candidate.is_some_and(|candidate| candidate.address == from.0) {
             if cfg.ranks_before(&from.0) {
-                return nobody;
+                return not_serving;
             }
             self.candidate = None;
         }
@@ -364,14 +365,14 @@
         if base.digest == view.digest {
             return notice(view, self.store_age(now));
         }
-        let known = self.last_sent.as_ref().filter(|last_sent| last_sent.digest == base.digest);
+        let base_view = self.last_sent.as_ref().filter(|last_sent| last_sent.digest == base.digest);
         let max_size = self.max_delta_size(cfg);
-        let older = self.find_version(base.version);
+        let base_version = self.find_version(base.version);
         let delta = delta_between(
             view,
             base,
-            older,
-            known.map(|last_sent| &**last_sent),
+            base_version,
+            base_view.map(|last_sent| &**last_sent),
             max_size,
             self.store_age(now),
         );
--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -105,18 +105,18 @@
 pub fn delta_between(
     view: &View,
     base: &Base,
-    older: Option<&Publication>,
-    known: Option<&View>,
+    base_version: Option<&Publication>,
+    base_view: Option<&View>,
     max_size: usize,
     store_age: Option<Duration>,
 ) -> Option<Delta> {
     let mut changed: Vec<(ResourceId, Bytes)> = Vec::new();
     let mut removed: Vec<ResourceId> = Vec::new();
     if base.version != view.published.version {
-        diff_presets(&older?.preset, &view.published.preset, &mut changed, &mut removed);
+        diff_presets(&base_version?.preset, &view.published.preset, &mut changed, &mut removed);
     }
     let none = BTreeMap::new();
-    let before = known.map_or(&none, |known| &known.targets);
+    let before = base_view.map_or(&none, |base_view| &base_view.targets);
     for (service, listed) in &view.targets {
         if before.get(service) != Some(listed) {
             let id = ResourceId::new(ResourceKind::Targets, service);
