--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -53,8 +53,8 @@
                 self.full_state_for(pull)
             }
             Some(base) => {
-                let held = self.view.as_ref().filter(|_| self.watcher.has_listed());
-                self.relay.handle_pull(now, &self.cfg, (from.address, link), base, held)
+                let view = self.view.as_ref().filter(|_| self.watcher.has_listed());
+                self.relay.handle_pull(now, &self.cfg, (from.address, link), base, view)
             }
         };
         out.push(Output::Send { to: from.address, link, msg });
@@ -79,13 +79,13 @@
 
     /// Names what is held to peers that may have lost it.
     pub(super) fn send_offers(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(held) = self.view.clone() else {
+        let Some(view) = self.view.clone() else {
             return;
         };
         let silent = self.store_answers == Some(false) && !self.relay.is_follower();
         self.offers.set_random_offers(silent || !self.watcher.has_listed());
-        for (to, link) in self.offers.next_round(now, &self.cfg, &held, &mut self.rng) {
-            let msg = PeerMsg::Notice(Box::new(held.summary(None)));
+        for (to, link) in self.offers.next_round(now, &self.cfg, &view, &mut self.rng) {
+            let msg = PeerMsg::Notice(Box::new(view.summary(None)));
             out.push(Output::Send { to, link, msg });
         }
     }
@@ -99,7 +99,7 @@
             return;
         }
         let known = self.published.as_ref().map_or(0, |held| held.version);
-        let same = self.view.as_ref().is_some_and(|held| held.digest == summary.whole);
+        let same = self.view.as_ref().is_some_and(|view| view.digest == summary.whole);
         let ask = match summary.in_force.version.cmp(&known) {
             Ordering::Greater => self.offers.may_pull(now, summary.whole),
             Ordering::Equal => !same && self.offers.may_pull_same_version(now, summary.whole),
@@ -115,38 +115,38 @@
     /// Tells followers what the store has said and others that it is read here, or renews with the
     /// node that is followed.
     pub(super) fn send_relay_messages(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(held) = self.view.clone() else {
+        let Some(view) = self.view.clone() else {
             return;
         };
         if std::mem::take(&mut self.broadcast_due) {
             out.extend(
-                self.relay.update_followers(now, &self.cfg, &held).into_iter().map(send_output),
+                self.relay.update_followers(now, &self.cfg, &view).into_iter().map(send_output),
             );
         }
         if std::mem::take(&mut self.resync_due) {
-            out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send_output));
+            out.extend(self.relay.resync(now, relay::delta_request(&view)).map(send_output));
         }
-        out.extend(self.relay.renew_lease(now, &held).map(send_output));
-        out.extend(self.relay.announce(now, &self.cfg, &held).into_iter().map(send_output));
+        out.extend(self.relay.renew_lease(now, &view).map(send_output));
+        out.extend(self.relay.announce(now, &self.cfg, &view).into_iter().map(send_output));
     }
 
     /// The reader, or whoever is asked to be it, names what it holds.
     fn handle_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         let msg = match &self.view {
-            Some(held) if held.digest == summary.whole => {
+            Some(view) if view.digest == summary.whole => {
                 return self.mark_in_sync(now, from, summary, out);
             }
-            Some(held) => relay::delta_request(held),
+            Some(view) => relay::delta_request(view),
             None => rejoin::full_state_request(None),
         };
         out.extend(self.relay.resync(now, msg).map(send_output));
     }
 
     fn handle_delta(&mut self, now: Time, from: &Peer, delta: &Delta, out: &mut Vec<Output>) {
-        let Some(held) = self.view.clone() else {
+        let Some(view) = self.view.clone() else {
             return;
         };
-        match held.apply_delta(delta) {
+        match view.apply_delta(delta) {
             Ok(after) => {
                 let targets = after.targets.iter();
                 let entries = targets.flat_map(|(service, listed)| {
@@ -160,8 +160,8 @@
                 self.mark_in_sync(now, from, &delta.summary, out);
             }
             // Made for another state than this node's, as after a message that was lost.
-            Err(_) if delta.base.as_ref().is_none_or(|base| base.digest != held.digest) => {
-                out.extend(self.relay.resync(now, relay::delta_request(&held)).map(send_output));
+            Err(_) if delta.base.as_ref().is_none_or(|base| base.digest != view.digest) => {
+                out.extend(self.relay.resync(now, relay::delta_request(&view)).map(send_output));
             }
             Err(fault) => {
                 out.push(Output::Refused(fault));
--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -269,8 +269,8 @@
             self.last_sent.get_or_insert_with(|| view.clone());
         }
         let age = self.store_age(now);
-        let send = |(to, link)| Outgoing { to, link, msg: notice(view, age) };
-        others.into_iter().map(send).collect()
+        let to_message = |(to, link)| Outgoing { to, link, msg: notice(view, age) };
+        others.into_iter().map(to_message).collect()
     }
 
     /// The reader holds what this node holds. Returns whether it is followed from now on.
@@ -293,12 +293,12 @@
 
     /// Tells the followers, of which none is left then, to look for another reader.
     pub fn dismiss_followers(&mut self) -> Vec<Outgoing> {
-        let send = |(to, follower): (SocketAddr, Follower)| Outgoing {
+        let to_message = |(to, follower): (SocketAddr, Follower)| Outgoing {
             to,
             link: follower.link,
             msg: PeerMsg::Missing(0),
         };
-        std::mem::take(&mut self.followers).into_iter().map(send).collect()
+        std::mem::take(&mut self.followers).into_iter().map(to_message).collect()
     }
 
     /// Reads for nobody from now on: the process is about to stop.
@@ -404,12 +404,12 @@
             });
         let msg =
             changed.map_or_else(|| notice(view, age), |delta| PeerMsg::Delta(Arc::new(delta)));
-        let send = |(to, follower): (&SocketAddr, &Follower)| Outgoing {
+        let to_message = |(to, follower): (&SocketAddr, &Follower)| Outgoing {
             to: *to,
             link: follower.link,
             msg: msg.clone(),
         };
-        self.followers.iter().map(send).collect()
+        self.followers.iter().map(to_message).collect()
     }
 
     /// Whether this node's link takes every version whole beside its calls.
