--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -82,8 +82,8 @@
         let Some(view) = self.view.clone() else {
             return;
         };
-        let silent = self.store_answers == Some(false) && !self.relay.is_follower();
-        self.offers.set_random_offers(silent || !self.watcher.has_listed());
+        let store_unavailable = self.store_answers == Some(false) && !self.relay.is_follower();
+        self.offers.set_random_offers(store_unavailable || !self.watcher.has_listed());
         for (to, link) in self.offers.next_round(now, &self.cfg, &view, &mut self.rng) {
             let msg = PeerMsg::Notice(Box::new(view.summary(None)));
             out.push(Output::Send { to, link, msg });
@@ -100,12 +100,12 @@
         }
         let known = self.published.as_ref().map_or(0, |held| held.version);
         let same = self.view.as_ref().is_some_and(|view| view.digest == summary.whole);
-        let ask = match summary.in_force.version.cmp(&known) {
+        let should_pull = match summary.in_force.version.cmp(&known) {
             Ordering::Greater => self.offers.may_pull(now, summary.whole),
             Ordering::Equal => !same && self.offers.may_pull_same_version(now, summary.whole),
             Ordering::Less => false,
         };
-        if ask {
+        if should_pull {
             let link = self.cfg.place.link_to(&from.place);
             let msg = rejoin::full_state_request(self.published.as_ref().map(|held| held.version));
             out.push(Output::Send { to: from.address, link, msg });
