--- a/core/tests/support/store_fleet.rs
+++ b/core/tests/support/store_fleet.rs
@@ -324,7 +324,7 @@
     }
 
     /// The store answers nobody, or everybody again.
-    pub fn set_store_unreachable(&mut self, silent: bool) {
-        self.nodes.iter_mut().for_each(|node| node.store_unreachable = silent);
+    pub fn set_store_unreachable(&mut self, unreachable: bool) {
+        self.nodes.iter_mut().for_each(|node| node.store_unreachable = unreachable);
     }
 }
