--- a/core/tests/discovery_peers.rs
+++ b/core/tests/discovery_peers.rs
@@ -19,11 +19,11 @@
     let peer_node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
     let mut node = Node::new();
     node.outage(ms(500));
-    let (to, question) = node.sent.first().cloned().expect("a peer is asked");
+    let (to, request) = node.sent.first().cloned().expect("a peer is asked");
     assert_eq!(to, "10.0.0.9:7".parse().unwrap());
     let mut peer_node = peer_node;
     let from = Peer { vm: name("n"), place: place(), address: "10.0.0.8:7".parse().unwrap() };
-    peer_node.input(Input::Peer { from: from.clone(), msg: question });
+    peer_node.input(Input::Peer { from: from.clone(), msg: request });
     let (_, answer) = peer_node.sent.pop().expect("the peer answers");
     node.input(Input::Peer { from, msg: answer });
     assert_eq!((node.version(), node.targets().len()), (1, 2));
@@ -41,9 +41,9 @@
     let mut peer_node = Node::with_targets(vec![ready("a", 1)]);
     let mut node = Node::new();
     node.outage(ms(500));
-    let (_, question) = node.sent.remove(0);
+    let (_, request) = node.sent.remove(0);
     let from = Peer { vm: name("n"), place: place(), address: "10.0.0.8:7".parse().unwrap() };
-    peer_node.input(Input::Peer { from: from.clone(), msg: question });
+    peer_node.input(Input::Peer { from: from.clone(), msg: request });
     let Some((_, PeerMsg::Delta(delta))) = peer_node.sent.pop() else { panic!("no answer") };
     let mut changed = (*delta).clone();
     changed.changed[0].1 = b"{}".as_slice().into();
@@ -169,10 +169,10 @@
 #[test]
 fn relay_announced_reader_is_told() {
     let node = follower();
-    let told = |(to, msg): &(SocketAddr, PeerMsg)| {
+    let pull_to_reader = |(to, msg): &(SocketAddr, PeerMsg)| {
         *to == reader().address && matches!(msg, PeerMsg::Pull(_))
     };
-    assert!(node.sent.iter().any(told), "{:?}", node.sent);
+    assert!(node.sent.iter().any(pull_to_reader), "{:?}", node.sent);
 }
 
 /// Guards against followers of a node that still holds what it held before its own reader was lost:
