--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -1,23 +1,23 @@
-//! Following a store that keeps targets apart from the configuration.
+//! Discovery of targets through a key-value store.
 //!
-//! Where targets register themselves, a version names services without targets. [`Discovery`] is
-//! the decider of one node: it reads the store, watches it, and puts a snapshot into force
-//! whenever the version or a target has changed. It is told what happens as an [`Input`] and
-//! answers with [`Output`]s that an adapter carries out; [`Output::WakeAt`] asks for
-//! [`Input::Wake`].
+//! Targets register themselves in the store, and a published version names services without
+//! targets. [`Discovery`] is the sans-I/O state machine of one node: it lists and watches the
+//! store, and emits a new snapshot whenever the version or a target changes. It consumes [`Input`]s
+//! and emits [`Output`]s that an adapter executes. [`Output::WakeAt`] requests an [`Input::Wake`]
+//! at the given time.
 //!
-//! - `port`: what comes in and goes out
-//! - `follow`: when the store is listed, watched, and tried again
-//! - `registry`: which targets there are, by their own entries
-//! - `nested`: which routes are for calls that other requests wait for
-//! - `policy`: limits where documents do not state them
-//! - `relay`: one node reads the store for the others of its region
-//! - `announce`: how the others learn of it
+//! - `port`: input, output and configuration types
+//! - `follow`: schedules list and watch calls, and retries
+//! - `registry`: registered targets
+//! - `nested`: detects routes that serve nested calls
+//! - `policy`: default limits for values that documents omit
+//! - `relay`: one reader per region reads the store for the other nodes
+//! - `announce`: announcements of a reader to the nodes of its region
 //! - `peers`: messages to and from peers
-//! - `pace`: how often it reads, by the bound within which a change must be in force
-//! - `view`: what a node holds, and the difference between two such views
-//! - `offer`: what a node that knows tells peers that may have lost everything
-//! - `rejoin`: what a node that has just started asks its peers while the store is silent
+//! - `pace`: timing of readers and followers, derived from the change bound
+//! - `view`: version and targets of a node, and deltas between two views
+//! - `offer`: offers of the current state to peers that may have lost it
+//! - `rejoin`: recovery of the state from peers after a start while the store is unavailable
 
 mod announce;
 mod follow;
@@ -57,13 +57,13 @@
 use std::time::Duration;
 use view::View;
 
-/// A longer time without any input means that the process was paused: a call to the store ends
-/// sooner, whatever becomes of it.
+/// Longest expected time without input. A longer gap means that the process was paused, since every
+/// store call times out sooner.
 const CLOCK_GAP: Duration = follow::MAX_WATCH_WAIT
     .saturating_add(follow::RESPONSE_TIMEOUT)
     .saturating_add(follow::RESPONSE_TIMEOUT);
 
-/// The decider of one node.
+/// Discovery state machine of one node.
 #[derive(Debug)]
 pub struct Discovery {
     cfg: Config,
@@ -71,27 +71,27 @@
     watcher: StoreWatcher,
     registry: Registry,
     published: Option<Arc<Publication>>,
-    // Newest version refused, so that it is reported once.
+    // Last version rejected as too old, so that it is reported once.
     rejected_version: u64,
     snapshot: Option<Arc<Snapshot>>,
     rejoin: Rejoin,
     offers: Offers,
     relay: Relay,
-    // What is in force, as it is compared with what other nodes hold.
+    // Version and targets in force, compared by digest with those of other nodes.
     view: Option<Arc<View>>,
-    // Everything in force as one message, for peers that hold nothing.
+    // Cached message with the full state, for peers that hold nothing.
     full_state: Option<PeerMsg>,
     snapshot_stale: bool,
-    // The store has answered since followers were told last.
+    // The store has answered since the followers were last updated.
     broadcast_due: bool,
-    // A peer's whole state was taken, which the node that is asked to read has yet to confirm.
+    // The state came from a peer and has to be confirmed by the candidate reader.
     resync_due: bool,
     store_answers: Option<bool>,
     last_input: Option<Time>,
 }
 
 impl Discovery {
-    /// A node that has not started. `seed` feeds its random choices.
+    /// Creates a node that has not started. `seed` initializes its random number generator.
     pub fn new(cfg: Config, seed: u64) -> Discovery {
         let pace = Pace::for_bound(cfg.change_bound);
         let relay = Relay::new(pace);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The one entry: takes an input in and appends what follows from it.
+    /// Processes one input and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.detect_clock_gap(now, out);
         match input {
@@ -136,7 +136,6 @@
         self.advance(now, out);
     }
 
-    /// The snapshot in force.
     pub fn snapshot(&self) -> Option<&Arc<Snapshot>> {
         self.snapshot.as_ref()
     }
@@ -163,8 +162,8 @@
         }
     }
 
-    /// Records that the process was paused. Nothing else follows: the call to the store that was
-    /// under way has passed its time-out by then, and the next one is made at once.
+    /// Reports that the process was paused. No other action is needed: the pending store call has
+    /// timed out by then and is retried.
     fn detect_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.since(last) > CLOCK_GAP {
@@ -197,8 +196,8 @@
             true => self.registry.apply_list(now, targets),
             false => self.registry.apply_changes(now, targets),
         };
-        // Half a list says nothing of what has changed since the last answer, and a target that is
-        // missing may be known to have left to those that the store has answered all the while.
+        // A partial list does not prove freshness. Neither does a registry with missing entries:
+        // nodes that stayed connected to the store may know that those targets are gone.
         if answered && !self.watcher.is_listing() && !self.registry.has_missing() {
             self.relay.on_store_success(now);
             self.broadcast_due = true;
@@ -241,7 +240,7 @@
         self.accept_version(now, published, out);
     }
 
-    /// A version that is not newer than the one held changes nothing, whatever its source.
+    /// Accepts a version from any source if it is newer than the current one.
     fn accept_version(&mut self, now: Time, published: Arc<Publication>, out: &mut Vec<Output>) {
         let version = published.version;
         let held = self.published.as_ref().map_or(0, |held| held.version);
@@ -273,7 +272,7 @@
             }
         }
         let name = published.preset.name.clone();
-        // Versions are told apart by their number alone, so the digest names nothing.
+        // Versions are identified by number alone, so the digest carries no information.
         let in_force = InForce { version: published.version, preset: name, digest: Hash::of(b"") };
         match Snapshot::new(in_force, &preset) {
             Ok(snapshot) => {
