--- a/core/src/discovery/announce.rs
+++ b/core/src/discovery/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of a node that reads the store to the nodes that could follow it.
+//! Announcements of a reader to the nodes of its region that could follow it.
 
 use super::port::Config;
 use super::view::View;
@@ -10,49 +10,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Announcements sent at once, and the pause after them: each may be answered by a question for
-/// all that is held.
+/// Maximum number of announcements per round, and the interval after a full round. Each recipient
+/// may reply with a request for the full state.
 const BATCH_SIZE: usize = 16;
 const BATCH_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time between two announcements to one node that does not follow.
+/// Interval between announcements to the same node while it does not follow.
 const REANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whom this node has told that it reads the store.
+/// Schedule of the announcements of this node.
 #[derive(Debug)]
 pub struct Announcements {
-    // None while another node reads for this one.
+    // `None` while this node follows a reader.
     next_round_at: Option<Time>,
     announced_at: IndexMap<SocketAddr, Time>,
-    // Nodes that have announced themselves.
+    // Competing readers to announce to out of turn.
     replies: Vec<(SocketAddr, Link)>,
 }
 
 impl Announcements {
-    /// Has told nobody.
     pub fn new() -> Announcements {
         Announcements { next_round_at: None, announced_at: IndexMap::new(), replies: Vec::new() }
     }
 
-    /// Announces nothing any more.
+    /// Cancels all pending announcements.
     pub fn stop(&mut self) {
         self.next_round_at = None;
         self.announced_at.clear();
         self.replies.clear();
     }
 
-    /// When the next round is due.
     pub fn wake_at(&self) -> Option<Time> {
         self.next_round_at
     }
 
-    /// Tells a node at once, whether it is known or not.
+    /// Queues an immediate announcement to `address`, even if it is not a known target.
     pub fn queue_reply(&mut self, now: Time, address: SocketAddr, link: Link) {
         self.replies.push((address, link));
         self.next_round_at = self.next_round_at.map(|next| next.min(now));
     }
 
-    /// Whom to tell now. The first round is `delay` after the first call.
+    /// Returns the nodes to announce to now. The first round is due `delay` after the first call.
     pub fn next_round(
         &mut self,
         now: Time,
@@ -81,7 +79,6 @@
     }
 }
 
-/// The other nodes of the region.
 fn region_peers<'a>(cfg: &'a Config, view: &'a View) -> impl Iterator<Item = &'a Target> {
     view.targets
         .values()
@@ -89,15 +86,15 @@
         .filter(|target| target.region == cfg.place.region && target.peers != cfg.address)
 }
 
-/// How many nodes come before this one in the order of its region.
+/// Number of live nodes that rank before this one in its region.
 pub fn region_rank(cfg: &Config, view: &View) -> usize {
     let before = |target: &&Target| !target.leaving && cfg.ranks_before(&target.peers);
     region_peers(cfg, view).filter(before).count()
 }
 
 impl Config {
-    /// Whether the node at `other` comes before this one in the order that the nodes of a region
-    /// share.
+    /// Whether the node at `other` ranks before this one in the order shared by all nodes of the
+    /// region.
     pub fn ranks_before(&self, other: &SocketAddr) -> bool {
         let rank = |address: &SocketAddr| {
             rendezvous_score(self.place.region.as_bytes(), address.to_string().as_bytes())
