--- a/core/src/discovery/follow.rs
+++ b/core/src/discovery/follow.rs
@@ -1,8 +1,8 @@
-//! When the store is listed, watched, and tried again.
+//! Schedules list and watch calls to the store, and their retries.
 //!
-//! A list by stale reads costs the store a tenth. It may be seconds old and each page of another
-//! age, so before it counts the entries that have changed since the oldest page are read, and the
-//! document, of which the history holds every version whole.
+//! A stale list costs the store about a tenth of a consistent one, but its pages may be seconds old
+//! and of different ages. It is therefore completed by reading the entries changed since the oldest
+//! page, and the current document, before it takes effect.
 
 use super::pace::Pace;
 use super::port::{Call, Change, ReadError, Reply, Request};
@@ -11,61 +11,57 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Longest wait of a watch. A store whose answer to a watch was lost looks like one without
-/// changes, so this bounds how long a node may stay behind after such a loss; each wait costs a
-/// call.
+/// Longest wait of a watch. A lost response is indistinguishable from a store without changes, so
+/// this bounds how long a node stays outdated after one.
 pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(3_500);
 
-/// Longest wait of a watch within [`RECOVERY_PERIOD`] of a failure.
-///
-/// A store that has lost its history may only say so when the wait of a watch is over.
+/// Longest wait of a watch within [`RECOVERY_PERIOD`] of a failure. A store that has compacted its
+/// history may report it only when the watch ends.
 const RECOVERY_WATCH_WAIT: Duration = Duration::from_millis(700);
 const RECOVERY_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long after its wait a call is given up: hundreds of times the store's usual 4 ms, so that
-/// one that is slow, or behind a link that is full, is still heard.
+/// Time allowed for a response beyond the wait of the call. Leaves room for a slow store or a
+/// congested link.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause between an answer that brought changes and the next watch. Versions come as often as
-/// every 60 ms, and each is read whole, over links that are paid by volume; targets come and go
-/// in groups. What comes within the pause is read at once after it, within the 2.5 s that a change
-/// may take.
+/// Delay between a response with changes and the next watch, so that changes in quick succession
+/// are read in one call.
 const BATCH_DELAY: Duration = Duration::from_millis(700);
 
-/// Shortest and longest pause after a failed call; drawn at random between half and the whole.
+/// Bounds of the exponential backoff after failed calls. The actual delay is 50 % to 100 % of it.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// Longest pause of a node that others may read for: as many calls fail as there are such nodes.
+/// Longest backoff of nodes that rely on a reader. The number of calls that fail at once grows with
+/// the number of these nodes.
 const MAX_FOLLOWER_BACKOFF: Duration = Duration::from_millis(3_000);
 
-/// How long a node that others may read for waits for one of them before it reads the store: after
-/// its reader was lost, after its start, after it has all that is in force, and while nothing is
-/// published.
+/// How long a node waits for a reader before it calls the store itself: after losing its reader,
+/// after its start, after receiving the full state, and while nothing is published.
 const READER_LOST_WAIT: Duration = Duration::from_millis(600);
 const STARTUP_WAIT: Duration = Duration::from_millis(400);
 const INFORMED_WAIT: Duration = Duration::from_millis(2_500);
 const UNPUBLISHED_WAIT: Duration = Duration::from_millis(2_500);
 
-/// Shortest time between two watches that bring nothing: guards against a store that answers
-/// every watch at once, which would cost a call each round trip.
+/// Shortest interval between watches that return no changes. Limits the call rate if the store
+/// answers watches immediately.
 const MIN_EMPTY_WATCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Whether this node waits for another to read the store for it.
+/// Whether this node waits for a reader before it calls the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It may read for others, and reads at once.
+    /// May read the store for others; calls it without waiting.
     EligibleReader,
-    /// Others read for it, if there are any.
+    /// Relies on a reader of its region if there is one.
     FollowerOnly,
 }
 
-/// The list under way.
+/// List in progress.
 #[derive(Debug)]
 struct Listing {
-    // Items of the pages that have come so far.
+    // Items of the pages received so far.
     pages: Vec<Change>,
-    // Lowest revision of any page, then that of the entries read after it.
+    // Lowest revision of any page, then that of the changed entries.
     revision: Option<u64>,
     stale: bool,
 }
@@ -76,7 +72,7 @@
     }
 }
 
-/// The store as this node follows it.
+/// Schedules the store calls of this node and interprets their results.
 #[derive(Debug)]
 pub struct StoreWatcher {
     pace: Pace,
@@ -84,7 +80,7 @@
     state: State,
     listing: Option<Listing>,
     listed: bool,
-    // A peer has told all that is in force.
+    // The full state was received from a peer.
     informed: bool,
     failures: u32,
     failed_at: Option<Time>,
@@ -96,13 +92,12 @@
 #[derive(Clone, Debug)]
 enum State {
     Idle,
-    // Make the call at this time.
+    // Call to make at this time.
     Scheduled(Request, Time),
     Pending(u64, Request),
 }
 
 impl StoreWatcher {
-    /// Follows nothing yet.
     pub fn new(pace: Pace, role: Role) -> StoreWatcher {
         StoreWatcher {
             pace,
@@ -119,24 +114,24 @@
         }
     }
 
-    /// Whether the store has been read whole.
+    /// Whether the state of the store is completely known, from a list or through a reader.
     pub fn has_listed(&self) -> bool {
         self.listed
     }
 
-    /// Whether a list is under way or about to begin.
+    /// Whether a list is in progress or scheduled.
     pub fn is_listing(&self) -> bool {
         self.listing.is_some()
     }
 
-    /// Lists the store at the start of the process, unless a peer tells what is in force before.
+    /// Schedules the initial list.
     pub fn start(&mut self, now: Time, rng: &mut Pcg64Mcg) {
         let at = now + self.reader_wait(STARTUP_WAIT, rng);
         self.schedule_list(at, true);
     }
 
-    /// A peer has told all that is in force: a node that others may read for lists the store only
-    /// if none of them does so soon.
+    /// Called when a peer has sent the full state. A node that relies on a reader then postpones
+    /// its first list to give one time to announce itself.
     pub fn on_peer_state(&mut self, now: Time, rng: &mut Pcg64Mcg) {
         let first = !std::mem::replace(&mut self.informed, true);
         if first && self.role == Role::FollowerOnly && !self.listed && self.failed_at.is_none() {
@@ -144,26 +139,26 @@
         }
     }
 
-    /// Another node reads the store for this one, and both hold the same.
+    /// Stops calling the store: a reader serves this node, and both hold the same state.
     pub fn follow_reader(&mut self) {
         self.listed = true;
         self.stop();
     }
 
-    /// Lists the store after another node was relied on, unless one reads for this one soon.
+    /// Schedules a list after the reader was lost, leaving time for another reader to take over.
     pub fn resume(&mut self, now: Time, rng: &mut Pcg64Mcg) {
         let at = now + self.reader_wait(READER_LOST_WAIT, rng);
         self.schedule_list(at, true);
     }
 
-    /// Makes no more calls; what is under way is not awaited.
+    /// Stops calling the store and ignores the pending result.
     pub fn stop(&mut self) {
         self.state = State::Idle;
         self.listing = None;
     }
 
-    /// Sets how often the store is asked: more often if others rely on this node. A long watch that
-    /// is under way is not awaited then: until its end nothing could be said to them.
+    /// Shortens watches and delays while other nodes rely on this one. A pending long watch is
+    /// replaced at once, since followers would get no update until its end.
     pub fn set_serves_followers(&mut self, now: Time, serves_followers: bool) {
         let begins = serves_followers && !self.serves_followers;
         self.serves_followers = serves_followers;
@@ -174,12 +169,10 @@
         }
     }
 
-    /// Whether the call with this id is the one under way.
     pub fn is_pending(&self, id: u64) -> bool {
         matches!(self.state, State::Pending(waiting, _) if waiting == id)
     }
 
-    /// When a call is due.
     pub fn wake_at(&self) -> Option<Time> {
         match self.state {
             State::Scheduled(_, at) => Some(at),
@@ -187,7 +180,7 @@
         }
     }
 
-    /// The call that is due, if one is.
+    /// Returns the call that is due, if any.
     pub fn next_call(&mut self, now: Time) -> Option<Call> {
         let State::Scheduled(request, at) = &self.state else {
             return None;
@@ -213,8 +206,8 @@
         Some(Call { id, request, timeout: wait + RESPONSE_TIMEOUT })
     }
 
-    /// Takes the end of the call under way. Returns what it brought, and whether that is
-    /// everything there is.
+    /// Processes the result of the pending call. Returns the changes, and whether they are a
+    /// complete list.
     pub fn handle_result(
         &mut self,
         now: Time,
