--- a/core/src/discovery/nested.rs
+++ b/core/src/discovery/nested.rs
@@ -1,14 +1,15 @@
-//! Which routes are for calls that targets make while they run a request.
+//! Detection of routes that serve nested calls, which targets make while they run a request.
 
 use crate::config::{Class, Preset};
 
-/// Marks the routes of nested calls as gating, for documents that do not say so.
+/// Sets the class of routes that serve nested calls to [`Class::Gating`] where the document does
+/// not.
 ///
-/// Marks routes of nested calls, which go before others and have slots kept free: a run whose own
-/// calls are turned away fails after it has held a slot, and is tried again.
+/// Gating requests take precedence and have slots reserved: if a nested call is rejected, the outer
+/// request fails after having occupied a slot, and is retried.
 ///
-/// A route is for nested calls if its requests must be over before an answer to a request that
-/// runs only once is worth less: whoever waits so shortly has another caller waiting behind it.
+/// An idempotent route is taken to serve nested calls if its deadline is shorter than the objective
+/// of every non-idempotent route: a caller with so short a deadline is itself serving a request.
 pub fn mark_gating_routes(preset: &mut Preset) {
     let once = preset.routes.values().filter(|route| !route.idempotent);
     let Some(shortest) = once.map(|route| route.objective_ms).min() else {
