--- a/core/src/discovery/offer.rs
+++ b/core/src/discovery/offer.rs
@@ -1,11 +1,11 @@
-//! What a node that knows the configuration offers to peers that may have lost it.
+//! Offers of the current state to peers that may have lost it.
 //!
-//! A process that starts while the store is silent knows only its seeds, which may have ended too.
-//! So nodes that hold the configuration offer it to peers just lost from sight and, while the store
-//! fails, to random ones. Each node that takes an offer makes offers itself, so one survivor is
-//! enough.
+//! A process that starts while the store is unavailable knows only its seeds, which may have lost
+//! their state too. Nodes that hold the state therefore offer it to peers that recently became
+//! unreachable and, while the store fails, to random peers. Every node that has recovered makes
+//! offers itself, so a single survivor suffices.
 //!
-//! An offer only names what is held. A peer that has read the store itself passes it over.
+//! An offer carries only the version and digest. A peer that has read the store ignores it.
 
 use super::port::Config;
 use super::view::View;
@@ -20,36 +20,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between two rounds of offers.
+/// Interval between rounds of offers.
 const ROUND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Peers that get an offer in one round, beside those lost from sight: one or two packets each.
+/// Random peers per round, in addition to those that became unreachable.
 const PEERS_PER_ROUND: usize = 4;
 
-/// For how long a peer that was lost from sight gets offers. Its process is back within a second or
-/// two where it is to return at all.
+/// How long offers are sent to a peer after it became unreachable. Restarted processes are usually
+/// back within two seconds.
 const LOST_PEER_RETENTION: Duration = Duration::from_secs(4);
 
-/// Peers lost from sight that are remembered at once.
+/// Maximum number of unreachable peers tracked.
 const MAX_LOST_PEERS: usize = 32;
 
-/// How long a node that has asked for what it was offered waits before it asks another.
+/// Minimum interval between requests for offered state.
 const PULL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The offers of one node, and its questions after those of others.
+/// Outgoing offers, and rate limits for requests in response to offers of others.
 #[derive(Debug)]
 pub struct Offers {
     lost_peers: IndexMap<SocketAddr, Time>,
     next_round_at: Time,
-    // Whether any peer may lack what is held, since the store does not answer.
+    // Also offer to random peers, since any of them may lack the state.
     random_offers: bool,
     next_pull_at: Time,
-    // What has been asked for, by its digest.
+    // Digests of the states requested so far.
     pulled_digests: IndexSet<Hash>,
 }
 
 impl Offers {
-    /// Offers nothing.
     pub fn new() -> Offers {
         Offers {
             lost_peers: IndexMap::new(),
@@ -60,29 +59,28 @@
         }
     }
 
-    /// A peer's process could not be reached, or its connection broke.
+    /// Called when a peer's process is unreachable or its connection broke.
     pub fn peer_lost(&mut self, now: Time, address: SocketAddr) {
         if self.lost_peers.len() < MAX_LOST_PEERS || self.lost_peers.contains_key(&address) {
             self.lost_peers.insert(address, now + LOST_PEER_RETENTION);
         }
     }
 
-    /// A peer has asked, and has been given what is held.
+    /// Called when the full state was sent to a peer.
     pub fn on_state_sent(&mut self, address: SocketAddr) {
         self.lost_peers.swap_remove(&address);
     }
 
-    /// Whether the store is known to fail, so that any peer that starts lacks everything.
+    /// Enables offers to random peers, for while the store is unavailable or has not been read yet.
     pub fn set_random_offers(&mut self, random_offers: bool) {
         self.random_offers = random_offers;
     }
 
-    /// When the next round is due.
     pub fn wake_at(&self) -> Option<Time> {
         (self.random_offers || !self.lost_peers.is_empty()).then_some(self.next_round_at)
     }
 
-    /// Whom to make an offer now.
+    /// Returns the peers to send an offer to now.
     pub fn next_round(
         &mut self,
         now: Time,
@@ -105,7 +103,7 @@
             .filter(|target| target.peers != cfg.address && !target.leaving)
             .collect();
         let lost = peers.iter().filter(|target| self.lost_peers.contains_key(&target.peers));
-        // One offer each, however a peer was chosen.
+        // Deduplicated by address: a random peer may also be an unreachable one.
         let mut chosen: IndexMap<SocketAddr, &Target> =
             lost.map(|target| (target.peers, *target)).collect();
         let drawn = if self.random_offers { PEERS_PER_ROUND } else { 0 };
@@ -115,7 +113,8 @@
         chosen.into_iter().map(|(address, target)| (address, link(target))).collect()
     }
 
-    /// Whether to ask a peer that offers a newer version. Several offer at once; one is asked.
+    /// Whether to request a newer version from a peer. Several peers may offer it at once; only one
+    /// is asked.
     pub fn may_pull(&mut self, now: Time, digest: Hash) -> bool {
         let may = now >= self.next_pull_at;
         if may {
@@ -125,10 +124,10 @@
         may
     }
 
-    /// Whether to ask a peer that offers the same version with other targets.
+    /// Whether to request the same version with different targets.
     ///
-    /// Peers may know different targets to be leaving, and the merged state knows them all. Each
-    /// state is asked for once.
+    /// Each peer may know of different draining targets, so the states are merged. Each state is
+    /// requested once.
     pub fn may_pull_same_version(&mut self, now: Time, digest: Hash) -> bool {
         !self.pulled_digests.contains(&digest) && self.may_pull(now, digest)
     }
