--- a/core/src/discovery/pace.rs
+++ b/core/src/discovery/pace.rs
@@ -1,42 +1,40 @@
-//! How often a reader reads the store, and how long its followers rely on it.
+//! Timing of readers and followers, derived from the change bound.
 
 use std::time::Duration;
 
-/// What a follower needs after its reader has lapsed: another reader lists the store and announces
-/// itself, or the follower lists the store.
+/// Time to recover from the loss of a reader: another reader lists the store and announces itself,
+/// or the follower lists the store.
 const FAILOVER_TIME: Duration = Duration::from_millis(1_200);
 
-/// Delay of an answer of the store, and of the message that follows it, beyond the usual.
+/// Allowance for delays of the store's response and of the update to followers.
 const DELIVERY_MARGIN: Duration = Duration::from_millis(400);
 
-/// Pause between an answer that brought changes and the next watch: what comes meanwhile is read
-/// in one call.
+/// Delay between a response with changes and the next watch, so that later changes are read in one
+/// call.
 const BATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// Shortest and longest time that a reader may be silent.
+/// Bounds of [`Pace::reader_timeout`].
 const MIN_READER_TIMEOUT: Duration = Duration::from_millis(1_200);
 const MAX_READER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Time between the first announcements of two neighbours in the order of a region: several times
-/// the way of a message.
+/// Difference in announcement delay between adjacent ranks, several times the latency of a message.
 const ANNOUNCEMENT_STEP: Duration = Duration::from_millis(10);
 
-/// Longest delay of a first announcement.
+/// Longest delay of the first announcement.
 const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(500);
 
-/// Times of readers and followers, derived from the bound that they keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
-    /// How long a reader may be silent.
+    /// How long after the store last answered its reader a follower relies on that reader.
     pub reader_timeout: Duration,
     /// Longest wait of a reader's watch.
     pub max_watch_wait: Duration,
-    /// Pause between an answer that brought changes and the next watch.
+    /// Delay between a response with changes and the next watch.
     pub batch_delay: Duration,
 }
 
 impl Pace {
-    /// The slowest pace at which a change is in force within `bound` though a reader fails just
+    /// The slowest timing at which a change takes effect within `bound` even if a reader fails just
     /// before it.
     pub fn for_bound(bound: Duration) -> Pace {
         let reader_timeout =
@@ -48,7 +46,8 @@
         }
     }
 
-    /// How long the node at this position in the order of its region waits for those before it.
+    /// Delay of the first announcement of the node with this rank, so that nodes that rank before
+    /// it announce themselves first.
     pub fn announcement_delay(&self, rank: usize) -> Duration {
         (ANNOUNCEMENT_STEP * rank as u32).min(MAX_ANNOUNCEMENT_DELAY)
     }
