--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -1,4 +1,4 @@
-//! What a node tells its peers, and takes from them.
+//! Messages to and from peers.
 
 use super::relay::{self, Outgoing};
 use super::{Discovery, Output, rejoin};
@@ -40,7 +40,8 @@
             PeerMsg::Missing(_) if self.relay.is_upstream(from.address) => {
                 self.abandon_reader(now, out);
             }
-            // Peers that spread versions themselves say more; here the store does.
+            // The other messages distribute versions and members between peers; here both come from
+            // the store.
             _ => {}
         }
     }
@@ -60,7 +61,8 @@
         out.push(Output::Send { to: from.address, link, msg });
     }
 
-    /// Everything in force, unless nothing is held that the asker lacks. Made once for all askers.
+    /// Returns the full state, or `Missing` if it is older than the version that the requester
+    /// holds. The message is built once and cached.
     fn full_state_for(&mut self, pull: &Pull) -> PeerMsg {
         let Some(snapshot) = self.snapshot.as_ref().filter(|held| held.version() >= pull.version)
         else {
@@ -69,7 +71,7 @@
         self.full_state.get_or_insert_with(|| rejoin::full_state(snapshot)).clone()
     }
 
-    /// The process beside a gatekeeper could not be reached: when it is back, it may know nothing.
+    /// Records the loss of a peer: its process may have lost its state when it returns.
     pub(super) fn handle_peer_lost(&mut self, now: Time, gate: SocketAddr) {
         let address = SocketAddr::new(gate.ip(), self.cfg.peers_port);
         if address != self.cfg.address {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Names what is held to peers that may have lost it.
+    /// Offers the current state to peers that may have lost it.
     pub(super) fn send_offers(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(view) = self.view.clone() else {
             return;
@@ -90,10 +92,10 @@
         }
     }
 
-    /// Asks a peer that offers what this node lacks.
+    /// Requests offered state that this node lacks.
     ///
-    /// Only a process that has not read the store since its start accepts an offer, and never an
-    /// older version: the peer may be cut off from the store.
+    /// Offers are accepted only until this process has read the store, and never for an older
+    /// version, since the peer may be disconnected from the store.
     fn handle_offer(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         if self.watcher.has_listed() {
             return;
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Tells followers what the store has said and others that it is read here, or renews with the
-    /// node that is followed.
+    /// Sends updates and announcements as a reader, or resync requests and lease renewals as a
+    /// follower.
     pub(super) fn send_relay_messages(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(view) = self.view.clone() else {
             return;
@@ -130,7 +132,7 @@
         out.extend(self.relay.announce(now, &self.cfg, &view).into_iter().map(send_output));
     }
 
-    /// The reader, or whoever is asked to be it, names what it holds.
+    /// Handles a notice from the reader or the candidate reader.
     fn handle_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         let msg = match &self.view {
             Some(view) if view.digest == summary.whole => {
@@ -159,7 +161,7 @@
                 self.snapshot_stale = true;
                 self.mark_in_sync(now, from, &delta.summary, out);
             }
-            // Made for another state than this node's, as after a message that was lost.
+            // The delta was made against a different base, for example because a message was lost.
             Err(_) if delta.base.as_ref().is_none_or(|base| base.digest != view.digest) => {
                 out.extend(self.relay.resync(now, relay::delta_request(&view)).map(send_output));
             }
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Reads the store again, if another node was followed.
+    /// Stops following the reader, if there is one, and schedules a list of the store.
     pub(super) fn abandon_reader(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.relay.drop_reader() {
             self.watcher.resume(now, &mut self.rng);
@@ -187,8 +189,8 @@
         }
     }
 
-    /// Takes what a peer holds until the store answers: its version if it is newer, and its
-    /// targets if none are known.
+    /// Merges the full state of a peer. Targets are taken only until the store has been read; the
+    /// version is taken if it is newer.
     fn handle_full_state(&mut self, now: Time, delta: &Delta, out: &mut Vec<Output>) {
         match rejoin::parse_full_state(delta) {
             Ok((published, entries)) => {
