--- a/core/src/discovery/port.rs
+++ b/core/src/discovery/port.rs
@@ -1,4 +1,4 @@
-//! What the decider takes in and gives out.
+//! Input, output and configuration types of the discovery state machine.
 
 use super::nested;
 use crate::call::Note;
@@ -13,167 +13,156 @@
 use std::time::Duration;
 
 data! {
-    /// What the decider is told at its making.
+    /// Configuration of the state machine.
     pub struct Config {
-        /// Where the node is.
+        /// Location of the node.
         pub place: Place,
-        /// Address on which the node takes messages from peers.
+        /// Address on which the node receives messages from peers.
         pub address: SocketAddr,
-        /// What the VM's link takes, in kilobits a second; absent if that is not known to be
-        /// little.
+        /// Bandwidth of the VM's link in kbit/s; absent if no limit is known.
         pub link_kbps: Option<u64>,
-        /// Time within which a change must be in force after the store has acknowledged it.
+        /// Time within which a change must take effect after the store has acknowledged it.
         pub change_bound: Duration,
-        /// Peers to ask after a start while the store is silent.
+        /// Peers to request the state from after a start while the store is unavailable.
         pub seeds: Vec<SocketAddr>,
-        /// Port of every node's gatekeeper.
+        /// Gatekeeper port, the same on every node.
         pub gate_port: u16,
-        /// Port on which every node takes messages from peers.
+        /// Peer message port, the same on every node.
         pub peers_port: u16,
     }
 
-    /// A version as the store holds it: services without targets.
+    /// A published version as stored: services without targets.
     pub struct Publication {
-        /// The version; a higher one replaces the one in force.
+        /// Version number; a higher one replaces the current one.
         pub version: u64,
-        /// Services and routes.
         pub preset: Preset,
     }
 
-    /// What a target says of itself in the store.
+    /// The entry with which a target registers in the store.
     pub struct TargetEntry {
-        /// The service that it runs.
         pub service: Name,
-        /// Its own address. The node beside it has the same IP.
+        /// Address of the target. Its node has the same IP.
         pub address: SocketAddr,
-        /// Where its VM is.
+        /// Location of its VM.
         pub place: Place,
-        /// Requests that it runs at once.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Whether it takes new work.
         pub state: TargetState,
-        /// Start of its process, in milliseconds since the Unix epoch by its own clock.
+        /// Start of the process by the target's clock, in milliseconds since the Unix epoch.
         pub started_ms: u64,
-        /// Rises with each entry that one process writes.
+        /// Increases with each entry written by the same process.
         pub sequence: u64,
     }
 }
 
 kebab_enum! {
-    /// Whether a target takes new work.
+    /// Whether a target accepts new requests.
     pub enum TargetState {
-        /// It does.
+        /// Accepts new requests.
         Ready,
-        /// It finishes what it has.
+        /// Finishes running requests and accepts no new ones.
         Draining,
     }
 }
 
 data! {
-    /// A call to the store.
+    /// Call to the store.
     pub struct Call {
-        /// Comes back with the reply.
+        /// Identifies the call in [`Input::Reply`].
         pub id: u64,
-        /// What is asked.
         pub request: Request,
-        /// When the call is given up.
         pub timeout: Duration,
     }
 
-    /// How the store is read.
+    /// Operation of a store call.
     pub enum Request {
-        /// A page of what is there.
+        /// Read one page of the list.
         List {
-            /// The key that the page before ended with.
+            /// Last key of the previous page.
             after: Option<String>,
-            /// Whether the page may be seconds old, which costs the store less.
+            /// Whether a stale read is allowed, which is cheaper for the store but may be seconds
+            /// old.
             stale: bool,
         },
-        /// The entries that have changed, at once.
+        /// Read the changed entries without waiting.
         Entries {
-            /// The revision from which on changes are wanted.
+            /// Revision from which on changes are returned.
             revision: u64,
         },
-        /// The document in force.
+        /// Read the current document.
         Document,
-        /// What has changed, as soon as something has.
+        /// Wait for changes.
         Watch {
-            /// The revision from which on changes are wanted.
+            /// Revision from which on changes are returned.
             revision: u64,
-            /// Longest wait for a change.
             wait: Duration,
         },
     }
 
-    /// What a call brought.
+    /// Response to a call.
     pub struct Reply {
-        /// The store's revision.
+        /// Revision of the store.
         pub revision: u64,
-        /// What is there, or what has changed, in order.
+        /// Listed items or changes, in order.
         pub changes: Vec<Change>,
-        /// Where the next page of a list begins, if there is one.
+        /// Key after which the next page begins, if there is one.
         pub next: Option<String>,
     }
 
-    /// One item of a reply.
+    /// Item of a [`Reply`].
     pub enum Change {
-        /// A publication, or why it can't be read.
+        /// A published version, or the reason why it is invalid.
         Published(Result<Arc<Publication>, Fault>),
-        /// A target's entry; `None` if it can't be read and names no target.
+        /// A target's entry was written.
         Target {
-            /// The target's own name for its present run.
+            /// Identifies one run of the target.
             id: Name,
-            /// What it says.
+            /// The entry; `None` if it is malformed.
             entry: Option<TargetEntry>,
         },
         /// A target's entry was removed.
         Removed {
-            /// The target's own name for its present run.
+            /// Identifies one run of the target.
             id: Name,
         },
     }
 
-    /// Why a call brought nothing.
+    /// Why a call failed.
     pub enum ReadError {
-        /// The changes since the revision are no longer kept.
+        /// The store has compacted the changes since the requested revision.
         HistoryGone,
-        /// The store did not answer, or refused.
+        /// The store did not answer or rejected the call.
         Failed(Code),
     }
 }
 
 impl Publication {
-    /// A version with these services and routes; the routes of nested calls are marked.
+    /// Creates a version and marks its routes that serve nested calls as gating.
     pub fn new(version: u64, mut preset: Preset) -> Publication {
         nested::mark_gating_routes(&mut preset);
         Publication { version, preset }
     }
 }
 
-/// What comes in.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The process has started.
     Start,
-    /// A call to the store has ended.
+    /// A store call has ended.
     Reply {
-        /// The call.
+        /// Id of the call.
         id: u64,
-        /// What it brought.
         result: Result<Reply, ReadError>,
     },
     /// A message from another node.
-    Peer {
-        /// The sender.
-        from: Peer,
-        /// The message.
-        msg: PeerMsg,
-    },
+    Peer { from: Peer, msg: PeerMsg },
     /// The call path has a note for another node.
     Note(OutgoingNote),
-    /// The process beside this gatekeeper could not be reached, or its connection broke.
+    /// The process of the node with this gatekeeper address is unreachable, or its connection
+    /// broke.
     PeerLost(SocketAddr),
-    /// Other peers are to be asked after a start.
+    /// The configured seeds have changed.
     Seeds(Vec<SocketAddr>),
     /// The process is about to stop.
     Leaving,
@@ -181,45 +170,43 @@
     Wake,
 }
 
-/// What is to be done.
+/// Output of the state machine, executed by the adapter.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Call the store.
     Read(Call),
     /// Send a message to another node.
     Send {
-        /// Its address for messages.
+        /// Peer address of the recipient.
         to: SocketAddr,
-        /// The link to it, for counting.
+        /// Kind of link to the recipient, for traffic metrics.
         link: Link,
-        /// The message.
         msg: PeerMsg,
     },
-    /// Give the call path a note from another node.
+    /// Pass a note from another node to the call path.
     Note {
         /// VM of the sender.
         from: Name,
-        /// The note.
         note: Note,
     },
-    /// Put a snapshot into force.
+    /// Make a snapshot the current one.
     InForce(Arc<Snapshot>),
-    /// Show a refusal to operators.
+    /// Report rejected data to operators.
     Refused(Fault),
-    /// Record a change of state.
+    /// Record an event.
     Event(Event),
-    /// Show operators what is known.
+    /// Update the status shown to operators.
     Status(Status),
-    /// Come back at this time.
+    /// Send [`Input::Wake`] at this time.
     WakeAt(Time),
 }
 
 data! {
-    /// What operators see.
+    /// Status shown to operators.
     pub struct Status {
-        /// The newest version held.
+        /// Newest known version.
         pub newest: u64,
-        /// Whether the store answered the last call.
+        /// Whether the store answered the last call; `None` before the first call ends.
         pub store_answers: Option<bool>,
     }
 }
