--- a/core/src/discovery/registry.rs
+++ b/core/src/discovery/registry.rs
@@ -1,4 +1,4 @@
-//! Which targets there are, by the entries that they write themselves.
+//! Registry of targets, built from the entries that they write to the store.
 
 use super::port::{Change, Config, TargetEntry, TargetState};
 use crate::config::Target;
@@ -8,20 +8,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long after the store's return an entry that is missing may still come back: entries lapse
-/// while the store is away, and targets that live write them again within about two seconds.
+/// How long missing entries are retained after the store has recovered. Entries expire during an
+/// outage, and live targets rewrite theirs within about two seconds.
 pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_100);
 
-/// A store that fails for longer than this was away. A single call that breaks, as a watch that
-/// is cut, is no sign that entries have lapsed.
+/// Failures for longer than this count as an outage. A single failed call, such as an interrupted
+/// watch, does not mean that entries have expired.
 const OUTAGE_THRESHOLD: Duration = Duration::from_millis(600);
 
-/// The targets known to this node.
 #[derive(Debug, Default)]
 pub struct Registry {
     entries: IndexMap<Name, KnownTarget>,
     failing_since: Option<Time>,
-    // The store was away and has answered again since this time.
+    // When the store answered again after an outage.
     recovered_at: Option<Time>,
 }
 
@@ -31,22 +30,19 @@
     missing: bool,
 }
 
-/// A target and the service that it runs.
+/// Target together with its service.
 #[derive(Clone, Debug)]
 pub struct ServiceTarget {
-    /// The service.
     pub service: Name,
-    /// The target, as a version would list it.
     pub target: Target,
 }
 
 impl Registry {
-    /// No target.
     pub fn new() -> Registry {
         Registry::default()
     }
 
-    /// A call to the store failed.
+    /// Records a failed store call.
     pub fn on_store_failure(&mut self, now: Time) {
         self.failing_since.get_or_insert(now);
         let outage = self.failing_since.is_some_and(|since| now.since(since) >= OUTAGE_THRESHOLD);
@@ -55,7 +51,7 @@
         }
     }
 
-    /// A call to the store was answered.
+    /// Records a successful store call.
     pub fn on_store_success(&mut self, now: Time) {
         let outage =
             self.failing_since.take().is_some_and(|since| now.since(since) >= OUTAGE_THRESHOLD);
@@ -64,13 +60,13 @@
         }
     }
 
-    /// Takes changes in. Returns whether any target changed.
+    /// Applies changes. Returns whether any target changed.
     pub fn apply_changes(&mut self, now: Time, changes: Vec<Change>) -> bool {
         let mut changed = false;
         for change in changes {
             changed |= match change {
                 Change::Target { id, entry: Some(entry) } => self.upsert(id, entry),
-                // An entry that can't be read names no target, whoever wrote it.
+                // A malformed entry removes the target, whoever wrote it.
                 Change::Target { id, entry: None } => self.entries.shift_remove(&id).is_some(),
                 Change::Removed { id } => self.remove(now, &id),
                 Change::Published(_) => false,
@@ -79,7 +75,8 @@
         changed
     }
 
-    /// Takes the whole list in: what it lacks is missing.
+    /// Applies a complete list; known targets that it lacks count as removed. Returns whether any
+    /// target changed.
     pub fn apply_list(&mut self, now: Time, changes: Vec<Change>) -> bool {
         let listed: HashSet<Name> = changes
             .iter()
@@ -96,13 +93,15 @@
         self.apply_changes(now, changes) || changed
     }
 
-    /// Takes the targets that a peer knows, for a node that knows none.
+    /// Merges the targets known to a peer, while the store has not been read yet. Returns whether
+    /// any target changed.
     pub fn merge_from_peer(&mut self, now: Time, entries: Vec<(Name, TargetEntry)>) -> bool {
-        // What the store says next goes before it, and may lack what lapsed meanwhile.
+        // Treat the store as failing: its next list takes precedence but may lack entries that
+        // expired during the outage.
         self.failing_since.get_or_insert(now);
         let mut changed = false;
         for (id, entry) in entries {
-            // One peer may not have heard yet of a leaving that another has.
+            // The peer may not know yet that the target is draining.
             let leaving = self
                 .entries
                 .get(&id)
@@ -114,7 +113,7 @@
         changed
     }
 
-    /// Takes the targets that a reader of the store holds, in place of all that were known.
+    /// Replaces all targets by those of the reader.
     pub fn replace_from_reader(&mut self, entries: Vec<(Name, TargetEntry)>) {
         let known = |(id, entry)| (id, KnownTarget { entry, missing: false });
         self.entries = entries.into_iter().map(known).collect();
@@ -122,7 +121,7 @@
         self.recovered_at = None;
     }
 
-    /// Drops what did not come back in time. Returns whether any target changed.
+    /// Drops missing targets after the grace period. Returns whether any target changed.
     pub fn expire_missing(&mut self, now: Time) -> bool {
         let over = |since: Time| now.since(since) >= RECOVERY_GRACE;
         if self.failing_since.is_some() || !self.recovered_at.is_some_and(over) {
@@ -134,21 +133,21 @@
         self.entries.len() != before
     }
 
-    /// Whether targets are kept whose entries are missing.
+    /// Whether any target is retained although its entry is missing.
     pub fn has_missing(&self) -> bool {
         self.entries.values().any(|known| known.missing)
     }
 
-    /// When [`Registry::expire_missing`] has something to do.
+    /// When [`Registry::expire_missing`] is due.
     pub fn wake_at(&self) -> Option<Time> {
         let since = self.recovered_at.filter(|_| self.failing_since.is_none())?;
         Some(since + RECOVERY_GRACE)
     }
 
-    /// Every target, in the order of their starts, as a version would list it.
+    /// All targets, in order of their start.
     ///
-    /// Of several entries with one address the latest start holds: the others' processes have
-    /// ended, and their address was given away before their entries lapsed.
+    /// If several entries have the same address, the latest start wins: the other processes have
+    /// ended, and their address was reassigned before their entries expired.
     pub fn targets(&self, cfg: &Config) -> Vec<ServiceTarget> {
         let mut entries: Vec<(&Name, &KnownTarget)> = self.entries.iter().collect();
         entries.sort_by_key(|(_, known)| known.entry.started_ms);
@@ -163,8 +162,8 @@
         listed
     }
 
-    /// An entry of an earlier run of the process, or an older one, changes nothing: a leaving
-    /// target would look ready again.
+    /// Inserts an entry unless it is older than the known one, which would make a draining target
+    /// look ready again. Returns whether the target changed.
     fn upsert(&mut self, id: Name, entry: TargetEntry) -> bool {
         let age = |entry: &TargetEntry| (entry.started_ms, entry.sequence);
         let known = self.entries.get(&id);
@@ -177,8 +176,8 @@
         changed
     }
 
-    /// While the store fails, and for [`RECOVERY_GRACE`] after, an entry that goes missing is kept:
-    /// entries lapse then although their targets live.
+    /// Removes an entry. During an outage and for [`RECOVERY_GRACE`] after it, the entry is only
+    /// marked as missing, since entries of live targets expire too.
     fn remove(&mut self, now: Time, id: &Name) -> bool {
         let in_grace_period =
             self.recovered_at.is_some_and(|since| now.since(since) < RECOVERY_GRACE);
@@ -208,7 +207,6 @@
         ServiceTarget { service: self.service.clone(), target }
     }
 
-    /// Whether both say the same, the time of their writing aside.
     fn eq_ignoring_sequence(&self, other: &TargetEntry) -> bool {
         let rest = |entry: &TargetEntry| TargetEntry { sequence: 0, ..entry.clone() };
         rest(self) == rest(other)
