--- a/core/src/discovery/rejoin.rs
+++ b/core/src/discovery/rejoin.rs
@@ -1,8 +1,7 @@
-//! What a node that has just started asks its peers until it has read the store or follows a
+//! Recovery of the state from peers after a start, until this node has read the store or follows a
 //! reader.
 //!
-//! A node keeps nothing over its end, but its peers still hold the version in force and the
-//! targets.
+//! A node persists nothing, but its peers still hold the current version and targets.
 
 use super::port::{Publication, TargetEntry, TargetState};
 use crate::config::document::Target;
@@ -18,13 +17,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between two questions, up to a quarter longer by chance. Peers may be starting themselves.
+/// Interval between requests, plus up to 25 % jitter. Peers may be starting too.
 const PULL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause after a peer has told everything: who reads the store speaks by itself then.
+/// Delay after a peer has sent the full state: from then on, a reader announces itself.
 const INFORMED_PULL_DELAY: Duration = Duration::from_secs(2);
 
-/// The questions of a node after its start.
+/// Schedule of the requests to seeds after a start.
 #[derive(Debug)]
 pub struct Rejoin {
     next_pull_at: Option<Time>,
@@ -32,33 +31,32 @@
 }
 
 impl Rejoin {
-    /// Asks nothing.
     pub fn new() -> Rejoin {
         Rejoin { next_pull_at: None, seed_index: 0 }
     }
 
-    /// The node has started.
+    /// Schedules the first request, to a random seed.
     pub fn start(&mut self, now: Time, rng: &mut Pcg64Mcg) {
         self.next_pull_at = Some(now);
         self.seed_index = rng.random_range(0..usize::from(u8::MAX));
     }
 
-    /// The store has told everything.
+    /// Cancels further requests: the state is known from the store or a reader.
     pub fn stop(&mut self) {
         self.next_pull_at = None;
     }
 
-    /// A peer has told everything.
+    /// Called when a peer has sent the full state.
     pub fn on_peer_state(&mut self, now: Time) {
         self.next_pull_at = self.next_pull_at.map(|next| next.max(now + INFORMED_PULL_DELAY));
     }
 
-    /// When the next question is due.
     pub fn wake_at(&self) -> Option<Time> {
         self.next_pull_at
     }
 
-    /// Whom to ask now: one seed after the other, since each answers with everything.
+    /// Returns the seed to ask now, if a request is due. Seeds are asked in turn, since each one
+    /// replies with the full state.
     pub fn next_seed(
         &mut self,
         now: Time,
@@ -74,13 +72,13 @@
     }
 }
 
-/// Asks for all that a peer holds.
+/// Request for the full state of a peer.
 pub fn full_state_request(held: Option<u64>) -> PeerMsg {
     let version = held.unwrap_or(0);
     PeerMsg::Pull(Box::new(Pull { version, base: None, scope: None }))
 }
 
-/// Everything that a snapshot holds, as one message.
+/// Message with the full state of a snapshot.
 pub fn full_state(snapshot: &Snapshot) -> PeerMsg {
     let resources = resource::split_preset(&snapshot.to_preset());
     let digest = resource::manifest(&resources).digest();
@@ -90,7 +88,7 @@
     PeerMsg::Delta(Arc::new(Delta { summary, base: None, changed, removed: Vec::new(), digest }))
 }
 
-/// Reads a peer's answer: the version without its targets, and the targets.
+/// Parses a full state into the version without targets and the target entries.
 pub fn parse_full_state(delta: &Delta) -> Result<(Publication, Vec<(Name, TargetEntry)>)> {
     let preset =
         Snapshot::assemble_preset(&delta.summary.in_force.preset, &verified_resources(delta)?)?;
@@ -104,7 +102,7 @@
     Ok((Publication { version: delta.summary.in_force.version, preset }, entries))
 }
 
-/// The whole must match its digest.
+/// Fails if the resources do not match their digest.
 fn verified_resources(delta: &Delta) -> Result<IndexMap<ResourceId, resource::Resource>> {
     let content =
         |(id, body): &(ResourceId, Bytes)| (id.clone(), resource::Resource::new(body.clone()));
@@ -116,16 +114,16 @@
     Ok(resources)
 }
 
-/// The entry of a target as another node lists it.
+/// Converts a target listed by another node into an entry.
 pub fn target_entry(service: &Name, target: &Target) -> TargetEntry {
     TargetEntry {
         service: service.clone(),
-        // Only its IP counts: the ports of nodes are the same everywhere.
+        // Only the IP is used; node ports are the same everywhere.
         address: target.gate,
         place: target.place(),
         slots: target.slots.unwrap_or(1),
         state: if target.leaving { TargetState::Draining } else { TargetState::Ready },
-        // Older than whatever the target itself writes next.
+        // Older than any entry that the target writes itself.
         started_ms: 0,
         sequence: 0,
     }
