--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -1,14 +1,15 @@
-//! One node reads the store for the others of its region.
+//! One reader per region reads the store for the other nodes.
 //!
-//! Where every node reads the store itself, the calls grow with the fleet, and each version goes
-//! whole over every VM's link. A *reader* reads the store and tells its *followers* what has
-//! changed. Nobody appoints it: a node with a wide link that reads the store announces itself to
-//! the nodes of its region, the first in an order that all nodes share earliest, and whoever
-//! follows nobody follows the first that it hears of.
+//! If every node read the store itself, the number of calls would grow with the fleet, and each
+//! version would be transferred in full over every VM's link. Instead, a *reader* reads the store
+//! and sends changes to its *followers*. Readers are not elected: nodes with a sufficiently fast
+//! link that read the store announce themselves to the nodes of their region, those that rank first
+//! in a shared order earliest, and a node without a reader follows the first one that it hears
+//! from.
 //!
-//! A reader speaks only when the store has answered it, so a follower that has heard nothing for
-//! [`Pace::reader_timeout`] reads the store itself, whatever the reason. Each message names the whole of
-//! what the reader holds by a digest; a follower that holds anything else asks for the difference.
+//! A reader sends messages only after the store has answered it. A follower that has received none
+//! for [`Pace::reader_timeout`] therefore reads the store itself, whatever the cause. Each message
+//! carries a digest of the reader's full state; a follower with a different state requests a delta.
 
 use super::announce::{Announcements, region_rank};
 use super::pace::Pace;
@@ -24,53 +25,55 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Fewer targets than this are read for by nobody: their calls cost little, and one node less stands
-/// between a node and the store.
+/// Minimum number of targets for relaying. In smaller fleets every node reads the store itself: the
+/// calls cost little, and there is no reader to fail.
 const MIN_FLEET_TARGETS: usize = 32;
 
-/// Narrowest link of a node that reads for others, in kbit/s: it must take the largest versions
-/// several times a second.
+/// Minimum bandwidth of a reader's link in kbit/s. It must carry the largest versions several times
+/// a second.
 const MIN_READER_KBPS: u64 = 100_000;
 
-/// Rate of a link that the settings do not state, in kbit/s.
+/// Assumed bandwidth of a link without a configured limit, in kbit/s.
 const DEFAULT_LINK_KBPS: u64 = 1_000_000;
 
-/// Longest time that a reader's link may be filled by one change that it sends to all followers.
+/// Longest time for which sending one change to all followers may saturate a reader's link.
 const MAX_LINK_BUSY: Duration = Duration::from_millis(500);
 
-/// Bytes of resources that travel as one byte: lists of routes and targets repeat themselves.
+/// Assumed compression ratio of resources in transit.
 const COMPRESSION_RATIO: u64 = 8;
 
-/// Differences of up to this size, in bytes of their resources, are sent over any link.
+/// Deltas up to this size are sent over any link, in uncompressed bytes.
 const MIN_DELTA_LIMIT: u64 = 65_536;
 
-/// Largest difference, in bytes of its resources, that fits into one message.
+/// Largest delta that fits into one message, in uncompressed bytes.
 const MAX_DELTA_LIMIT: u64 = 4_194_304;
 
-/// How often a follower says that it is still there, and for how long it is told things without.
+/// Interval at which a follower renews its lease, and duration of the lease.
 const LEASE_RENEW_INTERVAL: Duration = Duration::from_secs(2);
 const FOLLOWER_LEASE: Duration = Duration::from_secs(5);
 
-/// How long a node reads the store at a reader's pace after it has announced itself.
+/// How long a node reads the store at a reader's pace after an announcement while it has no
+/// followers.
 const FOLLOWER_WAIT: Duration = Duration::from_secs(3);
 
-/// How long an announcing node is waited for before another is heard.
+/// How long to wait for a candidate reader before another announcement is accepted.
 const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long an announcement is remembered while another node is followed.
+/// How long a standby reader is remembered.
 const STANDBY_RETENTION: Duration = Duration::from_millis(1_500);
 
-/// How long another reader is given to follow this one; longer than the time between two of its
-/// announcements after twice this.
+/// Time given to a competing reader to follow this one. If it still announces itself after that,
+/// and before twice that time, the lower-ranked of the two yields. Twice this must exceed the
+/// interval between two announcements.
 const COMPETITOR_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Shortest time between two questions for a difference.
+/// Minimum interval between requests for a delta.
 const RESYNC_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Versions from which a difference can be made.
+/// Number of versions kept as bases for deltas.
 const MAX_HISTORY: usize = 4;
 
-/// Whom this node follows.
+/// The reader that this node follows.
 #[derive(Debug)]
 struct Reader {
     address: SocketAddr,
@@ -85,7 +88,7 @@
     until: Time,
 }
 
-/// A node that has announced itself and has been asked for what it holds.
+/// A reader that has announced itself.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     address: SocketAddr,
@@ -93,41 +96,36 @@
     since: Time,
 }
 
-/// What this node is to the other nodes of its region.
+/// Role of this node in its region, and its relations to other nodes.
 #[derive(Debug)]
 pub struct Relay {
     pace: Pace,
     reader: Option<Reader>,
     candidate: Option<Candidate>,
-    // Another node that has announced itself of late.
+    // Most recent reader to announce itself while another one was followed or pending.
     standby: Option<Candidate>,
     resync_at: Time,
     followers: IndexMap<SocketAddr, Follower>,
     announcements: Announcements,
-    // Another node that announces itself, and when it was first heard.
+    // Competing reader, and when its announcement was first received.
     competitor: Option<(SocketAddr, Time)>,
     followers_expected_until: Time,
     // The process is about to stop.
     leaving: bool,
-    // When the store last answered this node.
     store_answered_at: Option<Time>,
     last_sent: Option<Arc<View>>,
     history: VecDeque<Arc<Publication>>,
 }
 
-/// A message to send.
+/// Message to send to a peer.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Address of the peer.
     pub to: SocketAddr,
-    /// The link to it.
     pub link: Link,
-    /// The message.
     pub msg: PeerMsg,
 }
 
 impl Relay {
-    /// Follows nobody and has no follower.
     pub fn new(pace: Pace) -> Relay {
         Relay {
             pace,
@@ -146,22 +144,22 @@
         }
     }
 
-    /// Whether another node reads for this one.
+    /// Whether this node follows a reader.
     pub fn is_follower(&self) -> bool {
         self.reader.is_some()
     }
 
-    /// Whether the store is to be read so often that others can rely on it.
+    /// Whether this node has or expects followers, and must read the store at a reader's pace.
     pub fn serves_followers(&self, now: Time) -> bool {
         !self.followers.is_empty() || now < self.followers_expected_until
     }
 
-    /// The store has answered.
+    /// Records that the store has answered.
     pub fn on_store_success(&mut self, now: Time) {
         self.store_answered_at = Some(now);
     }
 
-    /// A version came into force, from which others may need a difference.
+    /// Keeps a version as a base for deltas.
     pub fn record_version(&mut self, published: &Arc<Publication>) {
         if self.history.back().is_some_and(|newest| newest.version == published.version) {
             return;
@@ -172,7 +170,7 @@
         }
     }
 
-    /// When [`Relay::renew_lease`], [`Relay::announce`] or [`Relay::reader_timed_out`] has something to do.
+    /// When [`Relay::renew_lease`], [`Relay::announce`] or [`Relay::reader_timed_out`] is next due.
     pub fn wake_at(&self) -> Option<Time> {
         match &self.reader {
             Some(reader) => {
@@ -182,21 +180,20 @@
         }
     }
 
-    /// Whether the reader has been silent for too long.
     pub fn reader_timed_out(&self, now: Time) -> bool {
         self.reader
             .as_ref()
             .is_some_and(|reader| now >= reader.store_answered_at + self.pace.reader_timeout)
     }
 
-    /// Whether a message comes from the node that is followed or asked.
+    /// Whether `from` is the reader of this node, or the candidate reader if it has none.
     pub fn is_upstream(&self, from: SocketAddr) -> bool {
         let reader = self.reader.as_ref().map(|reader| reader.address);
         reader.or(self.candidate.map(|candidate| candidate.address)) == Some(from)
     }
 
-    /// Whether to take up what a node names: it is followed or asked, or reads the store and may do
-    /// so for this one.
+    /// Whether to act on a notice as a follower. A fresh notice from another reader of the region
+    /// may make it the candidate.
     pub fn accept_notice(
         &mut self,
         now: Time,
@@ -221,10 +218,11 @@
         true
     }
 
-    /// Whether to give up reading for others, since another node of the region does so too.
+    /// Whether to yield to another reader of the region.
     ///
-    /// A node that has just started follows once it has been told of this reader. One that goes on
-    /// announcing itself has followers, and the later of the two in the order of the region yields.
+    /// A node that has just started follows this reader once it receives its announcement. One that
+    /// continues to announce itself has followers of its own; the lower-ranked of the two then
+    /// yields.
     fn should_yield_to(&mut self, now: Time, cfg: &Config, from: SocketAddr, link: Link) -> bool {
         match self.competitor {
             Some((competitor, since))
@@ -245,14 +243,14 @@
         }
     }
 
-    /// Tells the reader that this node is still there, when that is due.
+    /// Returns the lease renewal to send to the reader, if it is due.
     pub fn renew_lease(&mut self, now: Time, view: &View) -> Option<Outgoing> {
         let reader = self.reader.as_mut().filter(|reader| now >= reader.renew_at)?;
         reader.renew_at = now + LEASE_RENEW_INTERVAL;
         Some(Outgoing { to: reader.address, link: reader.link, msg: delta_request(view) })
     }
 
-    /// Names what is held to nodes of the region that do not follow this one.
+    /// Returns the announcements to send now to nodes of the region that do not follow this one.
     pub fn announce(&mut self, now: Time, cfg: &Config, view: &Arc<View>) -> Vec<Outgoing> {
         let below_threshold =
             view.targets.values().map(Vec::len).sum::<usize>() < MIN_FLEET_TARGETS;
@@ -273,7 +271,8 @@
         others.into_iter().map(to_message).collect()
     }
 
-    /// The reader holds what this node holds. Returns whether it is followed from now on.
+    /// Records that this node and the sender of the summary hold the same state. Returns whether
+    /// this node starts to follow the candidate.
     pub fn mark_in_sync(&mut self, now: Time, summary: &Summary) -> bool {
         let Some(store_answered_at) = self.fresh_age(summary).map(|age| now - age) else {
             return false;
@@ -291,7 +290,7 @@
         true
     }
 
-    /// Tells the followers, of which none is left then, to look for another reader.
+    /// Removes all followers and tells them to find another reader.
     pub fn dismiss_followers(&mut self) -> Vec<Outgoing> {
         let to_message = |(to, follower): (SocketAddr, Follower)| Outgoing {
             to,
@@ -301,14 +300,14 @@
         std::mem::take(&mut self.followers).into_iter().map(to_message).collect()
     }
 
-    /// Reads for nobody from now on: the process is about to stop.
+    /// Stops serving followers before the process stops.
     pub fn stop_serving(&mut self) -> Vec<Outgoing> {
         self.leaving = true;
         self.followers_expected_until = Time::ZERO;
         self.dismiss_followers()
     }
 
-    /// Asks the reader for the difference to what it holds, though not at every message.
+    /// Returns a rate-limited resync request to the reader or candidate.
     pub fn resync(&mut self, now: Time, msg: PeerMsg) -> Option<Outgoing> {
         if now < self.resync_at {
             return None;
@@ -320,14 +319,14 @@
         Some(Outgoing { to, link, msg })
     }
 
-    /// The node that was asked or followed can't say what has changed. Returns whether it was
-    /// followed.
+    /// Drops the reader and the candidate. Returns whether a reader was followed.
     pub fn drop_reader(&mut self) -> bool {
         self.candidate = None;
         self.reader.take().is_some()
     }
 
-    /// Turns to another node that has announced itself of late. Returns whether there is one.
+    /// Makes the standby reader the candidate if its announcement is recent. Returns whether there
+    /// is one.
     pub fn switch_to_standby(&mut self, now: Time) -> bool {
         let recent = |standby: &Candidate| now.since(standby.since) < STANDBY_RETENTION;
         self.candidate =
@@ -336,7 +335,7 @@
         self.candidate.is_some()
     }
 
-    /// Answers a question: from a node that holds `base`.
+    /// Answers a request for a delta from `base`, and registers the sender as a follower.
     pub fn handle_pull(
         &mut self,
         now: Time,
@@ -352,7 +351,7 @@
         let Some(view) = view.filter(|_| self.is_fresh(now)) else {
             return not_serving;
         };
-        // Two nodes that ask each other at once must not follow each other.
+        // Two nodes that send requests to each other must not follow each other.
         if self.candidate.is_some_and(|candidate| candidate.address == from.0) {
             if cfg.ranks_before(&from.0) {
                 return not_serving;
@@ -381,7 +380,7 @@
         })
     }
 
-    /// What followers are told after the store has answered.
+    /// Returns the updates to send to followers after the store has answered.
     pub fn update_followers(&mut self, now: Time, cfg: &Config, view: &Arc<View>) -> Vec<Outgoing> {
         self.followers.retain(|_, follower| follower.until > now);
         let last_sent = self.last_sent.replace(view.clone());
@@ -412,7 +411,7 @@
         self.followers.iter().map(to_message).collect()
     }
 
-    /// Whether this node's link takes every version whole beside its calls.
+    /// Whether this node may act as a reader: it is not stopping, and its link has the bandwidth.
     pub fn may_read(&self, cfg: &Config) -> bool {
         !self.leaving && cfg.link_kbps.is_none_or(|kbps| kbps >= MIN_READER_KBPS)
     }
@@ -425,13 +424,13 @@
         self.store_age(now).is_some_and(|age| age < self.pace.reader_timeout)
     }
 
-    /// How long ago the store answered the sender, if that is recent enough to rely on.
+    /// Age of the store's last answer to the sender, if recent enough to rely on.
     fn fresh_age(&self, summary: &Summary) -> Option<Duration> {
         let age = Duration::from_millis(summary.store_age_ms?.into());
         Some(age).filter(|age| *age < self.pace.reader_timeout)
     }
 
-    /// Bytes of the resources of one difference that all followers may be sent at once.
+    /// Maximum uncompressed size of a delta that can be sent to all followers at once.
     fn max_delta_size(&self, cfg: &Config) -> usize {
         let kbps = cfg.link_kbps.unwrap_or(DEFAULT_LINK_KBPS);
         let link_bytes = kbps * MAX_LINK_BUSY.as_millis() as u64 / 8;
@@ -444,7 +443,7 @@
     }
 }
 
-/// Asks for the difference from what is held.
+/// Request for the delta from `view`.
 pub fn delta_request(view: &View) -> PeerMsg {
     let version = view.published.version;
     let base = Some(Base { version, digest: view.digest });
