--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -1,7 +1,7 @@
-//! What a node holds, version and targets, and the difference between two such views.
+//! Version and targets of a node, and deltas between two such views.
 //!
-//! A version is known by its number, so that the digest of a view covers the number and the
-//! targets. Targets of one service travel together; routes and limits travel one by one.
+//! A version is identified by its number, so the digest of a view covers only the number and the
+//! targets. Targets are transferred per service, routes and limits individually.
 
 use super::port::Publication;
 use super::registry::ServiceTarget;
@@ -15,19 +15,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A version and the targets known beside it.
+/// A version together with the known targets.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// The version.
     pub published: Arc<Publication>,
-    /// The targets of each service, in the order of their names.
+    /// Targets of each service, sorted by VM.
     pub targets: BTreeMap<Name, Vec<Target>>,
-    /// Equal for the same version with the same targets.
+    /// Equal for views with the same version and the same targets.
     pub digest: Hash,
 }
 
 impl View {
-    /// The view of a node that lists these targets.
     pub fn new(published: Arc<Publication>, listed: &[ServiceTarget]) -> View {
         let mut targets: BTreeMap<Name, Vec<Target>> = BTreeMap::new();
         for entry in listed {
@@ -49,7 +47,7 @@
         View { published, targets, digest: Hash::of(&text) }
     }
 
-    /// Names what is held, by a node that the store answered so long ago.
+    /// Summary of this view; `store_age` is the time since the store last answered this node.
     pub fn summary(&self, store_age: Option<Duration>) -> Summary {
         let preset: Name = self.published.preset.name.clone();
         let in_force = InForce { version: self.published.version, preset, digest: Hash::of(b"") };
@@ -57,8 +55,8 @@
         Summary { in_force, whole: self.digest, store_age_ms: store_age.map(ms) }
     }
 
-    /// The view after a difference. Fails if it is not from this view, or if something else comes
-    /// out than its sender holds.
+    /// Returns the view that results from a delta. Fails if the delta has another base version, or
+    /// if the result does not match the sender's digest.
     pub fn apply_delta(&self, delta: &Delta) -> Result<View> {
         let base = delta.base.as_ref().map(|base| base.version);
         if base != Some(self.published.version) {
@@ -99,9 +97,9 @@
     }
 }
 
-/// The difference to `view` from a node that holds `base`: `older` is the version of `base`, and
-/// `known` the view that it holds, where these are known. `None` if the version is not known any
-/// more, or if its resources have more than `largest` bytes.
+/// Returns the delta from `base` to `view`. `base_version` and `base_view` are the version and the
+/// view that `base` refers to, where known. Returns `None` if the versions differ and the base
+/// version is unknown, or if the changed resources exceed `max_size` bytes.
 pub fn delta_between(
     view: &View,
     base: &Base,
@@ -123,7 +121,7 @@
             changed.push((id, Resource::from_targets(listed).body));
         }
     }
-    // Of a node whose targets are not known, any service of its version may have some.
+    // If the targets of the base are unknown, any of its services may have some.
     let services = view.published.preset.services.keys().chain(before.keys());
     for service in services.filter(|service| !view.targets.contains_key(*service)) {
         removed.push(ResourceId::new(ResourceKind::Targets, service));
