--- a/core/tests/support/store_node.rs
+++ b/core/tests/support/store_node.rs
@@ -1,6 +1,6 @@
-//! One node that follows a store, which is the test.
+//! Test driver for a single discovery node, with the test in the place of the store.
 
-// Each test file that takes this in uses what it needs of it.
+// Not every test file uses every helper.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
     target(id, entry(&format!("10.0.0.{ip}:80"), TargetState::Ready, 1_000, 1))
 }
 
-/// A node whose store is this test.
+/// Node whose store calls are answered by the test.
 pub struct Node {
     pub discovery: Discovery,
     pub now: Time,
@@ -59,7 +59,7 @@
     pub sent: Vec<(SocketAddr, PeerMsg)>,
     pub snapshot: Option<Arc<Snapshot>>,
     pub wake: Option<Time>,
-    /// What it has told peers that it holds.
+    /// Summary that the node announced to its peers.
     pub announced: Option<Box<Summary>>,
 }
 
@@ -92,7 +92,7 @@
         node
     }
 
-    /// A node that has read a version and these targets.
+    /// Node that has read version 1 and these targets.
     pub fn with_targets(targets: Vec<Change>) -> Node {
         let mut node = Node::new();
         let mut changes = vec![publication(1)];
@@ -101,13 +101,13 @@
         node
     }
 
-    /// Answers a list by stale reads, after which nothing has changed.
+    /// Answers a stale list, after which nothing has changed.
     pub fn reply_list(&mut self, revision: u64, changes: Vec<Change>) {
         self.reply(revision, changes);
         self.finish_list(revision, vec![], vec![]);
     }
 
-    /// Answers what is read after the last page of such a list.
+    /// Answers the reads that complete a stale list.
     pub fn finish_list(&mut self, revision: u64, entries: Vec<Change>, document: Vec<Change>) {
         assert!(matches!(self.calls[0].request, Request::Entries { .. }), "{:?}", self.calls);
         self.reply(revision, entries);
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Lets time pass, with every wake on the way.
+    /// Advances the clock and delivers every wake-up that becomes due.
     pub fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(wake) = self.wake.filter(|wake| *wake <= until) {
@@ -140,9 +140,9 @@
         self.now = until;
     }
 
-    /// The call under way.
+    /// Removes and returns the pending call.
     pub fn call(&mut self) -> Call {
-        assert!(!self.calls.is_empty(), "no call is under way");
+        assert!(!self.calls.is_empty(), "no pending call");
         self.calls.remove(0)
     }
 
@@ -159,7 +159,7 @@
         self.finish_call(Err(ReadError::Failed(Code::SourceUnreachable)));
     }
 
-    /// The targets in force that take work.
+    /// Names of the targets in the current snapshot that accept requests.
     pub fn targets(&self) -> Vec<String> {
         let Some(snapshot) = &self.snapshot else { return Vec::new() };
         let staying = snapshot.targets().iter().filter(|entry| !entry.target.leaving);
@@ -170,7 +170,7 @@
         self.snapshot.as_ref().map_or(0, |snapshot| snapshot.version())
     }
 
-    /// Makes the store fail until `span` has passed.
+    /// Fails every call for `span`.
     pub fn outage(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
