--- a/core/tests/support/store_fleet.rs
+++ b/core/tests/support/store_fleet.rs
@@ -1,7 +1,7 @@
-//! Nodes that follow a store and talk to each other, in one thread, with time that a test lets
-//! pass.
+//! Single-threaded simulation of discovery nodes, their store and the messages between them, on a
+//! simulated clock.
 
-// Each test file that takes this in uses what it needs of it.
+// Not every test file uses every helper.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -20,10 +20,10 @@
 
 pub const START: Time = Time(1_700_000_000_000_000);
 
-/// Time of a message, or of a call that the store answers at once.
+/// Latency of a message, and of a call that the store answers at once.
 const MESSAGE_LATENCY: Duration = Duration::from_millis(2);
 
-/// Ports of every node's peers and gatekeeper, and of its target.
+/// Ports of the peer listener, the gatekeeper and the target of every node.
 const PEERS_PORT: u16 = 7;
 const GATE_PORT: u16 = 5;
 const TARGET_PORT: u16 = 80;
@@ -47,12 +47,11 @@
     }
 }
 
-/// Address of the gatekeeper on a node.
 pub fn gate_address(node: usize) -> SocketAddr {
     address(node, GATE_PORT)
 }
 
-/// The settings of a node without seeds on a wide link.
+/// Configuration of a node without seeds or a bandwidth limit.
 pub fn config(node: usize, place: Place) -> Config {
     Config {
         place,
@@ -65,12 +64,12 @@
     }
 }
 
-/// Addresses of these nodes as seeds.
+/// Peer addresses of these nodes.
 pub fn seeds(nodes: std::ops::Range<usize>) -> Vec<SocketAddr> {
     nodes.map(|node| address(node, PEERS_PORT)).collect()
 }
 
-/// The entry that the target beside a node writes.
+/// Entry written by the target of a node.
 pub fn entry(node: usize, place: Place, state: TargetState, sequence: u64) -> Change {
     let entry = TargetEntry {
         service: name("s"),
@@ -84,12 +83,12 @@
     Change::Target { id: name(format!("t{node}")), entry: Some(entry) }
 }
 
-/// A version with so many routes.
+/// Version with `routes` routes, plus one that names the version.
 pub fn version(version: u64, routes: usize) -> Change {
     version_with_paths(version, routes, "r")
 }
 
-/// A version with so many routes, whose paths begin with this text.
+/// As [`version`], with paths that begin with `path`.
 pub fn version_with_paths(version: u64, routes: usize, path: &str) -> Change {
     let route = |at| {
         format!(r#""r{at}":{{"path_prefix":"/{path}{at}/","service":"s","idempotent":true}},"#)
@@ -103,14 +102,14 @@
     Change::Published(Ok(Arc::new(Publication::new(version, preset))))
 }
 
-/// What the store holds: every change in order; its revision is their number.
+/// Store contents: all changes in order. The revision is their number.
 #[derive(Default)]
 pub struct Store {
     pub changes: Vec<Change>,
     pub calls: usize,
-    /// Calls for a page of a list, stale or not.
+    /// Number of list calls, stale or not.
     pub lists: usize,
-    /// Changes that a stale read does not show yet.
+    /// Number of latest changes hidden from stale reads.
     pub stale_by: usize,
 }
 
@@ -142,15 +141,15 @@
 pub struct Node {
     pub discovery: Discovery,
     pub up: bool,
-    /// The store does not answer it.
+    /// Calls to the store get no answer.
     pub store_unreachable: bool,
-    /// The call under way, and since when.
+    /// Pending call and its start time.
     pub call: Option<(Call, Time)>,
-    /// When it last made a call.
+    /// Time of the last call.
     pub last_call_at: Time,
     pub wake: Option<Time>,
     pub snapshot: Option<Arc<Snapshot>>,
-    // Counts the starts: what was sent to the process before does not reach the next.
+    // Number of restarts. Messages to an earlier process are dropped.
     incarnation: u32,
 }
 
@@ -162,16 +161,15 @@
     msg: PeerMsg,
 }
 
-/// The nodes, their store and what is under way between them.
 pub struct Fleet {
     pub now: Time,
     pub store: Store,
     pub nodes: Vec<Node>,
-    /// Drops every message until then.
+    /// Messages due before this time are dropped.
     pub drop_messages_until: Time,
-    /// Bytes of the largest difference sent.
+    /// Size of the largest delta sent, in bytes.
     pub largest_delta: usize,
-    /// Offers to peers that may have lost everything, and messages that leave their region.
+    /// Numbers of offers and of cross-region messages sent.
     pub offers_sent: usize,
     pub cross_region_messages: usize,
     config: fn(usize) -> Config,
@@ -181,7 +179,7 @@
 }
 
 impl Fleet {
-    /// So many nodes with these settings, not started yet; time passes in such steps.
+    /// Creates `nodes` nodes that have not started. The clock advances in units of `step`.
     pub fn new(nodes: usize, config: fn(usize) -> Config, step: Duration, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             now: START,
@@ -253,7 +251,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `span`.
     pub fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -261,7 +259,7 @@
         }
     }
 
-    /// Lets one step of time pass.
+    /// Advances the clock by one step.
     pub fn step(&mut self) {
         self.now = self.now + self.step;
         while self.messages.front().is_some_and(|message| message.due <= self.now) {
@@ -281,7 +279,7 @@
         }
     }
 
-    /// Ends the node's call to the store, if it is answered or has passed its time-out now.
+    /// Completes the pending call of a node if it is answered or times out now.
     fn answer(&mut self, node: usize) {
         let Some((call, since)) = self.nodes[node].call.clone() else {
             return;
@@ -308,13 +306,13 @@
         self.input(node, Input::Reply { id: call.id, result });
     }
 
-    /// A process ends.
+    /// Kills the process of a node.
     pub fn stop(&mut self, node: usize) {
         let ended = &mut self.nodes[node];
         (ended.up, ended.call, ended.wake, ended.snapshot) = (false, None, None, None);
     }
 
-    /// Another process of the same VM starts, and can reach the store unless it is cut.
+    /// Starts a new process on the same VM. Its connectivity to the store is unchanged.
     pub fn start(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation + 1;
         let store_unreachable = self.nodes[node].store_unreachable;
@@ -323,7 +321,7 @@
         self.input(node, Input::Start);
     }
 
-    /// The store answers nobody, or everybody again.
+    /// Disconnects all nodes from the store, or reconnects them.
     pub fn set_store_unreachable(&mut self, unreachable: bool) {
         self.nodes.iter_mut().for_each(|node| node.store_unreachable = unreachable);
     }
