--- a/core/tests/discovery.rs
+++ b/core/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Following a store in which targets register themselves.
+//! Discovery of targets that register themselves in a store.
 
 #[path = "support/store_node.rs"]
 mod support;
@@ -26,7 +26,7 @@
     let next = Some("servers/a".to_owned());
     let page = Reply { revision: 10, changes: vec![publication(1), ready("a", 1)], next };
     node.finish_call(Ok(page));
-    assert_eq!(node.targets().len(), 0, "half a list is none");
+    assert_eq!(node.targets().len(), 0, "a partial list must not take effect");
     let call = node.call();
     assert!(
         matches!(&call.request, Request::List { after: Some(after), .. } if after == "servers/a")
@@ -34,8 +34,8 @@
     let changes = vec![ready("b", 2)];
     let last = Reply { revision: 14, changes, next: None };
     node.input(Input::Reply { id: call.id, result: Ok(last) });
-    assert_eq!(node.targets().len(), 0, "pages may be seconds old");
-    // What has changed since the oldest page is read before the list counts.
+    assert_eq!(node.targets().len(), 0, "stale pages must not take effect on their own");
+    // Changes since the oldest page are read before the list takes effect.
     let entries = &node.calls[0].request;
     assert!(matches!(entries, Request::Entries { revision: 10 }), "{entries:?}");
     node.finish_list(15, vec![ready("c", 3)], vec![publication(2)]);
@@ -44,7 +44,7 @@
     assert!(matches!(watch, Request::Watch { revision: 15, .. }), "{watch:?}");
 }
 
-/// Guards against requests sent to targets that have ended: a stale list still names them.
+/// Guards against requests to targets that have ended but are still in a stale list.
 #[test]
 fn follow_stale_list_waits_for_changes() {
     let mut node = Node::new();
@@ -55,8 +55,7 @@
     assert_eq!((node.version(), node.targets()), (3, vec!["new".into()]));
 }
 
-/// Guards against a node that lists the store again and again: its stale reads are older than the
-/// history that is kept.
+/// Guards against endless relisting when stale reads are older than the retained history.
 #[test]
 fn follow_stale_list_without_history() {
     let mut node = Node::new();
@@ -98,9 +97,8 @@
 
 #[test]
 fn follow_short_watch_after_failure() {
-    // Story: an added route is answered 404 for seconds after the operators were told that it
-    // holds. The store cut the watches, took new ones, and dropped its history only then; it says
-    // so when the wait of such a watch is over, and nothing that changed meanwhile is heard.
+    // Guards against an added route being missing for seconds: a store that has compacted its
+    // history may report it only when a watch ends.
     let mut node = Node::with_targets(vec![]);
     node.fail_call();
     node.advance(ms(1_000));
@@ -112,8 +110,7 @@
 
 #[test]
 fn follow_batches_frequent_versions() {
-    // Story: versions come every 60 ms for five seconds. A node that reads each one whole fills
-    // the links between regions.
+    // Guards against saturated cross-region links when versions are published every 60 ms.
     let mut node = Node::with_targets(vec![ready("a", 1)]);
     let mut read = 0;
     for step in 0..84 {
@@ -140,7 +137,7 @@
         }
         node.advance(ms(100));
     }
-    // Ten seconds, about 0.75 s between two calls.
+    // Ten seconds with about 0.75 s between calls.
     assert!((8..=25).contains(&calls), "{calls} calls");
 }
 
@@ -169,14 +166,13 @@
 
 #[test]
 fn registry_late_entry_changes_nothing() {
-    // Story: a target has said that it is leaving. An entry that it wrote before arrives after it,
-    // and callers are sent to a target that is about to end.
+    // Guards against requests to a draining target after an older entry arrives late.
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
     let draining = entry("10.0.0.1:80", TargetState::Draining, 1_000, 5);
     let older = entry("10.0.0.1:80", TargetState::Ready, 1_000, 4);
     node.reply(11, vec![target("a", draining), target("a", older)]);
     assert_eq!(node.targets(), ["b"]);
-    // A new run under the same id counts anew.
+    // A new run with the same id replaces the entry.
     node.advance(ms(1_000));
     let again = entry("10.0.0.1:80", TargetState::Ready, 2_000, 1);
     node.reply(12, vec![target("a", again)]);
@@ -185,7 +181,8 @@
 
 #[test]
 fn registry_address_used_again() {
-    // Story: a target ends, and another one gets its address before the first one's entry lapses.
+    // Guards against two targets with one address, when it is reassigned before the old entry
+    // expires.
     let mut node = Node::with_targets(vec![ready("a", 1)]);
     let next = entry("10.0.0.1:80", TargetState::Ready, 9_000, 1);
     node.reply(11, vec![target("b", next)]);
@@ -201,8 +198,7 @@
 
 #[test]
 fn registry_outage_keeps_targets() {
-    // Story: the store is away for eight seconds. Every entry lapses, since nobody can renew it;
-    // a node that believes this has no target left, although all of them live.
+    // Guards against losing all targets when their entries expire during a store outage.
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
     node.outage(ms(8_000));
     assert_eq!(node.targets().len(), 2);
@@ -212,7 +208,7 @@
     assert_eq!(node.targets().len(), 2, "they may come back");
     node.advance(ms(1_000));
     node.reply(31, vec![ready("a", 1)]);
-    // One is back; the other is taken as gone two seconds after the store's return.
+    // The missing target is dropped two seconds after the store has recovered.
     node.advance(ms(1_500));
     assert_eq!(node.targets(), ["a"]);
 }
