--- a/core/tests/discovery_peers.rs
+++ b/core/tests/discovery_peers.rs
@@ -1,4 +1,4 @@
-//! What a node that follows a store takes from its peers, and what it tells them.
+//! Messages between a discovery node and its peers.
 
 #[path = "support/store_node.rs"]
 mod support;
@@ -14,8 +14,8 @@
 
 #[test]
 fn rejoin_store_away() {
-    // Story: every process of a zone is killed while the store is away. A node keeps nothing over
-    // its end, and refuses every call until the store is back, though peers know everything.
+    // Guards against a restarted node that rejects all calls during a store outage although its
+    // peers hold the state.
     let peer_node = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
     let mut node = Node::new();
     node.outage(ms(500));
@@ -24,10 +24,10 @@
     let mut peer_node = peer_node;
     let from = Peer { vm: name("n"), place: place(), address: "10.0.0.8:7".parse().unwrap() };
     peer_node.input(Input::Peer { from: from.clone(), msg: request });
-    let (_, answer) = peer_node.sent.pop().expect("the peer answers");
+    let (_, answer) = peer_node.sent.pop().expect("expected a reply from the peer");
     node.input(Input::Peer { from, msg: answer });
     assert_eq!((node.version(), node.targets().len()), (1, 2));
-    // The store returns with other targets; what it says goes before the peer's word.
+    // After the store has recovered, its state takes precedence over the peer's.
     node.outage(ms(1_000));
     node.advance(ms(1_000));
     node.reply_list(50, vec![publication(2)]);
@@ -44,7 +44,7 @@
     let (_, request) = node.sent.remove(0);
     let from = Peer { vm: name("n"), place: place(), address: "10.0.0.8:7".parse().unwrap() };
     peer_node.input(Input::Peer { from: from.clone(), msg: request });
-    let Some((_, PeerMsg::Delta(delta))) = peer_node.sent.pop() else { panic!("no answer") };
+    let Some((_, PeerMsg::Delta(delta))) = peer_node.sent.pop() else { panic!("expected a delta") };
     let mut changed = (*delta).clone();
     changed.changed[0].1 = b"{}".as_slice().into();
     node.input(Input::Peer { from, msg: PeerMsg::Delta(Arc::new(changed)) });
@@ -54,30 +54,30 @@
 #[test]
 fn rejoin_not_asked_while_the_store_answers() {
     let mut node = Node::with_targets(vec![ready("a", 1)]);
-    // At the start alone, when the store has not answered yet.
+    // Only at the start, before the store has answered.
     assert_eq!(std::mem::take(&mut node.sent).len(), 1);
     node.advance(ms(5_000));
     assert!(node.sent.is_empty());
 }
 
-/// A peer's offer of what it holds, and its answer when it is asked for it.
+/// Returns an offer of `peer` and its reply to a request for the full state.
 fn offer(peer: &mut Node, ip: u8) -> (Peer, PeerMsg, PeerMsg) {
     let address = format!("10.0.0.{ip}:7").parse().unwrap();
     let from = Peer { vm: name(&format!("n{ip}")), place: place(), address };
     peer.outage(ms(7_000));
     let offer = peer.sent.iter().find(|(_, msg)| matches!(msg, PeerMsg::Notice(_)));
-    let offer = offer.expect("it offers what it holds").1.clone();
+    let offer = offer.expect("expected an offer").1.clone();
     peer.sent.clear();
     let pull = Pull { version: 0, base: None, scope: None };
     peer.input(Input::Peer { from: from.clone(), msg: PeerMsg::Pull(Box::new(pull)) });
     let answer = peer.sent.iter().find(|(_, msg)| matches!(msg, PeerMsg::Delta(_)));
-    (from, offer, answer.expect("it answers").1.clone())
+    (from, offer, answer.expect("expected a delta").1.clone())
 }
 
 #[test]
 fn rejoin_leaving_known_to_one_peer() {
-    // Story: a target reports that it leaves, and one of two survivors has not heard of it. Callers
-    // of a process that has learned from that one are sent to a target that is about to end.
+    // Guards against requests to a draining target when only one of two peers knows that it is
+    // draining.
     let draining = entry("10.0.0.3:80", TargetState::Draining, 1_000, 5);
     let mut outdated = Node::with_targets(vec![ready("a", 2), ready("b", 3)]);
     let mut up_to_date = Node::with_targets(vec![ready("a", 2), target("b", draining)]);
@@ -97,10 +97,10 @@
     assert_eq!(node.targets(), ["a", "b"]);
     node.outage(ms(500));
     node.input(Input::Peer { from: second.clone(), msg: second_offer });
-    assert!(sent_pull(&node, &second), "the same version with other targets");
+    assert!(sent_pull(&node, &second), "the same version with different targets must be requested");
     node.input(Input::Peer { from: second, msg: second_answer });
     assert_eq!(node.targets(), ["a"]);
-    // What it has had already is not asked for again, and changes nothing if it comes.
+    // A state already received is not requested again, and has no effect if it arrives.
     node.outage(ms(500));
     node.sent.clear();
     node.input(Input::Peer { from: first.clone(), msg: first_offer });
@@ -111,7 +111,7 @@
 
 #[test]
 fn rejoin_store_goes_before_peers() {
-    // An answer of a peer that comes after the store's list changes no target.
+    // A peer's reply that arrives after the store's list changes no target.
     let mut peer = Node::with_targets(vec![ready("a", 2), ready("gone", 3)]);
     let (from, _, answer) = offer(&mut peer, 21);
     let mut node = Node::with_targets(vec![ready("a", 2)]);
@@ -119,18 +119,18 @@
     assert_eq!(node.targets(), ["a"]);
 }
 
-/// A peer of the region, which the node lists as a target too.
+/// Peer of the same region that is also a known target.
 fn reader() -> Peer {
     Peer { vm: name("b"), place: place(), address: "10.0.0.2:7".parse().unwrap() }
 }
 
-/// These targets among so many that one node reads the store for the others.
+/// Adds enough targets for a fleet in which readers are used.
 fn fleet(targets: Vec<Change>) -> Vec<Change> {
     let others = (0..40).map(|at| ready(&format!("t{at}"), 100 + at));
     targets.into_iter().chain(others).collect()
 }
 
-/// A node that follows [`reader`], which holds the same.
+/// Node that follows [`reader`] and holds the same state.
 fn follower() -> Node {
     let targets = fleet(vec![ready("a", 1), ready("b", 2), ready("c", 3)]);
     let mut node = Node::with_targets(targets);
@@ -139,7 +139,7 @@
         PeerMsg::Notice(summary) => Some(summary.clone()),
         _ => None,
     });
-    let mut summary = announced.expect("it announces what it reads");
+    let mut summary = announced.expect("expected an announcement");
     summary.store_age_ms = Some(0);
     node.announced = Some(summary.clone());
     node.calls.clear();
@@ -148,13 +148,13 @@
     node
 }
 
-/// Guards against a follower that relies for a whole lapse more on a reader that has lost the store,
-/// since that announces what it held.
+/// Guards against a follower that keeps relying on a reader that has lost the store: the timeout
+/// runs from the store's last answer, not from the announcement.
 #[test]
 fn relay_old_answer_is_counted_from_the_store() {
     let mut node = follower();
     let announce = |node: &mut Node, age_ms: u32| {
-        let mut summary = node.announced.clone().expect("it has announced what it reads");
+        let mut summary = node.announced.clone().expect("expected an earlier announcement");
         summary.store_age_ms = Some(age_ms);
         node.input(Input::Peer { from: reader(), msg: PeerMsg::Notice(summary) });
     };
@@ -165,7 +165,7 @@
     assert!(!node.calls.is_empty(), "the store has not answered the reader for 1.4 s");
 }
 
-/// Guards against a reader that does not know its followers, and tells them nothing.
+/// Guards against a reader that sends no updates because it does not know its followers.
 #[test]
 fn relay_announced_reader_is_told() {
     let node = follower();
@@ -175,8 +175,8 @@
     assert!(node.sent.iter().any(pull_to_reader), "{:?}", node.sent);
 }
 
-/// Guards against followers of a node that still holds what it held before its own reader was lost:
-/// the first pages of its list are no proof that it knows what has changed since.
+/// Guards against a node that serves followers from outdated state while its list is still
+/// incomplete.
 #[test]
 fn relay_listing_node_is_no_reader() {
     let mut node = follower();
@@ -196,14 +196,13 @@
     let pull = PeerMsg::Pull(Box::new(Pull { version: 1, base, scope: None }));
     node.input(Input::Peer { from: reader(), msg: pull });
     assert!(!node.sent.iter().any(claims_reader_role), "{:?}", node.sent);
-    // It reads for others once it knows what has changed.
+    // It serves followers once the list is complete.
     node.reply(21, vec![publication(2)]);
     node.advance(ms(600));
     assert!(node.sent.iter().any(claims_reader_role), "{:?}", node.sent);
 }
 
-/// Guards against a node that never reads the store, since peers that do not read it either tell it
-/// again and again what they hold.
+/// Guards against a node that never reads the store because peers keep sending it their state.
 #[test]
 fn rejoin_told_again_reads_store() {
     let mut peer = Node::with_targets(vec![ready("a", 1), ready("b", 2)]);
@@ -216,8 +215,8 @@
     assert!(!node.calls.is_empty(), "no call within four seconds of the start");
 }
 
-/// Guards against followers that take up a target which has left: their reader was turned away by
-/// the store meanwhile, and keeps what is missing from its list for a while.
+/// Guards against followers that add a removed target again, from a reader that still retains
+/// missing entries after an outage.
 #[test]
 fn relay_reader_after_outage_waits() {
     let mut node = Node::with_targets(vec![ready("a", 1), ready("b", 2), ready("c", 3)]);
@@ -225,7 +224,7 @@
     node.advance(ms(1_000));
     node.finish_call(Err(ReadError::HistoryGone));
     node.reply(30, vec![publication(2), ready("a", 1), ready("c", 3)]);
-    assert_eq!(node.targets(), ["a", "b", "c"], "b may have lapsed while the store was away");
+    assert_eq!(node.targets(), ["a", "b", "c"], "b may have expired during the outage");
     let answers_pull = |node: &mut Node| {
         node.sent.clear();
         let base = Some(Base { version: 1, digest: Hash::of(b"") });
