--- a/core/tests/discovery_relay.rs
+++ b/core/tests/discovery_relay.rs
@@ -1,5 +1,4 @@
-//! One node reads the store for many of its region: what it saves, and what becomes of the others
-//! when it fails.
+//! Readers that read the store for their region: calls saved, and recovery from failures.
 
 #[path = "support/store_fleet.rs"]
 mod support;
@@ -10,13 +9,13 @@
 use sycamore_core::discovery::{Change, Config, Input, Pace, TargetState};
 use sycamore_core::place::Place;
 
-/// Nodes, half of them in each of two regions; one in four has a wide link.
+/// Number of nodes, half of them in each of two regions. One in four has a fast link.
 const NODES: usize = 40;
 
 const FAST_LINK_KBPS: u64 = 140_000;
 const SLOW_LINK_KBPS: u64 = 15_400;
 
-/// Within this time each node must hold a change.
+/// Time within which every node must have applied a change.
 const CHANGE_BOUND: Duration = Duration::from_millis(2_500);
 
 fn place(node: usize) -> Place {
@@ -34,7 +33,7 @@
     support::entry(node, place(node), state, sequence)
 }
 
-/// A fleet that has read a version of a few routes and every target, and has settled.
+/// Fleet in steady state with a small version and one target per node.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(NODES, settings, ms(1), 0);
     fleet.store.changes.push(version(1, 10));
@@ -44,7 +43,7 @@
     fleet
 }
 
-/// Nodes that read the store of late, for themselves or for others.
+/// Nodes that called the store recently, for themselves or as readers.
 fn readers(fleet: &Fleet) -> Vec<usize> {
     let reads = |node: &usize| {
         fleet.nodes[*node].up && fleet.now.since(fleet.nodes[*node].last_call_at) < ms(1_100)
@@ -52,7 +51,7 @@
     (0..NODES).filter(reads).collect()
 }
 
-/// Nodes that run, reach the store, and don't hold what it holds.
+/// Running nodes with access to the store whose state differs from it.
 fn out_of_sync(fleet: &Fleet) -> Vec<usize> {
     let mut version = 0;
     let mut leaving = [false; NODES];
@@ -84,13 +83,13 @@
 
 #[test]
 fn relay_calls_saved() {
-    // Story: sixty nodes that each watch the store pay for two thousand calls in half a minute.
+    // Guards against a number of store calls that grows with the fleet.
     let mut fleet = fleet();
     let before = fleet.store.calls;
     fleet.advance(ms(30_000));
     let calls = fleet.store.calls - before;
     assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
-    // Two readers make two calls a second each.
+    // Two readers make about two calls a second each.
     assert!(calls <= 150, "{calls}");
 }
 
@@ -105,20 +104,20 @@
     }
 }
 
-/// Guards against a fleet that lists the store once a node at every start, page by page.
+/// Guards against a full list by every node at every start.
 #[test]
 fn relay_start_few_calls() {
     let fleet = fleet();
     let slow = (0..NODES).filter(|node| settings(*node).link_kbps == Some(SLOW_LINK_KBPS)).count();
     let (lists, calls) = (fleet.store.lists, fleet.store.calls);
     assert!(lists <= NODES, "{lists} pages");
-    // Nodes with wide links list the store and read what has changed since; the others are told.
+    // Only nodes with fast links list the store and read the changes since; the others get their
+    // state from a reader.
     let fresh = calls - lists;
     assert!(fresh <= 6 * (NODES - slow) + 2 * 6, "{fresh} calls beside them");
 }
 
-/// Guards against a reader that gives way to every node before it in the order that starts, though
-/// all nodes of the region follow it.
+/// Guards against a reader with followers that yields to every newly started node of a higher rank.
 #[test]
 fn relay_newcomer_follows() {
     let mut fleet = fleet();
@@ -126,13 +125,13 @@
     first.iter().for_each(|node| fleet.stop(*node));
     fleet.advance(ms(5_000));
     let second = readers(&fleet);
-    assert_eq!(second.len(), 2, "one a region");
+    assert_eq!(second.len(), 2, "one reader per region");
     first.iter().for_each(|node| fleet.start(*node));
     fleet.advance(ms(5_000));
     assert_eq!(readers(&fleet), second);
 }
 
-/// Guards against followers that find out only by silence that their reader has stopped.
+/// Guards against followers that detect a planned stop of their reader only by timeout.
 #[test]
 fn relay_reader_stops_as_planned() {
     for phase in 0..9 {
@@ -149,8 +148,8 @@
     }
 }
 
-/// Guards against a follower that turns again and again to a reader which has lost the store and
-/// announces what it held.
+/// Guards against followers that keep returning to a reader that has lost the store and announces
+/// outdated state.
 #[test]
 fn relay_disconnected_reader_gets_no_followers() {
     for phase in 0..9 {
@@ -165,7 +164,7 @@
     }
 }
 
-/// Guards against a reader whose link is full of one version for a second.
+/// Guards against a version that saturates a reader's link for a second.
 #[test]
 fn relay_large_version_within_link() {
     let mut fleet = fleet();
@@ -173,7 +172,7 @@
     fleet.store.changes.push(version(2, 1_200));
     fleet.advance(ms(1_500));
     assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
-    // Of JSON text, DEFLATE leaves at most an eighth.
+    // DEFLATE is assumed to compress JSON to an eighth.
     let followers = NODES as u64 / 2 - 1;
     let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / FAST_LINK_KBPS;
     assert!(link_ms <= 500, "{link_ms} ms of a reader's link");
@@ -181,7 +180,7 @@
     assert!(calls <= 12, "{calls}: followers must not all read the store");
 }
 
-/// Guards against a version that no link takes for every follower.
+/// Guards against sending followers a version too large for the reader's link.
 #[test]
 fn relay_huge_version_read_from_store() {
     let mut fleet = fleet();
@@ -195,18 +194,18 @@
 
 #[test]
 fn relay_reader_killed() {
-    // Story: a target reports that it leaves, and in the same instant the node that reads the
-    // store for the region is killed. Its followers would go on sending work to that target.
+    // Guards against requests to a draining target when the reader of the region is killed at the
+    // same time.
     let mut fleet = fleet();
     let readers = readers(&fleet);
-    assert_eq!(readers.len(), 2, "one a region");
+    assert_eq!(readers.len(), 2, "one reader per region");
     for node in readers {
         fleet.stop(node);
     }
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
     fleet.advance(CHANGE_BOUND);
     assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
-    // Others take over, so that the calls do not stay many.
+    // Other readers take over, so that the number of calls drops again.
     fleet.advance(ms(8_000));
     let before = fleet.store.calls;
     fleet.advance(ms(10_000));
@@ -215,8 +214,8 @@
 
 #[test]
 fn relay_reader_cut_from_store() {
-    // Story: only the reader loses the store, which does not answer it any more. Its followers
-    // hear nothing wrong, since silence is what a store without changes looks like.
+    // Guards against followers of a reader that alone has lost the store: to them, it looks like a
+    // store without changes.
     let mut fleet = fleet();
     for node in readers(&fleet) {
         fleet.nodes[node].store_unreachable = true;
@@ -228,10 +227,10 @@
 
 #[test]
 fn relay_message_lost() {
-    // Story: a connection breaks just as a reader tells of a change. The reader goes on speaking,
-    // so that its followers see nothing wrong, and do without the change.
+    // Guards against a lost delta that followers never notice because the reader keeps sending
+    // messages.
     let mut fleet = fleet();
-    // Past the question that every follower asks each two seconds and that would tell it too.
+    // Skip the periodic lease renewal, which would also detect the lost delta.
     fleet.advance(ms(500));
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
     fleet.drop_messages_until = fleet.now + ms(50);
@@ -241,8 +240,8 @@
 
 #[test]
 fn relay_reader_wakes_from_pause() {
-    // Story: a reader is paused for four seconds. Its followers read the store meanwhile and hold
-    // newer versions; what it says when it wakes must not take them back.
+    // Guards against a reader that resumes from a pause and reverts its followers to an older
+    // version.
     let mut fleet = fleet();
     let readers = readers(&fleet);
     let calls: Vec<_> = readers.iter().map(|node| fleet.nodes[*node].call.take()).collect();
@@ -263,15 +262,15 @@
         fleet.advance(ms(20));
         let old = |node: &&Node| node.snapshot.as_ref().is_some_and(|held| held.version() < 2);
         let old = fleet.nodes.iter().filter(old).count();
-        assert!(old <= readers.len(), "{old} nodes went back");
+        assert!(old <= readers.len(), "{old} nodes reverted to an older version");
     }
     assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
 }
 
 #[test]
 fn relay_random_failures() {
-    // Nodes end and start, lose the store and reach it again, while versions and targets change.
-    // Whoever has run and reached the store for long enough holds each change in time.
+    // Random restarts and losses of the store while versions and targets change. Every node that
+    // runs and reaches the store must apply each change in time.
     for seed in 0..6u64 {
         let mut random = seed * 7_919 + 1;
         let mut next = |most: u64| {
@@ -299,7 +298,7 @@
             fleet.advance(
                 CHANGE_BOUND + Pace::for_bound(CHANGE_BOUND).reader_timeout * next(2) as u32,
             );
-            // A node that has just reached the store again may still wait for a time-out.
+            // A node that has just regained the store may still wait for a call to time out.
             if !out_of_sync(&fleet).is_empty() {
                 fleet.advance(ms(4_000));
             }
