--- a/core/tests/discovery_return.rs
+++ b/core/tests/discovery_return.rs
@@ -1,4 +1,4 @@
-//! The return of a fleet that has lost nearly all of its processes while the store is silent.
+//! Recovery of a fleet that lost nearly all processes while the store is unavailable.
 
 #[path = "support/store_fleet.rs"]
 mod support;
@@ -15,10 +15,10 @@
 const NODES: usize = 18;
 const SEEDS: usize = 3;
 
-/// A node's calls to others go to a random one of them once in so many steps.
+/// Number of clock steps between two calls of a node to a random other node.
 const STEPS_PER_CALL: usize = 5;
 
-/// Within this time of their restart all processes hold everything again.
+/// Time after a restart within which every process must have recovered the full state.
 const RECOVERY_BOUND: Duration = Duration::from_secs(2);
 
 fn place(node: usize) -> Place {
@@ -34,14 +34,14 @@
     support::entry(node, place(node), state, sequence)
 }
 
-/// A fleet whose nodes also call each other's targets, and so find out who is gone.
+/// Fleet whose nodes also call each other's targets, and so detect unreachable ones.
 struct RecoveringFleet {
     inner: Fleet,
     rng: Pcg64Mcg,
 }
 
 impl RecoveringFleet {
-    /// A fleet that has read version 1 and every target.
+    /// Fleet that has read version 1 and every target.
     fn new(seed: u64) -> RecoveringFleet {
         let mut inner = Fleet::new(NODES, settings, ms(10), seed);
         inner.store.changes.push(version(1, 1));
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The call path of a node that serves sends a call to some target, and finds its node gone.
+    /// Simulates a call to a random target, which detects that its node is down.
     fn call_random_target(&mut self, node: usize) {
         let to = self.rng.random_range(0..NODES);
         if self.inner.nodes[node].snapshot.is_some() && !self.inner.nodes[to].up {
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Kills these and restarts them 0.6 s later.
+    /// Kills these nodes and restarts them 0.6 s later.
     fn kill_and_restart(&mut self, killed: &[usize]) {
         killed.iter().for_each(|node| self.inner.stop(*node));
         self.advance(ms(600));
         killed.iter().for_each(|node| self.inner.start(*node));
     }
 
-    /// Nodes that hold this version with every target.
+    /// Number of nodes that hold this version with every target.
     fn count_holding(&self, version: u64) -> usize {
         let holds = |node: &&Node| {
             let snapshot = node.snapshot.as_ref();
@@ -89,9 +89,8 @@
 
 #[test]
 fn return_two_survivors_seeds_lost() {
-    // Story: the store falls silent, and two seconds later 16 of 18 processes are killed, the seeds
-    // among them. They are back after 0.6 s and ask their seeds, which know nothing either. Callers
-    // of 16 nodes get refusals until the store is back, although two nodes hold everything.
+    // Guards against nodes that reject calls until the store recovers, although two survivors hold
+    // the state: the seeds were restarted too and know nothing.
     let mut fleet = RecoveringFleet::new(1);
     fleet.inner.set_store_unreachable(true);
     fleet.advance(Duration::from_secs(2));
@@ -102,7 +101,7 @@
 
 #[test]
 fn return_store_takes_over() {
-    // What the store says when it is back goes before what peers have handed on.
+    // The store's state takes precedence over the state received from peers.
     let mut fleet = RecoveringFleet::new(2);
     fleet.inner.set_store_unreachable(true);
     fleet.advance(Duration::from_secs(2));
@@ -122,8 +121,7 @@
 
 #[test]
 fn return_older_survivor_pulls_nobody_back() {
-    // Story: one survivor was cut off while version 2 was published. Processes that start between
-    // it and one that holds version 2 end up with version 2.
+    // Guards against restarted processes that settle on the older version of two survivors.
     let mut fleet = RecoveringFleet::new(3);
     let outdated = 17;
     fleet.inner.nodes[outdated].up = false;
@@ -139,7 +137,7 @@
 
 #[test]
 fn return_quiet_times_no_offer() {
-    // Offers cost bytes between zones, so that none is made while nothing is lost.
+    // Guards against cross-zone traffic from offers while no node is unreachable.
     let mut fleet = RecoveringFleet::new(4);
     (fleet.inner.offers_sent, fleet.inner.cross_region_messages) = (0, 0);
     fleet.advance(Duration::from_secs(20));
@@ -148,8 +146,7 @@
 
 #[test]
 fn return_offers_end() {
-    // A node that does not come back is not called for ever: its target's entry lapses, and before
-    // that, offers to it end once nobody finds it gone any more.
+    // Offers to a node that never comes back must end.
     let mut fleet = RecoveringFleet::new(5);
     fleet.inner.stop(3);
     fleet.advance(Duration::from_secs(1));
@@ -165,7 +162,7 @@
         failure_persistence: None, cases: 16, ..ProptestConfig::default()
     })]
 
-    /// Any one survivor is enough, whichever it is, and kills may go on during the return.
+    /// Any single survivor suffices, even if more processes are killed during the recovery.
     #[test]
     fn return_any_survivor(seed in any::<u32>(), killed in 9usize..NODES, again in 0usize..6) {
         let mut fleet = RecoveringFleet::new(seed.into());
