--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -1,23 +1,23 @@
-//! Following a store that keeps targets apart from the configuration.
+//! Discovery of targets through a key-value store.
 //!
-//! Where targets register themselves, a version names services without targets. [`Discovery`] is
-//! the decider of one node: it reads the store, watches it, and puts a snapshot into force
-//! whenever the version or a target has changed. It is told what happens as an [`Input`] and
-//! answers with [`Output`]s that an adapter carries out; [`Output::WakeAt`] asks for
-//! [`Input::Wake`].
+//! Targets register themselves in the store, and a published version names services without
+//! targets. [`Discovery`] is the sans-I/O state machine of one node: it lists and watches the
+//! store, and emits a new snapshot whenever the version or a target changes. It consumes [`Input`]s
+//! and emits [`Output`]s that an adapter executes. [`Output::WakeAt`] requests an [`Input::Wake`]
+//! at the given time.
 //!
-//! - `port`: what comes in and goes out
-//! - `follow`: when the store is listed, watched, and tried again
-//! - `registry`: which targets there are, by their own entries
-//! - `nested`: which routes are for calls that other requests wait for
-//! - `policy`: limits where documents do not state them
-//! - `relay`: one node reads the store for the others of its region
-//! - `announce`: how the others learn of it
+//! - `port`: input, output and configuration types
+//! - `follow`: schedules list and watch calls, and retries
+//! - `registry`: registered targets
+//! - `nested`: detects routes that serve nested calls
+//! - `policy`: default limits for values that documents omit
+//! - `relay`: one reader per region reads the store for the other nodes
+//! - `announce`: announcements of a reader to the nodes of its region
 //! - `peers`: messages to and from peers
-//! - `pace`: how often it reads, by the bound within which a change must be in force
-//! - `view`: what a node holds, and the difference between two such views
-//! - `offer`: what a node that knows tells peers that may have lost everything
-//! - `rejoin`: what a node that has just started asks its peers while the store is silent
+//! - `pace`: timing of readers and followers, derived from the change bound
+//! - `view`: version and targets of a node, and deltas between two views
+//! - `offer`: offers of the current state to peers that may have lost it
+//! - `rejoin`: recovery of the state from peers after a start while the store is unavailable
 
 mod announce;
 mod follow;
@@ -34,10 +34,10 @@
 
 pub use pace::Pace;
 pub use port::{
-    Call, Change, Config, Input, Output, Publication, ReadError, Reply, Request, TargetEntry,
-    TargetState, View,
+    Call, Change, Config, Input, Output, Publication, ReadError, Reply, Request, Status,
+    TargetEntry, TargetState,
 };
-pub use registry::{RETURN_GRACE, Registry};
+pub use registry::{RECOVERY_GRACE, Registry};
 
 use crate::call::note::OutgoingNote;
 use crate::config::{InForce, Snapshot};
@@ -46,168 +46,168 @@
 use crate::place::Link;
 use crate::spread::PeerMsg;
 use crate::{Code, Time};
-use follow::{Follow, Role};
+use follow::{Role, StoreWatcher};
 use offer::Offers;
-use peers::send;
+use peers::send_output;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rejoin::Rejoin;
 use relay::Relay;
 use std::sync::Arc;
 use std::time::Duration;
-use view::View as Held;
+use view::View;
 
-/// A longer time without any input means that the process was paused: a call to the store ends
-/// sooner, whatever becomes of it.
-const CLOCK_GAP: Duration =
-    follow::WATCH_WAIT.saturating_add(follow::ANSWER_WAIT).saturating_add(follow::ANSWER_WAIT);
+/// Longest expected time without input. A longer gap means that the process was paused, since every
+/// store call times out sooner.
+const CLOCK_GAP: Duration = follow::MAX_WATCH_WAIT
+    .saturating_add(follow::RESPONSE_TIMEOUT)
+    .saturating_add(follow::RESPONSE_TIMEOUT);
 
-/// The decider of one node.
+/// Discovery state machine of one node.
 #[derive(Debug)]
 pub struct Discovery {
     cfg: Config,
     rng: Pcg64Mcg,
-    follow: Follow,
+    watcher: StoreWatcher,
     registry: Registry,
     published: Option<Arc<Publication>>,
-    // Newest version refused, so that it is reported once.
-    refused: u64,
+    // Last version rejected as too old, so that it is reported once.
+    rejected_version: u64,
     snapshot: Option<Arc<Snapshot>>,
     rejoin: Rejoin,
     offers: Offers,
     relay: Relay,
-    // What is in force, as it is compared with what other nodes hold.
-    held: Option<Arc<Held>>,
-    // Everything in force as one message, for peers that hold nothing.
-    whole: Option<PeerMsg>,
-    stale: bool,
-    // The store has answered since followers were told last.
-    proven: bool,
-    // A peer's whole state was taken, which the node that is asked to read has yet to confirm.
-    confirm: bool,
+    // Version and targets in force, compared by digest with those of other nodes.
+    view: Option<Arc<View>>,
+    // Cached message with the full state, for peers that hold nothing.
+    full_state: Option<PeerMsg>,
+    snapshot_stale: bool,
+    // The store has answered since the followers were last updated.
+    broadcast_due: bool,
+    // The state came from a peer and has to be confirmed by the candidate reader.
+    resync_due: bool,
     store_answers: Option<bool>,
     last_input: Option<Time>,
 }
 
 impl Discovery {
-    /// A node that has not started. `seed` feeds its random choices.
+    /// Creates a node that has not started. `seed` initializes its random number generator.
     pub fn new(cfg: Config, seed: u64) -> Discovery {
-        let pace = Pace::within(cfg.change_bound);
+        let pace = Pace::for_bound(cfg.change_bound);
         let relay = Relay::new(pace);
-        let role = if relay.may_read(&cfg) { Role::MayRead } else { Role::Follows };
+        let role = if relay.may_read(&cfg) { Role::EligibleReader } else { Role::FollowerOnly };
         Discovery {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            follow: Follow::new(pace, role),
+            watcher: StoreWatcher::new(pace, role),
             registry: Registry::new(),
             published: None,
-            refused: 0,
+            rejected_version: 0,
             snapshot: None,
             rejoin: Rejoin::new(),
             offers: Offers::new(),
             relay,
-            held: None,
-            whole: None,
-            stale: false,
-            proven: false,
-            confirm: false,
+            view: None,
+            full_state: None,
+            snapshot_stale: false,
+            broadcast_due: false,
+            resync_due: false,
             store_answers: None,
             last_input: None,
             cfg,
         }
     }
 
-    /// The one entry: takes an input in and appends what follows from it.
+    /// Processes one input and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.notice_gap(now, out);
+        self.detect_clock_gap(now, out);
         match input {
             Input::Start => {
-                self.follow.start(now, &mut self.rng);
+                self.watcher.start(now, &mut self.rng);
                 self.rejoin.start(now, &mut self.rng);
             }
-            Input::Reply { id, result } => self.take_reply(now, id, result, out),
-            Input::Peer { from, msg } => self.take_message(now, &from, msg, out),
+            Input::Reply { id, result } => self.handle_reply(now, id, result, out),
+            Input::Peer { from, msg } => self.handle_message(now, &from, msg, out),
             Input::Note(note) => self.send_note(&note, out),
-            Input::PeerLost(gate) => self.lose_peer(now, gate),
+            Input::PeerLost(gate) => self.handle_peer_lost(now, gate),
             Input::Seeds(seeds) => self.cfg.seeds = seeds,
-            Input::Leaving => out.extend(self.relay.leave().into_iter().map(send)),
+            Input::Leaving => out.extend(self.relay.stop_serving().into_iter().map(send_output)),
             Input::Wake => {}
         }
         self.advance(now, out);
     }
 
-    /// The snapshot in force.
     pub fn snapshot(&self) -> Option<&Arc<Snapshot>> {
         self.snapshot.as_ref()
     }
 
     fn advance(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.relay.lapses(now) {
-            self.leave_reader(now, out);
+        if self.relay.reader_timed_out(now) {
+            self.abandon_reader(now, out);
         }
-        self.follow.read_for_others(now, self.relay.reads_for_others(now));
-        out.extend(self.follow.next_call(now).map(Output::Read));
-        self.stale |= self.registry.expire(now);
-        if std::mem::take(&mut self.stale) {
-            self.put_in_force(now, out);
+        self.watcher.set_serves_followers(now, self.relay.serves_followers(now));
+        out.extend(self.watcher.next_call(now).map(Output::Read));
+        self.snapshot_stale |= self.registry.expire_missing(now);
+        if std::mem::take(&mut self.snapshot_stale) {
+            self.rebuild_snapshot(now, out);
         }
-        self.ask_peers(now, out);
-        self.make_offers(now, out);
-        self.relay_news(now, out);
-        let relay = self.held.as_ref().and_then(|_| self.relay.wake_at());
-        let offers = self.held.as_ref().and_then(|_| self.offers.wake_at());
+        self.query_peers(now, out);
+        self.send_offers(now, out);
+        self.send_relay_messages(now, out);
+        let relay = self.view.as_ref().and_then(|_| self.relay.wake_at());
+        let offers = self.view.as_ref().and_then(|_| self.offers.wake_at());
         let wakes =
-            [self.follow.wake_at(), self.registry.wake_at(), self.rejoin.wake_at(), offers, relay];
+            [self.watcher.wake_at(), self.registry.wake_at(), self.rejoin.wake_at(), offers, relay];
         if let Some(wake) = wakes.into_iter().flatten().min() {
             out.push(Output::WakeAt(wake));
         }
     }
 
-    /// Records that the process was paused. Nothing else follows: the call to the store that was
-    /// under way has passed its time-out by then, and the next one is made at once.
-    fn notice_gap(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Reports that the process was paused. No other action is needed: the pending store call has
+    /// timed out by then and is retried.
+    fn detect_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.since(last) > CLOCK_GAP {
             out.push(Output::Event(Event::new(now, EventKind::ClockGap).with_default_code()));
         }
     }
 
-    fn take_reply(
+    fn handle_reply(
         &mut self,
         now: Time,
         id: u64,
         result: Result<Reply, ReadError>,
         out: &mut Vec<Output>,
     ) {
-        if !self.follow.awaits(id) {
+        if !self.watcher.is_pending(id) {
             return;
         }
         let answered = !matches!(result, Err(ReadError::Failed(_)));
-        self.note_answer(now, answered, out);
+        self.record_store_status(now, answered, out);
         match answered {
             true => {
-                self.registry.store_answers(now);
+                self.registry.on_store_success(now);
             }
-            false => self.registry.store_fails(now),
+            false => self.registry.on_store_failure(now),
         }
-        let (changes, listed) = self.follow.take(now, result, &mut self.rng);
+        let (changes, listed) = self.watcher.handle_result(now, result, &mut self.rng);
         let is_target = |change: &Change| !matches!(change, Change::Published(_));
         let (targets, publications): (Vec<_>, Vec<_>) = changes.into_iter().partition(is_target);
-        self.stale |= match listed {
-            true => self.registry.replace(now, targets),
-            false => self.registry.change(now, targets),
+        self.snapshot_stale |= match listed {
+            true => self.registry.apply_list(now, targets),
+            false => self.registry.apply_changes(now, targets),
         };
-        // Half a list says nothing of what has changed since the last answer, and a target that is
-        // missing may be known to have left to those that the store has answered all the while.
-        if answered && !self.follow.is_listing() && !self.registry.keeps_missing() {
-            self.relay.store_answers(now);
-            self.proven = true;
+        // A partial list does not prove freshness. Neither does a registry with missing entries:
+        // nodes that stayed connected to the store may know that those targets are gone.
+        if answered && !self.watcher.is_listing() && !self.registry.has_missing() {
+            self.relay.on_store_success(now);
+            self.broadcast_due = true;
         }
         for publication in publications {
-            self.take_publication(now, publication, out);
+            self.handle_publication(now, publication, out);
         }
     }
 
-    fn note_answer(&mut self, now: Time, answered: bool, out: &mut Vec<Output>) {
+    fn record_store_status(&mut self, now: Time, answered: bool, out: &mut Vec<Output>) {
         if self.store_answers.replace(answered) == Some(answered) {
             return;
         }
@@ -216,17 +216,17 @@
             false => Event::new(now, EventKind::SourceLost).with_code(Code::SourceUnreachable),
         };
         out.push(Output::Event(event));
-        out.push(Output::View(self.view()));
+        out.push(Output::Status(self.status()));
     }
 
-    fn view(&self) -> View {
-        View {
+    fn status(&self) -> Status {
+        Status {
             newest: self.published.as_ref().map_or(0, |published| published.version),
             store_answers: self.store_answers,
         }
     }
 
-    fn take_publication(&mut self, now: Time, change: Change, out: &mut Vec<Output>) {
+    fn handle_publication(&mut self, now: Time, change: Change, out: &mut Vec<Output>) {
         let published = match change {
             Change::Published(Ok(published)) => published,
             Change::Published(Err(fault)) => {
@@ -237,15 +237,15 @@
             }
             Change::Target { .. } | Change::Removed { .. } => return,
         };
-        self.take_version(now, published, out);
+        self.accept_version(now, published, out);
     }
 
-    /// A version that is not newer than the one held changes nothing, whatever its source.
-    fn take_version(&mut self, now: Time, published: Arc<Publication>, out: &mut Vec<Output>) {
+    /// Accepts a version from any source if it is newer than the current one.
+    fn accept_version(&mut self, now: Time, published: Arc<Publication>, out: &mut Vec<Output>) {
         let version = published.version;
         let held = self.published.as_ref().map_or(0, |held| held.version);
-        if version < held && self.refused != version {
-            self.refused = version;
+        if version < held && self.rejected_version != version {
+            self.rejected_version = version;
             let event = Event::new(now, EventKind::VersionRefused).with_version(version);
             return out.push(Output::Event(event.with_code(Code::VersionOlder)));
         }
@@ -253,26 +253,26 @@
             return;
         }
         self.published = Some(published);
-        self.stale = true;
+        self.snapshot_stale = true;
         out.push(Output::Event(Event::new(now, EventKind::VersionHeard).with_version(version)));
     }
 
-    fn put_in_force(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn rebuild_snapshot(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(published) = self.published.clone() else {
             return;
         };
         let mut preset = published.preset.clone();
         let listed = self.registry.targets(&self.cfg);
-        self.held = Some(Arc::new(Held::new(published.clone(), &listed)));
-        self.whole = None;
-        self.relay.remember(&published);
+        self.view = Some(Arc::new(View::new(published.clone(), &listed)));
+        self.full_state = None;
+        self.relay.record_version(&published);
         for target in listed {
             if let Some(service) = preset.services.get_mut(&target.service) {
                 service.targets.push(target.target);
             }
         }
         let name = published.preset.name.clone();
-        // Versions are told apart by their number alone, so the digest names nothing.
+        // Versions are identified by number alone, so the digest carries no information.
         let in_force = InForce { version: published.version, preset: name, digest: Hash::of(b"") };
         match Snapshot::new(in_force, &preset) {
             Ok(snapshot) => {
@@ -283,7 +283,7 @@
                     out.push(Output::Event(event));
                 }
                 out.push(Output::InForce(snapshot));
-                out.push(Output::View(self.view()));
+                out.push(Output::Status(self.status()));
             }
             Err(fault) => out.push(Output::Refused(fault)),
         }
@@ -301,12 +301,12 @@
         }
     }
 
-    fn ask_peers(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.follow.has_listed() {
+    fn query_peers(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.watcher.has_listed() {
             return self.rejoin.stop();
         }
-        if let Some(to) = self.rejoin.question_for(now, &self.cfg.seeds, &mut self.rng) {
-            let msg = rejoin::question(self.published.as_ref().map(|held| held.version));
+        if let Some(to) = self.rejoin.next_seed(now, &self.cfg.seeds, &mut self.rng) {
+            let msg = rejoin::full_state_request(self.published.as_ref().map(|held| held.version));
             out.push(Output::Send { to, link: Link::Region, msg });
         }
     }
--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -1,10 +1,10 @@
-//! What a node holds, version and targets, and the difference between two such views.
+//! Version and targets of a node, and deltas between two such views.
 //!
-//! A version is known by its number, so that the digest of a view covers the number and the
-//! targets. Targets of one service travel together; routes and limits travel one by one.
+//! A version is identified by its number, so the digest of a view covers only the number and the
+//! targets. Targets are transferred per service, routes and limits individually.
 
 use super::port::Publication;
-use super::registry::Listed;
+use super::registry::ServiceTarget;
 use crate::config::resource::{Resource, ResourceId, ResourceKind};
 use crate::config::{InForce, Preset, Service, Target, validate};
 use crate::hash::Hash;
@@ -15,28 +15,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A version and the targets known beside it.
+/// A version together with the known targets.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// The version.
     pub published: Arc<Publication>,
-    /// The targets of each service, in the order of their names.
+    /// Targets of each service, sorted by VM.
     pub targets: BTreeMap<Name, Vec<Target>>,
-    /// Equal for the same version with the same targets.
+    /// Equal for views with the same version and the same targets.
     pub digest: Hash,
 }
 
 impl View {
-    /// The view of a node that lists these targets.
-    pub fn new(published: Arc<Publication>, listed: &[Listed]) -> View {
+    pub fn new(published: Arc<Publication>, listed: &[ServiceTarget]) -> View {
         let mut targets: BTreeMap<Name, Vec<Target>> = BTreeMap::new();
         for entry in listed {
             targets.entry(entry.service.clone()).or_default().push(entry.target.clone());
         }
-        View::of(published, targets)
+        View::with_targets(published, targets)
     }
 
-    fn of(published: Arc<Publication>, mut targets: BTreeMap<Name, Vec<Target>>) -> View {
+    fn with_targets(published: Arc<Publication>, mut targets: BTreeMap<Name, Vec<Target>>) -> View {
         targets.retain(|_, listed| !listed.is_empty());
         for listed in targets.values_mut() {
             listed.sort_by(|a, b| a.vm.cmp(&b.vm));
@@ -49,7 +47,7 @@
         View { published, targets, digest: Hash::of(&text) }
     }
 
-    /// Names what is held, by a node that the store answered so long ago.
+    /// Summary of this view; `store_age` is the time since the store last answered this node.
     pub fn summary(&self, store_age: Option<Duration>) -> Summary {
         let preset: Name = self.published.preset.name.clone();
         let in_force = InForce { version: self.published.version, preset, digest: Hash::of(b"") };
@@ -57,9 +55,9 @@
         Summary { in_force, whole: self.digest, store_age_ms: store_age.map(ms) }
     }
 
-    /// The view after a difference. Fails if it is not from this view, or if something else comes
-    /// out than its sender holds.
-    pub fn after(&self, delta: &Delta) -> Result<View> {
+    /// Returns the view that results from a delta. Fails if the delta has another base version, or
+    /// if the result does not match the sender's digest.
+    pub fn apply_delta(&self, delta: &Delta) -> Result<View> {
         let base = delta.base.as_ref().map(|base| base.version);
         if base != Some(self.published.version) {
             return Err(Fault::new(Code::PeerHashMismatch));
@@ -72,7 +70,7 @@
                 continue;
             }
             let preset: &mut Preset = preset.get_or_insert_with(|| self.published.preset.clone());
-            change(preset, id, body)?;
+            apply_resource(preset, id, body)?;
         }
         for id in &delta.removed {
             let preset = preset.get_or_insert_with(|| self.published.preset.clone());
@@ -91,7 +89,7 @@
                 Arc::new(Publication { version, preset })
             }
         };
-        let view = View::of(published, targets);
+        let view = View::with_targets(published, targets);
         match view.digest == delta.digest {
             true => Ok(view),
             false => Err(Fault::new(Code::PeerHashMismatch)),
@@ -99,37 +97,37 @@
     }
 }
 
-/// The difference to `view` from a node that holds `base`: `older` is the version of `base`, and
-/// `known` the view that it holds, where these are known. `None` if the version is not known any
-/// more, or if its resources have more than `largest` bytes.
-pub fn difference(
+/// Returns the delta from `base` to `view`. `base_version` and `base_view` are the version and the
+/// view that `base` refers to, where known. Returns `None` if the versions differ and the base
+/// version is unknown, or if the changed resources exceed `max_size` bytes.
+pub fn delta_between(
     view: &View,
     base: &Base,
-    older: Option<&Publication>,
-    known: Option<&View>,
-    largest: usize,
+    base_version: Option<&Publication>,
+    base_view: Option<&View>,
+    max_size: usize,
     store_age: Option<Duration>,
 ) -> Option<Delta> {
     let mut changed: Vec<(ResourceId, Bytes)> = Vec::new();
     let mut removed: Vec<ResourceId> = Vec::new();
     if base.version != view.published.version {
-        compare_versions(&older?.preset, &view.published.preset, &mut changed, &mut removed);
+        diff_presets(&base_version?.preset, &view.published.preset, &mut changed, &mut removed);
     }
     let none = BTreeMap::new();
-    let before = known.map_or(&none, |known| &known.targets);
+    let before = base_view.map_or(&none, |base_view| &base_view.targets);
     for (service, listed) in &view.targets {
         if before.get(service) != Some(listed) {
             let id = ResourceId::new(ResourceKind::Targets, service);
             changed.push((id, Resource::from_targets(listed).body));
         }
     }
-    // Of a node whose targets are not known, any service of its version may have some.
+    // If the targets of the base are unknown, any of its services may have some.
     let services = view.published.preset.services.keys().chain(before.keys());
     for service in services.filter(|service| !view.targets.contains_key(*service)) {
         removed.push(ResourceId::new(ResourceKind::Targets, service));
     }
     let size: usize = changed.iter().map(|(_, body)| body.len()).sum();
-    (size <= largest).then(|| Delta {
+    (size <= max_size).then(|| Delta {
         summary: view.summary(store_age),
         base: Some(base.clone()),
         changed,
@@ -138,7 +136,7 @@
     })
 }
 
-fn compare_versions(
+fn diff_presets(
     before: &Preset,
     after: &Preset,
     changed: &mut Vec<(ResourceId, Bytes)>,
@@ -163,7 +161,7 @@
     removed.extend(routes.map(|name| ResourceId::new(ResourceKind::Route, name)));
 }
 
-fn change(preset: &mut Preset, id: &ResourceId, body: &Bytes) -> Result<()> {
+fn apply_resource(preset: &mut Preset, id: &ResourceId, body: &Bytes) -> Result<()> {
     let resource = Resource::new(body.clone());
     match id.kind {
         ResourceKind::Route => {
--- a/core/tests/discovery_relay.rs
+++ b/core/tests/discovery_relay.rs
@@ -1,5 +1,4 @@
-//! One node reads the store for many of its region: what it saves, and what becomes of the others
-//! when it fails.
+//! Readers that read the store for their region: calls saved, and recovery from failures.
 
 #[path = "support/store_fleet.rs"]
 mod support;
@@ -10,14 +9,14 @@
 use sycamore_core::discovery::{Change, Config, Input, Pace, TargetState};
 use sycamore_core::place::Place;
 
-/// Nodes, half of them in each of two regions; one in four has a wide link.
+/// Number of nodes, half of them in each of two regions. One in four has a fast link.
 const NODES: usize = 40;
 
-const WIDE_KBPS: u64 = 140_000;
-const NARROW_KBPS: u64 = 15_400;
+const FAST_LINK_KBPS: u64 = 140_000;
+const SLOW_LINK_KBPS: u64 = 15_400;
 
-/// Within this time each node must hold a change.
-const BOUND: Duration = Duration::from_millis(2_500);
+/// Time within which every node must have applied a change.
+const CHANGE_BOUND: Duration = Duration::from_millis(2_500);
 
 fn place(node: usize) -> Place {
     let region = if node % 2 == 0 { "east" } else { "west" };
@@ -25,8 +24,8 @@
 }
 
 fn settings(node: usize) -> Config {
-    let wide = node / 2 % 4 == 0;
-    let link_kbps = Some(if wide { WIDE_KBPS } else { NARROW_KBPS });
+    let fast = node / 2 % 4 == 0;
+    let link_kbps = Some(if fast { FAST_LINK_KBPS } else { SLOW_LINK_KBPS });
     Config { link_kbps, ..config(node, place(node)) }
 }
 
@@ -34,26 +33,26 @@
     support::entry(node, place(node), state, sequence)
 }
 
-/// A fleet that has read a version of a few routes and every target, and has settled.
+/// Fleet in steady state with a small version and one target per node.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(NODES, settings, ms(1), 0);
     fleet.store.changes.push(version(1, 10));
     fleet.store.changes.extend((0..NODES).map(|node| entry(node, TargetState::Ready, 1)));
     (0..NODES).for_each(|node| fleet.input(node, Input::Start));
-    fleet.pass(ms(6_000));
+    fleet.advance(ms(6_000));
     fleet
 }
 
-/// Nodes that read the store of late, for themselves or for others.
+/// Nodes that called the store recently, for themselves or as readers.
 fn readers(fleet: &Fleet) -> Vec<usize> {
     let reads = |node: &usize| {
-        fleet.nodes[*node].up && fleet.now.since(fleet.nodes[*node].called) < ms(1_100)
+        fleet.nodes[*node].up && fleet.now.since(fleet.nodes[*node].last_call_at) < ms(1_100)
     };
     (0..NODES).filter(reads).collect()
 }
 
-/// Nodes that run, reach the store, and don't hold what it holds.
-fn behind(fleet: &Fleet) -> Vec<usize> {
+/// Running nodes with access to the store whose state differs from it.
+fn out_of_sync(fleet: &Fleet) -> Vec<usize> {
     let mut version = 0;
     let mut leaving = [false; NODES];
     for change in &fleet.store.changes {
@@ -75,22 +74,22 @@
             snapshot.version() == version && snapshot.targets().iter().all(same)
         })
     };
-    let behind = |node: &usize| {
+    let out_of_sync = |node: &usize| {
         let node = &fleet.nodes[*node];
-        node.up && !node.cut && !holds(node)
+        node.up && !node.store_unreachable && !holds(node)
     };
-    (0..NODES).filter(behind).collect()
+    (0..NODES).filter(out_of_sync).collect()
 }
 
 #[test]
 fn relay_calls_saved() {
-    // Story: sixty nodes that each watch the store pay for two thousand calls in half a minute.
+    // Guards against a number of store calls that grows with the fleet.
     let mut fleet = fleet();
     let before = fleet.store.calls;
-    fleet.pass(ms(30_000));
+    fleet.advance(ms(30_000));
     let calls = fleet.store.calls - before;
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
-    // Two readers make two calls a second each.
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
+    // Two readers make about two calls a second each.
     assert!(calls <= 150, "{calls}");
 }
 
@@ -100,149 +99,149 @@
     for step in 0..20 {
         fleet.store.changes.push(version(2 + step, 10 + step as usize));
         fleet.store.changes.push(entry(step as usize, TargetState::Draining, 2));
-        fleet.pass(ms(700));
-        assert_eq!(behind(&fleet), Vec::<usize>::new(), "step {step}");
+        fleet.advance(ms(700));
+        assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "step {step}");
     }
 }
 
-/// Guards against a fleet that lists the store once a node at every start, page by page.
+/// Guards against a full list by every node at every start.
 #[test]
 fn relay_start_few_calls() {
     let fleet = fleet();
-    let narrow = (0..NODES).filter(|node| settings(*node).link_kbps == Some(NARROW_KBPS)).count();
+    let slow = (0..NODES).filter(|node| settings(*node).link_kbps == Some(SLOW_LINK_KBPS)).count();
     let (lists, calls) = (fleet.store.lists, fleet.store.calls);
     assert!(lists <= NODES, "{lists} pages");
-    // Nodes with wide links list the store and read what has changed since; the others are told.
+    // Only nodes with fast links list the store and read the changes since; the others get their
+    // state from a reader.
     let fresh = calls - lists;
-    assert!(fresh <= 6 * (NODES - narrow) + 2 * 6, "{fresh} calls beside them");
+    assert!(fresh <= 6 * (NODES - slow) + 2 * 6, "{fresh} calls beside them");
 }
 
-/// Guards against a reader that gives way to every node before it in the order that starts, though
-/// all nodes of the region follow it.
+/// Guards against a reader with followers that yields to every newly started node of a higher rank.
 #[test]
 fn relay_newcomer_follows() {
     let mut fleet = fleet();
     let first = readers(&fleet);
     first.iter().for_each(|node| fleet.stop(*node));
-    fleet.pass(ms(5_000));
+    fleet.advance(ms(5_000));
     let second = readers(&fleet);
-    assert_eq!(second.len(), 2, "one a region");
+    assert_eq!(second.len(), 2, "one reader per region");
     first.iter().for_each(|node| fleet.start(*node));
-    fleet.pass(ms(5_000));
+    fleet.advance(ms(5_000));
     assert_eq!(readers(&fleet), second);
 }
 
-/// Guards against followers that find out only by silence that their reader has stopped.
+/// Guards against followers that detect a planned stop of their reader only by timeout.
 #[test]
 fn relay_reader_stops_as_planned() {
     for phase in 0..9 {
         let mut fleet = fleet();
-        fleet.pass(ms(100 * phase));
+        fleet.advance(ms(100 * phase));
         for node in readers(&fleet) {
             fleet.input(node, Input::Leaving);
-            fleet.pass(ms(20));
+            fleet.advance(ms(20));
             fleet.stop(node);
         }
         fleet.store.changes.push(entry(3, TargetState::Draining, 2));
-        fleet.pass(ms(700));
-        assert_eq!(behind(&fleet), Vec::<usize>::new(), "phase {phase}");
+        fleet.advance(ms(700));
+        assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "phase {phase}");
     }
 }
 
-/// Guards against a follower that turns again and again to a reader which has lost the store and
-/// announces what it held.
+/// Guards against followers that keep returning to a reader that has lost the store and announces
+/// outdated state.
 #[test]
-fn relay_cut_reader_attracts_nobody() {
+fn relay_disconnected_reader_gets_no_followers() {
     for phase in 0..9 {
         let mut fleet = fleet();
         for node in readers(&fleet) {
-            fleet.nodes[node].cut = true;
+            fleet.nodes[node].store_unreachable = true;
         }
-        fleet.pass(ms(900 + 200 * phase));
+        fleet.advance(ms(900 + 200 * phase));
         fleet.store.changes.push(version(2, 10));
-        fleet.pass(BOUND);
-        assert_eq!(behind(&fleet), Vec::<usize>::new(), "phase {phase}");
+        fleet.advance(CHANGE_BOUND);
+        assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "phase {phase}");
     }
 }
 
-/// Guards against a reader whose link is full of one version for a second.
+/// Guards against a version that saturates a reader's link for a second.
 #[test]
 fn relay_large_version_within_link() {
     let mut fleet = fleet();
     let before = fleet.store.calls;
     fleet.store.changes.push(version(2, 1_200));
-    fleet.pass(ms(1_500));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
-    // Of JSON text, DEFLATE leaves at most an eighth.
+    fleet.advance(ms(1_500));
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
+    // DEFLATE is assumed to compress JSON to an eighth.
     let followers = NODES as u64 / 2 - 1;
-    let link_ms = fleet.largest as u64 / 8 * followers * 8 / WIDE_KBPS;
+    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / FAST_LINK_KBPS;
     assert!(link_ms <= 500, "{link_ms} ms of a reader's link");
     let calls = fleet.store.calls - before;
     assert!(calls <= 12, "{calls}: followers must not all read the store");
 }
 
-/// Guards against a version that no link takes for every follower.
+/// Guards against sending followers a version too large for the reader's link.
 #[test]
 fn relay_huge_version_read_from_store() {
     let mut fleet = fleet();
     fleet.store.changes.push(version_with_paths(2, 6_000, &"r".repeat(800)));
-    fleet.pass(ms(2_500));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    fleet.advance(ms(2_500));
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
     let followers = NODES as u64 / 2 - 1;
-    let link_ms = fleet.largest as u64 / 8 * followers * 8 / WIDE_KBPS;
+    let link_ms = fleet.largest_delta as u64 / 8 * followers * 8 / FAST_LINK_KBPS;
     assert!(link_ms <= 500, "{link_ms} ms of a reader's link");
 }
 
 #[test]
 fn relay_reader_killed() {
-    // Story: a target reports that it leaves, and in the same instant the node that reads the
-    // store for the region is killed. Its followers would go on sending work to that target.
+    // Guards against requests to a draining target when the reader of the region is killed at the
+    // same time.
     let mut fleet = fleet();
     let readers = readers(&fleet);
-    assert_eq!(readers.len(), 2, "one a region");
+    assert_eq!(readers.len(), 2, "one reader per region");
     for node in readers {
         fleet.stop(node);
     }
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
-    fleet.pass(BOUND);
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
-    // Others take over, so that the calls do not stay many.
-    fleet.pass(ms(8_000));
+    fleet.advance(CHANGE_BOUND);
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
+    // Other readers take over, so that the number of calls drops again.
+    fleet.advance(ms(8_000));
     let before = fleet.store.calls;
-    fleet.pass(ms(10_000));
+    fleet.advance(ms(10_000));
     assert!(fleet.store.calls - before <= 60, "{}", fleet.store.calls - before);
 }
 
 #[test]
 fn relay_reader_cut_from_store() {
-    // Story: only the reader loses the store, which does not answer it any more. Its followers
-    // hear nothing wrong, since silence is what a store without changes looks like.
+    // Guards against followers of a reader that alone has lost the store: to them, it looks like a
+    // store without changes.
     let mut fleet = fleet();
     for node in readers(&fleet) {
-        fleet.nodes[node].cut = true;
+        fleet.nodes[node].store_unreachable = true;
     }
     fleet.store.changes.push(version(2, 10));
-    fleet.pass(BOUND);
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    fleet.advance(CHANGE_BOUND);
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
 }
 
 #[test]
 fn relay_message_lost() {
-    // Story: a connection breaks just as a reader tells of a change. The reader goes on speaking,
-    // so that its followers see nothing wrong, and do without the change.
+    // Guards against a lost delta that followers never notice because the reader keeps sending
+    // messages.
     let mut fleet = fleet();
-    // Past the question that every follower asks each two seconds and that would tell it too.
-    fleet.pass(ms(500));
+    // Skip the periodic lease renewal, which would also detect the lost delta.
+    fleet.advance(ms(500));
     fleet.store.changes.push(entry(3, TargetState::Draining, 2));
-    fleet.deaf_until = fleet.now + ms(50);
-    fleet.pass(ms(1_200));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    fleet.drop_messages_until = fleet.now + ms(50);
+    fleet.advance(ms(1_200));
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
 }
 
 #[test]
 fn relay_reader_wakes_from_pause() {
-    // Story: a reader is paused for four seconds. Its followers read the store meanwhile and hold
-    // newer versions; what it says when it wakes must not take them back.
+    // Guards against a reader that resumes from a pause and reverts its followers to an older
+    // version.
     let mut fleet = fleet();
     let readers = readers(&fleet);
     let calls: Vec<_> = readers.iter().map(|node| fleet.nodes[*node].call.take()).collect();
@@ -250,28 +249,28 @@
     for node in &readers {
         fleet.nodes[*node].up = false;
     }
-    fleet.pass(ms(1_000));
+    fleet.advance(ms(1_000));
     fleet.store.changes.push(version(2, 10));
-    fleet.pass(ms(3_000));
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    fleet.advance(ms(3_000));
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
     for (at, node) in readers.iter().enumerate() {
         fleet.nodes[*node].up = true;
         fleet.nodes[*node].call = calls[at].clone();
         fleet.nodes[*node].wake = wakes[at];
     }
     for _ in 0..100 {
-        fleet.pass(ms(20));
+        fleet.advance(ms(20));
         let old = |node: &&Node| node.snapshot.as_ref().is_some_and(|held| held.version() < 2);
         let old = fleet.nodes.iter().filter(old).count();
-        assert!(old <= readers.len(), "{old} nodes went back");
+        assert!(old <= readers.len(), "{old} nodes reverted to an older version");
     }
-    assert_eq!(behind(&fleet), Vec::<usize>::new());
+    assert_eq!(out_of_sync(&fleet), Vec::<usize>::new());
 }
 
 #[test]
 fn relay_random_failures() {
-    // Nodes end and start, lose the store and reach it again, while versions and targets change.
-    // Whoever has run and reached the store for long enough holds each change in time.
+    // Random restarts and losses of the store while versions and targets change. Every node that
+    // runs and reaches the store must apply each change in time.
     for seed in 0..6u64 {
         let mut random = seed * 7_919 + 1;
         let mut next = |most: u64| {
@@ -287,21 +286,23 @@
                 let reader = readers.get(next(4) as usize).copied().unwrap_or(any);
                 match next(4) {
                     0 => fleet.stop(reader),
-                    1 => fleet.nodes[reader].cut = true,
+                    1 => fleet.nodes[reader].store_unreachable = true,
                     2 if !fleet.nodes[any].up => fleet.start(any),
-                    _ => fleet.nodes[any].cut = false,
+                    _ => fleet.nodes[any].store_unreachable = false,
                 }
             }
             newest += 1;
             fleet.store.changes.push(version(newest, 5 + next(20) as usize));
             let target = next(NODES as u64) as usize;
             fleet.store.changes.push(entry(target, TargetState::Draining, 2));
-            fleet.pass(BOUND + Pace::within(BOUND).lapse * next(2) as u32);
-            // A node that has just reached the store again may still wait for a time-out.
-            if !behind(&fleet).is_empty() {
-                fleet.pass(ms(4_000));
+            fleet.advance(
+                CHANGE_BOUND + Pace::for_bound(CHANGE_BOUND).reader_timeout * next(2) as u32,
+            );
+            // A node that has just regained the store may still wait for a call to time out.
+            if !out_of_sync(&fleet).is_empty() {
+                fleet.advance(ms(4_000));
             }
-            assert_eq!(behind(&fleet), Vec::<usize>::new(), "seed {seed}, step {step}");
+            assert_eq!(out_of_sync(&fleet), Vec::<usize>::new(), "seed {seed}, step {step}");
         }
     }
 }
