--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -42,7 +42,7 @@
 
 /// How long a key can be used after it was minted, and how long its record is kept: longer than
 /// any deadline with the skew on both sides.
-pub const KEY_LIFE: Duration = Duration::from_secs(660);
+pub const KEY_LIFETIME: Duration = Duration::from_secs(660);
 
 /// Nodes that a call may pass as entry node; one above the deepest chain in use.
 pub const MAX_DEPTH: u8 = 16;
@@ -123,7 +123,7 @@
         /// When the time is over within which an answer is worth most.
         pub objective: Time,
         /// Whether it may wait beyond that, since no other target takes it.
-        pub patient: bool,
+        pub may_exceed_objective: bool,
         /// Whether it is work done once more: a target has had the request before, or a run that
         /// was itself a repeat makes this call.
         pub repeat: bool,
@@ -159,7 +159,7 @@
     }
 
     /// When the key was made, by the clock of its maker.
-    pub fn minted(self) -> Time {
+    pub fn created_at(self) -> Time {
         Time::from_millis(self.high >> 16)
     }
 
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -192,7 +192,7 @@
             class: route.class,
             rank: route.rank,
             objective: self.objective(now, arrival, entry),
-            patient: route.spare_forwards == 0,
+            may_exceed_objective: route.spare_forwards == 0,
             repeat: self.retries.is_inherited(arrival, route.class),
         };
         let request_key = arrival.key.filter(|_| terms.is_keyed());
@@ -245,7 +245,7 @@
         }
         let want = Want::new(now, service, &call.terms);
         self.balancer.pick_free(want).or_else(|| {
-            call.terms.patient = self.policy.has(Part::FullOnce);
+            call.terms.may_exceed_objective = self.policy.has(Part::FullOnce);
             self.balancer.pick_nearest(want)
         })
     }
--- a/core/src/call/entry/again.rs
+++ b/core/src/call/entry/again.rs
@@ -51,14 +51,14 @@
     fn wait_somewhere(&mut self, now: Time, key: CallKey, code: Code) -> Option<Name> {
         let call = self.calls.get(&key)?;
         let full = matches!(code, Code::QueueFull | Code::QueueTimeout);
-        let asked = call.terms.patient || call.unknown.is_some();
+        let asked = call.terms.may_exceed_objective || call.unknown.is_some();
         if !full || asked {
             return None;
         }
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
         let vm = self.balancer.pick_nearest(Want::new(now, service, &call.terms))?;
         let call = self.calls.get_mut(&key)?;
-        call.terms.patient = true;
+        call.terms.may_exceed_objective = true;
         Some(vm)
     }
 
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -238,7 +238,7 @@
         let call = arrival.call;
         // Work that others wait for counts as nested, also where callers do not tell the depth.
         let depth = arrival.depth.max((terms.class == Class::Gating).into());
-        let objective = Objective { by: terms.objective, patient: terms.patient };
+        let objective = Objective { by: terms.objective, patient: terms.may_exceed_objective };
         let offer = Offer {
             call,
             class: terms.class,
--- a/core/src/call/gatekeeper/check.rs
+++ b/core/src/call/gatekeeper/check.rs
@@ -26,7 +26,7 @@
         if !terms.is_keyed() {
             return self.check_load(now, arrival, terms, None);
         }
-        let Some(key) = arrival.key.filter(|key| key.minted() <= now + MAX_CLOCK_SKEW) else {
+        let Some(key) = arrival.key.filter(|key| key.created_at() <= now + MAX_CLOCK_SKEW) else {
             return not_run(Code::KeyMissing, COME_BACK_LATER);
         };
         let Some(digest) = &arrival.digest else {
@@ -72,7 +72,7 @@
             class: entry.route.class,
             rank: entry.route.rank,
             objective: now + Duration::from_millis(entry.route.objective_ms.into()),
-            patient: true,
+            may_exceed_objective: true,
             repeat: false,
         })
     }
--- a/core/src/call/home.rs
+++ b/core/src/call/home.rs
@@ -7,7 +7,7 @@
 //! argument and the ways weighed.
 
 use super::note::{Ask, HomeList, ListId, Note, OutgoingNote, Release, Unreleased};
-use super::{KEY_LIFE, MAX_CLOCK_SKEW, Members, RequestKey};
+use super::{KEY_LIFETIME, MAX_CLOCK_SKEW, Members, RequestKey};
 use crate::hash::Hash;
 use crate::member::VmState;
 use crate::{Name, Time};
@@ -173,11 +173,11 @@
             return Right::NotHome;
         }
         // First what may have run: a key that ran must never be called not run.
-        if key.minted() <= self.started + MAX_CLOCK_SKEW {
+        if key.created_at() <= self.started + MAX_CLOCK_SKEW {
             return Right::Unknown;
         }
         let fenced = |fence: &Fence| {
-            key.minted() <= fence.until + MAX_CLOCK_SKEW && self.covers(&fence.cover, key)
+            key.created_at() <= fence.until + MAX_CLOCK_SKEW && self.covers(&fence.cover, key)
         };
         if self.fences.iter().any(fenced) {
             return Right::Unknown;
@@ -250,8 +250,9 @@
 
     /// Asks again those who have not answered.
     pub fn tick(&mut self, now: Time, out: &mut Vec<OutgoingNote>) {
-        self.fences.retain(|fence| now.since(fence.until) <= KEY_LIFE + MAX_CLOCK_SKEW * 2);
-        self.inherited.retain(|entry| entry.released.is_none_or(|at| now.since(at) <= KEY_LIFE));
+        self.fences.retain(|fence| now.since(fence.until) <= KEY_LIFETIME + MAX_CLOCK_SKEW * 2);
+        self.inherited
+            .retain(|entry| entry.released.is_none_or(|at| now.since(at) <= KEY_LIFETIME));
         if self.leaving {
             return;
         }
--- a/core/src/call/once.rs
+++ b/core/src/call/once.rs
@@ -1,6 +1,6 @@
 //! Requests that run at most once: what this gatekeeper knows of each key.
 
-use super::{CallKey, KEY_LIFE, MAX_CLOCK_SKEW, RequestKey};
+use super::{CallKey, KEY_LIFETIME, MAX_CLOCK_SKEW, RequestKey};
 use crate::Time;
 use crate::hash::Hash;
 use bytes::Bytes;
@@ -94,7 +94,7 @@
     /// What is known of a key, for a request with this digest.
     pub fn look_up(&self, now: Time, key: RequestKey, digest: &Hash) -> Seen {
         let Some(record) = self.records.get(&key) else {
-            let forgotten = key.minted() <= self.forgotten.max(oldest(now));
+            let forgotten = key.created_at() <= self.forgotten.max(oldest(now));
             return if forgotten { Seen::Unknown } else { Seen::New };
         };
         if record.digest.is_some_and(|known| known != *digest) {
@@ -183,14 +183,15 @@
     /// Drops records of keys too old to be accepted. If the table is still full, `forgotten` rises
     /// to the newest dropped key, and every key up to it counts as unknown.
     fn make_room(&mut self, now: Time) {
-        while self.records.first_key_value().is_some_and(|(key, _)| key.minted() < oldest(now)) {
+        while self.records.first_key_value().is_some_and(|(key, _)| key.created_at() < oldest(now))
+        {
             self.drop_oldest_record();
         }
         while self.records.len() >= self.max_records {
             let Some(key) = self.drop_oldest_record() else {
                 return;
             };
-            self.forgotten = self.forgotten.max(key.minted());
+            self.forgotten = self.forgotten.max(key.created_at());
         }
     }
 
@@ -227,5 +228,5 @@
 
 /// Keys minted before this time are no longer taken.
 fn oldest(now: Time) -> Time {
-    now - KEY_LIFE - MAX_CLOCK_SKEW
+    now - KEY_LIFETIME - MAX_CLOCK_SKEW
 }
--- a/core/tests/call_balance.rs
+++ b/core/tests/call_balance.rs
@@ -35,7 +35,7 @@
         class,
         rank: 0,
         objective: START + Duration::from_millis(600),
-        patient: false,
+        may_exceed_objective: false,
         repeat: false,
     }
 }
--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -79,7 +79,7 @@
     driver.turned_away();
     let third = driver.turned_away();
     assert_eq!(third.len(), 1, "{third:?}");
-    assert!(third[0].terms.patient);
+    assert!(third[0].terms.may_exceed_objective);
 }
 
 #[test]
@@ -89,5 +89,5 @@
     driver.turned_away();
     driver.now = START + LATER;
     let forwards = driver.turned_away();
-    assert!(!forwards[0].terms.patient, "{forwards:?}");
+    assert!(!forwards[0].terms.may_exceed_objective, "{forwards:?}");
 }
--- a/core/tests/call_once.rs
+++ b/core/tests/call_once.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use sycamore_core::Time;
 use sycamore_core::call::once::{KeptAnswer, MAX_KEPT_BYTES, Once, Seen};
-use sycamore_core::call::{CallKey, KEY_LIFE, MAX_CLOCK_SKEW, MAX_DEADLINE, RequestKey};
+use sycamore_core::call::{CallKey, KEY_LIFETIME, MAX_CLOCK_SKEW, MAX_DEADLINE, RequestKey};
 use sycamore_core::hash::Hash;
 
 const START: Time = Time(1_700_000_000_000_000);
@@ -26,14 +26,14 @@
 
 #[test]
 fn key_life_longer_than_any_deadline() {
-    assert!(KEY_LIFE > MAX_DEADLINE + MAX_CLOCK_SKEW * 2);
+    assert!(KEY_LIFETIME > MAX_DEADLINE + MAX_CLOCK_SKEW * 2);
 }
 
 #[test]
 fn request_key_parse() {
     let good = "0190b5c0-0000-7000-8000-000000000001";
     let key = RequestKey::parse(good.as_bytes()).unwrap();
-    assert_eq!(key.minted().as_millis(), 0x0190_b5c0_0000);
+    assert_eq!(key.created_at().as_millis(), 0x0190_b5c0_0000);
     for bad in ["", "x", "0190b5c0-0000-4000-8000-000000000001", &good[1..], "{}"] {
         assert_eq!(RequestKey::parse(bad.as_bytes()), None, "{bad}");
     }
@@ -59,7 +59,7 @@
 #[test]
 fn once_old_key_is_unknown() {
     let once = Once::new();
-    let now = START + KEY_LIFE + MAX_CLOCK_SKEW * 2;
+    let now = START + KEY_LIFETIME + MAX_CLOCK_SKEW * 2;
     assert_eq!(once.look_up(now, key(0, 0), &digest()), Seen::Unknown);
 }
 
--- a/core/tests/call_once_by_attempt.rs
+++ b/core/tests/call_once_by_attempt.rs
@@ -149,10 +149,10 @@
     let mut driver = Driver::new(1);
     let mut sent = driver.sign();
     for _ in 0..2 {
-        assert!(!sent.terms.patient);
+        assert!(!sent.terms.may_exceed_objective);
         sent = forward(driver.end(sent.call, refused(Code::QueueFull)));
     }
-    assert!(sent.terms.patient, "it waits at the last one");
+    assert!(sent.terms.may_exceed_objective, "it waits at the last one");
     let told = outcome(driver.end(sent.call, refused(Code::QueueFull)));
     assert!(matches!(told, Outcome::NotRun { code: Code::QueueFull, .. }), "{told:?}");
 }
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -222,7 +222,7 @@
         class: Class::Interactive,
         rank: 0,
         objective: START,
-        patient: false,
+        may_exceed_objective: false,
         repeat: idempotent,
     };
     let (signing, lookup) = (RunKind::of(&terms(false)), RunKind::of(&terms(true)));
--- a/node/src/calls/headers.rs
+++ b/node/src/calls/headers.rs
@@ -193,7 +193,8 @@
     host[..end.unwrap_or(host.len())].to_ascii_lowercase()
 }
 
-/// The terms as text: `service;idempotent;once;class;rank;patient;repeat;objective`, the last as
+/// The terms as text:
+/// `service;idempotent;once;class;rank;may_exceed_objective;repeat;objective`, the last as
 /// milliseconds left at `now`.
 pub fn write_terms(terms: &Terms, now: Time) -> Option<HeaderValue> {
     let left = terms.objective.since(now).as_millis() as u64;
@@ -204,7 +205,7 @@
         terms.once as u8,
         terms.class as u8,
         terms.rank,
-        u8::from(terms.patient),
+        u8::from(terms.may_exceed_objective),
         u8::from(terms.repeat)
     );
     HeaderValue::try_from(text).ok()
@@ -234,11 +235,11 @@
         _ => return None,
     };
     let rank = parts.next()?.parse().ok()?;
-    let patient = parts.next()? == "1";
+    let may_exceed_objective = parts.next()? == "1";
     let repeat = parts.next()? == "1";
     let left = Duration::from_millis(parts.next()?.parse().ok()?);
     let objective = now + left;
-    Some(Terms { service, idempotent, once, class, rank, objective, patient, repeat })
+    Some(Terms { service, idempotent, once, class, rank, objective, may_exceed_objective, repeat })
 }
 
 /// Writes an outcome that is not an answer into the head of a response between nodes.
