--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -13,7 +13,7 @@
 use crate::place::{Link, Place};
 use crate::{Name, Time};
 use indexmap::IndexMap;
-use peer::{ANSWER_TIME_LIFE, Peer, Strictness, first_answer_time};
+use peer::{Peer, RESPONSE_TIME_TTL, TargetFilter, assumed_network_latency};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -24,92 +24,93 @@
 const CHEAPER_PERCENT: u32 = 80;
 
 /// Weight of the newest answer time in the running mean, as one part in so many.
-const ANSWER_TIME_WEIGHT: u32 = 8;
+const RESPONSE_TIME_WEIGHT: u32 = 8;
 
 /// The same for the usual answer time of a service, which changes more slowly than a target's.
-const TYPICAL_WEIGHT: u32 = 32;
+const TYPICAL_LATENCY_WEIGHT: u32 = 32;
 
 /// A time above the usual by so many mean deviations is one that few answers take.
-const LONGEST_DEVIATIONS: u32 = 4;
+const HEDGE_DELAY_DEVIATIONS: u32 = 4;
 
 /// Share of a service's usual time, in percent, in which a target must be expected to answer for a
 /// second attempt: one that is slow as well would not overtake the first.
-const SOUND_PERCENT: u32 = 150;
+const MAX_HEDGE_LATENCY_PERCENT: u32 = 150;
 
 /// Failures in a row after which a target is avoided.
-const MAX_FAILURES: u32 = 2;
+const EJECTION_FAILURES: u32 = 2;
 
 /// Shortest and longest time that a target is avoided after failures.
-const MIN_AVOID: Duration = Duration::from_millis(500);
-const MAX_AVOID: Duration = Duration::from_secs(8);
+const MIN_EJECTION: Duration = Duration::from_millis(500);
+const MAX_EJECTION: Duration = Duration::from_secs(8);
 
 /// How long a target that said that it is leaving is avoided without hearing so again. A node that
 /// is stopped and started again is back after two to three seconds; asking one that is still
 /// leaving costs a refusal, after which the request goes elsewhere.
-const LEAVING_LIFE: Duration = Duration::from_millis(2_500);
+const DRAINING_TTL: Duration = Duration::from_millis(2_500);
 
 /// How much more a way costs a class (gating, interactive, bulk): large answers fill links.
 const DISTANCE_FACTOR: [u32; 3] = [1, 1, 10];
 
 /// Random draws for a usable target before all are looked through.
-const DRAWS: usize = 4;
+const MAX_DRAWS: usize = 4;
 
 /// Most that a queue at one target is avoided for.
-const MAX_FULL: Duration = Duration::from_millis(500);
+const MAX_OVERLOAD_BACKOFF: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug, Default)]
-struct Tiers {
+struct ServiceTargets {
     // Indexes of peers by link, nearest first.
     by_link: [Vec<usize>; 3],
     // Whether the view of members calls most of the service's targets unusable.
-    distrust: bool,
+    ignore_membership: bool,
 }
 
 /// What a target is picked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct PickRequest<'a> {
     now: Time,
     service: ServiceKey,
     class: Class,
     rank: u8,
     tried: &'a [Name],
-    strictness: Strictness,
+    filter: TargetFilter,
 }
 
-impl<'a> Want<'a> {
+impl<'a> PickRequest<'a> {
     /// A target of a service for a request with these terms.
-    pub fn new(now: Time, service: ServiceKey, terms: &Terms) -> Want<'a> {
-        let (class, rank, strictness) = (terms.class, terms.rank, Strictness::Healthy);
-        Want { now, service, class, rank, tried: &[], strictness }
+    pub fn new(now: Time, service: ServiceKey, terms: &Terms) -> PickRequest<'a> {
+        let (class, rank, filter) = (terms.class, terms.rank, TargetFilter::Healthy);
+        PickRequest { now, service, class, rank, tried: &[], filter }
     }
 
     /// The same, but none of those tried.
-    pub fn with_tried(self, tried: &'a [Name]) -> Want<'a> {
-        Want { tried, ..self }
+    pub fn with_tried(self, tried: &'a [Name]) -> PickRequest<'a> {
+        PickRequest { tried, ..self }
     }
 
     /// The same, or one that fails.
-    fn with_failing(self) -> Want<'a> {
-        Want { strictness: Strictness::Staying, ..self }
+    fn with_failing(self) -> PickRequest<'a> {
+        PickRequest { filter: TargetFilter::NotDraining, ..self }
     }
 }
 
 /// Usual time of an answer, the way to the target left out, and its mean deviation.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usual {
+struct LatencyStats {
     mean: Duration,
     deviation: Duration,
 }
 
-impl Usual {
-    fn count(&mut self, took: Duration) {
+impl LatencyStats {
+    fn record(&mut self, took: Duration) {
         if self.mean.is_zero() {
-            *self = Usual { mean: took, deviation: took / 2 };
+            *self = LatencyStats { mean: took, deviation: took / 2 };
             return;
         }
         let newest = took.abs_diff(self.mean);
-        let weigh =
-            |known: Duration, newest| (known * (TYPICAL_WEIGHT - 1) + newest) / TYPICAL_WEIGHT;
+        let weigh = |known: Duration, newest| {
+            (known * (TYPICAL_LATENCY_WEIGHT - 1) + newest) / TYPICAL_LATENCY_WEIGHT
+        };
         self.deviation = weigh(self.deviation, newest);
         self.mean = weigh(self.mean, took);
     }
@@ -121,10 +122,10 @@
     place: Place,
     rng: Pcg64Mcg,
     peers: IndexMap<Name, Peer>,
-    services: Vec<Tiers>,
+    services: Vec<ServiceTargets>,
     // Usual time of an answer by service and class, the way to the target left out; in the order
     // of `services`.
-    typical: IndexMap<Name, [Usual; 3]>,
+    typical_latency: IndexMap<Name, [LatencyStats; 3]>,
     policy: Policy,
 }
 
@@ -132,8 +133,8 @@
     /// Knows no target. `place` is where the entry node is.
     pub fn new(place: Place, seed: u64) -> Balancer {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let (peers, typical) = (IndexMap::new(), IndexMap::new());
-        Balancer { place, rng, peers, services: Vec::new(), typical, policy: Policy::new() }
+        let (peers, typical_latency) = (IndexMap::new(), IndexMap::new());
+        Balancer { place, rng, peers, services: Vec::new(), typical_latency, policy: Policy::new() }
     }
 
     /// The same balancer with other mechanisms at work.
@@ -153,53 +154,55 @@
             peer.incarnation = entry.target.incarnation.clone();
             peer.service = entry.service.0 as usize;
             peer.slots = entry.target.slots;
-            peer.listed_leaving = entry.target.leaving;
+            peer.marked_leaving = entry.target.leaving;
             peer.link = link;
             self.peers.insert(entry.target.vm.clone(), peer);
         }
-        let mut typical = std::mem::take(&mut self.typical);
+        let mut typical_latency = std::mem::take(&mut self.typical_latency);
         self.services.clear();
         for entry in snapshot.services() {
-            let times = typical.swap_remove(&entry.name).unwrap_or_default();
-            self.typical.insert(entry.name.clone(), times);
-            self.services.push(Tiers::default());
+            let times = typical_latency.swap_remove(&entry.name).unwrap_or_default();
+            self.typical_latency.insert(entry.name.clone(), times);
+            self.services.push(ServiceTargets::default());
         }
         for (index, entry) in snapshot.targets().iter().enumerate() {
             let link = self.peers[index].link;
             self.services[entry.service.0 as usize].by_link[link as usize].push(index);
         }
-        self.view(members);
+        self.update_members(members);
     }
 
     /// Takes the states of VMs up, as a hint.
     ///
     /// A list that calls most targets of a service gone is not believed: sending everything to the
     /// few left would overload them.
-    pub fn view(&mut self, members: &Members) {
+    pub fn update_members(&mut self, members: &Members) {
         for (vm, peer) in &mut self.peers {
-            peer.leaving = members.get(vm).is_some_and(|state| *state != VmState::Live);
+            peer.not_live = members.get(vm).is_some_and(|state| *state != VmState::Live);
         }
         for tiers in &mut self.services {
             let all = tiers.by_link.iter().flatten();
-            let leaving = all.clone().filter(|index| self.peers[**index].leaving).count();
-            tiers.distrust = leaving * 2 > all.count();
+            let not_live = all.clone().filter(|index| self.peers[**index].not_live).count();
+            tiers.ignore_membership = not_live * 2 > all.count();
         }
     }
 
     /// A target that is not known to be full: one of the nearest tier, or a farther one that saves
     /// more time than its distance costs.
-    pub fn pick_free(&mut self, want: Want<'_>) -> Option<Name> {
-        let nearest = self.nearest_tier(want)?;
-        let stays = want.class == Class::Bulk && self.policy.has(Part::BulkStays);
+    pub fn pick_available(&mut self, request: PickRequest<'_>) -> Option<Name> {
+        let nearest = self.nearest_tier(request)?;
+        let stays = request.class == Class::Bulk && self.policy.has(Part::BulkStays);
         let mut best: Option<(usize, Duration)> = None;
         for link in
             Link::ALL.into_iter().filter(|link| !stays || *link <= nearest.max(Link::Region))
         {
-            let Some(index) = self.draw_two_free(want, link) else {
+            let Some(index) = self.draw_two_available(request, link) else {
                 continue;
             };
-            let wait = self.peers[index].reported_wait(want.now).unwrap_or_default();
-            let cost = self.speed(want, index) + wait + self.distance(want, nearest, link);
+            let wait = self.peers[index].reported_wait(request.now).unwrap_or_default();
+            let cost = self.unloaded_cost(request, index)
+                + wait
+                + self.distance_cost(request, nearest, link);
             if best.is_none_or(|(_, least)| cost < least) {
                 best = Some((index, cost));
             }
@@ -208,15 +211,16 @@
     }
 
     /// One of the nearest targets, however full it is.
-    pub fn pick_nearest(&mut self, want: Want<'_>) -> Option<Name> {
-        let mut nearest = |want| Link::ALL.into_iter().find_map(|link| self.draw_two(want, link));
-        let index = nearest(want).or_else(|| nearest(want.with_failing()))?;
+    pub fn pick_nearest(&mut self, request: PickRequest<'_>) -> Option<Name> {
+        let mut nearest =
+            |request| Link::ALL.into_iter().find_map(|link| self.draw_two(request, link));
+        let index = nearest(request).or_else(|| nearest(request.with_failing()))?;
         self.name_of(index)
     }
 
     /// A target that is not known to be full, or else one of the nearest.
-    pub fn pick(&mut self, want: Want<'_>) -> Option<Name> {
-        self.pick_free(want).or_else(|| self.pick_nearest(want))
+    pub fn pick(&mut self, request: PickRequest<'_>) -> Option<Name> {
+        self.pick_available(request).or_else(|| self.pick_nearest(request))
     }
 
     /// Address of the gatekeeper beside a target, and the run of the target that is meant.
@@ -229,102 +233,106 @@
         let Some(peer) = self.peers.get(vm) else {
             return Reason::default();
         };
-        let times = self.typical.get_index(peer.service);
-        let typical = times.map_or(Duration::ZERO, |(_, times)| times[class as usize].mean);
-        Reason { expected: peer.cost(now, class, typical), load: peer.load }
+        let times = self.typical_latency.get_index(peer.service);
+        let typical_latency = times.map_or(Duration::ZERO, |(_, times)| times[class as usize].mean);
+        Reason { expected: peer.cost(now, class, typical_latency), load: peer.load }
     }
 
     /// A request goes to this target.
-    pub fn begin(&mut self, vm: &Name) {
+    pub fn request_started(&mut self, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.in_flight += 1;
         }
     }
 
     /// A request that went to this target is over.
-    pub fn finish(&mut self, vm: &Name) {
+    pub fn request_finished(&mut self, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.in_flight = peer.in_flight.saturating_sub(1);
         }
     }
 
     /// The target's answer began after `took`.
-    pub fn answered(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
+    pub fn record_response(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
         };
         peer.failures = 0;
-        peer.avoid_until = Time::ZERO;
-        peer.count_end(now, false);
+        peer.ejected_until = Time::ZERO;
+        peer.record_outcome(now, false);
         if !self.policy.has(Part::AnswerTimes) {
             return;
         }
-        let known = &mut peer.answer_time[class as usize];
+        let known = &mut peer.response_time[class as usize];
         let mean = match *known {
-            Some((mean, at)) if now.since(at) < ANSWER_TIME_LIFE => {
-                (mean * (ANSWER_TIME_WEIGHT - 1) + took) / ANSWER_TIME_WEIGHT
+            Some((mean, at)) if now.since(at) < RESPONSE_TIME_TTL => {
+                (mean * (RESPONSE_TIME_WEIGHT - 1) + took) / RESPONSE_TIME_WEIGHT
             }
             _ => took,
         };
         *known = Some((mean, now));
-        let without_way = took.saturating_sub(first_answer_time(peer.link));
-        if let Some((_, usual)) = self.typical.get_index_mut(peer.service) {
-            usual[class as usize].count(without_way);
+        let service_time = took.saturating_sub(assumed_network_latency(peer.link));
+        if let Some((_, stats)) = self.typical_latency.get_index_mut(peer.service) {
+            stats[class as usize].record(service_time);
         }
     }
 
     /// The target had not answered after `took`, and the request was answered by another.
-    pub fn overtaken(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
+    pub fn record_lost_to_hedge(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
         let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::AnswerTimes))
         else {
             return;
         };
-        let known = &mut peer.answer_time[class as usize];
+        let known = &mut peer.response_time[class as usize];
         let mean = known.map_or(took, |(mean, _)| mean.max(took));
         *known = Some((mean, now));
-        if let Some((_, usual)) = self.typical.get_index_mut(peer.service) {
-            usual[class as usize].count(took);
+        if let Some((_, stats)) = self.typical_latency.get_index_mut(peer.service) {
+            stats[class as usize].record(took);
         }
     }
 
     /// How long an attempt is waited for before it is hedged: until nearly all answers of the service
     /// have come, or until just before a hedge that takes the usual time would miss the objective.
     /// `None` before any answer has come.
-    pub fn patience(&self, vm: &Name, class: Class, objective: Duration) -> Option<Duration> {
+    pub fn hedge_delay(&self, vm: &Name, class: Class, objective: Duration) -> Option<Duration> {
         let peer = self.peers.get(vm)?;
-        let (_, usual) = self.typical.get_index(peer.service)?;
-        let Usual { mean, deviation } = usual[class as usize];
-        let way = first_answer_time(peer.link);
-        let longest = mean + deviation * LONGEST_DEVIATIONS + way;
-        let in_time = objective.saturating_sub(mean * SOUND_PERCENT / 100 + way);
-        let patience = longest.min(in_time.max(mean + deviation + way));
-        (!mean.is_zero()).then_some(patience)
+        let (_, stats) = self.typical_latency.get_index(peer.service)?;
+        let LatencyStats { mean, deviation } = stats[class as usize];
+        let network_latency = assumed_network_latency(peer.link);
+        let slowest_expected = mean + deviation * HEDGE_DELAY_DEVIATIONS + network_latency;
+        let latest_useful =
+            objective.saturating_sub(mean * MAX_HEDGE_LATENCY_PERCENT / 100 + network_latency);
+        let hedge_delay =
+            slowest_expected.min(latest_useful.max(mean + deviation + network_latency));
+        (!mean.is_zero()).then_some(hedge_delay)
     }
 
     /// A target that is not known to be full and is expected to answer as fast as is usual. Large
     /// answers stay in their zone: one of two is thrown away.
-    pub fn pick_sound(&mut self, want: Want<'_>) -> Option<Name> {
-        let vm = self.pick_free(want)?;
+    pub fn pick_for_hedge(&mut self, request: PickRequest<'_>) -> Option<Name> {
+        let vm = self.pick_available(request)?;
         let peer = self.peers.get(&vm)?;
-        if want.class == Class::Bulk && peer.link != Link::Zone {
+        if request.class == Class::Bulk && peer.link != Link::Zone {
             return None;
         }
-        let wait = peer.reported_wait(want.now).unwrap_or_default();
-        let typical = self.typical(want);
-        let expected = peer.speed(want.now, want.class, typical) + wait;
-        let most = (typical + first_answer_time(peer.link)) * SOUND_PERCENT / 100;
+        let wait = peer.reported_wait(request.now).unwrap_or_default();
+        let typical_latency = self.typical_latency(request);
+        let expected = peer.unloaded_cost(request.now, request.class, typical_latency) + wait;
+        let most = (typical_latency + assumed_network_latency(peer.link))
+            * MAX_HEDGE_LATENCY_PERCENT
+            / 100;
         (expected <= most).then_some(vm)
     }
 
     /// The target answered with a failure of its own, or not before the deadline.
-    pub fn answered_failure(&mut self, now: Time, vm: &Name) {
+    pub fn record_request_failure(&mut self, now: Time, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::FailureShare)) {
-            peer.count_end(now, true);
+            peer.record_outcome(now, true);
         }
     }
 
     /// The target's gatekeeper reported its load.
-    pub fn reported(&mut self, now: Time, vm: &Name, load: Load) {
+    pub fn record_load(&mut self, now: Time, vm: &Name, load: Load) {
         if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::ReportedLoads))
         {
             peer.load = Some((load, now));
@@ -332,52 +340,57 @@
     }
 
     /// The target failed or could not be reached.
-    pub fn failed(&mut self, now: Time, vm: &Name) {
+    pub fn record_failure(&mut self, now: Time, vm: &Name) {
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
         };
         peer.failures = peer.failures.saturating_add(1);
-        if peer.failures >= MAX_FAILURES {
-            let doublings = (peer.failures - MAX_FAILURES).min(8);
-            peer.avoid_until = now + (MIN_AVOID * (1 << doublings)).min(MAX_AVOID);
+        if peer.failures >= EJECTION_FAILURES {
+            let doublings = (peer.failures - EJECTION_FAILURES).min(8);
+            peer.ejected_until = now + (MIN_EJECTION * (1 << doublings)).min(MAX_EJECTION);
         }
     }
 
     /// The target's gatekeeper can't be reached. Unlike a request that failed, this is no matter of
     /// chance: the next would wait for a connection in vain as well.
-    pub fn unreachable(&mut self, now: Time, vm: &Name) {
+    pub fn record_unreachable(&mut self, now: Time, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
-            peer.failures = peer.failures.max(MAX_FAILURES - 1);
+            peer.failures = peer.failures.max(EJECTION_FAILURES - 1);
         }
-        self.failed(now, vm);
+        self.record_failure(now, vm);
     }
 
     /// The target's gatekeeper refused for load.
-    pub fn full(&mut self, now: Time, vm: &Name, terms: &Terms, retry_after: Duration) {
+    pub fn record_overload(&mut self, now: Time, vm: &Name, terms: &Terms, retry_after: Duration) {
         if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::FullKnown)) {
-            peer.set_full(now, terms.class, terms.rank, retry_after.min(MAX_FULL));
+            peer.set_overloaded(
+                now,
+                terms.class,
+                terms.rank,
+                retry_after.min(MAX_OVERLOAD_BACKOFF),
+            );
         }
     }
 
     /// The target itself refused a request.
-    pub fn shed(&mut self, now: Time, vm: &Name) {
+    pub fn record_rejection(&mut self, now: Time, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::FailureShare)) {
-            peer.count_end(now, true);
+            peer.record_outcome(now, true);
         }
     }
 
     /// The target's gatekeeper said that it is leaving.
-    pub fn leaving(&mut self, now: Time, vm: &Name) {
+    pub fn record_draining(&mut self, now: Time, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
-            peer.leaving_until = now + LEAVING_LIFE;
+            peer.draining_until = now + DRAINING_TTL;
         }
     }
 
     /// Whether a target is leaving, by its own word or by the view of members.
-    pub fn is_leaving(&self, now: Time, vm: &Name) -> bool {
+    pub fn is_draining(&self, now: Time, vm: &Name) -> bool {
         self.peers
             .get(vm)
-            .is_some_and(|peer| peer.leaving || peer.listed_leaving || peer.leaving_until > now)
+            .is_some_and(|peer| peer.not_live || peer.marked_leaving || peer.draining_until > now)
     }
 
     fn name_of(&self, index: usize) -> Option<Name> {
@@ -388,72 +401,75 @@
     ///
     /// A way beyond it has its price even where every target is full: each zone's requests would
     /// otherwise wait at the other zones' targets, and cross in both directions.
-    fn nearest_tier(&self, want: Want<'_>) -> Option<Link> {
-        let tiers = self.services.get(want.service.0 as usize)?;
+    fn nearest_tier(&self, request: PickRequest<'_>) -> Option<Link> {
+        let tiers = self.services.get(request.service.0 as usize)?;
         let usable = |index: &usize| {
             let peer = &self.peers[*index];
-            peer.is_usable(want.now, Strictness::Staying, false) && peer.avoid_until <= want.now
+            peer.is_usable(request.now, TargetFilter::NotDraining, false)
+                && peer.ejected_until <= request.now
         };
-        let has = |link: &Link| tiers.by_link[*link as usize].iter().any(usable);
-        Link::ALL.into_iter().find(has).or(Some(Link::CrossRegion))
+        let has_usable = |link: &Link| tiers.by_link[*link as usize].iter().any(usable);
+        Link::ALL.into_iter().find(has_usable).or(Some(Link::CrossRegion))
     }
 
     /// What a way beyond the nearest tier costs.
-    fn distance(&self, want: Want<'_>, nearest: Link, link: Link) -> Duration {
+    fn distance_cost(&self, request: PickRequest<'_>, nearest: Link, link: Link) -> Duration {
         if link <= nearest || !self.policy.has(Part::Distance) {
             return Duration::ZERO;
         }
         let percent = self.policy.distance_percent[link as usize - 1];
-        let factor = DISTANCE_FACTOR[want.class as usize];
-        self.typical(want) * percent * factor / 100
+        let factor = DISTANCE_FACTOR[request.class as usize];
+        self.typical_latency(request) * percent * factor / 100
     }
 
-    fn speed(&self, want: Want<'_>, index: usize) -> Duration {
-        self.peers[index].speed(want.now, want.class, self.typical(want))
+    fn unloaded_cost(&self, request: PickRequest<'_>, index: usize) -> Duration {
+        self.peers[index].unloaded_cost(request.now, request.class, self.typical_latency(request))
     }
 
     /// The cheaper of two usable targets drawn at random.
-    fn draw_two(&mut self, want: Want<'_>, link: Link) -> Option<usize> {
-        self.draw_cheaper(want, link, |_| true)
+    fn draw_two(&mut self, request: PickRequest<'_>, link: Link) -> Option<usize> {
+        self.draw_cheaper(request, link, |_| true)
     }
 
     /// The same among those that have not refused for load just now.
-    fn draw_two_free(&mut self, want: Want<'_>, link: Link) -> Option<usize> {
-        self.draw_cheaper(want, link, |peer| !peer.is_full(want.now, want.class, want.rank))
+    fn draw_two_available(&mut self, request: PickRequest<'_>, link: Link) -> Option<usize> {
+        self.draw_cheaper(request, link, |peer| {
+            !peer.is_overloaded(request.now, request.class, request.rank)
+        })
     }
 
     fn draw_cheaper(
         &mut self,
-        want: Want<'_>,
+        request: PickRequest<'_>,
         link: Link,
-        may: impl Fn(&Peer) -> bool,
+        accept: impl Fn(&Peer) -> bool,
     ) -> Option<usize> {
-        let first = self.draw(want, link, None, &may)?;
-        let Some(second) = self.draw(want, link, Some(first), &may) else {
+        let first = self.draw(request, link, None, &accept)?;
+        let Some(second) = self.draw(request, link, Some(first), &accept) else {
             return Some(first);
         };
-        let limit = self.cost(want, first) * CHEAPER_PERCENT / 100;
-        let cheaper = self.cost(want, second) < limit;
+        let limit = self.cost(request, first) * CHEAPER_PERCENT / 100;
+        let cheaper = self.cost(request, second) < limit;
         Some(if cheaper { second } else { first })
     }
 
-    fn cost(&self, want: Want<'_>, index: usize) -> Duration {
-        self.peers[index].cost(want.now, want.class, self.typical(want))
+    fn cost(&self, request: PickRequest<'_>, index: usize) -> Duration {
+        self.peers[index].cost(request.now, request.class, self.typical_latency(request))
     }
 
-    fn typical(&self, want: Want<'_>) -> Duration {
-        let times = self.typical.get_index(want.service.0 as usize);
-        times.map_or(Duration::ZERO, |(_, times)| times[want.class as usize].mean)
+    fn typical_latency(&self, request: PickRequest<'_>) -> Duration {
+        let times = self.typical_latency.get_index(request.service.0 as usize);
+        times.map_or(Duration::ZERO, |(_, times)| times[request.class as usize].mean)
     }
 
     fn draw(
         &mut self,
-        want: Want<'_>,
+        request: PickRequest<'_>,
         link: Link,
-        not: Option<usize>,
-        may: &impl Fn(&Peer) -> bool,
+        excluded: Option<usize>,
+        accept: &impl Fn(&Peer) -> bool,
     ) -> Option<usize> {
-        let tiers = self.services.get(want.service.0 as usize)?;
+        let tiers = self.services.get(request.service.0 as usize)?;
         let tier = &tiers.by_link[link as usize];
         if tier.is_empty() {
             return None;
@@ -462,12 +478,12 @@
             let Some((vm, peer)) = self.peers.get_index(*index) else {
                 return false;
             };
-            Some(*index) != not
-                && !want.tried.contains(vm)
-                && peer.is_usable(want.now, want.strictness, tiers.distrust)
-                && may(peer)
+            Some(*index) != excluded
+                && !request.tried.contains(vm)
+                && peer.is_usable(request.now, request.filter, tiers.ignore_membership)
+                && accept(peer)
         };
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             let index = tier[self.rng.random_range(0..tier.len())];
             if usable(&index) {
                 return Some(index);
--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -9,32 +9,32 @@
 
 /// Answer time assumed of a target that has not been measured lately, by the link to it: the
 /// least that it can be, since one that is assumed slower than its neighbours would never be tried.
-const ZONE_ANSWER_TIME: Duration = Duration::from_millis(1);
-const REGION_ANSWER_TIME: Duration = Duration::from_millis(2);
-const ACROSS_ANSWER_TIME: Duration = Duration::from_millis(40);
+const ZONE_LATENCY: Duration = Duration::from_millis(1);
+const REGION_LATENCY: Duration = Duration::from_millis(2);
+const CROSS_REGION_LATENCY: Duration = Duration::from_millis(40);
 
 /// Shortest answer time that is told from a shorter one; below it the load decides.
-const MIN_ANSWER_TIME: Duration = ZONE_ANSWER_TIME;
+const MIN_RESPONSE_TIME: Duration = ZONE_LATENCY;
 
 /// How long a measured answer time counts, ever less. A target that was slow is tried again the
 /// sooner the less slow it was, and after this time as if new.
-pub const ANSWER_TIME_LIFE: Duration = Duration::from_secs(5);
+pub const RESPONSE_TIME_TTL: Duration = Duration::from_secs(5);
 
 /// How long a reported load counts.
-const LOAD_LIFE: Duration = Duration::from_secs(1);
+const LOAD_REPORT_TTL: Duration = Duration::from_secs(1);
 
 /// Slots assumed of a target that has reported none.
-const UNKNOWN_SLOTS: u32 = 8;
+const DEFAULT_SLOTS: u32 = 8;
 
 /// Weight of the newest attempt in the running share of failures, as one part in so many.
-const FAILED_WEIGHT: u32 = 8;
+const FAILURE_WEIGHT: u32 = 8;
 
 /// Parts of the share of failures; the share is counted in these.
-const FAILED_WHOLE: u32 = 1_024;
+const FAILURE_SCALE: u32 = 1_024;
 
 /// How much dearer a target counts that fails every request, as a multiple. One that fails half
 /// of them while its health check is good then gets work only when the others are far from free.
-const FAILED_COST: u32 = 8;
+const FAILURE_COST_FACTOR: u32 = 8;
 
 /// One target as an entry node sees it.
 #[derive(Clone, Debug)]
@@ -54,26 +54,26 @@
     /// Its last report, and when it came.
     pub load: Option<(Load, Time)>,
     /// Mean time of its answers by class, and when it was measured.
-    pub answer_time: [Option<(Duration, Time)>; 3],
+    pub response_time: [Option<(Duration, Time)>; 3],
     /// Share of attempts that failed of late, and when the last one ended.
-    pub failed_share: (u32, Time),
+    pub failure_rate: (u32, Time),
     /// In a row.
     pub failures: u32,
     /// After failures.
-    pub avoid_until: Time,
+    pub ejected_until: Time,
     /// By its gatekeeper's word, for requests of a class from a rank on.
-    pub full: [Option<Full>; 3],
+    pub overload: [Option<Overload>; 3],
     /// By its gatekeeper's word.
-    pub leaving_until: Time,
+    pub draining_until: Time,
     /// By the view of members.
-    pub leaving: bool,
+    pub not_live: bool,
     /// By the target's own entry.
-    pub listed_leaving: bool,
+    pub marked_leaving: bool,
 }
 
 /// A refusal for load that still holds.
 #[derive(Clone, Copy, Debug)]
-pub struct Full {
+pub struct Overload {
     /// The most urgent rank that was refused.
     pub rank: u8,
     /// When a request may be tried again.
@@ -82,11 +82,11 @@
 
 /// How strictly targets are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strictness {
+pub enum TargetFilter {
     /// Neither leaving nor failing nor full.
     Healthy,
     /// Not leaving by its own word.
-    Staying,
+    NotDraining,
 }
 
 impl Peer {
@@ -100,108 +100,114 @@
             slots: None,
             in_flight: 0,
             load: None,
-            answer_time: [None; 3],
-            failed_share: (0, Time::ZERO),
+            response_time: [None; 3],
+            failure_rate: (0, Time::ZERO),
             failures: 0,
-            avoid_until: Time::ZERO,
-            full: [None; 3],
-            leaving_until: Time::ZERO,
-            leaving: false,
-            listed_leaving: false,
+            ejected_until: Time::ZERO,
+            overload: [None; 3],
+            draining_until: Time::ZERO,
+            not_live: false,
+            marked_leaving: false,
         }
     }
 
     /// Whether requests may go there.
-    pub fn is_usable(&self, now: Time, strictness: Strictness, distrust: bool) -> bool {
-        if self.leaving_until > now || self.listed_leaving {
+    pub fn is_usable(&self, now: Time, filter: TargetFilter, ignore_membership: bool) -> bool {
+        if self.draining_until > now || self.marked_leaving {
             return false;
         }
-        match strictness {
-            Strictness::Healthy => {
-                let listed = !self.leaving || distrust;
-                listed && self.avoid_until <= now
+        match filter {
+            TargetFilter::Healthy => {
+                let live = !self.not_live || ignore_membership;
+                live && self.ejected_until <= now
             }
-            Strictness::Staying => true,
+            TargetFilter::NotDraining => true,
         }
     }
 
     /// Whether a request like this one has been refused for load just now.
-    pub fn is_full(&self, now: Time, class: Class, rank: u8) -> bool {
-        self.full[class as usize].is_some_and(|full| full.until > now && full.rank <= rank)
+    pub fn is_overloaded(&self, now: Time, class: Class, rank: u8) -> bool {
+        self.overload[class as usize]
+            .is_some_and(|overload| overload.until > now && overload.rank <= rank)
     }
 
     /// Takes a refusal for load in.
-    pub fn set_full(&mut self, now: Time, class: Class, rank: u8, wait: Duration) {
-        let known = &mut self.full[class as usize];
-        let held = known.filter(|full| full.until > now);
-        let rank = held.map_or(rank, |full| full.rank.min(rank));
-        *known = Some(Full { rank, until: now + wait });
+    pub fn set_overloaded(&mut self, now: Time, class: Class, rank: u8, wait: Duration) {
+        let known = &mut self.overload[class as usize];
+        let active = known.filter(|overload| overload.until > now);
+        let rank = active.map_or(rank, |overload| overload.rank.min(rank));
+        *known = Some(Overload { rank, until: now + wait });
     }
 
     /// Expected time to an answer: the measured time, stretched by how full the target is and by
     /// how often it has failed of late.
-    pub fn cost(&self, now: Time, class: Class, typical: Duration) -> Duration {
-        let answer_time = self.expected_answer_time(now, class, typical);
+    pub fn cost(&self, now: Time, class: Class, typical_latency: Duration) -> Duration {
+        let response_time = self.expected_response_time(now, class, typical_latency);
         let (outstanding, slots) = self.outstanding(now);
         let waiting = outstanding.saturating_sub(slots);
-        let time = answer_time * (slots + outstanding + waiting * 2) / slots;
-        time + time * FAILED_COST * self.failed(now) / FAILED_WHOLE
+        let time = response_time * (slots + outstanding + waiting * 2) / slots;
+        time + time * FAILURE_COST_FACTOR * self.decayed_failure_rate(now) / FAILURE_SCALE
     }
 
     /// Expected time to an answer without regard to load: what tells a target that is slow, or
     /// fails, from a sound one.
-    pub fn speed(&self, now: Time, class: Class, typical: Duration) -> Duration {
-        let time = self.expected_answer_time(now, class, typical);
-        time + time * FAILED_COST * self.failed(now) / FAILED_WHOLE
+    pub fn unloaded_cost(&self, now: Time, class: Class, typical_latency: Duration) -> Duration {
+        let time = self.expected_response_time(now, class, typical_latency);
+        time + time * FAILURE_COST_FACTOR * self.decayed_failure_rate(now) / FAILURE_SCALE
     }
 
     /// How long a request would wait there by its last report; `None` if that is too old.
     pub fn reported_wait(&self, now: Time) -> Option<Duration> {
         let (load, at) = self.load?;
-        (now.since(at) < LOAD_LIFE).then(|| Duration::from_millis(load.wait_ms.into()))
+        (now.since(at) < LOAD_REPORT_TTL).then(|| Duration::from_millis(load.wait_ms.into()))
     }
 
     /// Requests known to be there, and its slots.
     fn outstanding(&self, now: Time) -> (u32, u32) {
-        let recent = |at: Time| now.since(at) < LOAD_LIFE;
+        let recent = |at: Time| now.since(at) < LOAD_REPORT_TTL;
         let load = self.load.filter(|(_, at)| recent(*at)).map(|(load, _)| load);
-        let slots = load.map(|load| load.slots).or(self.slots).unwrap_or(UNKNOWN_SLOTS);
+        let slots = load.map(|load| load.slots).or(self.slots).unwrap_or(DEFAULT_SLOTS);
         let reported = load.map_or(0, |load| load.in_flight + load.queued);
         (reported.max(self.in_flight), slots.max(1))
     }
 
-    fn expected_answer_time(&self, now: Time, class: Class, typical: Duration) -> Duration {
-        let first = first_answer_time(self.link) + typical;
-        let Some((mean, at)) = self.answer_time[class as usize] else {
-            return first;
+    fn expected_response_time(
+        &self,
+        now: Time,
+        class: Class,
+        typical_latency: Duration,
+    ) -> Duration {
+        let assumed = assumed_network_latency(self.link) + typical_latency;
+        let Some((mean, at)) = self.response_time[class as usize] else {
+            return assumed;
         };
-        let age = now.since(at).min(ANSWER_TIME_LIFE);
-        let left = (ANSWER_TIME_LIFE - age).as_millis() as u32;
-        let above = mean.saturating_sub(first) * left / ANSWER_TIME_LIFE.as_millis() as u32;
-        (mean.min(first) + above).max(MIN_ANSWER_TIME)
+        let age = now.since(at).min(RESPONSE_TIME_TTL);
+        let left = (RESPONSE_TIME_TTL - age).as_millis() as u32;
+        let above = mean.saturating_sub(assumed) * left / RESPONSE_TIME_TTL.as_millis() as u32;
+        (mean.min(assumed) + above).max(MIN_RESPONSE_TIME)
     }
 
     /// Counts an attempt that ended.
-    pub fn count_end(&mut self, now: Time, failed: bool) {
-        let newest = if failed { FAILED_WHOLE } else { 0 };
-        let share = self.failed(now) * (FAILED_WEIGHT - 1) + newest;
-        self.failed_share = (share / FAILED_WEIGHT, now);
+    pub fn record_outcome(&mut self, now: Time, failed: bool) {
+        let newest = if failed { FAILURE_SCALE } else { 0 };
+        let share = self.decayed_failure_rate(now) * (FAILURE_WEIGHT - 1) + newest;
+        self.failure_rate = (share / FAILURE_WEIGHT, now);
     }
 
     /// The share of failures, which counts ever less while nothing is tried.
-    fn failed(&self, now: Time) -> u32 {
-        let (share, at) = self.failed_share;
-        let age = now.since(at).min(ANSWER_TIME_LIFE);
-        let left = (ANSWER_TIME_LIFE - age).as_millis() as u32;
-        share * left / ANSWER_TIME_LIFE.as_millis() as u32
+    fn decayed_failure_rate(&self, now: Time) -> u32 {
+        let (share, at) = self.failure_rate;
+        let age = now.since(at).min(RESPONSE_TIME_TTL);
+        let left = (RESPONSE_TIME_TTL - age).as_millis() as u32;
+        share * left / RESPONSE_TIME_TTL.as_millis() as u32
     }
 }
 
 /// Answer time assumed over such a link, the target's own time left out.
-pub fn first_answer_time(link: Link) -> Duration {
+pub fn assumed_network_latency(link: Link) -> Duration {
     match link {
-        Link::Zone => ZONE_ANSWER_TIME,
-        Link::Region => REGION_ANSWER_TIME,
-        Link::CrossRegion => ACROSS_ANSWER_TIME,
+        Link::Zone => ZONE_LATENCY,
+        Link::Region => REGION_LATENCY,
+        Link::CrossRegion => CROSS_REGION_LATENCY,
     }
 }
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -8,7 +8,7 @@
 
 pub use port::{Arrival, AttemptEnd, Forward, Input, Output, Reason};
 
-use super::balance::{Balancer, Want};
+use super::balance::{Balancer, PickRequest};
 use super::patience::Patience;
 use super::policy::{Part, Policy};
 use super::split::Splits;
@@ -109,7 +109,7 @@
         match input {
             Input::Configure(snapshot) => self.configure(snapshot),
             Input::View(members) => {
-                self.balancer.view(&members);
+                self.balancer.update_members(&members);
                 self.members = members;
             }
             Input::Drain => self.draining = true,
@@ -243,10 +243,10 @@
         if let Some(key) = call.key {
             return self.home_for(now, &call.snapshot, service, key, &[]);
         }
-        let want = Want::new(now, service, &call.terms);
-        self.balancer.pick_free(want).or_else(|| {
+        let request = PickRequest::new(now, service, &call.terms);
+        self.balancer.pick_available(request).or_else(|| {
             call.terms.may_exceed_objective = self.policy.has(Part::FullOnce);
-            self.balancer.pick_nearest(want)
+            self.balancer.pick_nearest(request)
         })
     }
 
@@ -264,9 +264,9 @@
         let (gate, incarnation) = self.balancer.gate(vm)?;
         let reason = self.balancer.reason(now, vm, call.terms.class);
         let objective = call.terms.objective.since(now);
-        let patience = self.balancer.patience(vm, call.terms.class, objective);
+        let patience = self.balancer.hedge_delay(vm, call.terms.class, objective);
         let may_hedge = call.terms.idempotent && !hedge && self.policy.has(Part::Hedges);
-        self.balancer.begin(vm);
+        self.balancer.request_started(vm);
         call.attempt += 1;
         call.tried.push(vm.clone());
         let running = Some(Running { vm: vm.clone(), sent_at: now });
@@ -310,7 +310,7 @@
                 let again = self.calls.get(&key).is_some_and(|call| call.terms.idempotent);
                 let next = again.then(|| self.next_attempt(now, key, Code::TargetFailed, whole));
                 if let Some(next) = next.flatten() {
-                    self.balancer.finish(&running.vm);
+                    self.balancer.request_finished(&running.vm);
                     // It has run, so that no later refusal may say that it has not.
                     if let Some(call) = self.calls.get_mut(&key) {
                         call.terms.repeat = true;
@@ -320,7 +320,7 @@
                 }
             }
             Noted::Ended(code, retry_after) => {
-                self.balancer.finish(&running.vm);
+                self.balancer.request_finished(&running.vm);
                 match self.next_attempt(now, key, code, whole) {
                     Some(vm) => self.forward(now, key, vm, out),
                     None => self.finish(key, code, retry_after, out),
@@ -337,18 +337,18 @@
         };
         let report = |balancer: &mut Balancer, load: Option<Load>| {
             if let Some(load) = load {
-                balancer.reported(now, vm, load);
+                balancer.record_load(now, vm, load);
             }
         };
         match end {
             AttemptEnd::Answering { load, waited } => {
                 let took = now.since(attempt.sent_at).saturating_sub(waited);
-                self.balancer.answered(now, vm, call.terms.class, took);
+                self.balancer.record_response(now, vm, call.terms.class, took);
                 report(&mut self.balancer, load);
                 Noted::Answer
             }
             AttemptEnd::AnsweringFailure { load } => {
-                self.balancer.answered_failure(now, vm);
+                self.balancer.record_request_failure(now, vm);
                 report(&mut self.balancer, load);
                 Noted::Failure
             }
@@ -356,14 +356,14 @@
                 call.crashes = call.crashes.max(crashes);
                 report(&mut self.balancer, load);
                 match code {
-                    Code::Draining => self.balancer.leaving(now, vm),
+                    Code::Draining => self.balancer.record_draining(now, vm),
                     Code::QueueFull | Code::QueueTimeout => {
-                        self.balancer.full(now, vm, &call.terms, retry_after);
+                        self.balancer.record_overload(now, vm, &call.terms, retry_after);
                     }
                     Code::TargetUnreachable | Code::TargetReplaced => {
-                        self.balancer.failed(now, vm);
+                        self.balancer.record_failure(now, vm);
                     }
-                    Code::TargetRefused => self.balancer.shed(now, vm),
+                    Code::TargetRefused => self.balancer.record_rejection(now, vm),
                     _ => {}
                 }
                 if spares_target(code) {
@@ -377,25 +377,25 @@
                 call.terms.repeat = true;
                 call.unknown.get_or_insert(code);
                 match code {
-                    Code::TargetFailed => self.balancer.failed(now, vm),
-                    Code::DeadlinePassed => self.balancer.answered_failure(now, vm),
+                    Code::TargetFailed => self.balancer.record_failure(now, vm),
+                    Code::DeadlinePassed => self.balancer.record_request_failure(now, vm),
                     _ => {}
                 }
                 Noted::Ended(code, COME_BACK_SOON)
             }
             AttemptEnd::NotSent => {
-                self.balancer.unreachable(now, vm);
+                self.balancer.record_unreachable(now, vm);
                 Noted::Ended(Code::GatekeeperUnreachable, COME_BACK_LATER)
             }
             AttemptEnd::Lost => {
                 call.terms.repeat = true;
                 call.unknown.get_or_insert(Code::AnswerLost);
-                self.balancer.failed(now, vm);
+                self.balancer.record_failure(now, vm);
                 Noted::Ended(Code::AnswerLost, COME_BACK_SOON)
             }
             AttemptEnd::Overtaken => {
                 let took = now.since(attempt.sent_at);
-                self.balancer.overtaken(now, vm, call.terms.class, took);
+                self.balancer.record_lost_to_hedge(now, vm, call.terms.class, took);
                 Noted::Answer
             }
         }
@@ -411,7 +411,7 @@
     fn close(&mut self, key: CallKey) {
         if let Some(call) = self.calls.swap_remove(&key) {
             for attempt in call.running.iter().chain(&call.hedge) {
-                self.balancer.finish(&attempt.vm);
+                self.balancer.request_finished(&attempt.vm);
             }
         }
     }
@@ -421,10 +421,10 @@
             return;
         };
         for attempt in call.running.iter().chain(&call.hedge) {
-            self.balancer.finish(&attempt.vm);
+            self.balancer.request_finished(&attempt.vm);
             // Silence is the only sign of a target that takes requests and never answers.
             if sent {
-                self.balancer.answered_failure(now, &attempt.vm);
+                self.balancer.record_request_failure(now, &attempt.vm);
             }
         }
         if sent {
--- a/core/src/call/entry/again.rs
+++ b/core/src/call/entry/again.rs
@@ -1,7 +1,7 @@
 //! Whether a request is sent again, and to which target.
 
 use super::Entry;
-use crate::call::balance::Want;
+use crate::call::balance::PickRequest;
 use crate::call::note::HomeList;
 use crate::call::policy::Part;
 use crate::call::quarantine::MAX_CRASHES;
@@ -56,7 +56,7 @@
             return None;
         }
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
-        let vm = self.balancer.pick_nearest(Want::new(now, service, &call.terms))?;
+        let vm = self.balancer.pick_nearest(PickRequest::new(now, service, &call.terms))?;
         let call = self.calls.get_mut(&key)?;
         call.terms.may_exceed_objective = true;
         Some(vm)
@@ -97,7 +97,7 @@
         let vms: Vec<&Name> = targets.map(|target| &snapshot.target(*target).target.vm).collect();
         let order = HomeList::order(&subject, &vms, MAX_HOMES);
         let mut untried = order.iter().filter(|vm| !tried.contains(vm));
-        let staying = untried.clone().find(|vm| !self.balancer.is_leaving(now, vm));
+        let staying = untried.clone().find(|vm| !self.balancer.is_draining(now, vm));
         staying.or_else(|| untried.next()).map(|vm| Name::clone(vm))
     }
 
@@ -120,11 +120,11 @@
         if full && spare_forwards > 0 && call.spared >= spare_forwards {
             return None;
         }
-        let want = Want::new(now, service, &call.terms).with_tried(&call.tried);
+        let request = PickRequest::new(now, service, &call.terms).with_tried(&call.tried);
         let vm = match full && spare_forwards > 0 {
             // Others that are full as well would say the same; it may wait at one of them.
-            true => self.balancer.pick_free(want)?,
-            false => self.balancer.pick(want)?,
+            true => self.balancer.pick_available(request)?,
+            false => self.balancer.pick(request)?,
         };
         let unbounded = !self.policy.has(Part::RetryBudget);
         let paid = kind == RetryKind::Free || unbounded || self.retries.take(now, call);
--- a/core/src/call/entry/hedge.rs
+++ b/core/src/call/entry/hedge.rs
@@ -6,7 +6,7 @@
 
 use super::{AttemptEnd, Entry, Output, Running};
 use crate::call::CallKey;
-use crate::call::balance::Want;
+use crate::call::balance::PickRequest;
 use crate::{Name, Time};
 
 impl Entry {
@@ -32,8 +32,8 @@
             return None;
         }
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
-        let want = Want::new(now, service, &call.terms).with_tried(&call.tried);
-        let vm = self.balancer.pick_sound(want)?;
+        let request = PickRequest::new(now, service, &call.terms).with_tried(&call.tried);
+        let vm = self.balancer.pick_for_hedge(request)?;
         self.retries.take(now, call).then_some(vm)
     }
 
@@ -67,7 +67,7 @@
         let Some(over) = over else {
             return;
         };
-        self.balancer.finish(&over.vm);
+        self.balancer.request_finished(&over.vm);
         if let Some(end) = end {
             self.note_end(now, key, &over, end);
         }
--- a/core/tests/call_balance.rs
+++ b/core/tests/call_balance.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::name;
 use sycamore_core::Time;
-use sycamore_core::call::balance::{Balancer, Want};
+use sycamore_core::call::balance::{Balancer, PickRequest};
 use sycamore_core::call::{Load, Members, Terms};
 use sycamore_core::config::{Class, OnceBy, ServiceKey, Snapshot};
 use sycamore_core::place::Place;
@@ -44,17 +44,17 @@
 fn full(balancer: &mut Balancer, vms: [&str; 2], wait_ms: u32) {
     for vm in vms {
         let load = Load { in_flight: 8, slots: 8, queued: 4, wait_ms };
-        balancer.reported(START, &name(vm), load);
+        balancer.record_load(START, &name(vm), load);
         for class in [Class::Bulk, Class::Interactive] {
             let wait = Duration::from_millis(wait_ms.into());
-            balancer.full(START, &name(vm), &terms(class), wait);
+            balancer.record_overload(START, &name(vm), &terms(class), wait);
         }
     }
 }
 
 /// How many of a hundred requests go to the other region.
 fn across(balancer: &mut Balancer, class: Class) -> usize {
-    let mut pick = || balancer.pick(Want::new(START, ServiceKey(0), &terms(class)));
+    let mut pick = || balancer.pick(PickRequest::new(START, ServiceKey(0), &terms(class)));
     (0..100).filter(|_| matches!(pick().unwrap().as_str(), "c" | "d")).count()
 }
 
@@ -77,14 +77,14 @@
     let mut balancer = balancer();
     for (vm, took, wait_ms) in [("a", 100, 80), ("b", 100, 80), ("c", 140, 20), ("d", 140, 20)] {
         let vm = name(vm);
-        balancer.answered(START, &vm, Class::Interactive, Duration::from_millis(took));
-        balancer.reported(START, &vm, Load { in_flight: 8, slots: 8, queued: 4, wait_ms });
+        balancer.record_response(START, &vm, Class::Interactive, Duration::from_millis(took));
+        balancer.record_load(START, &vm, Load { in_flight: 8, slots: 8, queued: 4, wait_ms });
     }
     assert_eq!(across(&mut balancer, Class::Interactive), 0);
     // It is worth the way when a run and more is saved.
     for vm in ["a", "b"] {
         let load = Load { in_flight: 8, slots: 8, queued: 20, wait_ms: 300 };
-        balancer.reported(START, &name(vm), load);
+        balancer.record_load(START, &name(vm), load);
     }
     assert_eq!(across(&mut balancer, Class::Interactive), 100);
 }
@@ -93,7 +93,7 @@
 fn large_answers_leave_region_without_targets() {
     let mut balancer = balancer();
     for vm in ["a", "b"] {
-        balancer.unreachable(START, &name(vm));
+        balancer.record_unreachable(START, &name(vm));
     }
     assert_eq!(across(&mut balancer, Class::Bulk), 100);
 }
