--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -364,7 +364,7 @@
             self.close_attempt(node, submission, attempt);
         }
         for gate in gates {
-            self.answer(gate, AttemptEnd::Lost, None);
+            self.answer(gate, AttemptEnd::ConnectionLost, None);
         }
     }
 }
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -53,7 +53,7 @@
                 let body = answer.body.as_ref().try_into().map_or(0, u64::from_be_bytes);
                 self.answer(
                     gate,
-                    AttemptEnd::Answering { load: None, waited: Duration::ZERO },
+                    AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
                     Some(body),
                 );
             }
@@ -121,7 +121,7 @@
         }
         let back = match &end {
             End::Answered { .. } | End::Read { .. } => {
-                AttemptEnd::Answering { load: None, waited: Duration::ZERO }
+                AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO }
             }
             End::NotSent | End::Rejected(_) => AttemptEnd::Refused {
                 code: Code::TargetUnreachable,
--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -323,7 +323,7 @@
             node::Input::Entry(entry::Input::Arrive(arrival))
         }
         Given::Attempt { call, end } => {
-            node::Input::Entry(entry::Input::Attempt { call, end, whole: true })
+            node::Input::Entry(entry::Input::Attempt { call, end, replayable: true })
         }
         Given::Close(call) => node::Input::Entry(entry::Input::Close(call)),
         Given::Expire { call } => node::Input::Entry(entry::Input::Expire { call, sent: true }),
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -158,7 +158,7 @@
         if forward.attempt == 1 {
             self.links.at(forward.deadline, Happening::Expire(key));
         }
-        if let Some(patience) = forward.patience_ms {
+        if let Some(patience) = forward.hedge_delay_ms {
             let patience = Duration::from_millis(patience.into());
             self.links.after(patience, Happening::Slow(key, gate));
         }
@@ -172,7 +172,7 @@
         let waits = |call: &&Call| call.gate == Some(gate) && call.second.is_none();
         let Some(node) = self.calls.get(&key).filter(waits).map(|call| call.node) else { return };
         let mut out = Vec::new();
-        self.nodes[node].entry.handle(self.links.now(), entry::Input::Slow(key), &mut out);
+        self.nodes[node].entry.handle(self.links.now(), entry::Input::HedgeDue(key), &mut out);
         for output in out {
             let entry::Output::Forward(forward) = output else { continue };
             let second = self.forward(node, forward).map(|(_, gate)| gate);
@@ -258,9 +258,9 @@
         if raced && !self.settle_race(key, gate, &end) {
             return;
         }
-        let answered = matches!(end, AttemptEnd::Answering { .. });
-        let failure = matches!(end, AttemptEnd::AnsweringFailure { .. });
-        self.tell_entry(node, entry::Input::Attempt { call: key, end, whole: true });
+        let answered = matches!(end, AttemptEnd::ResponseStarted { .. });
+        let failure = matches!(end, AttemptEnd::ErrorResponseStarted { .. });
+        self.tell_entry(node, entry::Input::Attempt { call: key, end, replayable: true });
         let same = self.calls.get(&key).is_some_and(|call| call.gate == Some(gate));
         if same && answered {
             self.tell_entry(node, entry::Input::Close(key));
@@ -304,27 +304,27 @@
     fn settle_race(&mut self, key: CallKey, gate: CallKey, end: &AttemptEnd) -> bool {
         let Some(call) = self.calls.get_mut(&key) else { return false };
         let (node, first, second) = (call.node, call.gate, call.second.take());
-        let answered = matches!(end, AttemptEnd::Answering { .. });
+        let answered = matches!(end, AttemptEnd::ResponseStarted { .. });
         let is_first = first == Some(gate);
         match (is_first, answered) {
             (true, true) => {
                 self.close_attempt(node, second);
-                self.tell_entry(node, entry::Input::HedgeOver { call: key, end: None });
+                self.tell_entry(node, entry::Input::HedgeEnded { call: key, end: None });
             }
             (true, false) => {
                 call.gate = second;
-                let input = entry::Input::FirstOver { call: key, end: end.clone() };
+                let input = entry::Input::PrimaryEnded { call: key, end: end.clone() };
                 self.tell_entry(node, input);
             }
             (false, true) => {
                 call.gate = second;
                 self.close_attempt(node, first);
-                let end = AttemptEnd::Overtaken;
-                self.tell_entry(node, entry::Input::FirstOver { call: key, end });
+                let end = AttemptEnd::LostToHedge;
+                self.tell_entry(node, entry::Input::PrimaryEnded { call: key, end });
             }
             (false, false) => {
                 let end = Some(end.clone());
-                self.tell_entry(node, entry::Input::HedgeOver { call: key, end });
+                self.tell_entry(node, entry::Input::HedgeEnded { call: key, end });
             }
         }
         answered
@@ -375,7 +375,10 @@
         }
         for run in runs {
             let Some(gated) = self.gated.swap_remove(&run) else { continue };
-            self.send_back(node, Back { call: gated.call, gate: run, end: AttemptEnd::Lost });
+            self.send_back(
+                node,
+                Back { call: gated.call, gate: run, end: AttemptEnd::ConnectionLost },
+            );
         }
     }
 
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -133,10 +133,10 @@
         let Some(call) = self.calls.get(&key) else { return };
         let to = call.node;
         let (end, body) = match failed {
-            true => (AttemptEnd::AnsweringFailure { load: Some(load) }, 0),
+            true => (AttemptEnd::ErrorResponseStarted { load: Some(load) }, 0),
             false => {
                 let body = self.kinds[kind].cfg.answer_bytes;
-                (AttemptEnd::Answering { load: Some(load), waited }, body)
+                (AttemptEnd::ResponseStarted { load: Some(load), waited }, body)
             }
         };
         let departs = self.dealt_with(node);
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -17,7 +17,7 @@
 use crate::config::{OnceBy, RouteKey, ServiceKey, Snapshot};
 use crate::place::Place;
 use crate::{Code, Name, Time};
-use again::{reached_target, spares_target};
+use again::{is_early_refusal, reached_target};
 use hedge::Allowance;
 use indexmap::IndexMap;
 use retries::Retries;
@@ -25,8 +25,8 @@
 use std::time::Duration;
 
 /// When to come back after refusals that have nothing to do with load.
-const COME_BACK_SOON: Duration = Duration::from_millis(200);
-const COME_BACK_LATER: Duration = Duration::from_secs(1);
+const SHORT_RETRY_AFTER: Duration = Duration::from_millis(200);
+const LONG_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Call {
@@ -38,31 +38,31 @@
     deadline: Time,
     attempt: u32,
     // Forwards that gatekeepers refused without any work for a target.
-    spared: u32,
-    running: Option<Running>,
+    early_refusals: u32,
+    primary: Option<ActiveAttempt>,
     // Beside it, if it is slow.
-    hedge: Option<Running>,
+    hedge: Option<ActiveAttempt>,
     tried: Vec<Name>,
     crashes: u32,
     // Why it may have run, if an attempt may have reached a target.
-    unknown: Option<Code>,
+    possibly_run: Option<Code>,
 }
 
 /// An attempt that has not ended.
 #[derive(Clone, Debug)]
-struct Running {
+struct ActiveAttempt {
     vm: Name,
     sent_at: Time,
 }
 
 /// What the end of an attempt means for its call.
-enum Noted {
+enum EndEffect {
     /// The answer begins.
-    Answer,
+    ResponseStarted,
     /// The answer begins, and is a failure of the target's own.
-    Failure,
+    ErrorResponse,
     /// There is no answer.
-    Ended(Code, Duration),
+    NoResponse(Code, Duration),
 }
 
 /// One shard of an entry node. A call belongs to one shard.
@@ -114,10 +114,12 @@
             }
             Input::Drain => self.draining = true,
             Input::Arrive(arrival) => self.arrive(now, &arrival, out),
-            Input::Attempt { call, end, whole } => self.attempt_ended(now, call, end, whole, out),
-            Input::Slow(call) => self.hedge(now, call, out),
-            Input::FirstOver { call, end } => self.first_over(now, call, end),
-            Input::HedgeOver { call, end } => self.hedge_over(now, call, end),
+            Input::Attempt { call, end, replayable } => {
+                self.attempt_ended(now, call, end, replayable, out)
+            }
+            Input::HedgeDue(call) => self.hedge(now, call, out),
+            Input::PrimaryEnded { call, end } => self.primary_ended(now, call, end),
+            Input::HedgeEnded { call, end } => self.hedge_ended(now, call, end),
             Input::Close(call) => self.close(call),
             Input::Expire { call, sent } => self.expire(now, call, sent, out),
         }
@@ -137,20 +139,20 @@
 
     fn arrive(&mut self, now: Time, arrival: &Arrival<'_>, out: &mut Vec<Output>) {
         let outcome = match self.check(arrival) {
-            Ok((snapshot, route)) => return self.take(now, arrival, snapshot, route, out),
+            Ok((snapshot, route)) => return self.accept(now, arrival, snapshot, route, out),
             Err(outcome) => outcome,
         };
         out.push(Output::Finish { call: arrival.call, outcome });
     }
 
     fn check(&self, arrival: &Arrival<'_>) -> Result<(Arc<Snapshot>, RouteKey), Outcome> {
-        let refuse = |code| Err(Outcome::not_run(code, COME_BACK_LATER));
+        let refuse = |code| Err(Outcome::not_run(code, LONG_RETRY_AFTER));
         if self.draining {
-            return Err(Outcome::not_run(Code::Draining, COME_BACK_SOON));
+            return Err(Outcome::not_run(Code::Draining, SHORT_RETRY_AFTER));
         }
         let Some(snapshot) = &self.snapshot else {
             // Only this node lacks it, and not for long; another takes the call at once.
-            return Err(Outcome::not_run(Code::NotConfigured, COME_BACK_SOON));
+            return Err(Outcome::not_run(Code::NotConfigured, SHORT_RETRY_AFTER));
         };
         if arrival.depth >= MAX_DEPTH {
             return refuse(Code::TooDeep);
@@ -172,7 +174,7 @@
         Ok((snapshot.clone(), key))
     }
 
-    fn take(
+    fn accept(
         &mut self,
         now: Time,
         arrival: &Arrival<'_>,
@@ -182,8 +184,9 @@
     ) {
         let entry = snapshot.route(key);
         let route = &entry.route;
-        let most = Duration::from_millis(route.deadline_ms.into());
-        let deadline = now + arrival.time_left.map_or(most, |left| left.min(most));
+        let route_deadline = Duration::from_millis(route.deadline_ms.into());
+        let deadline =
+            now + arrival.time_left.map_or(route_deadline, |left| left.min(route_deadline));
         let service = self.splits.choose(entry);
         let terms = Terms {
             service: snapshot.service(service).name.clone(),
@@ -207,15 +210,15 @@
             key: request_key,
             deadline,
             attempt: 0,
-            spared: 0,
-            running: None,
+            early_refusals: 0,
+            primary: None,
             hedge: None,
             tried: Vec::new(),
             crashes: 0,
-            unknown: None,
+            possibly_run: None,
         };
         let Some(vm) = self.choose(now, &mut call, service) else {
-            let outcome = Outcome::not_run(Code::NoTarget, COME_BACK_LATER);
+            let outcome = Outcome::not_run(Code::NoTarget, LONG_RETRY_AFTER);
             return out.push(Output::Finish { call: arrival.call, outcome });
         };
         self.calls.insert(arrival.call, call);
@@ -254,7 +257,7 @@
         match self.start(now, key, &vm, false) {
             Some(forward) => out.push(Output::Forward(forward)),
             // The target left with the version that came into force meanwhile.
-            None => self.finish(key, Code::NoTarget, COME_BACK_SOON, out),
+            None => self.finish(key, Code::NoTarget, SHORT_RETRY_AFTER, out),
         }
     }
 
@@ -264,15 +267,15 @@
         let (gate, incarnation) = self.balancer.gate(vm)?;
         let reason = self.balancer.reason(now, vm, call.terms.class);
         let objective = call.terms.objective.since(now);
-        let patience = self.balancer.hedge_delay(vm, call.terms.class, objective);
+        let hedge_delay = self.balancer.hedge_delay(vm, call.terms.class, objective);
         let may_hedge = call.terms.idempotent && !hedge && self.policy.has(Part::Hedges);
         self.balancer.request_started(vm);
         call.attempt += 1;
         call.tried.push(vm.clone());
-        let running = Some(Running { vm: vm.clone(), sent_at: now });
+        let attempt = Some(ActiveAttempt { vm: vm.clone(), sent_at: now });
         match hedge {
-            true => call.hedge = running,
-            false => call.running = running,
+            true => call.hedge = attempt,
+            false => call.primary = attempt,
         }
         let route = &call.snapshot.route(call.route).route;
         let mut terms = call.terms.clone();
@@ -286,7 +289,9 @@
             terms,
             reason,
             deadline: call.deadline,
-            patience_ms: patience.filter(|_| may_hedge).map(|patience| patience.as_millis() as u32),
+            hedge_delay_ms: hedge_delay
+                .filter(|_| may_hedge)
+                .map(|hedge_delay| hedge_delay.as_millis() as u32),
             crashes: call.crashes,
             max_body_bytes: route.max_body_bytes,
         })
@@ -297,31 +302,32 @@
         now: Time,
         key: CallKey,
         end: AttemptEnd,
-        whole: bool,
+        replayable: bool,
         out: &mut Vec<Output>,
     ) {
-        let Some(running) = self.calls.get(&key).and_then(|call| call.running.clone()) else {
+        let Some(primary) = self.calls.get(&key).and_then(|call| call.primary.clone()) else {
             return;
         };
-        match self.note_end(now, key, &running, end) {
-            Noted::Answer => {}
-            Noted::Failure => {
+        match self.record_end(now, key, &primary, end) {
+            EndEffect::ResponseStarted => {}
+            EndEffect::ErrorResponse => {
                 // The caller gets this answer unless another target may give a better one.
                 let again = self.calls.get(&key).is_some_and(|call| call.terms.idempotent);
-                let next = again.then(|| self.next_attempt(now, key, Code::TargetFailed, whole));
+                let next =
+                    again.then(|| self.next_attempt(now, key, Code::TargetFailed, replayable));
                 if let Some(next) = next.flatten() {
-                    self.balancer.request_finished(&running.vm);
+                    self.balancer.request_finished(&primary.vm);
                     // It has run, so that no later refusal may say that it has not.
                     if let Some(call) = self.calls.get_mut(&key) {
                         call.terms.repeat = true;
-                        call.unknown.get_or_insert(Code::TargetFailed);
+                        call.possibly_run.get_or_insert(Code::TargetFailed);
                     }
                     self.forward(now, key, next, out);
                 }
             }
-            Noted::Ended(code, retry_after) => {
-                self.balancer.request_finished(&running.vm);
-                match self.next_attempt(now, key, code, whole) {
+            EndEffect::NoResponse(code, retry_after) => {
+                self.balancer.request_finished(&primary.vm);
+                match self.next_attempt(now, key, code, replayable) {
                     Some(vm) => self.forward(now, key, vm, out),
                     None => self.finish(key, code, retry_after, out),
                 }
@@ -330,10 +336,16 @@
     }
 
     /// Takes in what the end of an attempt says of its target and its call.
-    fn note_end(&mut self, now: Time, key: CallKey, attempt: &Running, end: AttemptEnd) -> Noted {
+    fn record_end(
+        &mut self,
+        now: Time,
+        key: CallKey,
+        attempt: &ActiveAttempt,
+        end: AttemptEnd,
+    ) -> EndEffect {
         let vm = &attempt.vm;
         let Some(call) = self.calls.get_mut(&key) else {
-            return Noted::Ended(Code::AnswerLost, COME_BACK_SOON);
+            return EndEffect::NoResponse(Code::AnswerLost, SHORT_RETRY_AFTER);
         };
         let report = |balancer: &mut Balancer, load: Option<Load>| {
             if let Some(load) = load {
@@ -341,16 +353,16 @@
             }
         };
         match end {
-            AttemptEnd::Answering { load, waited } => {
+            AttemptEnd::ResponseStarted { load, waited } => {
                 let took = now.since(attempt.sent_at).saturating_sub(waited);
                 self.balancer.record_response(now, vm, call.terms.class, took);
                 report(&mut self.balancer, load);
-                Noted::Answer
+                EndEffect::ResponseStarted
             }
-            AttemptEnd::AnsweringFailure { load } => {
+            AttemptEnd::ErrorResponseStarted { load } => {
                 self.balancer.record_request_failure(now, vm);
                 report(&mut self.balancer, load);
-                Noted::Failure
+                EndEffect::ErrorResponse
             }
             AttemptEnd::Refused { code, retry_after, load, crashes } => {
                 call.crashes = call.crashes.max(crashes);
@@ -366,37 +378,37 @@
                     Code::TargetRefused => self.balancer.record_rejection(now, vm),
                     _ => {}
                 }
-                if spares_target(code) {
-                    call.spared += 1;
+                if is_early_refusal(code) {
+                    call.early_refusals += 1;
                 }
                 call.terms.repeat |= reached_target(code);
-                Noted::Ended(code, retry_after)
+                EndEffect::NoResponse(code, retry_after)
             }
             AttemptEnd::Failed { code, crashes } => {
                 call.crashes = call.crashes.max(crashes);
                 call.terms.repeat = true;
-                call.unknown.get_or_insert(code);
+                call.possibly_run.get_or_insert(code);
                 match code {
                     Code::TargetFailed => self.balancer.record_failure(now, vm),
                     Code::DeadlinePassed => self.balancer.record_request_failure(now, vm),
                     _ => {}
                 }
-                Noted::Ended(code, COME_BACK_SOON)
+                EndEffect::NoResponse(code, SHORT_RETRY_AFTER)
             }
             AttemptEnd::NotSent => {
                 self.balancer.record_unreachable(now, vm);
-                Noted::Ended(Code::GatekeeperUnreachable, COME_BACK_LATER)
+                EndEffect::NoResponse(Code::GatekeeperUnreachable, LONG_RETRY_AFTER)
             }
-            AttemptEnd::Lost => {
+            AttemptEnd::ConnectionLost => {
                 call.terms.repeat = true;
-                call.unknown.get_or_insert(Code::AnswerLost);
+                call.possibly_run.get_or_insert(Code::AnswerLost);
                 self.balancer.record_failure(now, vm);
-                Noted::Ended(Code::AnswerLost, COME_BACK_SOON)
+                EndEffect::NoResponse(Code::AnswerLost, SHORT_RETRY_AFTER)
             }
-            AttemptEnd::Overtaken => {
+            AttemptEnd::LostToHedge => {
                 let took = now.since(attempt.sent_at);
                 self.balancer.record_lost_to_hedge(now, vm, call.terms.class, took);
-                Noted::Answer
+                EndEffect::ResponseStarted
             }
         }
     }
@@ -410,7 +422,7 @@
 
     fn close(&mut self, key: CallKey) {
         if let Some(call) = self.calls.swap_remove(&key) {
-            for attempt in call.running.iter().chain(&call.hedge) {
+            for attempt in call.primary.iter().chain(&call.hedge) {
                 self.balancer.request_finished(&attempt.vm);
             }
         }
@@ -420,7 +432,7 @@
         let Some(mut call) = self.calls.swap_remove(&key) else {
             return;
         };
-        for attempt in call.running.iter().chain(&call.hedge) {
+        for attempt in call.primary.iter().chain(&call.hedge) {
             self.balancer.request_finished(&attempt.vm);
             // Silence is the only sign of a target that takes requests and never answers.
             if sent {
@@ -428,9 +440,9 @@
             }
         }
         if sent {
-            call.unknown.get_or_insert(Code::DeadlinePassed);
+            call.possibly_run.get_or_insert(Code::DeadlinePassed);
         }
-        let outcome = call.final_outcome(Code::DeadlinePassed, COME_BACK_SOON);
+        let outcome = call.final_outcome(Code::DeadlinePassed, SHORT_RETRY_AFTER);
         out.push(Output::Finish { call: key, outcome });
     }
 }
@@ -439,7 +451,7 @@
     /// Once an attempt may have reached a target, a later refusal by another is no proof that the
     /// request did not run.
     fn final_outcome(&self, code: Code, retry_after: Duration) -> Outcome {
-        match self.unknown {
+        match self.possibly_run {
             Some(code) => Outcome::Unknown { code },
             None => Outcome::not_run(code, retry_after),
         }
--- a/core/src/call/entry/again.rs
+++ b/core/src/call/entry/again.rs
@@ -14,7 +14,7 @@
 const MAX_HOMES: usize = 3;
 
 /// Less time than this is not worth another attempt.
-const MIN_ATTEMPT: Duration = Duration::from_millis(1);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(1);
 
 impl Entry {
     /// The target for another attempt, if there is to be one.
@@ -23,36 +23,36 @@
         now: Time,
         key: CallKey,
         code: Code,
-        whole: bool,
+        replayable: bool,
     ) -> Option<Name> {
         let call = self.calls.get(&key)?;
         let route = &call.snapshot.route(call.route).route;
         let time_left = call.deadline.since(now);
-        let spared = call.spared.min(route.spare_forwards);
-        let attempts = call.attempt - spared;
-        if !whole || time_left < MIN_ATTEMPT {
+        let early_refusals = call.early_refusals.min(route.spare_forwards);
+        let attempts = call.attempt - early_refusals;
+        if !replayable || time_left < MIN_ATTEMPT_TIME {
             return None;
         }
         if attempts >= route.max_attempts {
             // Where every attempt was refused without work for a target, none is used up.
-            let unused = call.key.is_none() && call.spared == call.attempt;
-            return unused.then(|| self.wait_somewhere(now, key, code)).flatten();
+            let unused = call.key.is_none() && call.early_refusals == call.attempt;
+            return unused.then(|| self.queue_at_nearest(now, key, code)).flatten();
         }
         match call.key {
             Some(request_key) => self.next_home(now, key, request_key, code),
             None => {
                 let next = self.next_target(now, key, code);
-                next.or_else(|| self.wait_somewhere(now, key, code))
+                next.or_else(|| self.queue_at_nearest(now, key, code))
             }
         }
     }
 
     /// The target at which a request waits that no target can answer within its objective.
-    fn wait_somewhere(&mut self, now: Time, key: CallKey, code: Code) -> Option<Name> {
+    fn queue_at_nearest(&mut self, now: Time, key: CallKey, code: Code) -> Option<Name> {
         let call = self.calls.get(&key)?;
-        let full = matches!(code, Code::QueueFull | Code::QueueTimeout);
-        let asked = call.terms.may_exceed_objective || call.unknown.is_some();
-        if !full || asked {
+        let overloaded = matches!(code, Code::QueueFull | Code::QueueTimeout);
+        let must_not_queue = call.terms.may_exceed_objective || call.possibly_run.is_some();
+        if !overloaded || must_not_queue {
             return None;
         }
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
@@ -73,9 +73,8 @@
         code: Code,
     ) -> Option<Name> {
         let call = self.calls.get(&key)?;
-        let elsewhere =
-            matches!(code, Code::NotHome | Code::Draining | Code::GatekeeperUnreachable);
-        if call.unknown.is_some() || !elsewhere {
+        let may_move = matches!(code, Code::NotHome | Code::Draining | Code::GatekeeperUnreachable);
+        if call.possibly_run.is_some() || !may_move {
             return None;
         }
         let snapshot = self.snapshot.as_ref()?;
@@ -97,38 +96,38 @@
         let vms: Vec<&Name> = targets.map(|target| &snapshot.target(*target).target.vm).collect();
         let order = HomeList::order(&subject, &vms, MAX_HOMES);
         let mut untried = order.iter().filter(|vm| !tried.contains(vm));
-        let staying = untried.clone().find(|vm| !self.balancer.is_draining(now, vm));
-        staying.or_else(|| untried.next()).map(|vm| Name::clone(vm))
+        let not_draining = untried.clone().find(|vm| !self.balancer.is_draining(now, vm));
+        not_draining.or_else(|| untried.next()).map(|vm| Name::clone(vm))
     }
 
     fn next_target(&mut self, now: Time, key: CallKey, code: Code) -> Option<Name> {
         let call = self.calls.get(&key)?;
         let spare_forwards = call.snapshot.route(call.route).route.spare_forwards;
         let kind = retry_kind(code, spare_forwards);
-        let once = !call.terms.idempotent;
+        let run_once = !call.terms.idempotent;
         if kind == RetryKind::Never || call.crashes >= MAX_CRASHES as u32 {
             return None;
         }
         // Without a key two runs can't be told apart, so the request is sent again only while it is
         // certain that it has not run.
-        if once && call.unknown.is_some() {
+        if run_once && call.possibly_run.is_some() {
             return None;
         }
         // The balancer knows the targets of the version in force now.
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
-        let full = matches!(code, Code::QueueFull | Code::QueueTimeout);
-        if full && spare_forwards > 0 && call.spared >= spare_forwards {
+        let overloaded = matches!(code, Code::QueueFull | Code::QueueTimeout);
+        if overloaded && spare_forwards > 0 && call.early_refusals >= spare_forwards {
             return None;
         }
         let request = PickRequest::new(now, service, &call.terms).with_tried(&call.tried);
-        let vm = match full && spare_forwards > 0 {
+        let vm = match overloaded && spare_forwards > 0 {
             // Others that are full as well would say the same; it may wait at one of them.
             true => self.balancer.pick_available(request)?,
             false => self.balancer.pick(request)?,
         };
         let unbounded = !self.policy.has(Part::RetryBudget);
-        let paid = kind == RetryKind::Free || unbounded || self.retries.take(now, call);
-        paid.then_some(vm)
+        let allowed = kind == RetryKind::Free || unbounded || self.retries.take(now, call);
+        allowed.then_some(vm)
     }
 }
 
@@ -143,7 +142,7 @@
 }
 
 /// Whether a refusal says that no target has worked on the request.
-pub(super) fn spares_target(code: Code) -> bool {
+pub(super) fn is_early_refusal(code: Code) -> bool {
     !matches!(code, Code::TargetRefused | Code::TargetReplaced | Code::TargetUnreachable)
 }
 
--- a/core/src/call/entry/hedge.rs
+++ b/core/src/call/entry/hedge.rs
@@ -4,7 +4,7 @@
 
 pub(super) use allowance::Allowance;
 
-use super::{AttemptEnd, Entry, Output, Running};
+use super::{ActiveAttempt, AttemptEnd, Entry, Output};
 use crate::call::CallKey;
 use crate::call::balance::PickRequest;
 use crate::{Name, Time};
@@ -26,9 +26,9 @@
     fn hedge_target(&mut self, now: Time, key: CallKey) -> Option<Name> {
         let call = self.calls.get(&key)?;
         let route = &call.snapshot.route(call.route).route;
-        let may = call.terms.idempotent && call.hedge.is_none() && call.running.is_some();
-        let attempts = call.attempt - call.spared.min(route.spare_forwards);
-        if !may || attempts >= route.max_attempts || !self.hedges.has_one(call.terms.class) {
+        let eligible = call.terms.idempotent && call.hedge.is_none() && call.primary.is_some();
+        let attempts = call.attempt - call.early_refusals.min(route.spare_forwards);
+        if !eligible || attempts >= route.max_attempts || !self.hedges.has_one(call.terms.class) {
             return None;
         }
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
@@ -37,39 +37,39 @@
         self.retries.take(now, call).then_some(vm)
     }
 
-    pub(super) fn first_over(&mut self, now: Time, key: CallKey, end: AttemptEnd) {
+    pub(super) fn primary_ended(&mut self, now: Time, key: CallKey, end: AttemptEnd) {
         let Some(call) = self.calls.get_mut(&key) else {
             return;
         };
-        let first = std::mem::replace(&mut call.running, call.hedge.take());
-        if matches!(end, AttemptEnd::Overtaken) {
+        let primary = std::mem::replace(&mut call.primary, call.hedge.take());
+        if matches!(end, AttemptEnd::LostToHedge) {
             self.hedges.won(call.terms.class);
         }
-        self.note_over(now, key, first, Some(end));
+        self.finish_attempt(now, key, primary, Some(end));
     }
 
-    pub(super) fn hedge_over(&mut self, now: Time, key: CallKey, end: Option<AttemptEnd>) {
+    pub(super) fn hedge_ended(&mut self, now: Time, key: CallKey, end: Option<AttemptEnd>) {
         let Some(call) = self.calls.get_mut(&key) else {
             return;
         };
         let hedge = call.hedge.take();
-        self.note_over(now, key, hedge, end);
+        self.finish_attempt(now, key, hedge, end);
     }
 
     /// Takes the end of one of two attempts in.
-    fn note_over(
+    fn finish_attempt(
         &mut self,
         now: Time,
         key: CallKey,
-        over: Option<Running>,
+        ended: Option<ActiveAttempt>,
         end: Option<AttemptEnd>,
     ) {
-        let Some(over) = over else {
+        let Some(ended) = ended else {
             return;
         };
-        self.balancer.request_finished(&over.vm);
+        self.balancer.request_finished(&ended.vm);
         if let Some(end) = end {
-            self.note_end(now, key, &over, end);
+            self.record_end(now, key, &ended, end);
         }
     }
 }
--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -45,19 +45,19 @@
             /// What it came to.
             end: AttemptEnd,
             /// Whether the request can be sent again: nothing of its body has been used up.
-            whole: bool,
+            replayable: bool,
         },
         /// No answer has begun within the patience of the [`Forward`].
-        Slow(CallKey),
+        HedgeDue(CallKey),
         /// The first attempt is over; its hedge is the only one from now on.
-        FirstOver {
+        PrimaryEnded {
             /// The call.
             call: CallKey,
             /// What it came to.
             end: AttemptEnd,
         },
         /// The hedge is over; the first attempt goes on.
-        HedgeOver {
+        HedgeEnded {
             /// The call.
             call: CallKey,
             /// What it came to; `None` if it was given up because the first was answered.
@@ -77,7 +77,7 @@
     /// What an attempt came to.
     pub enum AttemptEnd {
         /// The answer begins. From here on nothing is sent again.
-        Answering {
+        ResponseStarted {
             /// The target's load.
             load: Option<Load>,
             /// How long the request waited for a slot.
@@ -85,7 +85,7 @@
         },
         /// The answer begins, and is a failure of the target's own. It is passed on unless the
         /// request is sent again.
-        AnsweringFailure {
+        ErrorResponseStarted {
             /// The target's load.
             load: Option<Load>,
         },
@@ -110,9 +110,9 @@
         /// No byte left for the gatekeeper.
         NotSent,
         /// The connection to the gatekeeper broke after a byte left, or its answer was rubbish.
-        Lost,
+        ConnectionLost,
         /// It was given up, since its hedge was answered first.
-        Overtaken,
+        LostToHedge,
     }
 
     /// What is to be done.
@@ -155,9 +155,9 @@
         pub reason: Reason,
         /// When the caller stops waiting.
         pub deadline: Time,
-        /// After how many milliseconds to ask by [`Input::Slow`] for a hedge; absent if there can be
+        /// After how many milliseconds to ask by [`Input::HedgeDue`] for a hedge; absent if there can be
         /// none.
-        pub patience_ms: Option<u32>,
+        pub hedge_delay_ms: Option<u32>,
         /// Crashes that the request is suspected of.
         pub crashes: u32,
         /// Largest body of the request.
--- a/core/tests/call_entry.rs
+++ b/core/tests/call_entry.rs
@@ -61,12 +61,12 @@
     }
 
     fn end(&mut self, call: CallKey, end: AttemptEnd) -> Option<Output> {
-        self.input(Input::Attempt { call, end, whole: true })
+        self.input(Input::Attempt { call, end, replayable: true })
     }
 
     fn answer(&mut self, forward: &Forward, took: Duration) {
         self.now = self.now + took;
-        self.end(forward.call, AttemptEnd::Answering { load: None, waited: Duration::ZERO });
+        self.end(forward.call, AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO });
         self.input(Input::Close(forward.call));
     }
 }
@@ -97,7 +97,7 @@
 fn retry_elsewhere() {
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
-    let second = forward(driver.end(first.call, AttemptEnd::Lost));
+    let second = forward(driver.end(first.call, AttemptEnd::ConnectionLost));
     assert_ne!(first.vm, second.vm);
     assert_eq!(second.attempt, 2);
 }
@@ -107,7 +107,7 @@
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     assert_eq!(
-        driver.end(first.call, AttemptEnd::Answering { load: None, waited: Duration::ZERO }),
+        driver.end(first.call, AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO }),
         None
     );
     assert_eq!(driver.input(Input::Close(first.call)), None);
@@ -119,7 +119,7 @@
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     let end = refused(Code::QueueFull);
-    let output = driver.input(Input::Attempt { call: first.call, end, whole: false });
+    let output = driver.input(Input::Attempt { call: first.call, end, replayable: false });
     assert_eq!(finished(output), Outcome::NotRun { code: Code::QueueFull, retry_after: SOON });
 }
 
@@ -155,7 +155,7 @@
         let first = forward(driver.arrive_at("/once", Some(key(low))));
         let again = forward(driver.arrive_at("/once", Some(key(low))));
         assert_eq!(first.vm, again.vm);
-        let outcome = finished(driver.end(first.call, AttemptEnd::Lost));
+        let outcome = finished(driver.end(first.call, AttemptEnd::ConnectionLost));
         assert_eq!(outcome, Outcome::Unknown { code: Code::AnswerLost });
     }
 }
@@ -172,7 +172,7 @@
     assert_eq!(direct.vm, next.vm);
     let back = forward(driver.end(direct.call, refused(Code::NotHome)));
     assert!(back.vm != next.vm);
-    let outcome = finished(driver.end(back.call, AttemptEnd::Lost));
+    let outcome = finished(driver.end(back.call, AttemptEnd::ConnectionLost));
     assert_eq!(outcome, Outcome::Unknown { code: Code::AnswerLost });
 }
 
@@ -203,7 +203,7 @@
         let mut next = Some(driver.arrive());
         while let Some(attempt) = next {
             attempts += 1;
-            next = match driver.end(attempt.call, AttemptEnd::Lost) {
+            next = match driver.end(attempt.call, AttemptEnd::ConnectionLost) {
                 Some(Output::Forward(forward)) => Some(forward),
                 _ => None,
             };
@@ -281,7 +281,7 @@
     assert_eq!(first.vm.as_str(), "a");
     driver.now = driver.now + Duration::from_millis(2);
     let load = Some(Load { in_flight: 12, slots: 12, queued: 20, wait_ms: 150 });
-    driver.end(first.call, AttemptEnd::Answering { load, waited: Duration::ZERO });
+    driver.end(first.call, AttemptEnd::ResponseStarted { load, waited: Duration::ZERO });
     assert_eq!(driver.arrive().vm.as_str(), "b");
 }
 
@@ -357,7 +357,7 @@
                 Step::End(at, kind) if !open.is_empty() => {
                     let at = at % open.len();
                     let end = match kind {
-                        0 => AttemptEnd::Lost,
+                        0 => AttemptEnd::ConnectionLost,
                         1 => AttemptEnd::NotSent,
                         2 => refused(Code::Draining),
                         3 => refused(Code::QueueFull),
@@ -365,7 +365,8 @@
                         5 => refused(Code::TargetUnreachable),
                         _ => AttemptEnd::Failed { code: Code::TargetFailed, crashes: 1 },
                     };
-                    open[at].2 |= matches!(end, AttemptEnd::Lost | AttemptEnd::Failed { .. });
+                    open[at].2 |=
+                        matches!(end, AttemptEnd::ConnectionLost | AttemptEnd::Failed { .. });
                     let output = driver.end(open[at].0, end);
                     (output, at)
                 }
--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -60,7 +60,7 @@
                 load: None,
                 crashes: 0,
             };
-            output = self.input(Input::Attempt { call, end, whole: true });
+            output = self.input(Input::Attempt { call, end, replayable: true });
         }
         assert!(matches!(output, Some(Output::Finish { .. })), "{output:?}");
         forwards
--- a/core/tests/call_entry_hedge.rs
+++ b/core/tests/call_entry_hedge.rs
@@ -61,16 +61,16 @@
     }
 
     fn answered(&mut self, call: CallKey) {
-        let end = AttemptEnd::Answering { load: None, waited: Duration::ZERO };
-        assert_eq!(self.input(Input::Attempt { call, end, whole: true }), None);
+        let end = AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO };
+        assert_eq!(self.input(Input::Attempt { call, end, replayable: true }), None);
         self.input(Input::Close(call));
     }
 
     /// Waits for as long as the attempt's patience lasts.
     fn slow(&mut self, first: &Forward) -> Option<Forward> {
-        let patience = first.patience_ms.expect("it may be sent twice");
+        let patience = first.hedge_delay_ms.expect("it may be sent twice");
         self.now = self.now + Duration::from_millis(patience.into());
-        match self.input(Input::Slow(first.call)) {
+        match self.input(Input::HedgeDue(first.call)) {
             Some(Output::Forward(second)) => Some(second),
             None => None,
             other => panic!("{other:?}"),
@@ -85,8 +85,8 @@
     let second = driver.slow(&first).expect("a hedge");
     assert_ne!(first.vm, second.vm);
     assert!(second.terms.repeat && !first.terms.repeat);
-    assert_eq!((second.attempt, second.patience_ms), (2, None));
-    driver.input(Input::FirstOver { call: first.call, end: AttemptEnd::Overtaken });
+    assert_eq!((second.attempt, second.hedge_delay_ms), (2, None));
+    driver.input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::LostToHedge });
     driver.answered(first.call);
     assert_eq!(driver.entry.open(), 0);
 }
@@ -96,9 +96,9 @@
 fn hedge_never_for_once() {
     let mut driver = Driver::new();
     let first = driver.arrive("/once");
-    assert_eq!(first.patience_ms, None);
+    assert_eq!(first.hedge_delay_ms, None);
     driver.now = driver.now + Duration::from_secs(2);
-    assert_eq!(driver.input(Input::Slow(first.call)), None);
+    assert_eq!(driver.input(Input::HedgeDue(first.call)), None);
 }
 
 /// Guards against a caller that is told that its request did not run: the attempt that may have run
@@ -108,10 +108,10 @@
     let mut driver = Driver::new();
     let first = driver.arrive("/idem");
     driver.slow(&first).expect("a hedge");
-    driver.input(Input::FirstOver { call: first.call, end: AttemptEnd::Lost });
+    driver.input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::ConnectionLost });
     let refused =
         AttemptEnd::Refused { code: Code::TooDeep, retry_after: USUAL, load: None, crashes: 0 };
-    let end = driver.input(Input::Attempt { call: first.call, end: refused, whole: true });
+    let end = driver.input(Input::Attempt { call: first.call, end: refused, replayable: true });
     let unknown = Outcome::Unknown { code: Code::AnswerLost };
     assert_eq!(end, Some(Output::Finish { call: first.call, outcome: unknown }));
 }
@@ -127,7 +127,7 @@
         seconds += u32::from(second.is_some());
         driver.now = driver.now + USUAL * 12;
         if second.is_some() {
-            driver.input(Input::HedgeOver { call: first.call, end: None });
+            driver.input(Input::HedgeEnded { call: first.call, end: None });
         }
         driver.answered(first.call);
     }
@@ -145,7 +145,8 @@
             if driver.slow(&first).is_some() {
                 hedges += 1;
                 driver.now = driver.now + USUAL;
-                driver.input(Input::FirstOver { call: first.call, end: AttemptEnd::Overtaken });
+                driver
+                    .input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::LostToHedge });
             }
         } else {
             driver.now = driver.now + USUAL;
--- a/core/tests/call_entry_naive.rs
+++ b/core/tests/call_entry_naive.rs
@@ -97,26 +97,26 @@
         Expected::Forward(key.map_or(self.vms.clone(), |key| vec![self.home(key)]))
     }
 
-    fn end(&mut self, number: u64, now: Time, end: &AttemptEnd, whole: bool) -> Expected {
+    fn end(&mut self, number: u64, now: Time, end: &AttemptEnd, replayable: bool) -> Expected {
         let Some(mut call) = self.calls.get(&number).cloned() else { return Expected::Nothing };
         let (code, elsewhere, paid) = match end {
             // The naive node makes no second attempt beside the first.
-            AttemptEnd::Answering { .. }
-            | AttemptEnd::AnsweringFailure { .. }
-            | AttemptEnd::Overtaken => return Expected::Nothing,
+            AttemptEnd::ResponseStarted { .. }
+            | AttemptEnd::ErrorResponseStarted { .. }
+            | AttemptEnd::LostToHedge => return Expected::Nothing,
             AttemptEnd::NotSent => (Code::GatekeeperUnreachable, true, false),
-            AttemptEnd::Lost => (Code::AnswerLost, true, true),
+            AttemptEnd::ConnectionLost => (Code::AnswerLost, true, true),
             AttemptEnd::Failed { code, .. } => (*code, *code == Code::TargetFailed, true),
             AttemptEnd::Refused { code, .. } => *CODES.iter().find(|row| row.0 == *code).unwrap(),
         };
         if let AttemptEnd::Failed { crashes, .. } | AttemptEnd::Refused { crashes, .. } = end {
             call.crashes = call.crashes.max(*crashes);
         }
-        if matches!(end, AttemptEnd::Lost | AttemptEnd::Failed { .. }) {
+        if matches!(end, AttemptEnd::ConnectionLost | AttemptEnd::Failed { .. }) {
             call.may_have_run = call.may_have_run.or(Some(code));
         }
         let in_time = now + Duration::from_millis(1) <= call.arrived + DEADLINE;
-        let again = whole && in_time && call.tried.len() < MAX_ATTEMPTS;
+        let again = replayable && in_time && call.tried.len() < MAX_ATTEMPTS;
         let mut fit: Vec<&str> = match call.key {
             Some(key) if next_home(code) && call.may_have_run.is_none() => {
                 let untried = |vm: &&&str| !call.tried.contains(*vm);
@@ -162,7 +162,7 @@
     prop_oneof![
         6 => prop::option::of(any::<u64>()).prop_map(Step::Arrive),
         12 => (any::<usize>(), 0..CODES.len() + 5, prop::bool::weighted(0.9))
-            .prop_map(|(at, end, whole)| Step::End(at, end, whole)),
+            .prop_map(|(at, end, replayable)| Step::End(at, end, replayable)),
         1 => (any::<usize>(), any::<bool>()).prop_map(|(at, sent)| Step::Expire(at, sent)),
         1 => any::<usize>().prop_map(Step::Close),
         1 => (1u8..32).prop_map(Step::Configure),
@@ -174,9 +174,9 @@
     let retry_after = Duration::from_millis(200);
     match kind.checked_sub(CODES.len()) {
         None => AttemptEnd::Refused { code: CODES[kind].0, retry_after, load: None, crashes: 0 },
-        Some(0) => AttemptEnd::Lost,
+        Some(0) => AttemptEnd::ConnectionLost,
         Some(1) => AttemptEnd::NotSent,
-        Some(2) => AttemptEnd::Answering { load: None, waited: Duration::ZERO },
+        Some(2) => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
         Some(3) => AttemptEnd::Failed { code: Code::TargetFailed, crashes: 1 },
         Some(_) => AttemptEnd::Failed { code: Code::TargetFailed, crashes: 2 },
     }
@@ -241,10 +241,10 @@
                     };
                     (arrived, naive.arrive(arrived, now, key), Input::Arrive(arrival))
                 }
-                Step::End(number, kind, whole) => {
-                    let (call, end, whole) = (at(*number), attempt_end(*kind), *whole);
-                    let expected = naive.end(call, now, &end, whole);
-                    (call, expected, Input::Attempt { call: CallKey(call), end, whole })
+                Step::End(number, kind, replayable) => {
+                    let (call, end, replayable) = (at(*number), attempt_end(*kind), *replayable);
+                    let expected = naive.end(call, now, &end, replayable);
+                    (call, expected, Input::Attempt { call: CallKey(call), end, replayable })
                 }
                 Step::Expire(number, sent) => {
                     let (call, sent) = (at(*number), *sent);
--- a/core/tests/call_once_by_attempt.rs
+++ b/core/tests/call_once_by_attempt.rs
@@ -73,7 +73,7 @@
     }
 
     fn end(&mut self, call: CallKey, end: AttemptEnd) -> Option<Output> {
-        self.input(Input::Attempt { call, end, whole: true })
+        self.input(Input::Attempt { call, end, replayable: true })
     }
 }
 
@@ -101,7 +101,7 @@
     // Story: a target runs a signing, and the answer is lost. Sent again it would land twice, and
     // a grower is billed for the same bark a second time.
     let ends = [
-        AttemptEnd::Lost,
+        AttemptEnd::ConnectionLost,
         AttemptEnd::Failed { code: Code::TargetFailed, crashes: 0 },
         AttemptEnd::Failed { code: Code::DeadlinePassed, crashes: 0 },
     ];
@@ -114,7 +114,7 @@
     // A target's own failure is its answer.
     let mut driver = Driver::new(1);
     let sent = driver.sign();
-    assert_eq!(driver.end(sent.call, AttemptEnd::AnsweringFailure { load: None }), None);
+    assert_eq!(driver.end(sent.call, AttemptEnd::ErrorResponseStarted { load: None }), None);
 }
 
 #[test]
@@ -125,7 +125,7 @@
         let next = forward(driver.end(sent.call, refused(code)));
         assert_ne!(next.vm, sent.vm, "{code:?}");
         // Once it may have run, a later refusal does not make it one that has not.
-        let told = outcome(driver.end(next.call, AttemptEnd::Lost));
+        let told = outcome(driver.end(next.call, AttemptEnd::ConnectionLost));
         assert!(matches!(told, Outcome::Unknown { .. }), "{told:?}");
     }
 }
@@ -212,7 +212,7 @@
     // target refuses, and the caller is told that its request has not run, though it has.
     let mut driver = Driver::new(1);
     let sent = forward(driver.arrive("h.example", "/look/1"));
-    let next = forward(driver.end(sent.call, AttemptEnd::AnsweringFailure { load: None }));
+    let next = forward(driver.end(sent.call, AttemptEnd::ErrorResponseStarted { load: None }));
     let told = outcome(driver.end(next.call, refused(Code::TargetRefused)));
     assert!(matches!(told, Outcome::Unknown { code: Code::TargetFailed }), "{told:?}");
 }
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -127,7 +127,7 @@
             seen.repeats += usize::from(repeat || arrivals > 1);
             answered = !self.rng.random_bool(shed);
             let end = match answered {
-                true => AttemptEnd::Answering { load: None, waited: Duration::ZERO },
+                true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
                 false => AttemptEnd::Refused {
                     code: Code::TargetRefused,
                     retry_after: Duration::from_millis(50),
@@ -135,7 +135,7 @@
                     crashes: 0,
                 },
             };
-            output = self.input(desk, Input::Attempt { call, end, whole: true });
+            output = self.input(desk, Input::Attempt { call, end, replayable: true });
         }
         self.input(desk, Input::Close(call));
         let step = self.seen.last_mut().unwrap();
@@ -155,10 +155,10 @@
         for Run { entry, call, terms } in runs {
             let signing = !terms.idempotent;
             let end = match signing || self.nested(desk, terms.repeat, own_runs, shed) {
-                true => AttemptEnd::Answering { load: None, waited: Duration::ZERO },
-                false => AttemptEnd::AnsweringFailure { load: None },
+                true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
+                false => AttemptEnd::ErrorResponseStarted { load: None },
             };
-            match self.input(entry, Input::Attempt { call, end, whole: true }) {
+            match self.input(entry, Input::Attempt { call, end, replayable: true }) {
                 Some(Output::Forward(forward)) => self.start_run(entry, forward),
                 _ => {
                     self.input(entry, Input::Close(call));
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -286,18 +286,24 @@
                 own_runs: Runs::default(),
             }),
             3 => entry::Input::Close(call),
-            4 if self.flag() => entry::Input::Slow(call),
-            4 if self.flag() => entry::Input::FirstOver { call, end: entry::AttemptEnd::Overtaken },
-            4 if self.flag() => entry::Input::HedgeOver { call, end: Some(refused) },
+            4 if self.flag() => entry::Input::HedgeDue(call),
+            4 if self.flag() => {
+                entry::Input::PrimaryEnded { call, end: entry::AttemptEnd::LostToHedge }
+            }
+            4 if self.flag() => entry::Input::HedgeEnded { call, end: Some(refused) },
             4 => entry::Input::Expire { call, sent: self.flag() },
-            5 => entry::Input::Attempt { call, end: refused, whole: self.flag() },
+            5 => entry::Input::Attempt { call, end: refused, replayable: self.flag() },
             6 => {
                 let load =
                     Some(Load { in_flight: 1, slots: self.number() as u32, queued: 0, wait_ms: 0 });
-                let end = entry::AttemptEnd::Answering { load, waited: Duration::ZERO };
-                entry::Input::Attempt { call, end, whole: true }
+                let end = entry::AttemptEnd::ResponseStarted { load, waited: Duration::ZERO };
+                entry::Input::Attempt { call, end, replayable: true }
             }
-            _ => entry::Input::Attempt { call, end: entry::AttemptEnd::Lost, whole: true },
+            _ => entry::Input::Attempt {
+                call,
+                end: entry::AttemptEnd::ConnectionLost,
+                replayable: true,
+            },
         }
     }
 
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -210,11 +210,11 @@
     async fn forward(&self, mut call: Call, mut forward: Forward) -> Response<Body> {
         loop {
             let attempt = self.attempt(&mut call, &mut forward).await;
-            let (key, whole) = (call.open.call, call.body.is_whole());
+            let (key, replayable) = (call.open.call, call.body.is_whole());
             let input = match attempt {
                 Attempt::Answer(response, connection) => {
                     let end = answering(&response);
-                    let input = Input::Attempt { call: key, end, whole };
+                    let input = Input::Attempt { call: key, end, replayable };
                     match self.decide(call.open.shard, input) {
                         Some(Output::Forward(next)) => forward = next,
                         _ => {
@@ -226,7 +226,7 @@
                     }
                     continue;
                 }
-                Attempt::Ended(end) => Input::Attempt { call: key, end, whole },
+                Attempt::Ended(end) => Input::Attempt { call: key, end, replayable },
                 Attempt::Late { sent } => Input::Expire { call: key, sent },
             };
             self.note_failure(&call.id, &forward, failure(&input));
--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -67,9 +67,9 @@
         AttemptEnd::Refused { code, .. } => (*code, false),
         AttemptEnd::Failed { code, .. } => (*code, true),
         AttemptEnd::NotSent => (Code::GatekeeperUnreachable, false),
-        AttemptEnd::Lost => (Code::AnswerLost, true),
-        AttemptEnd::Overtaken => (Code::Overtaken, true),
-        AttemptEnd::Answering { .. } | AttemptEnd::AnsweringFailure { .. } => {
+        AttemptEnd::ConnectionLost => (Code::AnswerLost, true),
+        AttemptEnd::LostToHedge => (Code::Overtaken, true),
+        AttemptEnd::ResponseStarted { .. } | AttemptEnd::ErrorResponseStarted { .. } => {
             (Code::TargetFailed, true)
         }
     }
@@ -80,8 +80,8 @@
     let load = headers::load(response.headers());
     let failed = response.status().is_server_error();
     match failed && response.status() != StatusCode::GATEWAY_TIMEOUT {
-        true => AttemptEnd::AnsweringFailure { load },
-        false => AttemptEnd::Answering { load, waited: headers::waited(response.headers()) },
+        true => AttemptEnd::ErrorResponseStarted { load },
+        false => AttemptEnd::ResponseStarted { load, waited: headers::waited(response.headers()) },
     }
 }
 
@@ -100,7 +100,7 @@
             AttemptEnd::Refused { code, retry_after, load, crashes }
         }
         Verdict::Unknown(code) => AttemptEnd::Failed { code, crashes },
-        Verdict::Foreign => return Attempt::Ended(AttemptEnd::Lost),
+        Verdict::Foreign => return Attempt::Ended(AttemptEnd::ConnectionLost),
     };
     if response.body().is_end_stream() {
         connection.give_back();
--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -38,9 +38,9 @@
     /// attempt that the result is of.
     pub(super) async fn attempt(&self, call: &mut Call, forward: &mut Forward) -> Attempt {
         let Some(req) = self.begin_attempt(call, forward) else {
-            return Attempt::Ended(AttemptEnd::Lost);
+            return Attempt::Ended(AttemptEnd::ConnectionLost);
         };
-        let Some(patience) = forward.patience_ms.filter(|_| call.body.is_held()) else {
+        let Some(patience) = forward.hedge_delay_ms.filter(|_| call.body.is_held()) else {
             return match self.exchange(call.open.shard, &call.id, forward, req).await {
                 Sent::Ended(attempt) => attempt,
                 Sent::Unsent(body) => {
@@ -60,7 +60,7 @@
         if let Some(sent) = quick {
             return sent.into_attempt();
         }
-        let Some(Output::Forward(hedge)) = self.decide(shard, Input::Slow(key)) else {
+        let Some(Output::Forward(hedge)) = self.decide(shard, Input::HedgeDue(key)) else {
             return sending.await.into_attempt();
         };
         let Some(req) = self.begin_attempt(call, &hedge) else {
@@ -104,7 +104,7 @@
         let sending = self.shards[shard].pool.send(forward.gate, req, &sent);
         let attempt = match self.before(forward.deadline, sending).await {
             None => Attempt::Late { sent: sent.load(Ordering::Acquire) },
-            Some(Err(SendError::Broken)) => Attempt::Ended(AttemptEnd::Lost),
+            Some(Err(SendError::Broken)) => Attempt::Ended(AttemptEnd::ConnectionLost),
             Some(Err(SendError::NotSent(req))) => return Sent::Unsent(req.into_body()),
             Some(Ok((response, connection))) => judge(id, response, connection),
         };
@@ -183,9 +183,9 @@
         let call = self.key;
         let input = match which {
             Attempted::First => {
-                Input::FirstOver { call, end: end.unwrap_or(AttemptEnd::Overtaken) }
+                Input::PrimaryEnded { call, end: end.unwrap_or(AttemptEnd::LostToHedge) }
             }
-            Attempted::Hedge => Input::HedgeOver { call, end },
+            Attempted::Hedge => Input::HedgeEnded { call, end },
         };
         self.side.decide(self.shard, input);
     }
@@ -202,7 +202,7 @@
 fn rank(attempt: &Attempt) -> Usable {
     match attempt {
         Attempt::Answer(response, _) => match answering(response) {
-            AttemptEnd::AnsweringFailure { .. } => Usable::LastResort,
+            AttemptEnd::ErrorResponseStarted { .. } => Usable::LastResort,
             _ => Usable::Yes,
         },
         // The deadline is the same for both.
@@ -215,6 +215,6 @@
     match attempt {
         Attempt::Answer(response, _) => answering(&response),
         Attempt::Ended(end) => end,
-        Attempt::Late { .. } => AttemptEnd::Lost,
+        Attempt::Late { .. } => AttemptEnd::ConnectionLost,
     }
 }
