--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -1,10 +1,10 @@
 //! Decisions at the node that a caller connects to: where a request goes, whether it is sent
 //! again, and what its caller is told in the end.
 
-mod again;
 mod hedge;
 mod port;
-mod retries;
+mod retry;
+mod retry_budget;
 
 pub use port::{Arrival, AttemptEnd, Forward, Input, Output, Reason};
 
@@ -17,10 +17,10 @@
 use crate::config::{OnceBy, RouteKey, ServiceKey, Snapshot};
 use crate::place::Place;
 use crate::{Code, Name, Time};
-use again::{is_early_refusal, reached_target};
-use hedge::Allowance;
+use hedge::HedgeBudget;
 use indexmap::IndexMap;
-use retries::Retries;
+use retry::{is_early_refusal, reached_target};
+use retry_budget::RetryBudgets;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -71,8 +71,8 @@
     snapshot: Option<Arc<Snapshot>>,
     members: Arc<Members>,
     balancer: Balancer,
-    retries: Retries,
-    hedges: Allowance,
+    retries: RetryBudgets,
+    hedges: HedgeBudget,
     splits: Splits,
     patience: Patience,
     policy: Policy,
@@ -87,8 +87,8 @@
             snapshot: None,
             members: Arc::new(Members::new()),
             balancer: Balancer::new(place, seed),
-            retries: Retries::new(seed),
-            hedges: Allowance::new(),
+            retries: RetryBudgets::new(seed),
+            hedges: HedgeBudget::new(),
             splits: Splits::new(seed),
             patience: Patience::new(),
             policy: Policy::new(),
@@ -196,11 +196,11 @@
             rank: route.rank,
             objective: self.objective(now, arrival, entry),
             may_exceed_objective: route.spare_forwards == 0,
-            repeat: self.retries.is_inherited(arrival, route.class),
+            repeat: self.retries.is_nested_repeat(arrival, route.class),
         };
         let request_key = arrival.key.filter(|_| terms.is_keyed());
-        self.retries.count(now, &snapshot, (key, service), terms.repeat);
-        self.hedges.count(terms.class);
+        self.retries.record(now, &snapshot, (key, service), terms.repeat);
+        self.hedges.record_first_attempt(terms.class);
         let name = terms.service.clone();
         let mut call = Call {
             route: key,
--- a/core/src/call/entry/hedge.rs
+++ b/core/src/call/entry/hedge.rs
@@ -1,8 +1,8 @@
 //! Hedges: a second attempt of a repeatable request beside one that is slow. The first answer wins.
 
-mod allowance;
+mod budget;
 
-pub(super) use allowance::Allowance;
+pub(super) use budget::HedgeBudget;
 
 use super::{ActiveAttempt, AttemptEnd, Entry, Output};
 use crate::call::CallKey;
@@ -18,7 +18,7 @@
         };
         let hedge = self.start(now, key, &vm, true);
         if let Some(forward) = &hedge {
-            self.hedges.take(forward.terms.class);
+            self.hedges.charge(forward.terms.class);
         }
         out.extend(hedge.map(Output::Forward));
     }
@@ -28,13 +28,16 @@
         let route = &call.snapshot.route(call.route).route;
         let eligible = call.terms.idempotent && call.hedge.is_none() && call.primary.is_some();
         let attempts = call.attempt - call.early_refusals.min(route.spare_forwards);
-        if !eligible || attempts >= route.max_attempts || !self.hedges.has_one(call.terms.class) {
+        if !eligible
+            || attempts >= route.max_attempts
+            || !self.hedges.is_available(call.terms.class)
+        {
             return None;
         }
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
         let request = PickRequest::new(now, service, &call.terms).with_tried(&call.tried);
         let vm = self.balancer.pick_for_hedge(request)?;
-        self.retries.take(now, call).then_some(vm)
+        self.retries.try_take(now, call).then_some(vm)
     }
 
     pub(super) fn primary_ended(&mut self, now: Time, key: CallKey, end: AttemptEnd) {
@@ -43,7 +46,7 @@
         };
         let primary = std::mem::replace(&mut call.primary, call.hedge.take());
         if matches!(end, AttemptEnd::LostToHedge) {
-            self.hedges.won(call.terms.class);
+            self.hedges.record_win(call.terms.class);
         }
         self.finish_attempt(now, key, primary, Some(end));
     }
--- a/core/src/call/entry/again.rs
+++ b/core/src/call/entry/retry.rs
@@ -126,7 +126,7 @@
             false => self.balancer.pick(request)?,
         };
         let unbounded = !self.policy.has(Part::RetryBudget);
-        let allowed = kind == RetryKind::Free || unbounded || self.retries.take(now, call);
+        let allowed = kind == RetryKind::Free || unbounded || self.retries.try_take(now, call);
         allowed.then_some(vm)
     }
 }
--- a/core/src/call/entry/retries.rs
+++ b/core/src/call/entry/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Which requests count as repeats, and how many an entry node may make.
 
 use super::{Arrival, Call};
-use crate::call::budget::{Allowance, Budget};
+use crate::call::budget::{Budget, RetryLimits};
 use crate::config::{Class, RouteKey, ServiceKey, Snapshot};
 use crate::{Name, Time};
 use indexmap::IndexMap;
@@ -19,17 +19,17 @@
 ///   calls which they make stay under the same share of first calls below;
 /// - what is left of a service's budget after both is all that its own failures may use.
 #[derive(Debug)]
-pub(super) struct Retries {
+pub(super) struct RetryBudgets {
     rng: Pcg64Mcg,
     services: IndexMap<Name, Budget>,
     // Only of services whose budget holds over the fleet.
     routes: IndexMap<Name, Budget>,
 }
 
-impl Retries {
-    pub(super) fn new(seed: u64) -> Retries {
+impl RetryBudgets {
+    pub(super) fn new(seed: u64) -> RetryBudgets {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Retries { rng, services: IndexMap::new(), routes: IndexMap::new() }
+        RetryBudgets { rng, services: IndexMap::new(), routes: IndexMap::new() }
     }
 
     /// Forgets services and routes that a version no longer has.
@@ -43,14 +43,14 @@
     ///
     /// A nested call does not say which run makes it. The target's runs that are repeats make
     /// their share of its calls, so that each call is taken for one of theirs with that chance.
-    pub(super) fn is_inherited(&mut self, arrival: &Arrival<'_>, class: Class) -> bool {
+    pub(super) fn is_nested_repeat(&mut self, arrival: &Arrival<'_>, class: Class) -> bool {
         let runs = arrival.own_runs;
         let nested = class == Class::Gating || arrival.depth > 0;
         nested && runs.repeats > 0 && self.rng.random_range(0..runs.all) < runs.repeats
     }
 
     /// Counts a request that has come, as a first attempt or as a repeat.
-    pub(super) fn count(
+    pub(super) fn record(
         &mut self,
         now: Time,
         snapshot: &Snapshot,
@@ -59,28 +59,28 @@
     ) {
         let service = snapshot.service(service);
         let route = &snapshot.route(route).name;
-        let allowance = Allowance {
+        let limits = RetryLimits {
             percent: service.limits.retry_budget_percent,
             reserve: service.limits.retry_reserve,
             nodes: snapshot.targets().len() as u32,
         };
-        let of_service = self.services.entry(service.name.clone()).or_default();
-        of_service.count(now, allowance, repeat);
-        if allowance.reserve.is_some() {
-            let of_route = self.routes.entry(route.clone()).or_default();
-            of_route.count(now, allowance, repeat);
+        let service_budget = self.services.entry(service.name.clone()).or_default();
+        service_budget.record(now, limits, repeat);
+        if limits.reserve.is_some() {
+            let route_budget = self.routes.entry(route.clone()).or_default();
+            route_budget.record(now, limits, repeat);
         }
     }
 
     /// Takes one retry of a request out of the budgets of its service and its route. Returns
     /// false if either has none left.
-    pub(super) fn take(&mut self, now: Time, call: &Call) -> bool {
+    pub(super) fn try_take(&mut self, now: Time, call: &Call) -> bool {
         let route = &call.snapshot.route(call.route).name;
-        let of_service = self.services.entry(call.service.clone()).or_default();
-        let Some(of_route) = self.routes.get_mut(route) else {
-            return of_service.take(now);
+        let service_budget = self.services.entry(call.service.clone()).or_default();
+        let Some(route_budget) = self.routes.get_mut(route) else {
+            return service_budget.try_take(now);
         };
-        let enough = of_service.has_one(now) && of_route.has_one(now);
-        enough && of_service.take(now) && of_route.take(now)
+        let available = service_budget.is_available(now) && route_budget.is_available(now);
+        available && service_budget.try_take(now) && route_budget.try_take(now)
     }
 }
--- a/core/tests/call_budget.rs
+++ b/core/tests/call_budget.rs
@@ -3,12 +3,12 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use sycamore_core::Time;
-use sycamore_core::call::budget::{Allowance, Budget};
+use sycamore_core::call::budget::{Budget, RetryLimits};
 
 const START: Time = Time(1_700_000_000_000_000);
 const RESERVE: u32 = 56;
 const NODES: u32 = 18;
-const ALLOWANCE: Allowance = Allowance { percent: 20, reserve: Some(RESERVE), nodes: NODES };
+const LIMITS: RetryLimits = RetryLimits { percent: 20, reserve: Some(RESERVE), nodes: NODES };
 
 fn at(ms: u64) -> Time {
     START + Duration::from_millis(ms)
@@ -22,13 +22,13 @@
     let mut first = 0;
     for ms in (0..60_000).step_by(100) {
         for budget in &mut budgets {
-            budget.count_first(at(ms), ALLOWANCE);
+            budget.record_first_attempt(at(ms), LIMITS);
             first += u32::from(ms >= 50_000);
         }
     }
     let mut retries = 0;
     for budget in &mut budgets {
-        while budget.take(at(60_000)) {
+        while budget.try_take(at(60_000)) {
             retries += 1;
         }
     }
@@ -39,14 +39,14 @@
 #[test]
 fn window_gives_back_after_its_end() {
     let mut budget = Budget::new();
-    budget.count_first(START, Allowance { nodes: 1, ..ALLOWANCE });
+    budget.record_first_attempt(START, RetryLimits { nodes: 1, ..LIMITS });
     let mut used = 0;
-    while budget.take(START) {
+    while budget.try_take(START) {
         used += 1;
     }
     assert_eq!(used, RESERVE);
-    assert!(!budget.take(at(9_000)));
-    assert!(budget.take(at(13_000)));
+    assert!(!budget.try_take(at(9_000)));
+    assert!(budget.try_take(at(13_000)));
 }
 
 proptest! {
@@ -58,16 +58,16 @@
     fn window_holds_wherever_it_starts(steps in prop::collection::vec((0u64..900, 0u32..3), 1..200)) {
         let mut budget = Budget::new();
         // Every retry follows some first attempt.
-        budget.count_first(START, ALLOWANCE);
+        budget.record_first_attempt(START, LIMITS);
         let (mut now, mut first, mut retries) = (0, vec![0], Vec::new());
         for (pause, kind) in steps {
             now += pause;
             match kind {
                 0 => {
-                    budget.count_first(at(now), ALLOWANCE);
+                    budget.record_first_attempt(at(now), LIMITS);
                     first.push(now);
                 }
-                _ if budget.take(at(now)) => retries.push(now),
+                _ if budget.try_take(at(now)) => retries.push(now),
                 _ => {}
             }
         }
