--- a/bench/src/bin/sycamore-lab.rs
+++ b/bench/src/bin/sycamore-lab.rs
@@ -7,7 +7,7 @@
 use sycamore_bench::lab::trial::{self, Trial};
 use sycamore_bench::lab::{Scenario, Tally, bound, plot};
 use sycamore_core::call::Policy;
-use sycamore_core::call::policy::Part;
+use sycamore_core::call::policy::Mechanism;
 use sycamore_core::{Code, Fault, Result};
 
 /// Exit code if the command line or a scenario is not valid.
@@ -92,7 +92,7 @@
         }
         let mut policy = Policy::new();
         for name in matches.opt_strs("without") {
-            policy = policy.with_off(part(&name)?);
+            policy = policy.without(part(&name)?);
         }
         for text in matches.opt_strs("set") {
             let (name, value) = text.split_once('=').ok_or_else(|| usage("--set takes NAME=N"))?;
@@ -127,10 +127,10 @@
     if first < end { Ok((first, end - first)) } else { Err(wrong()) }
 }
 
-fn part(name: &str) -> Result<Part> {
+fn part(name: &str) -> Result<Mechanism> {
     serde_json::from_value(name.into()).map_err(|_| {
-        let label = |part: &Part| serde_json::to_string(part).unwrap_or_default();
-        let known: Vec<String> = Part::ALL.iter().map(label).collect();
+        let label = |part: &Mechanism| serde_json::to_string(part).unwrap_or_default();
+        let known: Vec<String> = Mechanism::ALL.iter().map(label).collect();
         usage(format!("unknown part {name}; there are {}", known.join(", ")))
     })
 }
--- a/bench/src/lab/trial.rs
+++ b/bench/src/lab/trial.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
 use sycamore_core::call::Policy;
-use sycamore_core::call::policy::Part;
+use sycamore_core::call::policy::Mechanism;
 use sycamore_core::{Code, Fault, Result};
 
 /// One scenario under one policy, over several seeds.
@@ -175,17 +175,17 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Ablated {
     /// What was off.
-    pub part: Part,
+    pub part: Mechanism,
     /// Difference of each figure to the run with everything at work.
     pub differences: Vec<Estimate>,
 }
 
 /// Plays a trial once whole and once without each part in turn.
-pub fn ablate(trial: &Trial, mut done: impl FnMut(Part)) -> Result<Vec<Ablated>> {
+pub fn ablate(trial: &Trial, mut done: impl FnMut(Mechanism)) -> Result<Vec<Ablated>> {
     let whole = trial.run(|_| {})?;
     let mut rows = Vec::new();
-    for part in Part::ALL {
-        let policy = trial.policy.clone().with_off(part);
+    for part in Mechanism::ALL {
+        let policy = trial.policy.clone().without(part);
         let without = trial.clone().with_policy(policy).run(|_| {})?;
         let difference = |figure| Estimate::paired(figure, &whole, &without);
         rows.push(Ablated { part, differences: Figure::ALL.map(difference).to_vec() });
--- a/bench/tests/lab.rs
+++ b/bench/tests/lab.rs
@@ -6,7 +6,7 @@
 use sycamore_bench::lab::{Scenario, Tally, Trial, tally::Counts};
 use sycamore_core::Code;
 use sycamore_core::call::Policy;
-use sycamore_core::call::policy::Part;
+use sycamore_core::call::policy::Mechanism;
 
 /// A mesh of three regions with two zones each, whose targets would do for twice the load.
 const EVEN: &str = r#"{
@@ -81,7 +81,7 @@
 /// Nothing leaves its zone while that has a target, whatever waits there.
 fn never_leaves() -> Policy {
     let far = 1_000_000;
-    let policy = Policy::new().with_off(Part::FullKnown);
+    let policy = Policy::new().without(Mechanism::FullKnown);
     let policy = policy.with_value("region-percent", far).unwrap();
     policy.with_value("across-percent", far).unwrap()
 }
@@ -144,7 +144,7 @@
     let slow = r#"
         {"at_s": 3, "for_s": 8, "what": "slow", "service": "desk", "share": 0.25, "factor": 8.0}"#;
     let scenario = with_troubles(slow);
-    let without = play(scenario.clone(), Policy::new().with_off(Part::AnswerTimes));
+    let without = play(scenario.clone(), Policy::new().without(Mechanism::AnswerTimes));
     let with = play(scenario, Policy::new());
     assert!(in_time(&with, 4, 11) > 0.95, "{}", in_time(&with, 4, 11));
     let gain = Estimate::paired(Figure::InTime, &without, &with);
@@ -158,7 +158,7 @@
     let grey = r#"
         {"at_s": 3, "for_s": 8, "what": "grey", "service": "desk", "share": 0.25, "errors": 0.5}"#;
     let scenario = with_troubles(grey);
-    let without = play(scenario.clone(), Policy::new().with_off(Part::FailureShare));
+    let without = play(scenario.clone(), Policy::new().without(Mechanism::FailureShare));
     let with = play(scenario, Policy::new());
     let gain = Estimate::paired(Figure::Worth, &without, &with);
     assert!(gain.mean > 0.0 && gain.tells(), "{gain:?}");
@@ -181,7 +181,7 @@
 fn overload_in_time_first() {
     let burst = r#"{"at_s": 3, "for_s": 9, "what": "burst", "factor": 3.1}"#;
     let scenario = with_troubles(burst);
-    let before = play(scenario.clone(), Policy::new().with_off(Part::InTimeFirst));
+    let before = play(scenario.clone(), Policy::new().without(Mechanism::InTimeFirst));
     let after = play(scenario, Policy::new());
     let gain = Estimate::paired(Figure::Worth, &before, &after);
     assert!(gain.mean > 0.0 && gain.tells(), "{gain:?}");
@@ -263,7 +263,7 @@
 }
 
 fn without_hedges() -> Policy {
-    Policy::new().with_off(Part::Hedges)
+    Policy::new().without(Mechanism::Hedges)
 }
 
 /// Guards against lookups that wait for their time-out at a target that loses answers.
--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -4,9 +4,9 @@
 
 pub use offer::{Admission, Objective, Offer, Popped};
 
-use super::depth::Depths;
-use super::link::Link;
-use super::policy::{Part, Policy};
+use super::depth::NestingDepths;
+use super::link::LinkPacer;
+use super::policy::{Mechanism, Policy};
 use super::{CallKey, Load};
 use crate::config::{Class, ServiceLimits};
 use crate::{Code, Time};
@@ -59,8 +59,8 @@
     late: VecDeque<Waiting>,
     bulk_turn: u32,
     run_times: [Duration; 3],
-    depths: Depths,
-    link: Link,
+    depths: NestingDepths,
+    link: LinkPacer,
     policy: Policy,
 }
 
@@ -77,8 +77,8 @@
             late: VecDeque::new(),
             bulk_turn: 0,
             run_times: [FIRST_RUN_TIME; 3],
-            depths: Depths::new(),
-            link: Link::new(None),
+            depths: NestingDepths::new(),
+            link: LinkPacer::new(None),
             policy: Policy::new(),
         }
     }
@@ -90,7 +90,7 @@
     }
 
     /// The same slots on a VM whose link is narrow.
-    pub fn with_link(mut self, link: Link) -> Slots {
+    pub fn with_link(mut self, link: LinkPacer) -> Slots {
         self.link = link;
         self
     }
@@ -102,11 +102,11 @@
             return now;
         };
         if running.class == Class::Bulk && running.sent == 0 {
-            self.link.began(now.since(running.started));
+            self.link.record_first_byte(now.since(running.started));
         }
         running.sent += bytes;
         running.to_come = running.to_come.saturating_sub(bytes);
-        self.link.piece(now, running.class, bytes)
+        self.link.schedule_write(now, running.class, bytes)
     }
 
     /// Changes the limits. What runs or waits goes on.
@@ -121,11 +121,12 @@
 
     /// Takes a request in, or refuses it at once if it could not end in time.
     pub fn offer(&mut self, now: Time, mut offer: Offer) -> Admission {
-        if !self.policy.has(Part::NestedFirst) {
+        if !self.policy.is_enabled(Mechanism::NestedFirst) {
             offer.depth = 0;
         }
-        offer.objective = offer.objective.filter(|_| self.policy.has(Part::InTimeFirst));
-        self.depths.count(offer.depth);
+        offer.objective =
+            offer.objective.filter(|_| self.policy.is_enabled(Mechanism::InTimeFirst));
+        self.depths.record(offer.depth);
         if offer.deadline <= now {
             return Admission::Refuse(Code::DeadlinePassed, Duration::ZERO);
         }
@@ -223,7 +224,7 @@
     /// Learns from the size of a large answer that has left.
     fn count_sent(&mut self, answer: &Running) {
         if answer.class == Class::Bulk && answer.sent > 0 {
-            self.link.sent(answer.sent);
+            self.link.record_size(answer.sent);
         }
     }
 
@@ -319,7 +320,7 @@
     }
 
     fn bulk_slots(&self, now: Time) -> u32 {
-        let percent = match self.policy.has(Part::BulkShare) {
+        let percent = match self.policy.is_enabled(Mechanism::BulkShare) {
             true => self.limits.bulk_share_percent,
             false => 100,
         };
@@ -328,14 +329,14 @@
 
     fn has_slot(&self, now: Time, offer: &Offer) -> bool {
         let slots = self.slots(now);
-        let kept = match self.policy.has(Part::SlotsKept) {
-            true => self.depths.kept_free(slots, offer.depth),
+        let kept = match self.policy.is_enabled(Mechanism::SlotsKept) {
+            true => self.depths.reserved_slots(slots, offer.depth),
             false => 0,
         };
         let used = self.running.len() as u32 + kept;
         let free = used < slots;
         let bulk =
-            || self.running_bulk < self.bulk_slots(now) && self.link.has_room(now, self.to_come());
+            || self.running_bulk < self.bulk_slots(now) && self.link.can_start(now, self.to_come());
         free && (offer.class != Class::Bulk || bulk())
     }
 
@@ -349,7 +350,7 @@
         let mut to_come = 0;
         if offer.class == Class::Bulk {
             self.running_bulk += 1;
-            to_come = self.link.likely_size();
+            to_come = self.link.expected_size();
         }
         let running = Running { class: offer.class, started: now, sent: 0, to_come };
         self.running.insert(offer.call, running);
@@ -403,8 +404,8 @@
     }
 
     fn next_class(&mut self, now: Time) -> Option<Class> {
-        let bulk_waits =
-            self.policy.has(Part::BulkTurn) && !self.queues[Class::Bulk as usize].is_empty();
+        let bulk_waits = self.policy.is_enabled(Mechanism::BulkTurn)
+            && !self.queues[Class::Bulk as usize].is_empty();
         if bulk_waits && self.bulk_turn + 1 >= BULK_TURN && self.may_run_next(now, Class::Bulk) {
             self.bulk_turn = 0;
             return Some(Class::Bulk);
--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -6,7 +6,7 @@
 mod peer;
 
 use super::entry::Reason;
-use super::policy::{Part, Policy};
+use super::policy::{Mechanism, Policy};
 use super::{Load, Members, Terms};
 use crate::config::{Class, ServiceKey, Snapshot};
 use crate::member::VmState;
@@ -191,7 +191,7 @@
     /// more time than its distance costs.
     pub fn pick_available(&mut self, request: PickRequest<'_>) -> Option<Name> {
         let nearest = self.nearest_tier(request)?;
-        let stays = request.class == Class::Bulk && self.policy.has(Part::BulkStays);
+        let stays = request.class == Class::Bulk && self.policy.is_enabled(Mechanism::BulkStays);
         let mut best: Option<(usize, Duration)> = None;
         for link in
             Link::ALL.into_iter().filter(|link| !stays || *link <= nearest.max(Link::Region))
@@ -260,7 +260,7 @@
         peer.failures = 0;
         peer.ejected_until = Time::ZERO;
         peer.record_outcome(now, false);
-        if !self.policy.has(Part::AnswerTimes) {
+        if !self.policy.is_enabled(Mechanism::AnswerTimes) {
             return;
         }
         let known = &mut peer.response_time[class as usize];
@@ -279,7 +279,8 @@
 
     /// The target had not answered after `took`, and the request was answered by another.
     pub fn record_lost_to_hedge(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
-        let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::AnswerTimes))
+        let Some(peer) =
+            self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::AnswerTimes))
         else {
             return;
         };
@@ -326,14 +327,17 @@
 
     /// The target answered with a failure of its own, or not before the deadline.
     pub fn record_request_failure(&mut self, now: Time, vm: &Name) {
-        if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::FailureShare)) {
+        if let Some(peer) =
+            self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FailureShare))
+        {
             peer.record_outcome(now, true);
         }
     }
 
     /// The target's gatekeeper reported its load.
     pub fn record_load(&mut self, now: Time, vm: &Name, load: Load) {
-        if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::ReportedLoads))
+        if let Some(peer) =
+            self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::ReportedLoads))
         {
             peer.load = Some((load, now));
         }
@@ -362,7 +366,9 @@
 
     /// The target's gatekeeper refused for load.
     pub fn record_overload(&mut self, now: Time, vm: &Name, terms: &Terms, retry_after: Duration) {
-        if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::FullKnown)) {
+        if let Some(peer) =
+            self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FullKnown))
+        {
             peer.set_overloaded(
                 now,
                 terms.class,
@@ -374,7 +380,9 @@
 
     /// The target itself refused a request.
     pub fn record_rejection(&mut self, now: Time, vm: &Name) {
-        if let Some(peer) = self.peers.get_mut(vm).filter(|_| self.policy.has(Part::FailureShare)) {
+        if let Some(peer) =
+            self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FailureShare))
+        {
             peer.record_outcome(now, true);
         }
     }
@@ -414,7 +422,7 @@
 
     /// What a way beyond the nearest tier costs.
     fn distance_cost(&self, request: PickRequest<'_>, nearest: Link, link: Link) -> Duration {
-        if link <= nearest || !self.policy.has(Part::Distance) {
+        if link <= nearest || !self.policy.is_enabled(Mechanism::Distance) {
             return Duration::ZERO;
         }
         let percent = self.policy.distance_percent[link as usize - 1];
--- a/core/src/call/depth.rs
+++ b/core/src/call/depth.rs
@@ -7,31 +7,31 @@
 const WEIGHT: u32 = 64;
 
 /// Parts of a share; shares are counted in these.
-const WHOLE: u32 = 1_024;
+const SHARE_SCALE: u32 = 1_024;
 
 /// A smaller share of deeper requests than this keeps no slot free for them.
-const LEAST: u32 = WHOLE / 64;
+const MIN_SHARE: u32 = SHARE_SCALE / 64;
 
 /// At most one slot in so many is kept free.
-const SLOTS: u32 = 4;
+const MAX_RESERVED_DIVISOR: u32 = 4;
 
 /// Which share of the arrivals is nested how deep.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Depths {
+pub struct NestingDepths {
     // Share of arrivals that are nested deeper than the index.
     deeper: [u32; MAX_DEPTH as usize],
 }
 
-impl Depths {
+impl NestingDepths {
     /// Nothing has come.
-    pub fn new() -> Depths {
-        Depths::default()
+    pub fn new() -> NestingDepths {
+        NestingDepths::default()
     }
 
     /// Counts an arrival. `depth` is how many calls wait for it.
-    pub fn count(&mut self, depth: u8) {
+    pub fn record(&mut self, depth: u8) {
         for (level, share) in self.deeper.iter_mut().enumerate() {
-            let newest = if usize::from(depth) > level { WHOLE } else { 0 };
+            let newest = if usize::from(depth) > level { SHARE_SCALE } else { 0 };
             *share = (*share * (WEIGHT - 1) + newest) / WEIGHT;
         }
     }
@@ -41,12 +41,12 @@
     /// Slots that requests of this depth must leave free for deeper calls: requests that hold every
     /// slot of a service which their own nested calls need would wait until their deadlines. None
     /// are kept where no deeper call has come.
-    pub fn kept_free(&self, slots: u32, depth: u8) -> u32 {
+    pub fn reserved_slots(&self, slots: u32, depth: u8) -> u32 {
         let deeper = self.deeper.get(usize::from(depth)).copied();
-        if deeper.is_none_or(|share| share < LEAST) {
+        if deeper.is_none_or(|share| share < MIN_SHARE) {
             return 0;
         }
-        let wanted = (slots * self.deeper[0]).div_ceil(WHOLE);
-        wanted.min(slots / SLOTS).saturating_sub(depth.into())
+        let wanted = (slots * self.deeper[0]).div_ceil(SHARE_SCALE);
+        wanted.min(slots / MAX_RESERVED_DIVISOR).saturating_sub(depth.into())
     }
 }
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -9,9 +9,9 @@
 pub use port::{Arrival, AttemptEnd, Forward, Input, Output, Reason};
 
 use super::balance::{Balancer, PickRequest};
-use super::patience::Patience;
-use super::policy::{Part, Policy};
-use super::split::Splits;
+use super::patience::CallerWaits;
+use super::policy::{Mechanism, Policy};
+use super::split::TrafficSplits;
 use super::{CallKey, Load, MAX_DEPTH, Members, Outcome, RequestKey, Terms};
 use crate::config::snapshot::RouteEntry;
 use crate::config::{OnceBy, RouteKey, ServiceKey, Snapshot};
@@ -73,8 +73,8 @@
     balancer: Balancer,
     retries: RetryBudgets,
     hedges: HedgeBudget,
-    splits: Splits,
-    patience: Patience,
+    splits: TrafficSplits,
+    caller_waits: CallerWaits,
     policy: Policy,
     calls: IndexMap<CallKey, Call>,
     draining: bool,
@@ -89,8 +89,8 @@
             balancer: Balancer::new(place, seed),
             retries: RetryBudgets::new(seed),
             hedges: HedgeBudget::new(),
-            splits: Splits::new(seed),
-            patience: Patience::new(),
+            splits: TrafficSplits::new(seed),
+            caller_waits: CallerWaits::new(),
             policy: Policy::new(),
             calls: IndexMap::new(),
             draining: false,
@@ -228,8 +228,8 @@
     /// When the time ends within which an answer is worth most, from the caller's first attempt.
     fn objective(&mut self, now: Time, arrival: &Arrival<'_>, entry: &RouteEntry) -> Time {
         let waited = match arrival.time_left {
-            Some(left) if self.policy.has(Part::Patience) => {
-                self.patience.waited(now, &entry.name, left)
+            Some(left) if self.policy.is_enabled(Mechanism::Patience) => {
+                self.caller_waits.estimate(now, &entry.name, left)
             }
             _ => Duration::ZERO,
         };
@@ -248,7 +248,7 @@
         }
         let request = PickRequest::new(now, service, &call.terms);
         self.balancer.pick_available(request).or_else(|| {
-            call.terms.may_exceed_objective = self.policy.has(Part::FullOnce);
+            call.terms.may_exceed_objective = self.policy.is_enabled(Mechanism::FullOnce);
             self.balancer.pick_nearest(request)
         })
     }
@@ -268,7 +268,8 @@
         let reason = self.balancer.reason(now, vm, call.terms.class);
         let objective = call.terms.objective.since(now);
         let hedge_delay = self.balancer.hedge_delay(vm, call.terms.class, objective);
-        let may_hedge = call.terms.idempotent && !hedge && self.policy.has(Part::Hedges);
+        let may_hedge =
+            call.terms.idempotent && !hedge && self.policy.is_enabled(Mechanism::Hedges);
         self.balancer.request_started(vm);
         call.attempt += 1;
         call.tried.push(vm.clone());
--- a/core/src/call/entry/retry.rs
+++ b/core/src/call/entry/retry.rs
@@ -3,7 +3,7 @@
 use super::Entry;
 use crate::call::balance::PickRequest;
 use crate::call::note::HomeList;
-use crate::call::policy::Part;
+use crate::call::policy::Mechanism;
 use crate::call::quarantine::MAX_CRASHES;
 use crate::call::{CallKey, RequestKey};
 use crate::config::{ServiceKey, Snapshot};
@@ -125,7 +125,7 @@
             true => self.balancer.pick_available(request)?,
             false => self.balancer.pick(request)?,
         };
-        let unbounded = !self.policy.has(Part::RetryBudget);
+        let unbounded = !self.policy.is_enabled(Mechanism::RetryBudget);
         let allowed = kind == RetryKind::Free || unbounded || self.retries.try_take(now, call);
         allowed.then_some(vm)
     }
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -9,7 +9,7 @@
 
 use super::admit::{Admission, Objective, Offer, Popped, Slots};
 use super::home::Homes;
-use super::link::Link;
+use super::link::LinkPacer;
 use super::once::{KeptAnswer, Once};
 use super::policy::Policy;
 use super::quarantine::Suspects;
@@ -119,7 +119,7 @@
 
     /// The same gatekeeper on a VM whose link takes this many kilobits a second.
     pub fn with_link(mut self, kbps: Option<u64>) -> Gatekeeper {
-        self.slots = self.slots.with_link(Link::new(kbps));
+        self.slots = self.slots.with_link(LinkPacer::new(kbps));
         self
     }
 
--- a/core/src/call/patience.rs
+++ b/core/src/call/patience.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// For how long the longest time that a caller gave counts.
-const MEMORY: Duration = Duration::from_secs(60);
+const TIMEOUT_TTL: Duration = Duration::from_secs(60);
 
 /// Routes remembered at once; one more and all are forgotten.
 const MAX_ROUTES: usize = 4_096;
@@ -17,38 +17,38 @@
 /// attempts before. A request that seems new at every attempt would be put before others although
 /// its answer comes too late in any case.
 #[derive(Debug)]
-pub struct Patience {
-    routes: IndexMap<Name, Longest>,
+pub struct CallerWaits {
+    routes: IndexMap<Name, LongestTimeout>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Longest {
-    given: Duration,
-    seen: Time,
+struct LongestTimeout {
+    timeout: Duration,
+    seen_at: Time,
 }
 
-impl Patience {
+impl CallerWaits {
     /// Knows no route.
-    pub fn new() -> Patience {
-        Patience { routes: IndexMap::new() }
+    pub fn new() -> CallerWaits {
+        CallerWaits { routes: IndexMap::new() }
     }
 
     /// How long the caller of a request has waited, who gives it `left` from now on.
-    pub fn waited(&mut self, now: Time, route: &Name, left: Duration) -> Duration {
+    pub fn estimate(&mut self, now: Time, route: &Name, left: Duration) -> Duration {
         if self.routes.len() >= MAX_ROUTES {
             self.routes.clear();
         }
-        let newest = Longest { given: left, seen: now };
+        let newest = LongestTimeout { timeout: left, seen_at: now };
         let longest = self.routes.entry(route.clone()).or_insert(newest);
-        if left >= longest.given || now.since(longest.seen) > MEMORY {
+        if left >= longest.timeout || now.since(longest.seen_at) > TIMEOUT_TTL {
             *longest = newest;
         }
-        longest.given.saturating_sub(left)
+        longest.timeout.saturating_sub(left)
     }
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience::new()
+impl Default for CallerWaits {
+    fn default() -> CallerWaits {
+        CallerWaits::new()
     }
 }
--- a/core/src/call/policy.rs
+++ b/core/src/call/policy.rs
@@ -8,7 +8,7 @@
 
 kebab_enum! {
     /// A mechanism that can be switched off.
-    pub enum Part {
+    pub enum Mechanism {
         /// Targets that are farther away count as dearer.
         Distance,
         /// Large answers stay in their region while it has a target.
@@ -42,31 +42,31 @@
     }
 }
 
-impl Part {
+impl Mechanism {
     /// Every part.
-    pub const ALL: [Part; 15] = [
-        Part::Distance,
-        Part::BulkStays,
-        Part::AnswerTimes,
-        Part::ReportedLoads,
-        Part::FailureShare,
-        Part::FullKnown,
-        Part::FullOnce,
-        Part::Patience,
-        Part::InTimeFirst,
-        Part::NestedFirst,
-        Part::SlotsKept,
-        Part::BulkShare,
-        Part::BulkTurn,
-        Part::RetryBudget,
-        Part::Hedges,
+    pub const ALL: [Mechanism; 15] = [
+        Mechanism::Distance,
+        Mechanism::BulkStays,
+        Mechanism::AnswerTimes,
+        Mechanism::ReportedLoads,
+        Mechanism::FailureShare,
+        Mechanism::FullKnown,
+        Mechanism::FullOnce,
+        Mechanism::Patience,
+        Mechanism::InTimeFirst,
+        Mechanism::NestedFirst,
+        Mechanism::SlotsKept,
+        Mechanism::BulkShare,
+        Mechanism::BulkTurn,
+        Mechanism::RetryBudget,
+        Mechanism::Hedges,
     ];
 }
 
 /// Mechanisms at work, and the values that they work with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
-    without: BTreeSet<Part>,
+    disabled: BTreeSet<Mechanism>,
     /// How long a request may wait beyond its latest start for an answer in time, behind all that
     /// can still be in time; in percent of a usual run.
     pub late_wait_percent: u32,
@@ -92,7 +92,7 @@
     /// Everything at work.
     pub fn new() -> Policy {
         Policy {
-            without: BTreeSet::new(),
+            disabled: BTreeSet::new(),
             late_wait_percent: LATE_WAIT_PERCENT,
             first_wait_percent: FIRST_WAIT_PERCENT,
             distance_percent: DISTANCE_PERCENT,
@@ -100,8 +100,8 @@
     }
 
     /// The same without a part.
-    pub fn with_off(mut self, part: Part) -> Policy {
-        self.without.insert(part);
+    pub fn without(mut self, mechanism: Mechanism) -> Policy {
+        self.disabled.insert(mechanism);
         self
     }
 
@@ -122,8 +122,8 @@
     }
 
     /// Whether a part is at work.
-    pub fn has(&self, part: Part) -> bool {
-        !self.without.contains(&part)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled.contains(&mechanism)
     }
 }
 
--- a/core/src/call/split.rs
+++ b/core/src/call/split.rs
@@ -14,21 +14,21 @@
 /// already, which drawing at random is not. Every node starts at a random point of the sequence,
 /// so that many nodes with few requests each do not all begin with the same service.
 #[derive(Debug)]
-pub struct Splits {
+pub struct TrafficSplits {
     rng: Pcg64Mcg,
-    routes: IndexMap<Name, Turns>,
+    routes: IndexMap<Name, WeightedRoundRobin>,
 }
 
 #[derive(Debug)]
-struct Turns {
+struct WeightedRoundRobin {
     weights: Vec<u32>,
-    collected: Vec<i64>,
+    current: Vec<i64>,
 }
 
-impl Splits {
+impl TrafficSplits {
     /// No route yet; `seed` feeds the starting points.
-    pub fn new(seed: u64) -> Splits {
-        Splits { rng: Pcg64Mcg::seed_from_u64(seed), routes: IndexMap::new() }
+    pub fn new(seed: u64) -> TrafficSplits {
+        TrafficSplits { rng: Pcg64Mcg::seed_from_u64(seed), routes: IndexMap::new() }
     }
 
     /// Forgets the routes that a version no longer has.
@@ -42,31 +42,32 @@
             return entry.service;
         }
         let weights: Vec<u32> = entry.split.iter().map(|(_, weight)| *weight).collect();
-        let known = self.routes.get(&entry.name).is_some_and(|turns| turns.weights == weights);
-        if !known {
-            let turns = Turns::new(weights, &mut self.rng);
-            self.routes.insert(entry.name.clone(), turns);
+        let up_to_date =
+            self.routes.get(&entry.name).is_some_and(|rotation| rotation.weights == weights);
+        if !up_to_date {
+            let rotation = WeightedRoundRobin::new(weights, &mut self.rng);
+            self.routes.insert(entry.name.clone(), rotation);
         }
-        let index = self.routes.get_mut(&entry.name).map_or(0, Turns::next);
+        let index = self.routes.get_mut(&entry.name).map_or(0, WeightedRoundRobin::next);
         entry.split[index].0
     }
 }
 
-impl Turns {
-    fn new(weights: Vec<u32>, rng: &mut Pcg64Mcg) -> Turns {
+impl WeightedRoundRobin {
+    fn new(weights: Vec<u32>, rng: &mut Pcg64Mcg) -> WeightedRoundRobin {
         let sum: i64 = weights.iter().map(|weight| i64::from(*weight)).sum();
-        let collected = weights.iter().map(|_| rng.random_range(0..sum.max(1))).collect();
-        Turns { weights, collected }
+        let current = weights.iter().map(|_| rng.random_range(0..sum.max(1))).collect();
+        WeightedRoundRobin { weights, current }
     }
 
     fn next(&mut self) -> usize {
         let sum: i64 = self.weights.iter().map(|weight| i64::from(*weight)).sum();
-        for (collected, weight) in self.collected.iter_mut().zip(&self.weights) {
-            *collected += i64::from(*weight);
+        for (current, weight) in self.current.iter_mut().zip(&self.weights) {
+            *current += i64::from(*weight);
         }
-        let most = self.collected.iter().enumerate().max_by_key(|(_, collected)| **collected);
-        let index = most.map_or(0, |(index, _)| index);
-        self.collected[index] -= sum;
+        let next = self.current.iter().enumerate().max_by_key(|(_, current)| **current);
+        let index = next.map_or(0, |(index, _)| index);
+        self.current[index] -= sum;
         index
     }
 }
--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -5,7 +5,7 @@
 use sycamore_core::Time;
 use sycamore_core::call::CallKey;
 use sycamore_core::call::admit::{Admission, Objective, Offer, Popped, Slots};
-use sycamore_core::call::link::Link;
+use sycamore_core::call::link::LinkPacer;
 use sycamore_core::config::{Class, ServiceLimits};
 
 const START: Time = Time(1_700_000_000_000_000);
@@ -160,7 +160,7 @@
 
 /// Offers a ledger every 40 ms for ten seconds. Returns how many were sent, and for how long at
 /// most what was let in would have kept the link busy.
-fn replay_ledgers(link: Link) -> (u32, u64) {
+fn replay_ledgers(link: LinkPacer) -> (u32, u64) {
     let mut slots =
         Slots::new(ServiceLimits { bulk_share_percent: 100, ..limits() }).with_link(link);
     let mut running: VecDeque<(u64, u64)> = VecDeque::new();
@@ -194,8 +194,8 @@
     // Story: ledgers come a fifth faster than the link of a VM takes them. They pile up before
     // it, the calls that signings wait for queue behind them and miss their deadlines, and the
     // node falls behind the configuration.
-    let (_, without) = replay_ledgers(Link::new(None));
-    let (sent, with) = replay_ledgers(Link::new(Some(LINK * 8 / 1_000)));
+    let (_, without) = replay_ledgers(LinkPacer::new(None));
+    let (sent, with) = replay_ledgers(LinkPacer::new(Some(LINK * 8 / 1_000)));
     assert!(without > 1_000, "{without} ms");
     assert!(with < 350, "{with} ms");
     // The share of the link that is meant for them is used.
@@ -204,7 +204,7 @@
 
 /// Writes six ledgers that are ready at once, a small answer every 20 ms beside, and returns the
 /// longest time that a small answer waits behind what was written before.
-fn longest_wait_beside_ledgers(piece: u64, link: &mut Link) -> Duration {
+fn longest_wait_beside_ledgers(piece: u64, link: &mut LinkPacer) -> Duration {
     let on_link = |bytes: u64| Duration::from_micros(bytes * 1_000_000 / LINK);
     // What is left of each ledger, and the piece that waits for its time.
     let mut ledgers = [(LEDGER, None); 6];
@@ -214,7 +214,8 @@
         for (left, waiting) in &mut ledgers {
             while *left > 0 {
                 let bytes = piece.min(*left);
-                let granted = *waiting.get_or_insert_with(|| link.piece(now, Class::Bulk, bytes));
+                let granted =
+                    *waiting.get_or_insert_with(|| link.schedule_write(now, Class::Bulk, bytes));
                 if granted > now {
                     break;
                 }
@@ -224,7 +225,7 @@
             }
         }
         if ms % 20 == 0 {
-            assert_eq!(link.piece(now, Class::Gating, 1_000), now);
+            assert_eq!(link.schedule_write(now, Class::Gating, 1_000), now);
             longest = longest.max(busy_until.since(now));
             busy_until = busy_until.max(now) + on_link(1_000);
         }
@@ -237,8 +238,8 @@
     // Story: several ledgers are ready in the same moment. Written at once they keep the link busy
     // for 280 ms, the calls that signings wait for are answered after that, and the signings miss
     // their objective although their targets are not full.
-    let without = longest_wait_beside_ledgers(LEDGER, &mut Link::new(None));
-    let with = longest_wait_beside_ledgers(16_384, &mut Link::new(Some(LINK * 8 / 1_000)));
+    let without = longest_wait_beside_ledgers(LEDGER, &mut LinkPacer::new(None));
+    let with = longest_wait_beside_ledgers(16_384, &mut LinkPacer::new(Some(LINK * 8 / 1_000)));
     assert!(without > Duration::from_millis(200), "{without:?}");
     assert!(with < Duration::from_millis(30), "{with:?}");
 }
@@ -266,7 +267,7 @@
     // slots count as in use until then, calls that other services wait for find the target full
     // that stands half idle, and the runs that wait for them fail.
     let limits = ServiceLimits { slots: 1, bulk_share_percent: 100, ..limits() };
-    let mut slots = Slots::new(limits).with_link(Link::new(Some(LINK * 8 / 1_000)));
+    let mut slots = Slots::new(limits).with_link(LinkPacer::new(Some(LINK * 8 / 1_000)));
     let pack = |call| Offer { class: Class::Bulk, ..offer(call, 0, 0, Some(OBJECTIVE), true) };
     assert_eq!(slots.offer(at(0), pack(0)), Admission::Run);
     assert_eq!(slots.piece(at(60), CallKey(0), 16_384), at(60));
@@ -285,7 +286,7 @@
 fn smaller_answers_count_for_the_likely_size() {
     // Story: answers become smaller than they were. Only those larger than expected are counted, so
     // that each is still taken for a large one, and the link stays half empty.
-    let mut slots = Slots::new(limits()).with_link(Link::new(Some(LINK * 8 / 1_000)));
+    let mut slots = Slots::new(limits()).with_link(LinkPacer::new(Some(LINK * 8 / 1_000)));
     let small = LEDGER / 9;
     for call in 0..60 {
         let now = call * 1_000;
