--- a/core/tests/call_balance.rs
+++ b/core/tests/call_balance.rs
@@ -41,7 +41,7 @@
 }
 
 /// These targets refuse for load and say how long a newcomer would wait.
-fn full(balancer: &mut Balancer, vms: [&str; 2], wait_ms: u32) {
+fn mark_overloaded(balancer: &mut Balancer, vms: [&str; 2], wait_ms: u32) {
     for vm in vms {
         let load = Load { in_flight: 8, slots: 8, queued: 4, wait_ms };
         balancer.record_load(START, &name(vm), load);
@@ -53,7 +53,7 @@
 }
 
 /// How many of a hundred requests go to the other region.
-fn across(balancer: &mut Balancer, class: Class) -> usize {
+fn picks_in_other_region(balancer: &mut Balancer, class: Class) -> usize {
     let mut pick = || balancer.pick(PickRequest::new(START, ServiceKey(0), &terms(class)));
     (0..100).filter(|_| matches!(pick().unwrap().as_str(), "c" | "d")).count()
 }
@@ -64,9 +64,9 @@
     // are sent to another region, whose targets are as full, and traffic that is paid by volume
     // grows by a quarter of a gigabyte in half a minute without one answer more.
     let mut balancer = balancer();
-    full(&mut balancer, ["a", "b"], 300);
-    assert_eq!(across(&mut balancer, Class::Bulk), 0);
-    assert_eq!(across(&mut balancer, Class::Interactive), 100);
+    mark_overloaded(&mut balancer, ["a", "b"], 300);
+    assert_eq!(picks_in_other_region(&mut balancer, Class::Bulk), 0);
+    assert_eq!(picks_in_other_region(&mut balancer, Class::Interactive), 100);
 }
 
 #[test]
@@ -80,13 +80,13 @@
         balancer.record_response(START, &vm, Class::Interactive, Duration::from_millis(took));
         balancer.record_load(START, &vm, Load { in_flight: 8, slots: 8, queued: 4, wait_ms });
     }
-    assert_eq!(across(&mut balancer, Class::Interactive), 0);
+    assert_eq!(picks_in_other_region(&mut balancer, Class::Interactive), 0);
     // It is worth the way when a run and more is saved.
     for vm in ["a", "b"] {
         let load = Load { in_flight: 8, slots: 8, queued: 20, wait_ms: 300 };
         balancer.record_load(START, &name(vm), load);
     }
-    assert_eq!(across(&mut balancer, Class::Interactive), 100);
+    assert_eq!(picks_in_other_region(&mut balancer, Class::Interactive), 100);
 }
 
 #[test]
@@ -95,5 +95,5 @@
     for vm in ["a", "b"] {
         balancer.record_unreachable(START, &name(vm));
     }
-    assert_eq!(across(&mut balancer, Class::Bulk), 100);
+    assert_eq!(picks_in_other_region(&mut balancer, Class::Bulk), 100);
 }
--- a/core/tests/call_budget.rs
+++ b/core/tests/call_budget.rs
@@ -19,11 +19,11 @@
     // Story: a service fails after a calm hour. Each of 18 nodes has saved up ten retries, and
     // the service is hit by 180 at once, although 103 are allowed.
     let mut budgets = [Budget::new(); NODES as usize];
-    let mut first = 0;
+    let mut first_attempts = 0;
     for ms in (0..60_000).step_by(100) {
         for budget in &mut budgets {
             budget.record_first_attempt(at(ms), LIMITS);
-            first += u32::from(ms >= 50_000);
+            first_attempts += u32::from(ms >= 50_000);
         }
     }
     let mut retries = 0;
@@ -32,8 +32,8 @@
             retries += 1;
         }
     }
-    assert!(retries <= first * 20 / 100 + RESERVE, "{retries} retries");
-    assert!(retries >= first * 10 / 100, "{retries} retries");
+    assert!(retries <= first_attempts * 20 / 100 + RESERVE, "{retries} retries");
+    assert!(retries >= first_attempts * 10 / 100, "{retries} retries");
 }
 
 #[test]
@@ -59,13 +59,13 @@
         let mut budget = Budget::new();
         // Every retry follows some first attempt.
         budget.record_first_attempt(START, LIMITS);
-        let (mut now, mut first, mut retries) = (0, vec![0], Vec::new());
+        let (mut now, mut first_attempts, mut retries) = (0, vec![0], Vec::new());
         for (pause, kind) in steps {
             now += pause;
             match kind {
                 0 => {
                     budget.record_first_attempt(at(now), LIMITS);
-                    first.push(now);
+                    first_attempts.push(now);
                 }
                 _ if budget.try_take(at(now)) => retries.push(now),
                 _ => {}
@@ -74,7 +74,8 @@
         for start in &retries {
             let used = retries.iter().filter(|at| (*start..start + 10_000).contains(at)).count();
             let from = start.saturating_sub(10_000);
-            let counted = first.iter().filter(|at| (from..start + 10_000).contains(at)).count();
+            let counted =
+                first_attempts.iter().filter(|at| (from..start + 10_000).contains(at)).count();
             let allowed = counted as u32 * 20 + RESERVE * 100 / NODES;
             prop_assert!(used as u32 * 100 <= allowed, "{used} retries after {counted}");
         }
--- a/core/tests/call_entry.rs
+++ b/core/tests/call_entry.rs
@@ -16,7 +16,7 @@
 use sycamore_core::{Code, Time};
 
 const START: Time = Time(1_700_000_000_000_000);
-const SOON: Duration = Duration::from_millis(200);
+const RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Targets as `vm/region/zone`.
 fn snapshot(version: u64, targets: &[&str]) -> Arc<Snapshot> {
@@ -86,7 +86,7 @@
 }
 
 fn refused(code: Code) -> AttemptEnd {
-    AttemptEnd::Refused { code, retry_after: SOON, load: None, crashes: 0 }
+    AttemptEnd::Refused { code, retry_after: RETRY_AFTER, load: None, crashes: 0 }
 }
 
 fn key(low: u64) -> RequestKey {
@@ -120,7 +120,10 @@
     let first = driver.arrive();
     let end = refused(Code::QueueFull);
     let output = driver.input(Input::Attempt { call: first.call, end, replayable: false });
-    assert_eq!(finished(output), Outcome::NotRun { code: Code::QueueFull, retry_after: SOON });
+    assert_eq!(
+        finished(output),
+        Outcome::NotRun { code: Code::QueueFull, retry_after: RETRY_AFTER }
+    );
 }
 
 #[test]
@@ -239,10 +242,10 @@
 #[test]
 fn view_hint() {
     let mut driver = Driver::new(&SIX);
-    let gone = |vms: &[&str]| -> Arc<Members> {
+    let view_without = |vms: &[&str]| -> Arc<Members> {
         Arc::new(vms.iter().map(|vm| (name(vm), VmState::Gone)).collect())
     };
-    driver.input(Input::View(gone(&["a", "b"])));
+    driver.input(Input::View(view_without(&["a", "b"])));
     for _ in 0..100 {
         let sent = driver.arrive();
         assert!(!["a", "b"].contains(&sent.vm.as_str()));
@@ -250,7 +253,7 @@
     }
     // Story: a partition makes the list call most targets gone. Sending everything to the two
     // left would break them; the list is not believed.
-    driver.input(Input::View(gone(&["a", "b", "c", "d"])));
+    driver.input(Input::View(view_without(&["a", "b", "c", "d"])));
     let mut seen = BTreeMap::new();
     for _ in 0..300 {
         let sent = driver.arrive();
@@ -451,16 +454,16 @@
     // Story: a target takes requests and never answers, while its health check is good. Each
     // request that is sent there ends at its caller's deadline, one after the other for minutes.
     let mut driver = Driver::new(&SIX);
-    let mut mute = 0;
+    let mut unresponsive = 0;
     for _ in 0..120 {
         let sent = driver.arrive();
         if sent.vm.as_str() == "a" {
-            mute += 1;
+            unresponsive += 1;
             driver.now = driver.now + Duration::from_millis(100);
             driver.input(Input::Expire { call: sent.call, sent: true });
         } else {
             driver.answer(&sent, Duration::from_millis(20));
         }
     }
-    assert!(mute <= 6, "{mute} of 120 to a target that never answers");
+    assert!(unresponsive <= 6, "{unresponsive} of 120 to a target that never answers");
 }
--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -15,7 +15,7 @@
 const START: Time = Time(1_700_000_000_000_000);
 
 /// When a full target says to come back.
-const LATER: Duration = Duration::from_millis(300);
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// A service of four targets, whose route allows two further gatekeepers to be asked.
 fn snapshot() -> Arc<Snapshot> {
@@ -45,7 +45,7 @@
     }
 
     /// A request that every target turns away for load. Returns the forwards that it took.
-    fn turned_away(&mut self) -> Vec<Forward> {
+    fn send_to_overloaded_service(&mut self) -> Vec<Forward> {
         self.next += 1;
         let call = CallKey(self.next);
         let arrival =
@@ -56,7 +56,7 @@
             forwards.push(forward);
             let end = AttemptEnd::Refused {
                 code: Code::QueueFull,
-                retry_after: LATER,
+                retry_after: RETRY_AFTER,
                 load: None,
                 crashes: 0,
             };
@@ -73,11 +73,11 @@
     // gatekeepers in turn before it waits at one or is turned away, so that nodes with a tenth of
     // a core spend their time on refusals, and what could be answered is late as well.
     let mut driver = Driver::new();
-    let first = driver.turned_away();
+    let first = driver.send_to_overloaded_service();
     assert_eq!(first.len(), 3, "{first:?}");
     // The fourth target has not refused yet.
-    driver.turned_away();
-    let third = driver.turned_away();
+    driver.send_to_overloaded_service();
+    let third = driver.send_to_overloaded_service();
     assert_eq!(third.len(), 1, "{third:?}");
     assert!(third[0].terms.may_exceed_objective);
 }
@@ -85,9 +85,9 @@
 #[test]
 fn full_service_asked_again_later() {
     let mut driver = Driver::new();
-    driver.turned_away();
-    driver.turned_away();
-    driver.now = START + LATER;
-    let forwards = driver.turned_away();
+    driver.send_to_overloaded_service();
+    driver.send_to_overloaded_service();
+    driver.now = START + RETRY_AFTER;
+    let forwards = driver.send_to_overloaded_service();
     assert!(!forwards[0].terms.may_exceed_objective, "{forwards:?}");
 }
--- a/core/tests/call_entry_hedge.rs
+++ b/core/tests/call_entry_hedge.rs
@@ -13,7 +13,7 @@
 use sycamore_core::{Code, Time};
 
 const START: Time = Time(1_700_000_000_000_000);
-const USUAL: Duration = Duration::from_millis(100);
+const RESPONSE_TIME: Duration = Duration::from_millis(100);
 
 fn snapshot() -> Arc<Snapshot> {
     let targets = ["a/r/z", "b/r/z", "c/r/z", "d/r/z", "e/r/z", "f/r/z"];
@@ -38,8 +38,8 @@
         driver.input(Input::Configure(snapshot()));
         for _ in 0..100 {
             let first = driver.arrive("/idem");
-            driver.now = driver.now + USUAL;
-            driver.answered(first.call);
+            driver.now = driver.now + RESPONSE_TIME;
+            driver.respond(first.call);
         }
         driver
     }
@@ -60,16 +60,16 @@
         }
     }
 
-    fn answered(&mut self, call: CallKey) {
+    fn respond(&mut self, call: CallKey) {
         let end = AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO };
         assert_eq!(self.input(Input::Attempt { call, end, replayable: true }), None);
         self.input(Input::Close(call));
     }
 
     /// Waits for as long as the attempt's patience lasts.
-    fn slow(&mut self, first: &Forward) -> Option<Forward> {
-        let patience = first.hedge_delay_ms.expect("it may be sent twice");
-        self.now = self.now + Duration::from_millis(patience.into());
+    fn send_hedge(&mut self, first: &Forward) -> Option<Forward> {
+        let delay = first.hedge_delay_ms.expect("it may be sent twice");
+        self.now = self.now + Duration::from_millis(delay.into());
         match self.input(Input::HedgeDue(first.call)) {
             Some(Output::Forward(second)) => Some(second),
             None => None,
@@ -82,12 +82,12 @@
 fn hedge_goes_elsewhere() {
     let mut driver = Driver::new();
     let first = driver.arrive("/idem");
-    let second = driver.slow(&first).expect("a hedge");
+    let second = driver.send_hedge(&first).expect("a hedge");
     assert_ne!(first.vm, second.vm);
     assert!(second.terms.repeat && !first.terms.repeat);
     assert_eq!((second.attempt, second.hedge_delay_ms), (2, None));
     driver.input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::LostToHedge });
-    driver.answered(first.call);
+    driver.respond(first.call);
     assert_eq!(driver.entry.open(), 0);
 }
 
@@ -107,10 +107,14 @@
 fn hedge_refused_after_first_lost() {
     let mut driver = Driver::new();
     let first = driver.arrive("/idem");
-    driver.slow(&first).expect("a hedge");
+    driver.send_hedge(&first).expect("a hedge");
     driver.input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::ConnectionLost });
-    let refused =
-        AttemptEnd::Refused { code: Code::TooDeep, retry_after: USUAL, load: None, crashes: 0 };
+    let refused = AttemptEnd::Refused {
+        code: Code::TooDeep,
+        retry_after: RESPONSE_TIME,
+        load: None,
+        crashes: 0,
+    };
     let end = driver.input(Input::Attempt { call: first.call, end: refused, replayable: true });
     let unknown = Outcome::Unknown { code: Code::AnswerLost };
     assert_eq!(end, Some(Output::Finish { call: first.call, outcome: unknown }));
@@ -120,18 +124,18 @@
 #[test]
 fn hedge_few_when_all_are_slow() {
     let mut driver = Driver::new();
-    let mut seconds = 0;
+    let mut hedges = 0;
     for _ in 0..400 {
         let first = driver.arrive("/idem");
-        let second = driver.slow(&first);
-        seconds += u32::from(second.is_some());
-        driver.now = driver.now + USUAL * 12;
+        let second = driver.send_hedge(&first);
+        hedges += u32::from(second.is_some());
+        driver.now = driver.now + RESPONSE_TIME * 12;
         if second.is_some() {
             driver.input(Input::HedgeEnded { call: first.call, end: None });
         }
-        driver.answered(first.call);
+        driver.respond(first.call);
     }
-    assert!(seconds <= 20, "{seconds} of 400");
+    assert!(hedges <= 20, "{hedges} of 400");
 }
 
 /// Guards against an allowance that is used up although hedges find answers.
@@ -142,16 +146,16 @@
     for number in 0..400 {
         let first = driver.arrive("/idem");
         if number % 10 == 0 {
-            if driver.slow(&first).is_some() {
+            if driver.send_hedge(&first).is_some() {
                 hedges += 1;
-                driver.now = driver.now + USUAL;
+                driver.now = driver.now + RESPONSE_TIME;
                 driver
                     .input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::LostToHedge });
             }
         } else {
-            driver.now = driver.now + USUAL;
+            driver.now = driver.now + RESPONSE_TIME;
         }
-        driver.answered(first.call);
+        driver.respond(first.call);
     }
     // Three saved up and four in a hundred first attempts, if nothing were given back.
     let share = 3 + 400 * 4 / 100;
--- a/core/tests/call_entry_naive.rs
+++ b/core/tests/call_entry_naive.rs
@@ -53,27 +53,27 @@
 }
 
 #[derive(Clone)]
-struct NaiveCall {
+struct ModelCall {
     key: Option<RequestKey>,
     arrived: Time,
     tried: Vec<&'static str>,
-    may_have_run: Option<Code>,
+    possibly_run: Option<Code>,
     crashes: u32,
 }
 
 /// Everything in plain sight: a list of calls, and retries counted in hundredths.
-struct Naive {
+struct Model {
     vms: Vec<&'static str>,
-    calls: HashMap<u64, NaiveCall>,
-    saved: u64,
+    calls: HashMap<u64, ModelCall>,
+    retry_units: u64,
 }
 
 /// Refusals after which the next home in order may have the key.
-fn next_home(code: Code) -> bool {
+fn goes_to_next_home(code: Code) -> bool {
     matches!(code, Code::NotHome | Code::GatekeeperUnreachable)
 }
 
-impl Naive {
+impl Model {
     fn home(&self, key: RequestKey) -> &'static str {
         let points = |vm: &&&str| rendezvous_score(&key.to_bytes(), vm.as_bytes());
         self.vms.iter().max_by_key(points).copied().unwrap()
@@ -90,16 +90,16 @@
     }
 
     fn arrive(&mut self, number: u64, now: Time, key: Option<RequestKey>) -> Expected {
-        self.saved = (self.saved + 20).min(1_000);
+        self.retry_units = (self.retry_units + 20).min(1_000);
         let call =
-            NaiveCall { key, arrived: now, tried: Vec::new(), may_have_run: None, crashes: 0 };
+            ModelCall { key, arrived: now, tried: Vec::new(), possibly_run: None, crashes: 0 };
         self.calls.insert(number, call);
         Expected::Forward(key.map_or(self.vms.clone(), |key| vec![self.home(key)]))
     }
 
     fn end(&mut self, number: u64, now: Time, end: &AttemptEnd, replayable: bool) -> Expected {
         let Some(mut call) = self.calls.get(&number).cloned() else { return Expected::Nothing };
-        let (code, elsewhere, paid) = match end {
+        let (code, retry_elsewhere, budgeted) = match end {
             // The naive node makes no second attempt beside the first.
             AttemptEnd::ResponseStarted { .. }
             | AttemptEnd::ErrorResponseStarted { .. }
@@ -113,37 +113,37 @@
             call.crashes = call.crashes.max(*crashes);
         }
         if matches!(end, AttemptEnd::ConnectionLost | AttemptEnd::Failed { .. }) {
-            call.may_have_run = call.may_have_run.or(Some(code));
+            call.possibly_run = call.possibly_run.or(Some(code));
         }
         let in_time = now + Duration::from_millis(1) <= call.arrived + DEADLINE;
-        let again = replayable && in_time && call.tried.len() < MAX_ATTEMPTS;
-        let mut fit: Vec<&str> = match call.key {
-            Some(key) if next_home(code) && call.may_have_run.is_none() => {
+        let may_retry = replayable && in_time && call.tried.len() < MAX_ATTEMPTS;
+        let mut candidates: Vec<&str> = match call.key {
+            Some(key) if goes_to_next_home(code) && call.possibly_run.is_none() => {
                 let untried = |vm: &&&str| !call.tried.contains(*vm);
                 self.homes(key).iter().find(untried).into_iter().copied().collect()
             }
-            None if elsewhere && call.crashes < 2 => self.vms.clone(),
+            None if retry_elsewhere && call.crashes < 2 => self.vms.clone(),
             _ => Vec::new(),
         };
-        fit.retain(|vm| again && !call.tried.contains(vm));
-        let must_pay = call.key.is_none() && paid && !fit.is_empty();
-        if must_pay && self.saved < 100 {
-            fit.clear();
-        } else if must_pay {
-            self.saved -= 100;
+        candidates.retain(|vm| may_retry && !call.tried.contains(vm));
+        let must_charge = call.key.is_none() && budgeted && !candidates.is_empty();
+        if must_charge && self.retry_units < 100 {
+            candidates.clear();
+        } else if must_charge {
+            self.retry_units -= 100;
         }
         self.calls.insert(number, call.clone());
-        if !fit.is_empty() {
-            return Expected::Forward(fit);
+        if !candidates.is_empty() {
+            return Expected::Forward(candidates);
         }
         self.calls.remove(&number);
-        call.may_have_run.map_or(Expected::NotRun(code), Expected::Unknown)
+        call.possibly_run.map_or(Expected::NotRun(code), Expected::Unknown)
     }
 
     fn expire(&mut self, number: u64, sent: bool) -> Expected {
         let Some(call) = self.calls.remove(&number) else { return Expected::Nothing };
         let sent = sent.then_some(Code::DeadlinePassed);
-        let unknown = call.may_have_run.or(sent);
+        let unknown = call.possibly_run.or(sent);
         unknown.map_or(Expected::NotRun(Code::DeadlinePassed), Expected::Unknown)
     }
 }
@@ -182,29 +182,29 @@
     }
 }
 
-fn agree(
-    naive: &mut Naive,
+fn check_agreement(
+    model: &mut Model,
     call: u64,
     expected: &Expected,
-    found: Option<Output>,
+    actual: Option<Output>,
 ) -> Result<(), TestCaseError> {
-    match (expected, found) {
+    match (expected, actual) {
         (Expected::Nothing, None) => {}
-        (Expected::Forward(fit), Some(Output::Forward(Forward { vm, attempt, .. }))) => {
-            let vm = fit.iter().find(|fit| **fit == vm.as_str());
-            prop_assert!(vm.is_some(), "not to one of {:?}", fit);
-            let known = naive.calls.get_mut(&call).unwrap();
+        (Expected::Forward(candidates), Some(Output::Forward(Forward { vm, attempt, .. }))) => {
+            let vm = candidates.iter().find(|candidate| **candidate == vm.as_str());
+            prop_assert!(vm.is_some(), "not to one of {:?}", candidates);
+            let known = model.calls.get_mut(&call).unwrap();
             known.tried.extend(vm);
             prop_assert_eq!(attempt as usize, known.tried.len());
         }
         (Expected::NotRun(code), Some(Output::Finish { outcome, .. })) => {
-            let same = matches!(outcome, Outcome::NotRun { code: found, .. } if found == *code);
+            let same = matches!(outcome, Outcome::NotRun { code: actual, .. } if actual == *code);
             prop_assert!(same, "{:?} for {:?}", outcome, expected);
         }
         (Expected::Unknown(code), Some(Output::Finish { outcome, .. })) => {
             prop_assert_eq!(outcome, Outcome::Unknown { code: *code });
         }
-        (expected, found) => prop_assert!(false, "{:?} for {:?}", found, expected),
+        (expected, actual) => prop_assert!(false, "{:?} for {:?}", actual, expected),
     }
     Ok(())
 }
@@ -220,7 +220,7 @@
         let mut now = START;
         let place = Place { region: name("r"), zone: name("z") };
         let mut entry = Entry::new(place, 7);
-        let mut naive = Naive { vms: VMS.to_vec(), calls: HashMap::new(), saved: 300 };
+        let mut model = Model { vms: VMS.to_vec(), calls: HashMap::new(), retry_units: 300 };
         let mut out = Vec::new();
         entry.handle(now, Input::Configure(snapshot(1, &VMS)), &mut out);
         let mut arrived = 0;
@@ -239,26 +239,26 @@
                         body_bytes: None,
                         own_runs: Runs::default(),
                     };
-                    (arrived, naive.arrive(arrived, now, key), Input::Arrive(arrival))
+                    (arrived, model.arrive(arrived, now, key), Input::Arrive(arrival))
                 }
                 Step::End(number, kind, replayable) => {
                     let (call, end, replayable) = (at(*number), attempt_end(*kind), *replayable);
-                    let expected = naive.end(call, now, &end, replayable);
+                    let expected = model.end(call, now, &end, replayable);
                     (call, expected, Input::Attempt { call: CallKey(call), end, replayable })
                 }
                 Step::Expire(number, sent) => {
                     let (call, sent) = (at(*number), *sent);
-                    (call, naive.expire(call, sent), Input::Expire { call: CallKey(call), sent })
+                    (call, model.expire(call, sent), Input::Expire { call: CallKey(call), sent })
                 }
                 Step::Close(number) => {
                     let call = at(*number);
-                    naive.calls.remove(&call);
+                    model.calls.remove(&call);
                     (call, Expected::Nothing, Input::Close(CallKey(call)))
                 }
                 Step::Configure(set) => {
                     let chosen = (0..VMS.len()).filter(|bit| set & 1 << bit != 0);
-                    naive.vms = chosen.map(|bit| VMS[bit]).collect();
-                    let snapshot = snapshot(index as u64 + 2, &naive.vms);
+                    model.vms = chosen.map(|bit| VMS[bit]).collect();
+                    let snapshot = snapshot(index as u64 + 2, &model.vms);
                     (0, Expected::Nothing, Input::Configure(snapshot))
                 }
                 Step::Pass(ms) => {
@@ -268,8 +268,8 @@
             };
             entry.handle(now, input, &mut out);
             prop_assert!(out.len() <= 1, "{:?}", out);
-            agree(&mut naive, call, &expected, out.pop())?;
-            prop_assert_eq!(entry.open(), naive.calls.len());
+            check_agreement(&mut model, call, &expected, out.pop())?;
+            prop_assert_eq!(entry.open(), model.calls.len());
         }
     }
 }
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -23,14 +23,14 @@
 /// nodes count at different moments.
 const ALLOWED_PERCENT: usize = 20;
 const ALLOWED_RESERVE: usize = 60;
-const STATED: (usize, usize) = (12, 36);
+const CONFIGURED: (usize, usize) = (12, 36);
 
 /// Time between two steps of the replay, and steps in ten seconds.
 const STEP: Duration = Duration::from_millis(10);
 const WINDOW: usize = 1_000;
 
 fn snapshot() -> Arc<Snapshot> {
-    let (percent, reserve) = STATED;
+    let (percent, reserve) = CONFIGURED;
     let service = |kind: &str, count: usize| {
         let vms: Vec<String> = (0..count).map(|index| format!("{kind}{index}")).collect();
         let vms: Vec<&str> = vms.iter().map(String::as_str).collect();
@@ -60,7 +60,7 @@
 
 /// What reached the vaults in one step.
 #[derive(Clone, Copy, Default)]
-struct Seen {
+struct StepCounts {
     requests: usize,
     repeats: usize,
 }
@@ -72,7 +72,7 @@
     rng: Pcg64Mcg,
     now: Time,
     next: u64,
-    seen: Vec<Seen>,
+    counts: Vec<StepCounts>,
 }
 
 impl Fleet {
@@ -85,7 +85,7 @@
         }
         let runs = (0..DESKS).map(|_| Vec::new()).collect();
         let rng = Pcg64Mcg::seed_from_u64(1);
-        Fleet { entries, runs, rng, now: START, next: 0, seen: Vec::new() }
+        Fleet { entries, runs, rng, now: START, next: 0, counts: Vec::new() }
     }
 
     fn input(&mut self, entry: usize, input: Input<'_>) -> Option<Output> {
@@ -108,7 +108,7 @@
     }
 
     /// A caller's request comes to an entry node.
-    fn ask(&mut self, path: &str) {
+    fn send_request(&mut self, path: &str) {
         let entry = self.rng.random_range(0..DESKS + VAULTS);
         if let (_, Some(Output::Forward(forward))) = self.arrive(entry, path, Runs::default()) {
             self.start_run(entry, forward);
@@ -117,15 +117,15 @@
 
     /// The call that a run makes, while vaults shed this share of what arrives. Returns whether
     /// it was answered.
-    fn nested(&mut self, desk: usize, repeat: bool, own_runs: Runs, shed: f64) -> bool {
+    fn nested_call(&mut self, desk: usize, repeat: bool, own_runs: Runs, reject_rate: f64) -> bool {
         let (call, mut output) = self.arrive(desk, "/vault", own_runs);
-        let mut seen = Seen { requests: 1, repeats: 0 };
+        let mut counts = StepCounts { requests: 1, repeats: 0 };
         let mut arrivals = 0;
         let mut answered = false;
         while let Some(Output::Forward(_)) = output {
             arrivals += 1;
-            seen.repeats += usize::from(repeat || arrivals > 1);
-            answered = !self.rng.random_bool(shed);
+            counts.repeats += usize::from(repeat || arrivals > 1);
+            answered = !self.rng.random_bool(reject_rate);
             let end = match answered {
                 true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
                 false => AttemptEnd::Refused {
@@ -138,14 +138,14 @@
             output = self.input(desk, Input::Attempt { call, end, replayable: true });
         }
         self.input(desk, Input::Close(call));
-        let step = self.seen.last_mut().unwrap();
-        step.requests += seen.requests;
-        step.repeats += seen.repeats;
+        let step = self.counts.last_mut().unwrap();
+        step.requests += counts.requests;
+        step.repeats += counts.repeats;
         answered
     }
 
     /// Every run at a desk makes its call, if it makes one, and ends with its outcome.
-    fn end_runs(&mut self, desk: usize, shed: f64) {
+    fn end_runs(&mut self, desk: usize, reject_rate: f64) {
         let runs = std::mem::take(&mut self.runs[desk]);
         let mut counts = RunCounts::new();
         for Run { terms, .. } in &runs {
@@ -154,7 +154,7 @@
         let own_runs = counts.of_repeats();
         for Run { entry, call, terms } in runs {
             let signing = !terms.idempotent;
-            let end = match signing || self.nested(desk, terms.repeat, own_runs, shed) {
+            let end = match signing || self.nested_call(desk, terms.repeat, own_runs, reject_rate) {
                 true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
                 false => AttemptEnd::ErrorResponseStarted { load: None },
             };
@@ -168,24 +168,24 @@
     }
 
     /// A step in which so many lookups and signings come at random nodes.
-    fn step(&mut self, shed: f64, (lookups, signings): (usize, usize)) {
+    fn step(&mut self, reject_rate: f64, (lookups, signings): (usize, usize)) {
         self.now = self.now + STEP;
-        self.seen.push(Seen::default());
-        (0..lookups).for_each(|_| self.ask("/desk"));
-        (0..signings).for_each(|_| self.ask("/sign"));
+        self.counts.push(StepCounts::default());
+        (0..lookups).for_each(|_| self.send_request("/desk"));
+        (0..signings).for_each(|_| self.send_request("/sign"));
         for desk in 0..DESKS {
-            self.end_runs(desk, shed);
+            self.end_runs(desk, reject_rate);
         }
     }
 
     /// The most by which repeats exceed what is allowed in any ten seconds.
     fn worst_excess(&self) -> i64 {
-        let excess = |window: &[Seen]| {
-            let requests: usize = window.iter().map(|seen| seen.requests).sum();
-            let repeats: usize = window.iter().map(|seen| seen.repeats).sum();
+        let excess = |window: &[StepCounts]| {
+            let requests: usize = window.iter().map(|counts| counts.requests).sum();
+            let repeats: usize = window.iter().map(|counts| counts.repeats).sum();
             repeats as i64 - (requests * ALLOWED_PERCENT / 100 + ALLOWED_RESERVE) as i64
         };
-        self.seen.windows(WINDOW).map(excess).max().unwrap_or(i64::MIN)
+        self.counts.windows(WINDOW).map(excess).max().unwrap_or(i64::MIN)
     }
 }
 
@@ -241,7 +241,7 @@
     // The budget is meant to be used: with one in ten shed, one in ten calls is made again.
     let mut fleet = Fleet::new();
     (0..2_000).for_each(|_| fleet.step(0.1, (4, 0)));
-    let repeats: usize = fleet.seen.iter().map(|seen| seen.repeats).sum();
+    let repeats: usize = fleet.counts.iter().map(|counts| counts.repeats).sum();
     assert!(repeats > 500, "{repeats}");
     assert!(fleet.worst_excess() <= 0);
 }
--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -9,9 +9,9 @@
 use sycamore_core::config::{Class, ServiceLimits};
 
 const START: Time = Time(1_700_000_000_000_000);
-const RUN: u64 = 160;
-const OBJECTIVE: u64 = 600;
-const DEADLINE: u64 = 4_000;
+const RUN_MS: u64 = 160;
+const OBJECTIVE_MS: u64 = 600;
+const DEADLINE_MS: u64 = 4_000;
 
 fn at(ms: u64) -> Time {
     START + Duration::from_millis(ms)
@@ -27,14 +27,14 @@
         class: Class::Interactive,
         rank,
         depth: 0,
-        deadline: at(now + DEADLINE),
+        deadline: at(now + DEADLINE_MS),
         objective: objective.map(|ms| Objective { by: at(now + ms), patient }),
     }
 }
 
 /// What callers saw of one replay.
 #[derive(Debug, Default)]
-struct Seen {
+struct Report {
     offered: u32,
     in_time: u32,
     late: u32,
@@ -45,34 +45,34 @@
 }
 
 /// How long requests come.
-const LOAD: u64 = 10_000;
+const LOAD_MS: u64 = 10_000;
 
 /// Offers one request every `gap` ms for ten seconds to a target that runs twelve at once.
-fn replay(gap: u64, objective: Option<u64>) -> Seen {
+fn replay(gap: u64, objective: Option<u64>) -> Report {
     let mut slots = Slots::new(limits());
     let mut running: VecDeque<(u64, u64)> = VecDeque::new();
     let mut waiting: BTreeMap<u64, Time> = BTreeMap::new();
-    let mut came: Vec<u64> = Vec::new();
-    let mut seen = Seen::default();
+    let mut arrived_at: Vec<u64> = Vec::new();
+    let mut report = Report::default();
     for now in 0..14_000 {
         while running.front().is_some_and(|(_, end)| *end <= now) {
             let (call, _) = running.pop_front().unwrap();
             slots.end(at(now), CallKey(call));
-            let took = now - came[call as usize];
-            seen.in_time += u32::from(took <= OBJECTIVE);
-            seen.late += u32::from(took > OBJECTIVE && took <= DEADLINE);
-            seen.ended_under_load += u32::from(now <= LOAD);
+            let took = now - arrived_at[call as usize];
+            report.in_time += u32::from(took <= OBJECTIVE_MS);
+            report.late += u32::from(took > OBJECTIVE_MS && took <= DEADLINE_MS);
+            report.ended_under_load += u32::from(now <= LOAD_MS);
         }
-        if now < LOAD && now % gap == 0 {
-            let call = came.len() as u64;
-            came.push(now);
-            seen.offered += 1;
+        if now < LOAD_MS && now % gap == 0 {
+            let call = arrived_at.len() as u64;
+            arrived_at.push(now);
+            report.offered += 1;
             match slots.offer(at(now), offer(call, now, 0, objective, true)) {
-                Admission::Run => running.push_back((call, now + RUN)),
+                Admission::Run => running.push_back((call, now + RUN_MS)),
                 Admission::Queue(until) => {
                     waiting.insert(call, until);
                 }
-                Admission::Refuse(..) => seen.refused += 1,
+                Admission::Refuse(..) => report.refused += 1,
             }
         }
         let expired: Vec<u64> =
@@ -86,19 +86,19 @@
             match popped {
                 Popped::Run(CallKey(call)) => {
                     waiting.remove(&call);
-                    running.push_back((call, now + RUN));
+                    running.push_back((call, now + RUN_MS));
                 }
                 Popped::Expired(CallKey(call)) => refused.push(call),
             }
         }
         for call in refused {
             waiting.remove(&call);
-            seen.refused += 1;
-            let waited = now - came[call as usize];
-            seen.longest_wait_of_refused = seen.longest_wait_of_refused.max(waited);
+            report.refused += 1;
+            let waited = now - arrived_at[call as usize];
+            report.longest_wait_of_refused = report.longest_wait_of_refused.max(waited);
         }
     }
-    seen
+    report
 }
 
 #[test]
@@ -107,20 +107,20 @@
     // than the rest can run. First come, first served answers everybody after 800 ms, and nobody
     // within the 600 ms that callers count on. Run 10 ms apart, 12 slots finish 75 a second.
     let without = replay(10, None);
-    let with = replay(10, Some(OBJECTIVE));
+    let with = replay(10, Some(OBJECTIVE_MS));
     assert!(without.in_time < 150, "{without:?}");
     assert!(with.in_time > 650, "{with:?}");
     // No run is lost for it: the slots are in use all the while. What a longer queue still holds
     // when the load ends is answered late.
-    let ended = |seen: &Seen| seen.ended_under_load;
+    let ended = |report: &Report| report.ended_under_load;
     assert!(ended(&with) * 100 >= ended(&without) * 99, "{with:?} {without:?}");
-    assert!(with.longest_wait_of_refused <= OBJECTIVE + 700, "{with:?}");
+    assert!(with.longest_wait_of_refused <= OBJECTIVE_MS + 700, "{with:?}");
 }
 
 #[test]
 fn room_enough_nobody_refused() {
-    let seen = replay(15, Some(OBJECTIVE));
-    assert_eq!((seen.refused, seen.late), (0, 0), "{seen:?}");
+    let report = replay(15, Some(OBJECTIVE_MS));
+    assert_eq!((report.refused, report.late), (0, 0), "{report:?}");
 }
 
 #[test]
@@ -130,11 +130,11 @@
     let mut slots = Slots::new(limits());
     for call in 0..200 {
         slots.offer(at(0), offer(call, 0, 0, None, false));
-        slots.end(at(RUN * 4), CallKey(call));
+        slots.end(at(RUN_MS * 4), CallKey(call));
     }
     let mut last = None;
     for call in 200..300 {
-        last = Some(slots.offer(at(0), offer(call, 0, 0, Some(OBJECTIVE), false)));
+        last = Some(slots.offer(at(0), offer(call, 0, 0, Some(OBJECTIVE_MS), false)));
     }
     assert!(matches!(last, Some(Admission::Refuse(..))), "{last:?}");
 }
@@ -155,8 +155,8 @@
 }
 
 /// Bytes of a ledger, and of the link a second: 15.4 Mbit/s.
-const LEDGER: u64 = 90_000;
-const LINK: u64 = 1_925_000;
+const LEDGER_BYTES: u64 = 90_000;
+const LINK_BYTES_PER_S: u64 = 1_925_000;
 
 /// Offers a ledger every 40 ms for ten seconds. Returns how many were sent, and for how long at
 /// most what was let in would have kept the link busy.
@@ -168,21 +168,22 @@
     for now in 0..10_000 {
         while running.front().is_some_and(|(_, end)| *end <= now) {
             let (call, _) = running.pop_front().unwrap();
-            slots.piece(at(now), CallKey(call), LEDGER);
+            slots.piece(at(now), CallKey(call), LEDGER_BYTES);
             slots.end(at(now), CallKey(call));
-            busy_until = busy_until.max(now) + LEDGER * 1_000 / LINK;
+            busy_until = busy_until.max(now) + LEDGER_BYTES * 1_000 / LINK_BYTES_PER_S;
             longest = longest.max(busy_until - now);
             sent += 1;
         }
         if now % 40 == 0 {
-            let offer = Offer { class: Class::Bulk, ..offer(now, now, 0, Some(OBJECTIVE), true) };
+            let offer =
+                Offer { class: Class::Bulk, ..offer(now, now, 0, Some(OBJECTIVE_MS), true) };
             if slots.offer(at(now), offer) == Admission::Run {
-                running.push_back((now, now + RUN));
+                running.push_back((now, now + RUN_MS));
             }
         }
         while let Some(popped) = slots.pop(at(now)) {
             if let Popped::Run(CallKey(call)) = popped {
-                running.push_back((call, now + RUN));
+                running.push_back((call, now + RUN_MS));
             }
         }
     }
@@ -195,19 +196,19 @@
     // it, the calls that signings wait for queue behind them and miss their deadlines, and the
     // node falls behind the configuration.
     let (_, without) = replay_ledgers(LinkPacer::new(None));
-    let (sent, with) = replay_ledgers(LinkPacer::new(Some(LINK * 8 / 1_000)));
+    let (sent, with) = replay_ledgers(LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)));
     assert!(without > 1_000, "{without} ms");
     assert!(with < 350, "{with} ms");
     // The share of the link that is meant for them is used.
-    assert!(u64::from(sent) * LEDGER > LINK * 10 * 75 / 100, "{sent}");
+    assert!(u64::from(sent) * LEDGER_BYTES > LINK_BYTES_PER_S * 10 * 75 / 100, "{sent}");
 }
 
 /// Writes six ledgers that are ready at once, a small answer every 20 ms beside, and returns the
 /// longest time that a small answer waits behind what was written before.
 fn longest_wait_beside_ledgers(piece: u64, link: &mut LinkPacer) -> Duration {
-    let on_link = |bytes: u64| Duration::from_micros(bytes * 1_000_000 / LINK);
+    let on_link = |bytes: u64| Duration::from_micros(bytes * 1_000_000 / LINK_BYTES_PER_S);
     // What is left of each ledger, and the piece that waits for its time.
-    let mut ledgers = [(LEDGER, None); 6];
+    let mut ledgers = [(LEDGER_BYTES, None); 6];
     let (mut busy_until, mut longest) = (at(0), Duration::ZERO);
     for ms in 0..400 {
         let now = at(ms);
@@ -238,8 +239,11 @@
     // Story: several ledgers are ready in the same moment. Written at once they keep the link busy
     // for 280 ms, the calls that signings wait for are answered after that, and the signings miss
     // their objective although their targets are not full.
-    let without = longest_wait_beside_ledgers(LEDGER, &mut LinkPacer::new(None));
-    let with = longest_wait_beside_ledgers(16_384, &mut LinkPacer::new(Some(LINK * 8 / 1_000)));
+    let without = longest_wait_beside_ledgers(LEDGER_BYTES, &mut LinkPacer::new(None));
+    let with = longest_wait_beside_ledgers(
+        16_384,
+        &mut LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)),
+    );
     assert!(without > Duration::from_millis(200), "{without:?}");
     assert!(with < Duration::from_millis(30), "{with:?}");
 }
@@ -250,10 +254,10 @@
     // late in any case; if it goes first all the same, those that come now are late as well, and
     // so on for ever. A run takes 5 ms.
     let mut slots = Slots::new(ServiceLimits { slots: 1, ..limits() });
-    slots.offer(at(0), offer(0, 0, 0, Some(OBJECTIVE), true));
-    let waits = slots.offer(at(0), offer(1, 0, 0, Some(OBJECTIVE), true));
+    slots.offer(at(0), offer(0, 0, 0, Some(OBJECTIVE_MS), true));
+    let waits = slots.offer(at(0), offer(1, 0, 0, Some(OBJECTIVE_MS), true));
     assert!(matches!(waits, Admission::Queue(_)), "{waits:?}");
-    let newer = slots.offer(at(590), offer(2, 590, 0, Some(OBJECTIVE), true));
+    let newer = slots.offer(at(590), offer(2, 590, 0, Some(OBJECTIVE_MS), true));
     assert!(matches!(newer, Admission::Queue(_)), "{newer:?}");
     slots.end(at(596), CallKey(0));
     assert_eq!(slots.pop(at(596)), Some(Popped::Run(CallKey(2))));
@@ -267,11 +271,12 @@
     // slots count as in use until then, calls that other services wait for find the target full
     // that stands half idle, and the runs that wait for them fail.
     let limits = ServiceLimits { slots: 1, bulk_share_percent: 100, ..limits() };
-    let mut slots = Slots::new(limits).with_link(LinkPacer::new(Some(LINK * 8 / 1_000)));
-    let pack = |call| Offer { class: Class::Bulk, ..offer(call, 0, 0, Some(OBJECTIVE), true) };
+    let mut slots =
+        Slots::new(limits).with_link(LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)));
+    let pack = |call| Offer { class: Class::Bulk, ..offer(call, 0, 0, Some(OBJECTIVE_MS), true) };
     assert_eq!(slots.offer(at(0), pack(0)), Admission::Run);
     assert_eq!(slots.piece(at(60), CallKey(0), 16_384), at(60));
-    slots.read(at(60), CallKey(0), LEDGER - 16_384);
+    slots.read(at(60), CallKey(0), LEDGER_BYTES - 16_384);
     let nested = Offer { class: Class::Gating, depth: 1, ..offer(1, 60, 0, None, false) };
     assert_eq!(slots.offer(at(60), nested), Admission::Run);
     slots.end(at(75), CallKey(1));
@@ -286,11 +291,12 @@
 fn smaller_answers_count_for_the_likely_size() {
     // Story: answers become smaller than they were. Only those larger than expected are counted, so
     // that each is still taken for a large one, and the link stays half empty.
-    let mut slots = Slots::new(limits()).with_link(LinkPacer::new(Some(LINK * 8 / 1_000)));
-    let small = LEDGER / 9;
+    let mut slots =
+        Slots::new(limits()).with_link(LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)));
+    let small = LEDGER_BYTES / 9;
     for call in 0..60 {
         let now = call * 1_000;
-        let pack = Offer { class: Class::Bulk, ..offer(call, now, 0, Some(OBJECTIVE), true) };
+        let pack = Offer { class: Class::Bulk, ..offer(call, now, 0, Some(OBJECTIVE_MS), true) };
         assert_eq!(slots.offer(at(now), pack), Admission::Run);
         slots.piece(at(now + 60), CallKey(call), small);
         slots.end(at(now + 60), CallKey(call));
@@ -298,7 +304,7 @@
     // Many are let in at once: together they are as long on the link as two large ones.
     let now = 60_000;
     let admitted = (100..112).filter(|call| {
-        let pack = Offer { class: Class::Bulk, ..offer(*call, now, 0, Some(OBJECTIVE), true) };
+        let pack = Offer { class: Class::Bulk, ..offer(*call, now, 0, Some(OBJECTIVE_MS), true) };
         slots.offer(at(now), pack) == Admission::Run
     });
     assert_eq!(admitted.count(), 6, "half of the slots");
