--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -1,7 +1,7 @@
-//! The path of a call: routing, balance, admission, retries and outcomes.
+//! The path of a call: routing, load balancing, admission, retries and outcomes.
 //!
-//! Two deciders: [`Entry`] at the node that a caller connects to, and [`Gatekeeper`] at the node
-//! beside the target. docs/design/calls.md says why each rule holds and what was weighed.
+//! Two state machines make the decisions: [`Entry`] on the node that the caller connects to, and
+//! [`Gatekeeper`] on the node next to the target. See docs/design/calls.md for the design.
 
 pub mod admit;
 pub mod balance;
@@ -33,54 +33,54 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// Most that the clocks of two machines differ, callers included. A key minted further in the
-/// future is refused, and what happened within this span of a restart counts as unknown.
+/// Maximum clock difference between any two machines, callers included. A key created further in
+/// the future is rejected, and the outcome of requests within this span of a restart is treated as
+/// unknown.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_millis(500);
 
-/// Longest deadline that a route can have (docs/CONFIGURATION.md).
+/// Longest deadline that a route can configure (docs/CONFIGURATION.md).
 pub const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// How long a key can be used after it was minted, and how long its record is kept: longer than
-/// any deadline with the skew on both sides.
+/// How long a key can be used after its creation, and how long its record is kept. Exceeds the
+/// longest deadline plus the clock skew on both sides.
 pub const KEY_LIFETIME: Duration = Duration::from_secs(660);
 
-/// Nodes that a call may pass as entry node; one above the deepest chain in use.
+/// Maximum number of entry nodes in a chain of nested calls.
 pub const MAX_DEPTH: u8 = 16;
 
-/// Shortest and longest time after which a caller is told to come back.
+/// Bounds of the `Retry-After` sent to callers.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// See [`MIN_RETRY_AFTER`].
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// States of VMs by name; a VM not named counts as live.
+/// VM states by name. A VM that is not listed counts as live.
 pub type Members = IndexMap<Name, VmState>;
 
 key! {
-    /// A call at one decider; the adapter numbers them and never uses a number twice.
+    /// Identifies a call within one state machine. Assigned by the adapter and never reused.
     pub struct CallKey(pub u64);
 
-    /// The `Idempotency-Key` of a request: a UUID of version 7, as two halves.
+    /// The `Idempotency-Key` of a request: a version 7 UUID, split into two halves.
     pub struct RequestKey {
-        /// The half that begins with the time of its making.
+        /// Upper half, which starts with the creation timestamp.
         pub high: u64,
-        /// The random half.
+        /// Lower half, which is random.
         pub low: u64,
     }
 
-    /// What makes two requests the same one for the quarantine: a hash over route, method, path
-    /// and body or key.
+    /// Identifies repeated requests for quarantine: a hash of the route, the method, the path, and
+    /// the body or key.
     #[serde(transparent)]
     pub struct Fingerprint(pub u64);
 
-    /// What a gatekeeper says of its target's load with each answer.
+    /// Load of a target, reported by its gatekeeper with every response.
     pub struct Load {
-        /// Requests that the target runs.
+        /// Requests being processed by the target.
         pub in_flight: u32,
-        /// Requests that it may run at once.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Requests that wait for a slot.
+        /// Requests waiting for a slot.
         pub queued: u32,
-        /// How long a caller's request would wait that comes now, in ms.
+        /// Expected wait of a new request, in milliseconds.
         pub wait_ms: u32,
     }
 }
@@ -89,56 +89,51 @@
     /// How a call ended for its caller.
     #[derive(Copy)]
     pub enum Outcome {
-        /// The whole answer went out.
+        /// The complete response was sent.
         Answered,
-        /// No target saw a byte of the request.
+        /// No target received any byte of the request.
         NotRun {
-            /// Why.
             code: Code,
-            /// When to come back.
             retry_after: Duration,
         },
-        /// A target may have run it.
+        /// A target may have run the request.
         Unknown {
-            /// Why.
             code: Code,
         },
     }
 }
 
 data! {
-    /// What a route says of a request, as the entry node tells the gatekeeper, which may hold
-    /// another version at that moment.
+    /// Request attributes derived from the route. The entry node sends them to the gatekeeper,
+    /// which may hold a different configuration version.
     pub struct Terms {
-        /// The service that is to run it.
         pub service: Name,
-        /// Whether it may be run more than once.
+        /// Whether the request may run more than once.
         pub idempotent: bool,
-        /// How it is known if not.
+        /// How duplicates are detected if the request is not idempotent.
         pub once: OnceBy,
-        /// Order of admission.
+        /// Priority class for admission.
         pub class: Class,
-        /// Order within the class.
+        /// Priority within the class.
         pub rank: u8,
-        /// When the time is over within which an answer is worth most.
+        /// Time by which a response is most useful to the caller.
         pub objective: Time,
-        /// Whether it may wait beyond that, since no other target takes it.
+        /// Whether the request may be queued past the objective because no other target accepts it.
         pub may_exceed_objective: bool,
-        /// Whether it is work done once more: a target has had the request before, or a run that
-        /// was itself a repeat makes this call.
+        /// Whether this is a retry, or a nested call of a run that is itself a retry.
         pub repeat: bool,
     }
 }
 
 impl Terms {
-    /// Whether the request is known by its key, so that its home alone may run it.
+    /// Whether the request is deduplicated by its key, so that only the key's home may run it.
     pub fn is_keyed(&self) -> bool {
         !self.idempotent && self.once == OnceBy::Key
     }
 }
 
 impl Outcome {
-    /// A refusal that says when to come back, held within the allowed range.
+    /// Builds a refusal, clamping `retry_after` to the allowed range.
     pub fn not_run(code: Code, retry_after: Duration) -> Outcome {
         let retry_after = retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Outcome::NotRun { code, retry_after }
@@ -146,31 +141,29 @@
 }
 
 impl RequestKey {
-    /// Reads a key. `None` if it is not a UUID of version 7.
+    /// Parses a key. Returns `None` unless it is a version 7 UUID.
     pub fn parse(buf: &[u8]) -> Option<RequestKey> {
         let uuid = Uuid::try_parse_ascii(buf).ok()?;
         (uuid.get_version_num() == 7).then(|| RequestKey::new(uuid))
     }
 
-    /// The key of a UUID.
     pub fn new(uuid: Uuid) -> RequestKey {
         let (high, low) = uuid.as_u64_pair();
         RequestKey { high, low }
     }
 
-    /// When the key was made, by the clock of its maker.
+    /// Creation time, according to the client's clock.
     pub fn created_at(self) -> Time {
         Time::from_millis(self.high >> 16)
     }
 
-    /// The bytes that rendezvous hashing takes.
+    /// Input of the rendezvous hash.
     pub fn to_bytes(self) -> [u8; 16] {
         Uuid::from_u64_pair(self.high, self.low).into_bytes()
     }
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request with these parts.
     pub fn of(parts: &[&[u8]]) -> Fingerprint {
         let fold =
             |seed: u64, part: &&[u8]| crate::hash::rendezvous_score(&seed.to_le_bytes(), part);
@@ -179,7 +172,7 @@
 }
 
 impl Load {
-    /// The form that headers carry: `in_flight/slots/queued/wait_ms`.
+    /// Parses the header format `in_flight/slots/queued/wait_ms`.
     pub fn parse(text: &str) -> Option<Load> {
         let mut parts = text.split('/').map(|part| part.trim().parse::<u32>());
         let mut number = || parts.next()?.ok();
