--- a/core/src/call/entry/retry.rs
+++ b/core/src/call/entry/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request is sent again, and to which target.
+//! Decides whether a request is retried, and on which target.
 
 use super::Entry;
 use crate::call::balance::PickRequest;
@@ -10,14 +10,14 @@
 use crate::{Code, Name, Time};
 use std::time::Duration;
 
-/// Homes of a key that are tried: the home and those next in order.
+/// Number of homes tried per key: the home and the next ones in rendezvous order.
 const MAX_HOMES: usize = 3;
 
-/// Less time than this is not worth another attempt.
+/// Minimum time left before the deadline for another attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(1);
 
 impl Entry {
-    /// The target for another attempt, if there is to be one.
+    /// Returns the target of the next attempt, or `None` if the request is not retried.
     pub(super) fn next_attempt(
         &mut self,
         now: Time,
@@ -34,7 +34,7 @@
             return None;
         }
         if attempts >= route.max_attempts {
-            // Where every attempt was refused without work for a target, none is used up.
+            // Refusals that cost no target any work do not count as attempts.
             let unused = call.key.is_none() && call.early_refusals == call.attempt;
             return unused.then(|| self.queue_at_nearest(now, key, code)).flatten();
         }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The target at which a request waits that no target can answer within its objective.
+    /// Selects a target to queue at when no target can respond within the objective.
     fn queue_at_nearest(&mut self, now: Time, key: CallKey, code: Code) -> Option<Name> {
         let call = self.calls.get(&key)?;
         let overloaded = matches!(code, Code::QueueFull | Code::QueueTimeout);
@@ -62,9 +62,11 @@
         Some(vm)
     }
 
-    /// A request that may run only once is sent again only after a refusal that says that it did
-    /// not run: to its home under a newer version, or to the next home in order when the home
-    /// before is leaving. Whoever gets it checks that it is the home.
+    /// Returns the next home for a request that may run only once.
+    ///
+    /// Such a request is retried only after a refusal that guarantees that it did not run: at its
+    /// home under a newer configuration version, or at the next home if the current one is
+    /// draining. The receiving node verifies that it is the home.
     fn next_home(
         &self,
         now: Time,
@@ -82,7 +84,7 @@
         self.home_for(now, snapshot, service, request_key, &call.tried)
     }
 
-    /// The home of a key, or the next in order for one that is leaving.
+    /// Returns the home of a key, or the next one in order if the home is draining.
     pub(super) fn home_for(
         &self,
         now: Time,
@@ -108,12 +110,12 @@
         if kind == RetryKind::Never || call.crashes >= MAX_CRASHES as u32 {
             return None;
         }
-        // Without a key two runs can't be told apart, so the request is sent again only while it is
-        // certain that it has not run.
+        // Without a key duplicates cannot be detected, so a request is retried only as long as it
+        // certainly has not run.
         if run_once && call.possibly_run.is_some() {
             return None;
         }
-        // The balancer knows the targets of the version in force now.
+        // The balancer tracks the targets of the current configuration version.
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
         let overloaded = matches!(code, Code::QueueFull | Code::QueueTimeout);
         if overloaded && spare_forwards > 0 && call.early_refusals >= spare_forwards {
@@ -121,7 +123,8 @@
         }
         let request = PickRequest::new(now, service, &call.terms).with_tried(&call.tried);
         let vm = match overloaded && spare_forwards > 0 {
-            // Others that are full as well would say the same; it may wait at one of them.
+            // Skip overloaded targets, which would refuse as well. The caller may queue the request
+            // instead.
             true => self.balancer.pick_available(request)?,
             false => self.balancer.pick(request)?,
         };
@@ -133,21 +136,20 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RetryKind {
-    // No target has worked on the request, and the next may.
+    // No target has worked on the request. The retry does not use the budget.
     Free,
-    // It costs the service work, or the service is short of it.
+    // The retry adds load to the service and uses the retry budget.
     Budgeted,
-    // Another target would say the same.
+    // Another target would refuse for the same reason.
     Never,
 }
 
-/// Whether a refusal says that no target has worked on the request.
+/// Whether the request was refused before any target worked on it.
 pub(super) fn is_early_refusal(code: Code) -> bool {
     !matches!(code, Code::TargetRefused | Code::TargetReplaced | Code::TargetUnreachable)
 }
 
-/// Whether a refusal comes from the target itself: it has been handed the request, though it has
-/// not run it.
+/// Whether the target itself refused the request, having received it without running it.
 pub(super) fn reached_target(code: Code) -> bool {
     matches!(code, Code::TargetRefused | Code::TargetReplaced)
 }
@@ -159,7 +161,7 @@
         | Code::NotConfigured
         | Code::TooManyConnections
         | Code::GatekeeperUnreachable => RetryKind::Free,
-        // Where a route allows it, another gatekeeper is asked before the caller is turned away.
+        // The route allows other gatekeepers to be asked before the request is refused.
         Code::QueueFull | Code::QueueTimeout if spare_forwards > 0 => RetryKind::Free,
         Code::TargetUnreachable
         | Code::TargetRefused
