--- a/core/src/call/entry/hedge.rs
+++ b/core/src/call/entry/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedges: a second attempt of a repeatable request beside one that is slow. The first answer wins.
+//! Hedging: sends a second attempt of a slow idempotent request. The first response wins.
 
 mod budget;
 
@@ -10,8 +10,8 @@
 use crate::{Name, Time};
 
 impl Entry {
-    /// Sends a hedge beside an attempt that takes longer than nearly all do, if a target that is known
-    /// to be sound has room, and the retry budget too.
+    /// Sends a hedge for a slow attempt if a healthy target has capacity and the retry budget
+    /// allows it.
     pub(super) fn hedge(&mut self, now: Time, key: CallKey, out: &mut Vec<Output>) {
         let Some(vm) = self.hedge_target(now, key) else {
             return;
@@ -59,7 +59,7 @@
         self.finish_attempt(now, key, hedge, end);
     }
 
-    /// Takes the end of one of two attempts in.
+    /// Records the end of the primary or the hedge while the other attempt continues.
     fn finish_attempt(
         &mut self,
         now: Time,
