--- a/core/src/call/entry/hedge/budget.rs
+++ b/core/src/call/entry/hedge/budget.rs
@@ -1,51 +1,44 @@
-//! How many second attempts an entry node may start while the first goes on.
+//! Limits the number of hedges that an entry node sends.
 //!
-//! A second attempt that is answered first has found a target that was slow or silent, and may be
-//! followed by another. Where everything is slow the first attempts win, and what is left is a
-//! small share of first attempts.
+//! A hedge that wins has found a slow or unresponsive target, so most of its cost is refunded. If
+//! the whole service is slow, primaries win and hedges are limited to a small share of first
+//! attempts.
 
 use crate::config::Class;
 
-/// What one hedge costs.
 const HEDGE_COST: u32 = 100;
 
-/// What a first attempt adds.
+/// Credit added by each first attempt.
 const FIRST_ATTEMPT_CREDIT: u32 = 4;
 
-/// What is given back for a hedge that was answered first.
+/// Credit returned when a hedge is answered before the primary.
 const WIN_REFUND: u32 = 95;
 
-/// Most that is saved up.
 const MAX_BALANCE: u32 = 300;
 
-/// The allowances of one entry node, by class.
+/// Hedge budgets of one entry node, by class.
 #[derive(Debug)]
 pub(in crate::call::entry) struct HedgeBudget {
     balances: [u32; 3],
 }
 
 impl HedgeBudget {
-    /// An allowance for a few.
     pub(in crate::call::entry) fn new() -> HedgeBudget {
         HedgeBudget { balances: [MAX_BALANCE; 3] }
     }
 
-    /// Counts a first attempt.
     pub(in crate::call::entry) fn record_first_attempt(&mut self, class: Class) {
         self.add(class, FIRST_ATTEMPT_CREDIT);
     }
 
-    /// Counts a hedge that was answered before the first attempt.
     pub(in crate::call::entry) fn record_win(&mut self, class: Class) {
         self.add(class, WIN_REFUND);
     }
 
-    /// Whether there is enough for one.
     pub(in crate::call::entry) fn is_available(&self, class: Class) -> bool {
         self.balances[class as usize] >= HEDGE_COST
     }
 
-    /// Takes one.
     pub(in crate::call::entry) fn charge(&mut self, class: Class) {
         let balance = &mut self.balances[class as usize];
         *balance = balance.saturating_sub(HEDGE_COST);
