--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -1,4 +1,4 @@
-//! What the entry node's decider takes in and gives out.
+//! Inputs and outputs of the entry node's state machine.
 
 use crate::call::{CallKey, Load, Members, Outcome, RequestKey, Runs, Terms};
 use crate::config::Snapshot;
@@ -8,165 +8,142 @@
 use std::time::Duration;
 
 data! {
-    /// A request as the adapter has read its head.
+    /// A request whose head has been parsed by the adapter.
     pub struct Arrival<'a> {
-        /// The call.
         pub call: CallKey,
-        /// Host without a port, in lower case; empty if there is none.
+        /// Lowercase host without port. Empty if absent.
         pub host: &'a str,
-        /// Path without query.
+        /// Path without the query string.
         pub path: &'a str,
-        /// The `Idempotency-Key`.
+        /// Value of the `Idempotency-Key` header.
         pub key: Option<RequestKey>,
-        /// Time that the caller gives; absent for the route's.
+        /// Timeout sent by the caller. Defaults to the deadline of the route.
         pub time_left: Option<Duration>,
-        /// Nodes passed as entry node before this one.
+        /// Number of entry nodes that the call passed before this one.
         pub depth: u8,
-        /// Size of the body, if stated.
+        /// Size of the body, if the head states it.
         pub body_bytes: Option<u64>,
-        /// What the target on this VM runs: one of these runs makes the call if it is nested.
+        /// Runs in progress on the target of this VM. A nested call is made by one of them.
         pub own_runs: Runs,
     }
 
-    /// What comes in.
     pub enum Input<'a> {
-        /// A version came into force.
+        /// A new configuration version takes effect.
         Configure(Arc<Snapshot>),
-        /// The states of VMs changed.
+        /// VM states changed.
         View(Arc<Members>),
-        /// The planned stop starts.
+        /// A planned shutdown begins.
         Drain,
-        /// A request came.
         Arrive(Arrival<'a>),
-        /// An attempt has come to something.
+        /// An attempt ended, or its response started.
         Attempt {
-            /// The call.
             call: CallKey,
-            /// What it came to.
             end: AttemptEnd,
-            /// Whether the request can be sent again: nothing of its body has been used up.
+            /// Whether the request can be sent again because its body has not been consumed.
             replayable: bool,
         },
-        /// No answer has begun within the patience of the [`Forward`].
+        /// No response started within the hedge delay of the [`Forward`].
         HedgeDue(CallKey),
-        /// The first attempt is over; its hedge is the only one from now on.
+        /// The primary attempt ended. Its hedge becomes the only attempt.
         PrimaryEnded {
-            /// The call.
             call: CallKey,
-            /// What it came to.
             end: AttemptEnd,
         },
-        /// The hedge is over; the first attempt goes on.
+        /// The hedge ended. The primary attempt continues.
         HedgeEnded {
-            /// The call.
             call: CallKey,
-            /// What it came to; `None` if it was given up because the first was answered.
+            /// `None` if the hedge was cancelled because the primary was answered.
             end: Option<AttemptEnd>,
         },
-        /// The answer's body has ended, or the caller went away, or the deadline cut it.
+        /// The response body is complete, the caller disconnected, or the deadline cut it off.
         Close(CallKey),
-        /// The deadline has passed and no answer has begun.
+        /// The deadline passed before a response started.
         Expire {
-            /// The call.
             call: CallKey,
-            /// Whether a byte of the present attempt may have left.
+            /// Whether any byte of the current attempt may have been sent.
             sent: bool,
         },
     }
 
-    /// What an attempt came to.
+    /// How an attempt ended, or that its response started.
     pub enum AttemptEnd {
-        /// The answer begins. From here on nothing is sent again.
+        /// The response started. The request is not retried from here on.
         ResponseStarted {
-            /// The target's load.
             load: Option<Load>,
-            /// How long the request waited for a slot.
+            /// Time spent queued for a slot.
             waited: Duration,
         },
-        /// The answer begins, and is a failure of the target's own. It is passed on unless the
-        /// request is sent again.
+        /// An error response from the target started. It is forwarded to the caller unless the
+        /// request is retried.
         ErrorResponseStarted {
-            /// The target's load.
             load: Option<Load>,
         },
-        /// The gatekeeper says that the request did not run.
+        /// The gatekeeper reported that the request did not run.
         Refused {
-            /// Why.
             code: Code,
-            /// When to come back.
             retry_after: Duration,
-            /// The target's load.
             load: Option<Load>,
-            /// Crashes that the request is suspected of.
+            /// Crashes attributed to the request.
             crashes: u32,
         },
-        /// The gatekeeper says that the target may have run the request.
+        /// The gatekeeper reported that the target may have run the request.
         Failed {
-            /// Why.
             code: Code,
-            /// Crashes that the request is suspected of.
+            /// Crashes attributed to the request.
             crashes: u32,
         },
-        /// No byte left for the gatekeeper.
+        /// No byte was sent to the gatekeeper.
         NotSent,
-        /// The connection to the gatekeeper broke after a byte left, or its answer was rubbish.
+        /// The connection to the gatekeeper broke after a byte was sent, or the response was
+        /// invalid.
         ConnectionLost,
-        /// It was given up, since its hedge was answered first.
+        /// The attempt was cancelled because its hedge was answered first.
         LostToHedge,
     }
 
-    /// What is to be done.
     pub enum Output {
-        /// Forward the request.
         Forward(Forward),
-        /// Tell the caller that there is no answer.
+        /// Report to the caller that there is no response.
         Finish {
-            /// The call.
             call: CallKey,
-            /// What to say.
             outcome: Outcome,
         },
     }
 
-    /// What was known of a target when it was chosen.
+    /// State of the selected target at selection time.
     #[derive(Default)]
     pub struct Reason {
-        /// Time expected to the answer, the load counted in.
+        /// Expected response time under the current load.
         pub expected: Duration,
-        /// The load that its gatekeeper reported last, and when.
+        /// Last load reported by the gatekeeper, and when it was received.
         pub load: Option<(Load, Time)>,
     }
 
-    /// One attempt.
+    /// An attempt to be sent to a gatekeeper.
     pub struct Forward {
-        /// The call.
         pub call: CallKey,
-        /// Attempt, from 1.
+        /// Attempt number, starting at 1.
         pub attempt: u32,
-        /// VM of the target.
         pub vm: Name,
-        /// Address of its gatekeeper.
+        /// Address of the target's gatekeeper.
         pub gate: SocketAddr,
-        /// The run of the target's process that is meant, if it is known.
+        /// Expected incarnation of the target process, if known.
         pub incarnation: Option<Name>,
-        /// What the route says of the request.
         pub terms: Terms,
-        /// Why this target was chosen.
         pub reason: Reason,
-        /// When the caller stops waiting.
+        /// Deadline of the caller.
         pub deadline: Time,
-        /// After how many milliseconds to ask by [`Input::HedgeDue`] for a hedge; absent if there can be
-        /// none.
+        /// Delay in milliseconds after which to send [`Input::HedgeDue`]. Absent if the attempt
+        /// must not be hedged.
         pub hedge_delay_ms: Option<u32>,
-        /// Crashes that the request is suspected of.
+        /// Crashes attributed to the request.
         pub crashes: u32,
-        /// Largest body of the request.
         pub max_body_bytes: u64,
     }
 }
 
 impl<'a> Arrival<'a> {
-    /// A caller's request without a key, a stated time or a body.
+    /// Creates a request without key, timeout and body length.
     pub fn new(call: CallKey, host: &'a str, path: &'a str) -> Arrival<'a> {
         Arrival {
             call,
