--- a/core/src/call/entry/retry_budget.rs
+++ b/core/src/call/entry/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Which requests count as repeats, and how many an entry node may make.
+//! Retry accounting of an entry node.
 
 use super::{Arrival, Call};
 use crate::call::budget::{Budget, RetryLimits};
@@ -9,20 +9,21 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashSet;
 
-/// The retry budgets of one entry node.
+/// Retry budgets of one entry node.
 ///
-/// A run that is made again makes its nested calls again, which the service below sees beside its
-/// own retries. Three rules keep the sum within each service's budget without messages:
+/// A retried run repeats its nested calls, which the downstream service receives in addition to its
+/// own retries. Three rules keep the total within the budget of each service without coordination
+/// between nodes:
 ///
-/// - a call of a run that is a repeat uses up the budget of the service it goes to;
-/// - retries of a route stay under the share of that route's own first attempts, so that the
-///   calls which they make stay under the same share of first calls below;
-/// - what is left of a service's budget after both is all that its own failures may use.
+/// - A nested call of a repeated run is charged to the budget of the service it calls.
+/// - Retries of a route are limited to a share of that route's own first attempts, so the nested
+///   calls that they cause stay within the same share downstream.
+/// - A service retries its own failures with whatever remains of its budget.
 #[derive(Debug)]
 pub(super) struct RetryBudgets {
     rng: Pcg64Mcg,
     services: IndexMap<Name, Budget>,
-    // Only of services whose budget holds over the fleet.
+    // Only for services with a fleet-wide budget.
     routes: IndexMap<Name, Budget>,
 }
 
@@ -32,24 +33,23 @@
         RetryBudgets { rng, services: IndexMap::new(), routes: IndexMap::new() }
     }
 
-    /// Forgets services and routes that a version no longer has.
+    /// Drops services and routes that a new configuration version has removed.
     pub(super) fn configure(&mut self, snapshot: &Snapshot) {
         self.services.retain(|name, _| snapshot.service_named(name).is_some());
         let names: HashSet<&Name> = snapshot.routes().iter().map(|entry| &entry.name).collect();
         self.routes.retain(|name, _| names.contains(name));
     }
 
-    /// Whether a call is made by a run that is itself a repeat.
+    /// Whether to count a call as nested within a repeated run.
     ///
-    /// A nested call does not say which run makes it. The target's runs that are repeats make
-    /// their share of its calls, so that each call is taken for one of theirs with that chance.
+    /// A nested call does not identify its run. Repeated runs are assumed to make a proportional
+    /// share of the target's calls, so each call is counted as theirs with that probability.
     pub(super) fn is_nested_repeat(&mut self, arrival: &Arrival<'_>, class: Class) -> bool {
         let runs = arrival.own_runs;
         let nested = class == Class::Gating || arrival.depth > 0;
         nested && runs.repeats > 0 && self.rng.random_range(0..runs.all) < runs.repeats
     }
 
-    /// Counts a request that has come, as a first attempt or as a repeat.
     pub(super) fn record(
         &mut self,
         now: Time,
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Takes one retry of a request out of the budgets of its service and its route. Returns
-    /// false if either has none left.
+    /// Charges a retry to the budgets of its service and route. Returns `false` if either is
+    /// exhausted.
     pub(super) fn try_take(&mut self, now: Time, call: &Call) -> bool {
         let route = &call.snapshot.route(call.route).name;
         let service_budget = self.services.entry(call.service.clone()).or_default();
