--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -1,7 +1,8 @@
-//! Which target a request goes to: the cheaper of two drawn at random, near ones first.
+//! Load balancing across the targets of a service: the cheaper of two random choices, preferring
+//! nearby targets.
 //!
-//! Each zone serves its own callers. A request leaves it only if the wait that it saves is longer than
-//! what the way costs.
+//! Each zone serves its own callers. A request leaves the zone only if it saves more waiting time
+//! than the distance costs.
 
 mod peer;
 
@@ -19,53 +20,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the other's cost, in percent, under which a target counts as cheaper. Nearly equal
-/// ones share the work, and so each stays measured.
+/// A target counts as cheaper if its cost is below this percentage of the other's. Targets of
+/// similar cost share the load, which also keeps their measurements current.
 const CHEAPER_PERCENT: u32 = 80;
 
-/// Weight of the newest answer time in the running mean, as one part in so many.
+/// The newest response time contributes 1/n to the moving average.
 const RESPONSE_TIME_WEIGHT: u32 = 8;
 
-/// The same for the usual answer time of a service, which changes more slowly than a target's.
+/// Same for the typical latency of a service, which changes more slowly than that of a target.
 const TYPICAL_LATENCY_WEIGHT: u32 = 32;
 
-/// A time above the usual by so many mean deviations is one that few answers take.
+/// Mean deviations above the mean at which an attempt is considered slow enough to hedge.
 const HEDGE_DELAY_DEVIATIONS: u32 = 4;
 
-/// Share of a service's usual time, in percent, in which a target must be expected to answer for a
-/// second attempt: one that is slow as well would not overtake the first.
+/// Maximum expected latency of a hedge's target, in percent of the typical latency. A slower target
+/// is unlikely to respond before the primary.
 const MAX_HEDGE_LATENCY_PERCENT: u32 = 150;
 
-/// Failures in a row after which a target is avoided.
+/// Consecutive failures after which a target is ejected.
 const EJECTION_FAILURES: u32 = 2;
 
-/// Shortest and longest time that a target is avoided after failures.
+/// Bounds of the ejection time.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
 const MAX_EJECTION: Duration = Duration::from_secs(8);
 
-/// How long a target that said that it is leaving is avoided without hearing so again. A node that
-/// is stopped and started again is back after two to three seconds; asking one that is still
-/// leaving costs a refusal, after which the request goes elsewhere.
+/// How long a target is avoided after it reported that it is draining. Kept close to the restart
+/// time of a node: asking a target that is still draining costs only a refusal.
 const DRAINING_TTL: Duration = Duration::from_millis(2_500);
 
-/// How much more a way costs a class (gating, interactive, bulk): large answers fill links.
+/// Distance cost factor by class (gating, interactive, bulk). Bulk responses fill up links.
 const DISTANCE_FACTOR: [u32; 3] = [1, 1, 10];
 
-/// Random draws for a usable target before all are looked through.
+/// Random draws before the list of targets is searched linearly.
 const MAX_DRAWS: usize = 4;
 
-/// Most that a queue at one target is avoided for.
+/// Upper bound for `retry_after` of an overloaded target.
 const MAX_OVERLOAD_BACKOFF: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug, Default)]
 struct ServiceTargets {
-    // Indexes of peers by link, nearest first.
+    // Indexes into `Balancer::peers`, by distance.
     by_link: [Vec<usize>; 3],
-    // Whether the view of members calls most of the service's targets unusable.
+    // Set if the membership view reports most targets of the service as not live.
     ignore_membership: bool,
 }
 
-/// What a target is picked for.
+/// Parameters of a target selection.
 #[derive(Clone, Copy, Debug)]
 pub struct PickRequest<'a> {
     now: Time,
@@ -77,24 +77,23 @@
 }
 
 impl<'a> PickRequest<'a> {
-    /// A target of a service for a request with these terms.
     pub fn new(now: Time, service: ServiceKey, terms: &Terms) -> PickRequest<'a> {
         let (class, rank, filter) = (terms.class, terms.rank, TargetFilter::Healthy);
         PickRequest { now, service, class, rank, tried: &[], filter }
     }
 
-    /// The same, but none of those tried.
+    /// Excludes targets that have been tried.
     pub fn with_tried(self, tried: &'a [Name]) -> PickRequest<'a> {
         PickRequest { tried, ..self }
     }
 
-    /// The same, or one that fails.
+    /// Also accepts targets that are failing.
     fn with_failing(self) -> PickRequest<'a> {
         PickRequest { filter: TargetFilter::NotDraining, ..self }
     }
 }
 
-/// Usual time of an answer, the way to the target left out, and its mean deviation.
+/// Mean latency without the network, and its mean deviation.
 #[derive(Clone, Copy, Debug, Default)]
 struct LatencyStats {
     mean: Duration,
@@ -116,34 +115,32 @@
     }
 }
 
-/// What one entry node knows of the targets it sends to.
+/// Load balancer of one entry node.
 #[derive(Debug)]
 pub struct Balancer {
     place: Place,
     rng: Pcg64Mcg,
     peers: IndexMap<Name, Peer>,
     services: Vec<ServiceTargets>,
-    // Usual time of an answer by service and class, the way to the target left out; in the order
-    // of `services`.
+    // Typical latency by service and class, without the network. Same order as `services`.
     typical_latency: IndexMap<Name, [LatencyStats; 3]>,
     policy: Policy,
 }
 
 impl Balancer {
-    /// Knows no target. `place` is where the entry node is.
+    /// Creates a balancer without targets. `place` is the location of the entry node.
     pub fn new(place: Place, seed: u64) -> Balancer {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let (peers, typical_latency) = (IndexMap::new(), IndexMap::new());
         Balancer { place, rng, peers, services: Vec::new(), typical_latency, policy: Policy::new() }
     }
 
-    /// The same balancer with other mechanisms at work.
     pub fn with_policy(mut self, policy: Policy) -> Balancer {
         self.policy = policy;
         self
     }
 
-    /// Takes the targets of a version up. What is known of those that stay is kept.
+    /// Applies a configuration version. Keeps the state of targets that remain.
     pub fn configure(&mut self, snapshot: &Snapshot, members: &Members) {
         let mut before = std::mem::take(&mut self.peers);
         for entry in snapshot.targets() {
@@ -172,10 +169,10 @@
         self.update_members(members);
     }
 
-    /// Takes the states of VMs up, as a hint.
+    /// Applies a membership view, which is only a hint.
     ///
-    /// A list that calls most targets of a service gone is not believed: sending everything to the
-    /// few left would overload them.
+    /// A view that reports most targets of a service as gone is ignored: routing all requests to
+    /// the remaining few would overload them.
     pub fn update_members(&mut self, members: &Members) {
         for (vm, peer) in &mut self.peers {
             peer.not_live = members.get(vm).is_some_and(|state| *state != VmState::Live);
@@ -187,8 +184,8 @@
         }
     }
 
-    /// A target that is not known to be full: one of the nearest tier, or a farther one that saves
-    /// more time than its distance costs.
+    /// Selects a target that is not known to be overloaded, from the nearest tier or from a farther
+    /// one if that saves more time than the distance costs.
     pub fn pick_available(&mut self, request: PickRequest<'_>) -> Option<Name> {
         let nearest = self.nearest_tier(request)?;
         let stays = request.class == Class::Bulk && self.policy.is_enabled(Mechanism::BulkStays);
@@ -210,7 +207,7 @@
         best.and_then(|(index, _)| self.name_of(index))
     }
 
-    /// One of the nearest targets, however full it is.
+    /// Selects one of the nearest targets, regardless of its load.
     pub fn pick_nearest(&mut self, request: PickRequest<'_>) -> Option<Name> {
         let mut nearest =
             |request| Link::ALL.into_iter().find_map(|link| self.draw_two(request, link));
@@ -218,17 +215,17 @@
         self.name_of(index)
     }
 
-    /// A target that is not known to be full, or else one of the nearest.
+    /// Selects a target that is not known to be overloaded, or else one of the nearest.
     pub fn pick(&mut self, request: PickRequest<'_>) -> Option<Name> {
         self.pick_available(request).or_else(|| self.pick_nearest(request))
     }
 
-    /// Address of the gatekeeper beside a target, and the run of the target that is meant.
+    /// Returns the address of a target's gatekeeper and the expected incarnation of the target.
     pub fn gate(&self, vm: &Name) -> Option<(SocketAddr, Option<Name>)> {
         self.peers.get(vm).map(|peer| (peer.gate, peer.incarnation.clone()))
     }
 
-    /// What is known of a target, for the log.
+    /// Returns the state of a target for logging.
     pub fn reason(&self, now: Time, vm: &Name, class: Class) -> Reason {
         let Some(peer) = self.peers.get(vm) else {
             return Reason::default();
@@ -238,21 +235,19 @@
         Reason { expected: peer.cost(now, class, typical_latency), load: peer.load }
     }
 
-    /// A request goes to this target.
     pub fn request_started(&mut self, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.in_flight += 1;
         }
     }
 
-    /// A request that went to this target is over.
     pub fn request_finished(&mut self, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.in_flight = peer.in_flight.saturating_sub(1);
         }
     }
 
-    /// The target's answer began after `took`.
+    /// Records that a response started after `took`.
     pub fn record_response(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
@@ -277,7 +272,7 @@
         }
     }
 
-    /// The target had not answered after `took`, and the request was answered by another.
+    /// Records that the target had not responded after `took`, when the hedge was answered.
     pub fn record_lost_to_hedge(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
         let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::AnswerTimes))
@@ -292,9 +287,9 @@
         }
     }
 
-    /// How long an attempt is waited for before it is hedged: until nearly all answers of the service
-    /// have come, or until just before a hedge that takes the usual time would miss the objective.
-    /// `None` before any answer has come.
+    /// Returns the delay before an attempt is hedged: the time by which nearly all responses
+    /// arrive, or less if a hedge of typical latency would otherwise miss the objective. Returns
+    /// `None` until a response has been measured.
     pub fn hedge_delay(&self, vm: &Name, class: Class, objective: Duration) -> Option<Duration> {
         let peer = self.peers.get(vm)?;
         let (_, stats) = self.typical_latency.get_index(peer.service)?;
@@ -308,8 +303,8 @@
         (!mean.is_zero()).then_some(hedge_delay)
     }
 
-    /// A target that is not known to be full and is expected to answer as fast as is usual. Large
-    /// answers stay in their zone: one of two is thrown away.
+    /// Selects a target that is not known to be overloaded and is expected to respond with typical
+    /// latency. Bulk requests stay within the zone because one of the two responses is discarded.
     pub fn pick_for_hedge(&mut self, request: PickRequest<'_>) -> Option<Name> {
         let vm = self.pick_available(request)?;
         let peer = self.peers.get(&vm)?;
@@ -325,7 +320,7 @@
         (expected <= most).then_some(vm)
     }
 
-    /// The target answered with a failure of its own, or not before the deadline.
+    /// Records an error response, or that the deadline passed without a response.
     pub fn record_request_failure(&mut self, now: Time, vm: &Name) {
         if let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FailureShare))
@@ -334,7 +329,6 @@
         }
     }
 
-    /// The target's gatekeeper reported its load.
     pub fn record_load(&mut self, now: Time, vm: &Name, load: Load) {
         if let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::ReportedLoads))
@@ -343,7 +337,7 @@
         }
     }
 
-    /// The target failed or could not be reached.
+    /// Records that the target failed or could not be reached. Ejects it after repeated failures.
     pub fn record_failure(&mut self, now: Time, vm: &Name) {
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
@@ -355,8 +349,8 @@
         }
     }
 
-    /// The target's gatekeeper can't be reached. Unlike a request that failed, this is no matter of
-    /// chance: the next would wait for a connection in vain as well.
+    /// Records that the gatekeeper could not be reached, which ejects the target immediately:
+    /// further requests would also wait for a connection in vain.
     pub fn record_unreachable(&mut self, now: Time, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.failures = peer.failures.max(EJECTION_FAILURES - 1);
@@ -364,7 +358,7 @@
         self.record_failure(now, vm);
     }
 
-    /// The target's gatekeeper refused for load.
+    /// Records that the gatekeeper refused a request because of load.
     pub fn record_overload(&mut self, now: Time, vm: &Name, terms: &Terms, retry_after: Duration) {
         if let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FullKnown))
@@ -378,7 +372,7 @@
         }
     }
 
-    /// The target itself refused a request.
+    /// Records that the target itself refused a request.
     pub fn record_rejection(&mut self, now: Time, vm: &Name) {
         if let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FailureShare))
@@ -387,14 +381,15 @@
         }
     }
 
-    /// The target's gatekeeper said that it is leaving.
+    /// Records that the gatekeeper reported the target as draining.
     pub fn record_draining(&mut self, now: Time, vm: &Name) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.draining_until = now + DRAINING_TTL;
         }
     }
 
-    /// Whether a target is leaving, by its own word or by the view of members.
+    /// Whether a target is draining, according to its gatekeeper, the configuration or the
+    /// membership view.
     pub fn is_draining(&self, now: Time, vm: &Name) -> bool {
         self.peers
             .get(vm)
@@ -405,10 +400,10 @@
         self.peers.get_index(index).map(|(vm, _)| vm.clone())
     }
 
-    /// The nearest tier with a target that can be reached and stays, however full it is.
+    /// Returns the nearest tier with a reachable target that is not draining, regardless of load.
     ///
-    /// A way beyond it has its price even where every target is full: each zone's requests would
-    /// otherwise wait at the other zones' targets, and cross in both directions.
+    /// Leaving this tier has a cost even if all targets are overloaded. Otherwise zones would send
+    /// requests to each other in both directions.
     fn nearest_tier(&self, request: PickRequest<'_>) -> Option<Link> {
         let tiers = self.services.get(request.service.0 as usize)?;
         let usable = |index: &usize| {
@@ -420,7 +415,7 @@
         Link::ALL.into_iter().find(has_usable).or(Some(Link::CrossRegion))
     }
 
-    /// What a way beyond the nearest tier costs.
+    /// Cost of leaving the nearest tier.
     fn distance_cost(&self, request: PickRequest<'_>, nearest: Link, link: Link) -> Duration {
         if link <= nearest || !self.policy.is_enabled(Mechanism::Distance) {
             return Duration::ZERO;
@@ -434,12 +429,12 @@
         self.peers[index].unloaded_cost(request.now, request.class, self.typical_latency(request))
     }
 
-    /// The cheaper of two usable targets drawn at random.
+    /// Draws the cheaper of two random usable targets.
     fn draw_two(&mut self, request: PickRequest<'_>, link: Link) -> Option<usize> {
         self.draw_cheaper(request, link, |_| true)
     }
 
-    /// The same among those that have not refused for load just now.
+    /// Like `draw_two`, but skips targets that recently refused because of load.
     fn draw_two_available(&mut self, request: PickRequest<'_>, link: Link) -> Option<usize> {
         self.draw_cheaper(request, link, |peer| {
             !peer.is_overloaded(request.now, request.class, request.rank)
@@ -497,7 +492,7 @@
                 return Some(index);
             }
         }
-        // Few are usable: look through all, from a random place on.
+        // Few targets are usable: search linearly from a random position.
         let start = self.rng.random_range(0..tier.len());
         tier[start..].iter().chain(&tier[..start]).copied().find(usable)
     }
