--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -1,4 +1,4 @@
-//! What an entry node knows of one target, and what a request there is expected to cost.
+//! State of a target as seen by an entry node, and the estimated cost of sending a request to it.
 
 use crate::call::Load;
 use crate::config::Class;
@@ -7,90 +7,88 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Answer time assumed of a target that has not been measured lately, by the link to it: the
-/// least that it can be, since one that is assumed slower than its neighbours would never be tried.
+/// Assumed network latency by distance, used until a target has been measured. A lower bound,
+/// because a target assumed to be slower than its neighbors would never be tried.
 const ZONE_LATENCY: Duration = Duration::from_millis(1);
 const REGION_LATENCY: Duration = Duration::from_millis(2);
 const CROSS_REGION_LATENCY: Duration = Duration::from_millis(40);
 
-/// Shortest answer time that is told from a shorter one; below it the load decides.
+/// Response times below this are treated as equal, so that the load decides.
 const MIN_RESPONSE_TIME: Duration = ZONE_LATENCY;
 
-/// How long a measured answer time counts, ever less. A target that was slow is tried again the
-/// sooner the less slow it was, and after this time as if new.
+/// How long a measured response time is used. Its weight decays over this time, so that slow
+/// targets are tried again.
 pub const RESPONSE_TIME_TTL: Duration = Duration::from_secs(5);
 
-/// How long a reported load counts.
+/// How long a load report is used.
 const LOAD_REPORT_TTL: Duration = Duration::from_secs(1);
 
-/// Slots assumed of a target that has reported none.
+/// Slots assumed for a target that has not reported any.
 const DEFAULT_SLOTS: u32 = 8;
 
-/// Weight of the newest attempt in the running share of failures, as one part in so many.
+/// The newest attempt contributes 1/n to the moving failure rate.
 const FAILURE_WEIGHT: u32 = 8;
 
-/// Parts of the share of failures; the share is counted in these.
+/// Fixed-point scale of the failure rate.
 const FAILURE_SCALE: u32 = 1_024;
 
-/// How much dearer a target counts that fails every request, as a multiple. One that fails half
-/// of them while its health check is good then gets work only when the others are far from free.
+/// Cost multiplier of a target that fails every request. Keeps requests away from a target that
+/// often fails although its health check passes.
 const FAILURE_COST_FACTOR: u32 = 8;
 
-/// One target as an entry node sees it.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Address of the gatekeeper beside it.
+    /// Address of the target's gatekeeper.
     pub gate: SocketAddr,
-    /// The run of the target that is meant.
+    /// Expected incarnation of the target process.
     pub incarnation: Option<Name>,
-    /// Index of its service.
+    /// Index of the service.
     pub service: usize,
-    /// How far away it is.
+    /// Distance to the target.
     pub link: Link,
-    /// By the configuration, until the target reports its own.
+    /// Configured slots, used until the target reports its own.
     pub slots: Option<u32>,
-    /// Requests of this node that are there.
+    /// Requests sent by this node that are in progress.
     pub in_flight: u32,
-    /// Its last report, and when it came.
+    /// Last load report, and when it was received.
     pub load: Option<(Load, Time)>,
-    /// Mean time of its answers by class, and when it was measured.
+    /// Mean response time by class, and when it was last measured.
     pub response_time: [Option<(Duration, Time)>; 3],
-    /// Share of attempts that failed of late, and when the last one ended.
+    /// Failure rate, and when it was last updated.
     pub failure_rate: (u32, Time),
-    /// In a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// After failures.
+    /// End of the ejection.
     pub ejected_until: Time,
-    /// By its gatekeeper's word, for requests of a class from a rank on.
+    /// Refusals because of load, by class.
     pub overload: [Option<Overload>; 3],
-    /// By its gatekeeper's word.
+    /// When the gatekeeper's report that the target is draining expires.
     pub draining_until: Time,
-    /// By the view of members.
+    /// Whether the membership view reports a state other than live.
     pub not_live: bool,
-    /// By the target's own entry.
+    /// Whether the configuration marks the target as leaving.
     pub marked_leaving: bool,
 }
 
-/// A refusal for load that still holds.
+/// A refusal because of load.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
-    /// The most urgent rank that was refused.
+    /// Lowest rank, that is the highest priority, that was refused.
     pub rank: u8,
-    /// When a request may be tried again.
+    /// When requests may be sent again.
     pub until: Time,
 }
 
-/// How strictly targets are chosen.
+/// Which targets are eligible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetFilter {
-    /// Neither leaving nor failing nor full.
+    /// Neither draining nor ejected.
     Healthy,
-    /// Not leaving by its own word.
+    /// Not draining, but possibly ejected.
     NotDraining,
 }
 
 impl Peer {
-    /// A target of which nothing is known.
     pub fn new(gate: SocketAddr, link: Link) -> Peer {
         Peer {
             gate,
@@ -111,7 +109,7 @@
         }
     }
 
-    /// Whether requests may go there.
+    /// Whether requests may be sent to this target.
     pub fn is_usable(&self, now: Time, filter: TargetFilter, ignore_membership: bool) -> bool {
         if self.draining_until > now || self.marked_leaving {
             return false;
@@ -125,13 +123,12 @@
         }
     }
 
-    /// Whether a request like this one has been refused for load just now.
+    /// Whether a request of this class and rank was recently refused because of load.
     pub fn is_overloaded(&self, now: Time, class: Class, rank: u8) -> bool {
         self.overload[class as usize]
             .is_some_and(|overload| overload.until > now && overload.rank <= rank)
     }
 
-    /// Takes a refusal for load in.
     pub fn set_overloaded(&mut self, now: Time, class: Class, rank: u8, wait: Duration) {
         let known = &mut self.overload[class as usize];
         let active = known.filter(|overload| overload.until > now);
@@ -139,8 +136,7 @@
         *known = Some(Overload { rank, until: now + wait });
     }
 
-    /// Expected time to an answer: the measured time, stretched by how full the target is and by
-    /// how often it has failed of late.
+    /// Expected response time, scaled by the load and the failure rate of the target.
     pub fn cost(&self, now: Time, class: Class, typical_latency: Duration) -> Duration {
         let response_time = self.expected_response_time(now, class, typical_latency);
         let (outstanding, slots) = self.outstanding(now);
@@ -149,20 +145,19 @@
         time + time * FAILURE_COST_FACTOR * self.decayed_failure_rate(now) / FAILURE_SCALE
     }
 
-    /// Expected time to an answer without regard to load: what tells a target that is slow, or
-    /// fails, from a sound one.
+    /// Expected response time, scaled by the failure rate but not by the load.
     pub fn unloaded_cost(&self, now: Time, class: Class, typical_latency: Duration) -> Duration {
         let time = self.expected_response_time(now, class, typical_latency);
         time + time * FAILURE_COST_FACTOR * self.decayed_failure_rate(now) / FAILURE_SCALE
     }
 
-    /// How long a request would wait there by its last report; `None` if that is too old.
+    /// Expected queueing time from the last load report. Returns `None` if the report is too old.
     pub fn reported_wait(&self, now: Time) -> Option<Duration> {
         let (load, at) = self.load?;
         (now.since(at) < LOAD_REPORT_TTL).then(|| Duration::from_millis(load.wait_ms.into()))
     }
 
-    /// Requests known to be there, and its slots.
+    /// Returns the number of requests known to be at the target, and its slots.
     fn outstanding(&self, now: Time) -> (u32, u32) {
         let recent = |at: Time| now.since(at) < LOAD_REPORT_TTL;
         let load = self.load.filter(|(_, at)| recent(*at)).map(|(load, _)| load);
@@ -187,14 +182,13 @@
         (mean.min(assumed) + above).max(MIN_RESPONSE_TIME)
     }
 
-    /// Counts an attempt that ended.
     pub fn record_outcome(&mut self, now: Time, failed: bool) {
         let newest = if failed { FAILURE_SCALE } else { 0 };
         let share = self.decayed_failure_rate(now) * (FAILURE_WEIGHT - 1) + newest;
         self.failure_rate = (share / FAILURE_WEIGHT, now);
     }
 
-    /// The share of failures, which counts ever less while nothing is tried.
+    /// Failure rate, which decays while no attempt is made.
     fn decayed_failure_rate(&self, now: Time) -> u32 {
         let (share, at) = self.failure_rate;
         let age = now.since(at).min(RESPONSE_TIME_TTL);
@@ -203,7 +197,7 @@
     }
 }
 
-/// Answer time assumed over such a link, the target's own time left out.
+/// Network latency assumed for a distance.
 pub fn assumed_network_latency(link: Link) -> Duration {
     match link {
         Link::Zone => ZONE_LATENCY,
