--- a/core/src/call/budget.rs
+++ b/core/src/call/budget.rs
@@ -1,67 +1,62 @@
-//! Retry budget of a service at one entry node.
+//! Retry budget of a service on one entry node.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Retries that may be saved up; bounds the burst when a service starts to fail.
+/// Upper bound of saved retries. Limits the burst when a service starts to fail.
 const MAX_TOKENS: u64 = 10;
 
-/// Retries that a service may use before any request was counted.
+/// Retries available before the first request.
 const INITIAL_TOKENS: u64 = 3;
 
-/// Units of one retry, so that a share in percent adds up without fractions.
+/// Units per retry, so that a percentage of first attempts can be counted in integers.
 const UNITS_PER_RETRY: u64 = 100;
 
-/// Span over which a fleet-wide budget holds, and how many steps it is counted in.
+/// Window of a fleet-wide budget, and the number of buckets it is divided into.
 const WINDOW: Duration = Duration::from_secs(10);
 const BUCKETS: usize = 5;
 
-/// Retries allowed as a share of first attempts.
-///
-/// Limits retries to a share of first attempts plus a small saved-up reserve, however many attempts
-/// a route allows, so that retries can't keep a failing service down.
+/// Limits retries to a share of first attempts plus a small reserve, so that retries cannot keep a
+/// failing service overloaded.
 #[derive(Clone, Copy, Debug)]
 pub enum Budget {
-    /// Unused retries are saved up, within a bound for this node alone.
+    /// Accumulates unused retries. Bounded on this node only.
     TokenBucket(u64),
-    /// The sum over all nodes is bounded in each window: see [`Window`].
+    /// Bounded over the whole fleet in each window, see [`Window`].
     SlidingWindow(Window),
 }
 
-/// A budget that holds over the fleet in each span of `WINDOW` without a message between nodes:
-/// every node uses at most its share of the first attempts that it has itself counted, and its
-/// part of a fixed reserve.
+/// A fleet-wide budget per `WINDOW` that needs no coordination: each node uses at most its share of
+/// its own first attempts plus its part of a fixed reserve.
 ///
-/// Retries are counted over one step more than first attempts, so that the bound holds in every
-/// window wherever it starts.
+/// Retries are counted over one bucket more than first attempts, so that the limit holds for every
+/// window regardless of its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Window {
     first_attempts: [u64; BUCKETS + 1],
     retries: [u64; BUCKETS + 1],
     bucket: u64,
-    // Units that this node may use whatever it has counted.
+    // Units available to this node regardless of its first attempts.
     reserve: u64,
 }
 
-/// How much of a service's retries a node may use.
+/// Retry limits of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryLimits {
-    /// Share of first attempts, in percent.
+    /// Percentage of first attempts.
     pub percent: u32,
-    /// Retries of the whole fleet beside the share, in each window; absent for a budget of this
-    /// node alone.
+    /// Additional retries of the whole fleet per window. Absent for a budget that is local to each
+    /// node.
     pub reserve: Option<u32>,
-    /// Nodes that share the reserve.
+    /// Number of nodes that share the reserve.
     pub nodes: u32,
 }
 
 impl Budget {
-    /// A budget with a few retries in it.
     pub fn new() -> Budget {
         Budget::TokenBucket(INITIAL_TOKENS * UNITS_PER_RETRY)
     }
 
-    /// Counts a first attempt.
     pub fn record_first_attempt(&mut self, now: Time, limits: RetryLimits) {
         self.switch_kind(limits);
         match self {
@@ -75,7 +70,6 @@
         }
     }
 
-    /// Counts a request that has come, as a first attempt or as a repeat.
     pub fn record(&mut self, now: Time, limits: RetryLimits, repeat: bool) {
         match repeat {
             true => self.record_repeat(now, limits),
@@ -83,8 +77,8 @@
         }
     }
 
-    /// Counts a repeat that was not this node's to refuse, as the call of a run that is made
-    /// again: it uses up one retry, whether there is one left or not.
+    /// Records a repeat that this node cannot refuse, such as a nested call of a retried run.
+    /// Charges one retry even if the budget is exhausted.
     pub fn record_repeat(&mut self, now: Time, limits: RetryLimits) {
         self.switch_kind(limits);
         match self {
@@ -96,7 +90,7 @@
         }
     }
 
-    /// Whether a retry is left.
+    /// Whether a retry is available.
     pub fn is_available(&mut self, now: Time) -> bool {
         match self {
             Budget::TokenBucket(tokens) => *tokens >= UNITS_PER_RETRY,
@@ -104,7 +98,7 @@
         }
     }
 
-    /// Takes one retry out. Returns false if there is none left.
+    /// Charges one retry. Returns `false` if none is available.
     pub fn try_take(&mut self, now: Time) -> bool {
         let available = self.is_available(now);
         if available {
@@ -116,7 +110,7 @@
         available
     }
 
-    /// Begins anew where the kind of budget has changed.
+    /// Resets the budget if the limits require a different kind.
     fn switch_kind(&mut self, limits: RetryLimits) {
         match (&*self, limits.reserve) {
             (Budget::TokenBucket(_), Some(_)) => *self = Budget::SlidingWindow(Window::default()),
@@ -127,7 +121,7 @@
 }
 
 impl Window {
-    /// Takes up this node's part of the reserve.
+    /// Sets this node's part of the reserve.
     fn set_reserve(&mut self, limits: RetryLimits) {
         let reserve = u64::from(limits.reserve.unwrap_or(0));
         self.reserve = reserve * UNITS_PER_RETRY / u64::from(limits.nodes.max(1));
@@ -149,7 +143,7 @@
         self.retries[0] += UNITS_PER_RETRY;
     }
 
-    /// Drops the steps that are over.
+    /// Drops expired buckets.
     fn advance(&mut self, now: Time) {
         let bucket_length = WINDOW.as_micros() as u64 / BUCKETS as u64;
         let bucket = now.0 / bucket_length;
