--- a/core/src/call/split.rs
+++ b/core/src/call/split.rs
@@ -1,4 +1,4 @@
-//! Which service of a split route gets a request.
+//! Selects the service for requests to a route with a traffic split.
 
 use crate::Name;
 use crate::config::ServiceKey;
@@ -7,12 +7,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The turns of split routes at one entry node.
+/// Traffic splits of one entry node.
 ///
-/// Each service of a split collects its weight with every request; the one that has collected most
-/// gets the request and pays the sum of all weights. The parts are then exact over few requests
-/// already, which drawing at random is not. Every node starts at a random point of the sequence,
-/// so that many nodes with few requests each do not all begin with the same service.
+/// Uses smooth weighted round robin, which matches the weights even over a few requests. Each node
+/// starts at a random position, so that nodes with little traffic do not all begin with the same
+/// service.
 #[derive(Debug)]
 pub struct TrafficSplits {
     rng: Pcg64Mcg,
@@ -26,17 +25,17 @@
 }
 
 impl TrafficSplits {
-    /// No route yet; `seed` feeds the starting points.
+    /// `seed` determines the starting positions.
     pub fn new(seed: u64) -> TrafficSplits {
         TrafficSplits { rng: Pcg64Mcg::seed_from_u64(seed), routes: IndexMap::new() }
     }
 
-    /// Forgets the routes that a version no longer has.
+    /// Drops routes that a new configuration version has removed.
     pub fn retain(&mut self, routes: &[RouteEntry]) {
         self.routes.retain(|name, _| routes.iter().any(|entry| entry.name == *name));
     }
 
-    /// The service for the next request of a route.
+    /// Returns the service for the next request.
     pub fn choose(&mut self, entry: &RouteEntry) -> ServiceKey {
         if entry.split.is_empty() {
             return entry.service;
