--- a/core/src/call/depth.rs
+++ b/core/src/call/depth.rs
@@ -1,34 +1,32 @@
-//! How deep the requests that come are nested, and the slots that are kept free for the deeper
-//! ones.
+//! Tracks the nesting depth of requests to reserve slots for nested calls.
 
 use super::MAX_DEPTH;
 
-/// Weight of the newest arrival in the running shares, as one part in so many.
+/// The newest arrival contributes 1/n to the moving shares.
 const WEIGHT: u32 = 64;
 
-/// Parts of a share; shares are counted in these.
+/// Fixed-point scale of the shares.
 const SHARE_SCALE: u32 = 1_024;
 
-/// A smaller share of deeper requests than this keeps no slot free for them.
+/// Minimum share of deeper requests for which slots are reserved.
 const MIN_SHARE: u32 = SHARE_SCALE / 64;
 
-/// At most one slot in so many is kept free.
+/// At most 1/n of the slots are reserved.
 const MAX_RESERVED_DIVISOR: u32 = 4;
 
-/// Which share of the arrivals is nested how deep.
+/// Distribution of nesting depths among recent arrivals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NestingDepths {
-    // Share of arrivals that are nested deeper than the index.
+    // Share of arrivals nested deeper than the index.
     deeper: [u32; MAX_DEPTH as usize],
 }
 
 impl NestingDepths {
-    /// Nothing has come.
     pub fn new() -> NestingDepths {
         NestingDepths::default()
     }
 
-    /// Counts an arrival. `depth` is how many calls wait for it.
+    /// Records an arrival. `depth` is the number of calls that wait for it.
     pub fn record(&mut self, depth: u8) {
         for (level, share) in self.deeper.iter_mut().enumerate() {
             let newest = if usize::from(depth) > level { SHARE_SCALE } else { 0 };
@@ -36,11 +34,11 @@
         }
     }
 
-    /// Of so many slots, those that a request at this depth must leave free.
+    /// Returns how many of `slots` a request at this depth must leave free for deeper calls.
     ///
-    /// Slots that requests of this depth must leave free for deeper calls: requests that hold every
-    /// slot of a service which their own nested calls need would wait until their deadlines. None
-    /// are kept where no deeper call has come.
+    /// Without reserved slots, requests could occupy all slots of a service that their own nested
+    /// calls need, and wait until their deadlines. No slots are reserved unless deeper calls have
+    /// arrived.
     pub fn reserved_slots(&self, slots: u32, depth: u8) -> u32 {
         let deeper = self.deeper.get(usize::from(depth)).copied();
         if deeper.is_none_or(|share| share < MIN_SHARE) {
