--- a/core/src/call/policy.rs
+++ b/core/src/call/policy.rs
@@ -1,49 +1,47 @@
-//! Which mechanisms of the call path are at work.
+//! Feature toggles and parameters of the call path.
 //!
-//! All of them are, in every node. A [`Policy`] is the one place where one can be switched off, or
-//! a value changed, to find out what it is worth: deciders take it when they are made. It is no
-//! setting of operators.
+//! Nodes always run with all mechanisms enabled. [`Policy`] is used by benchmarks to disable a
+//! mechanism or change a parameter; it is not exposed in the configuration.
 
 use std::collections::BTreeSet;
 
 kebab_enum! {
-    /// A mechanism that can be switched off.
+    /// A mechanism that can be disabled.
     pub enum Mechanism {
-        /// Targets that are farther away count as dearer.
+        /// Adds a cost to targets that are farther away.
         Distance,
-        /// Large answers stay in their region while it has a target.
+        /// Keeps bulk responses within their region while it has a target.
         BulkStays,
-        /// Measured answer times tell slow targets from fast ones.
+        /// Uses measured response times to avoid slow targets.
         AnswerTimes,
-        /// Reported loads tell full targets from free ones.
+        /// Uses reported loads to avoid overloaded targets.
         ReportedLoads,
-        /// Targets that fail a share of their requests count as dearer.
+        /// Adds a cost to targets with a high failure rate.
         FailureShare,
-        /// A target that has refused for load is passed over for a while.
+        /// Avoids targets that recently refused a request because of load.
         FullKnown,
-        /// When all targets are full, a request goes to one of them, and not to several in turn.
+        /// Queues a request at one target when all are overloaded, instead of trying several.
         FullOnce,
-        /// What a caller has waited before counts against its objective.
+        /// Deducts the time that the caller has already waited from the objective.
         Patience,
-        /// Who can be in time goes before who can't.
+        /// Prioritizes requests that can still meet their objective.
         InTimeFirst,
-        /// Nested calls go before callers' requests, the deepest first.
+        /// Prioritizes nested calls, the deepest first.
         NestedFirst,
-        /// Slots are kept free for nested calls.
+        /// Reserves slots for nested calls.
         SlotsKept,
-        /// Large answers hold a share of the slots at most.
+        /// Limits the share of slots that bulk responses may occupy.
         BulkShare,
-        /// Now and then a large answer goes before others that wait.
+        /// Periodically admits a bulk response before other queued requests.
         BulkTurn,
-        /// Retries stay under a share of first attempts.
+        /// Limits retries to a share of first attempts.
         RetryBudget,
-        /// A repeatable request that takes longer than nearly all is sent to a second target too.
+        /// Sends a second attempt of a slow idempotent request.
         Hedges,
     }
 }
 
 impl Mechanism {
-    /// Every part.
     pub const ALL: [Mechanism; 15] = [
         Mechanism::Distance,
         Mechanism::BulkStays,
@@ -63,33 +61,34 @@
     ];
 }
 
-/// Mechanisms at work, and the values that they work with.
+/// Enabled mechanisms and their parameters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
     disabled: BTreeSet<Mechanism>,
-    /// How long a request may wait beyond its latest start for an answer in time, behind all that
-    /// can still be in time; in percent of a usual run.
+    /// How long a request may stay queued past the latest start that meets its objective, in percent
+    /// of a typical run.
     pub late_wait_percent: u32,
-    /// How much of its time for waiting a request may use up where it asks first; in percent.
+    /// Maximum share of its available waiting time that a request may spend queued at the first
+    /// target, in percent.
     pub first_wait_percent: u32,
-    /// What the way to another zone, and to another region, costs; in percent of the service's
-    /// usual answer time.
+    /// Cost of leaving the zone and of leaving the region, in percent of the typical latency of the
+    /// service.
     pub distance_percent: [u32; 2],
 }
 
-/// Short, so that slots go to those that can still be answered in time; not zero, so that a slot
-/// which nobody else wants answers somebody.
+/// Short, so that slots go to requests that can meet their objective. Not zero, so that otherwise
+/// idle slots still serve late requests.
 const LATE_WAIT_PERCENT: u32 = 50;
 
-/// A target that would use up more has a queue that others may not have: the refusal sends the
-/// next requests elsewhere while they have time left, and this one waits.
+/// A longer queue may be specific to this target, so the request is refused while it has time to be
+/// sent to another.
 const FIRST_WAIT_PERCENT: u32 = 30;
 
-/// Traffic between zones and regions is paid by volume: it must save its caller that much waiting.
+/// Traffic between zones and regions is billed by volume, so it must save this much waiting time.
 const DISTANCE_PERCENT: [u32; 2] = [50, 100];
 
 impl Policy {
-    /// Everything at work.
+    /// Enables all mechanisms, with default parameters.
     pub fn new() -> Policy {
         Policy {
             disabled: BTreeSet::new(),
@@ -99,17 +98,16 @@
         }
     }
 
-    /// The same without a part.
     pub fn without(mut self, mechanism: Mechanism) -> Policy {
         self.disabled.insert(mechanism);
         self
     }
 
-    /// Names of the values that can be changed.
+    /// Names of the parameters.
     pub const VALUES: [&str; 4] =
         ["late-wait-percent", "first-wait-percent", "region-percent", "across-percent"];
 
-    /// The same with another value. `None` if there is none of this name.
+    /// Sets a parameter. Returns `None` if the name is unknown.
     pub fn with_value(mut self, name: &str, value: u64) -> Option<Policy> {
         match name {
             "late-wait-percent" => self.late_wait_percent = value as u32,
@@ -121,7 +119,6 @@
         Some(self)
     }
 
-    /// Whether a part is at work.
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.disabled.contains(&mechanism)
     }
