--- a/core/src/call/patience.rs
+++ b/core/src/call/patience.rs
@@ -1,21 +1,21 @@
-//! For how long a caller has waited already, over all of its attempts.
+//! Estimates how long a caller has waited, including its previous attempts.
 
 use crate::{Name, Time};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// For how long the longest time that a caller gave counts.
+/// How long the longest timeout of a route is remembered.
 const TIMEOUT_TTL: Duration = Duration::from_secs(60);
 
-/// Routes remembered at once; one more and all are forgotten.
+/// Maximum number of routes. The table is cleared when it is full.
 const MAX_ROUTES: usize = 4_096;
 
-/// The longest time that callers of each route have given.
+/// Longest timeout seen from the callers of each route.
 ///
-/// A caller that asks again states the time that is left, and not when it began. Callers of one
-/// route give the same time at first, so that one that gives less has spent the difference on
-/// attempts before. A request that seems new at every attempt would be put before others although
-/// its answer comes too late in any case.
+/// A caller that retries sends its remaining time, not when it started. Callers of a route usually
+/// start with the same timeout, so a shorter one indicates time spent on previous attempts. Without
+/// this estimate, retries would be prioritized like new requests although their responses come too
+/// late.
 #[derive(Debug)]
 pub struct CallerWaits {
     routes: IndexMap<Name, LongestTimeout>,
@@ -28,12 +28,11 @@
 }
 
 impl CallerWaits {
-    /// Knows no route.
     pub fn new() -> CallerWaits {
         CallerWaits { routes: IndexMap::new() }
     }
 
-    /// How long the caller of a request has waited, who gives it `left` from now on.
+    /// Estimates how long a caller with `left` remaining has already waited.
     pub fn estimate(&mut self, now: Time, route: &Name, left: Duration) -> Duration {
         if self.routes.len() >= MAX_ROUTES {
             self.routes.clear();
