--- a/core/tests/call_balance.rs
+++ b/core/tests/call_balance.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to, over several regions.
+//! Target selection across regions.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -14,7 +14,7 @@
 
 const START: Time = Time(1_700_000_000_000_000);
 
-/// Two targets here, two in another region.
+/// Two targets in the local region, two in another.
 fn snapshot() -> Arc<Snapshot> {
     let targets = ["a/here/here-z", "b/here/here-z", "c/there/there-z", "d/there/there-z"];
     support::snapshot(1, &targets, "{}", "{}")
@@ -40,7 +40,7 @@
     }
 }
 
-/// These targets refuse for load and say how long a newcomer would wait.
+/// Makes the targets refuse because of load, with `wait_ms` as the expected wait.
 fn mark_overloaded(balancer: &mut Balancer, vms: [&str; 2], wait_ms: u32) {
     for vm in vms {
         let load = Load { in_flight: 8, slots: 8, queued: 4, wait_ms };
@@ -52,7 +52,7 @@
     }
 }
 
-/// How many of a hundred requests go to the other region.
+/// Number of 100 requests that are sent to the other region.
 fn picks_in_other_region(balancer: &mut Balancer, class: Class) -> usize {
     let mut pick = || balancer.pick(PickRequest::new(START, ServiceKey(0), &terms(class)));
     (0..100).filter(|_| matches!(pick().unwrap().as_str(), "c" | "d")).count()
@@ -60,9 +60,8 @@
 
 #[test]
 fn large_answers_stay_in_region() {
-    // Story: every link in front of the ledgers is full. Requests that a full target turns away
-    // are sent to another region, whose targets are as full, and traffic that is paid by volume
-    // grows by a quarter of a gigabyte in half a minute without one answer more.
+    // Guards against bulk requests being sent to another region when the local targets are
+    // overloaded, which adds billed traffic without any additional responses.
     let mut balancer = balancer();
     mark_overloaded(&mut balancer, ["a", "b"], 300);
     assert_eq!(picks_in_other_region(&mut balancer, Class::Bulk), 0);
@@ -71,9 +70,8 @@
 
 #[test]
 fn wait_saved_is_weighed_against_the_way() {
-    // Story: the queues of one region are a little longer than those of another. Requests that are
-    // sent there for it are answered no sooner to speak of, and every byte of them is paid for.
-    // A run takes 100 ms, and the way to the other region 40 ms more.
+    // Guards against sending requests to another region for a shorter queue when the distance
+    // cancels out the gain. A run takes 100 ms, the way to the other region adds 40 ms.
     let mut balancer = balancer();
     for (vm, took, wait_ms) in [("a", 100, 80), ("b", 100, 80), ("c", 140, 20), ("d", 140, 20)] {
         let vm = name(vm);
@@ -81,7 +79,7 @@
         balancer.record_load(START, &vm, Load { in_flight: 8, slots: 8, queued: 4, wait_ms });
     }
     assert_eq!(picks_in_other_region(&mut balancer, Class::Interactive), 0);
-    // It is worth the way when a run and more is saved.
+    // Leaving the region pays off once it saves more than a run.
     for vm in ["a", "b"] {
         let load = Load { in_flight: 8, slots: 8, queued: 20, wait_ms: 300 };
         balancer.record_load(START, &name(vm), load);
