--- a/core/tests/call_budget.rs
+++ b/core/tests/call_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget that holds over the whole fleet.
+//! The fleet-wide retry budget.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 
 #[test]
 fn window_bounds_the_sum_over_all_nodes() {
-    // Story: a service fails after a calm hour. Each of 18 nodes has saved up ten retries, and
-    // the service is hit by 180 at once, although 103 are allowed.
+    // Guards against nodes that accumulate retries while a service is healthy and together exceed
+    // the budget when it fails: 18 nodes with 10 retries each, where 103 are allowed.
     let mut budgets = [Budget::new(); NODES as usize];
     let mut first_attempts = 0;
     for ms in (0..60_000).step_by(100) {
@@ -52,12 +52,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In no span of ten seconds, wherever it starts, a node makes more retries than its share of
-    /// the first attempts of that span or the one before, and its part of the reserve.
+    /// In any span of ten seconds, a node makes no more retries than its share of the first
+    /// attempts in that span and the preceding one, plus its part of the reserve.
     #[test]
     fn window_holds_wherever_it_starts(steps in prop::collection::vec((0u64..900, 0u32..3), 1..200)) {
         let mut budget = Budget::new();
-        // Every retry follows some first attempt.
+        // Every retry follows a first attempt.
         budget.record_first_attempt(START, LIMITS);
         let (mut now, mut first_attempts, mut retries) = (0, vec![0], Vec::new());
         for (pause, kind) in steps {
