--- a/core/tests/call_entry.rs
+++ b/core/tests/call_entry.rs
@@ -1,4 +1,4 @@
-//! Decisions of the entry node: where a request goes, when it is sent again, what is said of it.
+//! The entry node: target selection, retries and reported outcomes.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -18,7 +18,7 @@
 const START: Time = Time(1_700_000_000_000_000);
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Targets as `vm/region/zone`.
+/// Builds a snapshot from targets in the form `vm/region/zone`.
 fn snapshot(version: u64, targets: &[&str]) -> Arc<Snapshot> {
     let routes = r#"{"once":{"path_prefix":"/once","service":"s","idempotent":false},
         "idem":{"path_prefix":"/idem","service":"s","idempotent":true,"max_attempts":4,
@@ -128,8 +128,8 @@
 
 #[test]
 fn outcome_unknown_stays() {
-    // Story: the first target breaks while it runs the request, the second refuses. "Not run"
-    // would be false: the first may have run it.
+    // Guards against reporting "not run" when the second target refuses but the first, which
+    // crashed, may have run the request.
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     let broken = AttemptEnd::Failed { code: Code::TargetFailed, crashes: 1 };
@@ -152,7 +152,8 @@
 
 #[test]
 fn once_sent_to_one_home() {
-    // Story: a signing is sent, and its answer is lost. Sent again elsewhere it would run twice.
+    // Guards against running a signing twice because it is retried on another target after its
+    // response was lost.
     let mut driver = Driver::new(&SIX);
     for low in 0..20 {
         let first = forward(driver.arrive_at("/once", Some(key(low))));
@@ -165,8 +166,8 @@
 
 #[test]
 fn once_next_home() {
-    // Story: the home of a key is stopped as planned. It has let go of its keys to the next home
-    // in order; a signing goes there, and only to homes that say for sure that it did not run.
+    // Guards against losing or duplicating a signing while the home of its key is draining: it
+    // moves to the next home only after a refusal that guarantees that it did not run.
     let mut driver = Driver::new(&SIX);
     let home = forward(driver.arrive_at("/once", Some(key(1))));
     let next = forward(driver.end(home.call, refused(Code::Draining)));
@@ -197,8 +198,8 @@
 
 #[test]
 fn budget_bounds_retries() {
-    // Story: a service fails. Each caller's request is sent four times, and the load that broke
-    // it is now four times as high, so it stays broken.
+    // Guards against retries that multiply the load on a failing service and keep it from
+    // recovering.
     let mut driver = Driver::new(&SIX);
     let offered = 1_000;
     let mut attempts = 0;
@@ -229,7 +230,8 @@
 
 #[test]
 fn leaving_by_refusal() {
-    // Story: the VM list never says that a target leaves. Its own refusal does.
+    // Guards against sending requests to a draining target that the membership view still reports
+    // as live.
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     let second = forward(driver.end(first.call, refused(Code::Draining)));
@@ -251,8 +253,8 @@
         assert!(!["a", "b"].contains(&sent.vm.as_str()));
         driver.answer(&sent, Duration::from_micros(10));
     }
-    // Story: a partition makes the list call most targets gone. Sending everything to the two
-    // left would break them; the list is not believed.
+    // Guards against overloading the remaining targets when a partition makes most of them appear
+    // gone in the membership view.
     driver.input(Input::View(view_without(&["a", "b", "c", "d"])));
     let mut seen = BTreeMap::new();
     for _ in 0..300 {
@@ -265,7 +267,7 @@
 
 #[test]
 fn balance_slow_target() {
-    // Story: one of six targets is ten times slower. It must not get a sixth of the work.
+    // Guards against sending an equal share of requests to a target that is ten times slower.
     let mut driver = Driver::new(&SIX);
     let mut slow = 0;
     for _ in 0..1_000 {
@@ -341,9 +343,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random attempts, ends and versions: every call gets one final outcome, "not run" only if no
-    /// attempt may have reached a target, and a request that may run only once is never sent
-    /// again after one that may have.
+    /// For random sequences of attempts, ends and versions, each call has exactly one final
+    /// outcome, "not run" is reported only if no attempt may have reached a target, and a
+    /// non-idempotent request is not retried after an attempt that may have.
     #[test]
     fn entry_history(steps in prop::collection::vec(step(), 1..200)) {
         let mut driver = Driver::new(&SIX);
@@ -417,8 +419,7 @@
 
 #[test]
 fn balance_unreachable_tried_once() {
-    // Story: a VM has lost power. Each request that is sent there waits for a connection in vain,
-    // for a third of the time that its caller counts on.
+    // Guards against each request waiting for a connection to a VM that has lost power.
     let mut driver = Driver::new(&SIX);
     let mut tried = 0;
     for _ in 0..60 {
@@ -435,8 +436,8 @@
 
 #[test]
 fn balance_node_started_again() {
-    // Story: every node is stopped and started in turn, as planned. Entry nodes go on avoiding
-    // each target long after its node is back, until hardly any is left.
+    // Guards against avoiding restarted targets for too long during a rolling restart, until hardly
+    // any target is left.
     let mut driver = Driver::new(&["a/r/z", "b/r/z"]);
     let mut first = driver.arrive();
     while first.vm.as_str() != "a" {
@@ -451,8 +452,8 @@
 
 #[test]
 fn balance_target_that_never_answers() {
-    // Story: a target takes requests and never answers, while its health check is good. Each
-    // request that is sent there ends at its caller's deadline, one after the other for minutes.
+    // Guards against sending requests to a target that never responds although its health check
+    // passes.
     let mut driver = Driver::new(&SIX);
     let mut unresponsive = 0;
     for _ in 0..120 {
