--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -1,4 +1,4 @@
-//! What an entry node does while every target of a service is full.
+//! The entry node when all targets of a service are overloaded.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -14,10 +14,10 @@
 
 const START: Time = Time(1_700_000_000_000_000);
 
-/// When a full target says to come back.
+/// `retry_after` of the refusals.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A service of four targets, whose route allows two further gatekeepers to be asked.
+/// A service with four targets and a route that allows two spare forwards.
 fn snapshot() -> Arc<Snapshot> {
     let route = r#"{"path_prefix":"/","service":"s","idempotent":false,"once":"attempt",
         "max_attempts":2,"spare_forwards":2,"objective_ms":600,"deadline_ms":2000}"#;
@@ -44,7 +44,7 @@
         out.pop()
     }
 
-    /// A request that every target turns away for load. Returns the forwards that it took.
+    /// Sends a request that every target refuses because of load. Returns its forwards.
     fn send_to_overloaded_service(&mut self) -> Vec<Forward> {
         self.next += 1;
         let call = CallKey(self.next);
@@ -69,13 +69,12 @@
 
 #[test]
 fn full_service_asked_once() {
-    // Story: a service loses half of its targets and the others are full. Each request asks four
-    // gatekeepers in turn before it waits at one or is turned away, so that nodes with a tenth of
-    // a core spend their time on refusals, and what could be answered is late as well.
+    // Guards against each request asking several gatekeepers in turn when all targets are
+    // overloaded, which spends the processor time of small nodes on refusals.
     let mut driver = Driver::new();
     let first = driver.send_to_overloaded_service();
     assert_eq!(first.len(), 3, "{first:?}");
-    // The fourth target has not refused yet.
+    // The fourth target has not refused a request yet.
     driver.send_to_overloaded_service();
     let third = driver.send_to_overloaded_service();
     assert_eq!(third.len(), 1, "{third:?}");
