--- a/core/tests/call_entry_hedge.rs
+++ b/core/tests/call_entry_hedge.rs
@@ -1,4 +1,4 @@
-//! Hedges of an entry node: second attempts beside slow ones.
+//! Hedging on the entry node.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -31,7 +31,7 @@
 }
 
 impl Driver {
-    /// An entry node that knows how long answers take.
+    /// Creates an entry node that has measured the typical latency.
     fn new() -> Driver {
         let place = Place { region: name("r"), zone: name("z") };
         let mut driver = Driver { entry: Entry::new(place, 7), now: START, next: 0 };
@@ -66,9 +66,9 @@
         self.input(Input::Close(call));
     }
 
-    /// Waits for as long as the attempt's patience lasts.
+    /// Advances the clock by the hedge delay.
     fn send_hedge(&mut self, first: &Forward) -> Option<Forward> {
-        let delay = first.hedge_delay_ms.expect("it may be sent twice");
+        let delay = first.hedge_delay_ms.expect("no hedge delay");
         self.now = self.now + Duration::from_millis(delay.into());
         match self.input(Input::HedgeDue(first.call)) {
             Some(Output::Forward(second)) => Some(second),
@@ -82,7 +82,7 @@
 fn hedge_goes_elsewhere() {
     let mut driver = Driver::new();
     let first = driver.arrive("/idem");
-    let second = driver.send_hedge(&first).expect("a hedge");
+    let second = driver.send_hedge(&first).expect("no hedge was sent");
     assert_ne!(first.vm, second.vm);
     assert!(second.terms.repeat && !first.terms.repeat);
     assert_eq!((second.attempt, second.hedge_delay_ms), (2, None));
@@ -91,7 +91,7 @@
     assert_eq!(driver.entry.open(), 0);
 }
 
-/// Guards against a request that runs twice though it may run only once.
+/// Guards against running a non-idempotent request twice.
 #[test]
 fn hedge_never_for_once() {
     let mut driver = Driver::new();
@@ -101,13 +101,13 @@
     assert_eq!(driver.input(Input::HedgeDue(first.call)), None);
 }
 
-/// Guards against a caller that is told that its request did not run: the attempt that may have run
-/// it was lost, and the other one was refused.
+/// Guards against reporting "not run" when the hedge was refused but the primary, whose response
+/// was lost, may have run the request.
 #[test]
 fn hedge_refused_after_first_lost() {
     let mut driver = Driver::new();
     let first = driver.arrive("/idem");
-    driver.send_hedge(&first).expect("a hedge");
+    driver.send_hedge(&first).expect("no hedge was sent");
     driver.input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::ConnectionLost });
     let refused = AttemptEnd::Refused {
         code: Code::TooDeep,
@@ -120,7 +120,7 @@
     assert_eq!(end, Some(Output::Finish { call: first.call, outcome: unknown }));
 }
 
-/// Guards against hedges that double the load of a service of which every target is slow.
+/// Guards against hedges that double the load when all targets of a service are slow.
 #[test]
 fn hedge_few_when_all_are_slow() {
     let mut driver = Driver::new();
@@ -138,7 +138,7 @@
     assert!(hedges <= 20, "{hedges} of 400");
 }
 
-/// Guards against an allowance that is used up although hedges find answers.
+/// Guards against exhausting the hedge budget although hedges win.
 #[test]
 fn hedge_as_often_as_it_wins() {
     let mut driver = Driver::new();
@@ -157,7 +157,7 @@
         }
         driver.respond(first.call);
     }
-    // Three saved up and four in a hundred first attempts, if nothing were given back.
+    // The initial budget of three hedges plus 4% of first attempts, without refunds.
     let share = 3 + 400 * 4 / 100;
     assert!(hedges > share, "{hedges}, {share} without what is given back");
 }
