--- a/core/tests/call_entry_naive.rs
+++ b/core/tests/call_entry_naive.rs
@@ -1,5 +1,5 @@
-//! The entry node against a naive version of it: random attempts, ends and versions lead to the
-//! same decisions. Which of several fitting targets is taken is left to the balancer.
+//! Model test: for random sequences of attempts, ends and versions, the entry node makes the same
+//! decisions as a simple model. The choice among eligible targets is left to the balancer.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -21,7 +21,7 @@
 const MAX_ATTEMPTS: usize = 3;
 const DEADLINE: Duration = Duration::from_secs(2);
 
-/// What every code of a refusal allows: (to try another target, only within the budget).
+/// Refusal codes: (whether another target may be tried, whether that uses the retry budget).
 const CODES: [(Code, bool, bool); 9] = [
     (Code::TooManyConnections, true, false),
     (Code::NotConfigured, true, false),
@@ -41,12 +41,12 @@
     support::snapshot(version, vms, r#"{"retry_budget_percent":20}"#, routes)
 }
 
-/// What the naive version expects.
+/// The outcome expected by the model.
 #[derive(Debug, PartialEq)]
 enum Expected {
-    /// An attempt at one of these targets.
+    /// An attempt on one of these targets.
     Forward(Vec<&'static str>),
-    /// This outcome, whenever the caller may come back.
+    /// A refusal with this code and any `retry_after`.
     NotRun(Code),
     Unknown(Code),
     Nothing,
@@ -61,14 +61,14 @@
     crashes: u32,
 }
 
-/// Everything in plain sight: a list of calls, and retries counted in hundredths.
+/// Model of the entry node: a list of calls, and a retry budget in hundredths of a retry.
 struct Model {
     vms: Vec<&'static str>,
     calls: HashMap<u64, ModelCall>,
     retry_units: u64,
 }
 
-/// Refusals after which the next home in order may have the key.
+/// Whether the next home in order may accept the key after this refusal.
 fn goes_to_next_home(code: Code) -> bool {
     matches!(code, Code::NotHome | Code::GatekeeperUnreachable)
 }
@@ -79,7 +79,7 @@
         self.vms.iter().max_by_key(points).copied().unwrap()
     }
 
-    /// The home and the two next in order.
+    /// The home and the next two in rendezvous order.
     fn homes(&self, key: RequestKey) -> Vec<&'static str> {
         let points =
             |vm: &&str| std::cmp::Reverse(rendezvous_score(&key.to_bytes(), vm.as_bytes()));
@@ -100,7 +100,7 @@
     fn end(&mut self, number: u64, now: Time, end: &AttemptEnd, replayable: bool) -> Expected {
         let Some(mut call) = self.calls.get(&number).cloned() else { return Expected::Nothing };
         let (code, retry_elsewhere, budgeted) = match end {
-            // The naive node makes no second attempt beside the first.
+            // The model does not hedge.
             AttemptEnd::ResponseStarted { .. }
             | AttemptEnd::ErrorResponseStarted { .. }
             | AttemptEnd::LostToHedge => return Expected::Nothing,
@@ -192,7 +192,7 @@
         (Expected::Nothing, None) => {}
         (Expected::Forward(candidates), Some(Output::Forward(Forward { vm, attempt, .. }))) => {
             let vm = candidates.iter().find(|candidate| **candidate == vm.as_str());
-            prop_assert!(vm.is_some(), "not to one of {:?}", candidates);
+            prop_assert!(vm.is_some(), "target is not among {:?}", candidates);
             let known = model.calls.get_mut(&call).unwrap();
             known.tried.extend(vm);
             prop_assert_eq!(attempt as usize, known.tried.len());
@@ -212,9 +212,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Story: a caller is told "not run" though a target ran its request, or a failing service is
-    /// hit by more retries than its budget allows, because some order of refusals, lost answers
-    /// and new versions was not thought of.
+    /// Guards against sequences of refusals, lost responses and new versions that lead to a wrong
+    /// "not run" outcome or to more retries than the budget allows.
     #[test]
     fn entry_as_naive(steps in prop::collection::vec(step(), 1..150)) {
         let mut now = START;
