--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -1,4 +1,4 @@
-//! Retries over a tree of calls: many entry nodes, one service that calls another.
+//! Retries in a call tree: many entry nodes, and a service that calls another.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -19,13 +19,13 @@
 const DESKS: usize = 8;
 const VAULTS: usize = 6;
 
-/// What operators allow the whole fleet in each ten seconds, and what of it the documents state:
-/// nodes count at different moments.
+/// Fleet-wide limit per ten seconds, and the lower values that are configured because nodes do not
+/// count at the same moments.
 const ALLOWED_PERCENT: usize = 20;
 const ALLOWED_RESERVE: usize = 60;
 const CONFIGURED: (usize, usize) = (12, 36);
 
-/// Time between two steps of the replay, and steps in ten seconds.
+/// Duration of a simulation step, and the number of steps in ten seconds.
 const STEP: Duration = Duration::from_millis(10);
 const WINDOW: usize = 1_000;
 
@@ -51,14 +51,14 @@
     support::version(1, &services, &routes)
 }
 
-/// A run at a desk. One of a lookup makes one call and ends with it.
+/// A run on a desk. A lookup makes one nested call and ends with its result.
 struct Run {
     entry: usize,
     call: CallKey,
     terms: Terms,
 }
 
-/// What reached the vaults in one step.
+/// Requests that reached the vaults in one step.
 #[derive(Clone, Copy, Default)]
 struct StepCounts {
     requests: usize,
@@ -67,7 +67,7 @@
 
 struct Fleet {
     entries: Vec<Entry>,
-    // By desk.
+    // Indexed by desk.
     runs: Vec<Vec<Run>>,
     rng: Pcg64Mcg,
     now: Time,
@@ -107,7 +107,7 @@
         self.runs[desk].push(Run { entry, call: forward.call, terms: forward.terms });
     }
 
-    /// A caller's request comes to an entry node.
+    /// Sends a request to a random entry node.
     fn send_request(&mut self, path: &str) {
         let entry = self.rng.random_range(0..DESKS + VAULTS);
         if let (_, Some(Output::Forward(forward))) = self.arrive(entry, path, Runs::default()) {
@@ -115,8 +115,8 @@
         }
     }
 
-    /// The call that a run makes, while vaults shed this share of what arrives. Returns whether
-    /// it was answered.
+    /// Makes the nested call of a run, while vaults reject `reject_rate` of the requests. Returns
+    /// whether it succeeded.
     fn nested_call(&mut self, desk: usize, repeat: bool, own_runs: Runs, reject_rate: f64) -> bool {
         let (call, mut output) = self.arrive(desk, "/vault", own_runs);
         let mut counts = StepCounts { requests: 1, repeats: 0 };
@@ -144,7 +144,7 @@
         answered
     }
 
-    /// Every run at a desk makes its call, if it makes one, and ends with its outcome.
+    /// Completes all runs on a desk, including their nested calls.
     fn end_runs(&mut self, desk: usize, reject_rate: f64) {
         let runs = std::mem::take(&mut self.runs[desk]);
         let mut counts = RunCounts::new();
@@ -167,7 +167,7 @@
         }
     }
 
-    /// A step in which so many lookups and signings come at random nodes.
+    /// Advances by one step, with the given number of lookups and signings sent to random nodes.
     fn step(&mut self, reject_rate: f64, (lookups, signings): (usize, usize)) {
         self.now = self.now + STEP;
         self.counts.push(StepCounts::default());
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The most by which repeats exceed what is allowed in any ten seconds.
+    /// Maximum number of repeats above the limit in any ten seconds.
     fn worst_excess(&self) -> i64 {
         let excess = |window: &[StepCounts]| {
             let requests: usize = window.iter().map(|counts| counts.requests).sum();
@@ -191,9 +191,8 @@
 
 #[test]
 fn repeats_below_stay_in_budget() {
-    // Story: every target of the vault sheds 55 of 100 requests. Desks fail for it, their lookups
-    // are sent once more, and each repeated run calls the vault again. Neither the desk's retries
-    // nor the vault's own exceed their budget, but their sum at the vault does.
+    // Guards against retries of desks and of vaults that stay within their own budgets but together
+    // exceed the budget at the vaults, because each retried run repeats its nested call.
     let mut fleet = Fleet::new();
     (0..1_500).for_each(|_| fleet.step(0.0, (4, 0)));
     (0..1_500).for_each(|_| fleet.step(0.55, (4, 0)));
@@ -203,7 +202,7 @@
 
 #[test]
 fn repeats_below_among_runs_without_calls() {
-    // The same, while nine in ten runs of the desk are signings, which call nobody.
+    // Same, with 90% of the runs on desks being signings, which make no nested calls.
     let mut fleet = Fleet::new();
     (0..1_500).for_each(|_| fleet.step(0.0, (4, 36)));
     (0..1_500).for_each(|_| fleet.step(0.55, (4, 36)));
@@ -213,8 +212,8 @@
 
 #[test]
 fn repeats_told_apart_from_other_runs() {
-    // Story: a target runs nine signings and one lookup that is a repeat. Each call that comes from
-    // there is made by the lookup, and one in ten is counted as a repeat's.
+    // Guards against underestimating the share of repeats among nested calls when most runs on a
+    // target make no calls.
     let terms = |idempotent| Terms {
         service: name("desk"),
         idempotent,
@@ -238,7 +237,7 @@
 
 #[test]
 fn repeats_below_are_used() {
-    // The budget is meant to be used: with one in ten shed, one in ten calls is made again.
+    // The budget can be used: with 10% rejected, about 10% of the nested calls are retried.
     let mut fleet = Fleet::new();
     (0..2_000).for_each(|_| fleet.step(0.1, (4, 0)));
     let repeats: usize = fleet.counts.iter().map(|counts| counts.repeats).sum();
