--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -1,4 +1,4 @@
-//! Who waits at a target, and for how long, when it is offered more than it can run.
+//! Queueing at an overloaded target.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     }
 }
 
-/// What callers saw of one replay.
+/// Results of a simulation as seen by callers.
 #[derive(Debug, Default)]
 struct Report {
     offered: u32,
@@ -40,14 +40,14 @@
     late: u32,
     refused: u32,
     longest_wait_of_refused: u64,
-    // Runs that ended while requests still came.
+    // Runs that ended while requests were still arriving.
     ended_under_load: u32,
 }
 
-/// How long requests come.
+/// How long requests arrive, in milliseconds.
 const LOAD_MS: u64 = 10_000;
 
-/// Offers one request every `gap` ms for ten seconds to a target that runs twelve at once.
+/// Sends one request every `gap` ms for ten seconds to a target with twelve slots.
 fn replay(gap: u64, objective: Option<u64>) -> Report {
     let mut slots = Slots::new(limits());
     let mut running: VecDeque<(u64, u64)> = VecDeque::new();
@@ -103,15 +103,15 @@
 
 #[test]
 fn overload_in_time_first() {
-    // Story: a service loses a third of its targets before a meeting and is offered a third more
-    // than the rest can run. First come, first served answers everybody after 800 ms, and nobody
-    // within the 600 ms that callers count on. Run 10 ms apart, 12 slots finish 75 a second.
+    // Guards against first-come-first-served queueing under overload, which serves nearly all
+    // requests after their objective. With 12 slots, the target completes 75 requests per second,
+    // and 100 arrive.
     let without = replay(10, None);
     let with = replay(10, Some(OBJECTIVE_MS));
     assert!(without.in_time < 150, "{without:?}");
     assert!(with.in_time > 650, "{with:?}");
-    // No run is lost for it: the slots are in use all the while. What a longer queue still holds
-    // when the load ends is answered late.
+    // Throughput does not drop, because the slots stay in use. Requests still queued when the load
+    // ends are served late.
     let ended = |report: &Report| report.ended_under_load;
     assert!(ended(&with) * 100 >= ended(&without) * 99, "{with:?} {without:?}");
     assert!(with.longest_wait_of_refused <= OBJECTIVE_MS + 700, "{with:?}");
@@ -125,8 +125,8 @@
 
 #[test]
 fn impatient_refused_at_once() {
-    // A request that can't be in time here is refused at once, so that its entry node may ask
-    // another target.
+    // Guards against queueing a request that cannot meet its objective here, which would keep the
+    // entry node from trying another target.
     let mut slots = Slots::new(limits());
     for call in 0..200 {
         slots.offer(at(0), offer(call, 0, 0, None, false));
@@ -154,12 +154,12 @@
     assert_eq!(order, [2, 4, 1, 3].map(|call| Some(Popped::Run(CallKey(call)))));
 }
 
-/// Bytes of a ledger, and of the link a second: 15.4 Mbit/s.
+/// Size of a ledger, and link rate in bytes per second (15.4 Mbit/s).
 const LEDGER_BYTES: u64 = 90_000;
 const LINK_BYTES_PER_S: u64 = 1_925_000;
 
-/// Offers a ledger every 40 ms for ten seconds. Returns how many were sent, and for how long at
-/// most what was let in would have kept the link busy.
+/// Sends a ledger request every 40 ms for ten seconds. Returns the number of completed ledgers and
+/// the longest backlog of the link in milliseconds.
 fn replay_ledgers(link: LinkPacer) -> (u32, u64) {
     let mut slots =
         Slots::new(ServiceLimits { bulk_share_percent: 100, ..limits() }).with_link(link);
@@ -192,22 +192,21 @@
 
 #[test]
 fn narrow_link_not_filled_by_large_answers() {
-    // Story: ledgers come a fifth faster than the link of a VM takes them. They pile up before
-    // it, the calls that signings wait for queue behind them and miss their deadlines, and the
-    // node falls behind the configuration.
+    // Guards against bulk responses that saturate the link and delay nested calls and
+    // configuration.
     let (_, without) = replay_ledgers(LinkPacer::new(None));
     let (sent, with) = replay_ledgers(LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)));
     assert!(without > 1_000, "{without} ms");
     assert!(with < 350, "{with} ms");
-    // The share of the link that is meant for them is used.
+    // Most of the bandwidth available to bulk responses is used.
     assert!(u64::from(sent) * LEDGER_BYTES > LINK_BYTES_PER_S * 10 * 75 / 100, "{sent}");
 }
 
-/// Writes six ledgers that are ready at once, a small answer every 20 ms beside, and returns the
-/// longest time that a small answer waits behind what was written before.
+/// Writes six ledgers that are ready at the same time, and a small response every 20 ms. Returns
+/// the longest time that a small response waits for the link.
 fn longest_wait_beside_ledgers(piece: u64, link: &mut LinkPacer) -> Duration {
     let on_link = |bytes: u64| Duration::from_micros(bytes * 1_000_000 / LINK_BYTES_PER_S);
-    // What is left of each ledger, and the piece that waits for its time.
+    // Remaining bytes of each ledger, and when its next piece may be written.
     let mut ledgers = [(LEDGER_BYTES, None); 6];
     let (mut busy_until, mut longest) = (at(0), Duration::ZERO);
     for ms in 0..400 {
@@ -236,9 +235,8 @@
 
 #[test]
 fn narrow_link_small_answers_pass() {
-    // Story: several ledgers are ready in the same moment. Written at once they keep the link busy
-    // for 280 ms, the calls that signings wait for are answered after that, and the signings miss
-    // their objective although their targets are not full.
+    // Guards against several ledgers that are written at once, fill the link and delay small
+    // responses beyond their objective.
     let without = longest_wait_beside_ledgers(LEDGER_BYTES, &mut LinkPacer::new(None));
     let with = longest_wait_beside_ledgers(
         16_384,
@@ -250,9 +248,8 @@
 
 #[test]
 fn late_gives_way_to_what_can_be_in_time() {
-    // Story: a target stalls for 596 of the 600 ms that callers count on. What waited meanwhile is
-    // late in any case; if it goes first all the same, those that come now are late as well, and
-    // so on for ever. A run takes 5 ms.
+    // Guards against a stall after which late requests are served first, so that newer ones become
+    // late as well and the queue never recovers. A run takes 5 ms.
     let mut slots = Slots::new(ServiceLimits { slots: 1, ..limits() });
     slots.offer(at(0), offer(0, 0, 0, Some(OBJECTIVE_MS), true));
     let waits = slots.offer(at(0), offer(1, 0, 0, Some(OBJECTIVE_MS), true));
@@ -267,9 +264,8 @@
 
 #[test]
 fn slot_free_once_answer_is_read() {
-    // Story: packs are made in 60 ms and take as long again to leave over a VM's narrow link. Their
-    // slots count as in use until then, calls that other services wait for find the target full
-    // that stands half idle, and the runs that wait for them fail.
+    // Guards against occupying a slot while a response that is already complete drains over a
+    // narrow link, which makes an idle target appear overloaded.
     let limits = ServiceLimits { slots: 1, bulk_share_percent: 100, ..limits() };
     let mut slots =
         Slots::new(limits).with_link(LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)));
@@ -280,7 +276,7 @@
     let nested = Offer { class: Class::Gating, depth: 1, ..offer(1, 60, 0, None, false) };
     assert_eq!(slots.offer(at(60), nested), Admission::Run);
     slots.end(at(75), CallKey(1));
-    // The rest still leaves at the pace of the link, and counts against further packs.
+    // The remaining bytes are still paced, and count against further bulk responses.
     assert!(slots.piece(at(60), CallKey(0), 16_384) < at(80));
     assert!(slots.piece(at(60), CallKey(0), 57_232) > at(60));
     slots.left(CallKey(0));
@@ -289,8 +285,8 @@
 
 #[test]
 fn smaller_answers_count_for_the_likely_size() {
-    // Story: answers become smaller than they were. Only those larger than expected are counted, so
-    // that each is still taken for a large one, and the link stays half empty.
+    // Guards against overestimating the size of responses after they have become smaller, which
+    // leaves the link half idle.
     let mut slots =
         Slots::new(limits()).with_link(LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)));
     let small = LEDGER_BYTES / 9;
@@ -301,7 +297,7 @@
         slots.piece(at(now + 60), CallKey(call), small);
         slots.end(at(now + 60), CallKey(call));
     }
-    // Many are let in at once: together they are as long on the link as two large ones.
+    // Many small responses are admitted: together they occupy the link as long as two large ones.
     let now = 60_000;
     let admitted = (100..112).filter(|call| {
         let pack = Offer { class: Class::Bulk, ..offer(*call, now, 0, Some(OBJECTIVE_MS), true) };
