--- a/core/tests/nested.rs
+++ b/core/tests/nested.rs
@@ -1,4 +1,4 @@
-//! Which routes are taken to be for calls that targets make while they run a request.
+//! Classification of routes for nested calls, and their admission.
 
 use std::time::Duration;
 use sycamore_core::call::CallKey;
@@ -42,9 +42,8 @@
 
 #[test]
 fn nested_waits_for_a_busy_target() {
-    // Story: every slot of a target is held by signings of 210 ms. A nested lookup, whose answer
-    // is wanted within 150 ms, is turned away at once, as if it could not be in time. The run that
-    // made it fails, its caller asks again, and the service does not get free any more.
+    // Guards against refusing a nested call with a short timeout because the target is busy, which
+    // fails the run that made it and causes further retries.
     let limits = ServiceLimits { slots: 11, queue: 64, ..ServiceLimits::default() };
     let mut slots = Slots::new(limits);
     let at = |ms: u64| START + Duration::from_millis(ms);
