--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -188,10 +188,12 @@
     /// one if that saves more time than the distance costs.
     pub fn pick_available(&mut self, request: PickRequest<'_>) -> Option<Name> {
         let nearest = self.nearest_tier(request)?;
-        let stays = request.class == Class::Bulk && self.policy.is_enabled(Mechanism::BulkStays);
+        let keep_in_region =
+            request.class == Class::Bulk && self.policy.is_enabled(Mechanism::BulkStays);
         let mut best: Option<(usize, Duration)> = None;
-        for link in
-            Link::ALL.into_iter().filter(|link| !stays || *link <= nearest.max(Link::Region))
+        for link in Link::ALL
+            .into_iter()
+            .filter(|link| !keep_in_region || *link <= nearest.max(Link::Region))
         {
             let Some(index) = self.draw_two_available(request, link) else {
                 continue;
@@ -314,10 +316,10 @@
         let wait = peer.reported_wait(request.now).unwrap_or_default();
         let typical_latency = self.typical_latency(request);
         let expected = peer.unloaded_cost(request.now, request.class, typical_latency) + wait;
-        let most = (typical_latency + assumed_network_latency(peer.link))
+        let max_expected = (typical_latency + assumed_network_latency(peer.link))
             * MAX_HEDGE_LATENCY_PERCENT
             / 100;
-        (expected <= most).then_some(vm)
+        (expected <= max_expected).then_some(vm)
     }
 
     /// Records an error response, or that the deadline passed without a response.
--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn full_service_asked_again_later() {
+fn overloaded_service_retried_after_backoff() {
     let mut driver = Driver::new();
     driver.send_to_overloaded_service();
     driver.send_to_overloaded_service();
--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -118,13 +118,13 @@
 }
 
 #[test]
-fn room_enough_nobody_refused() {
+fn no_refusals_below_capacity() {
     let report = replay(15, Some(OBJECTIVE_MS));
     assert_eq!((report.refused, report.late), (0, 0), "{report:?}");
 }
 
 #[test]
-fn impatient_refused_at_once() {
+fn refused_when_objective_cannot_be_met() {
     // Guards against queueing a request that cannot meet its objective here, which would keep the
     // entry node from trying another target.
     let mut slots = Slots::new(limits());
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn urgent_before_others_of_its_class() {
+fn lower_rank_first_within_class() {
     let mut slots = Slots::new(ServiceLimits { slots: 1, ..limits() });
     slots.offer(at(0), offer(0, 0, 2, None, true));
     for (call, rank) in [(1, 2), (2, 1), (3, 2), (4, 1)] {
@@ -269,8 +269,8 @@
     let limits = ServiceLimits { slots: 1, bulk_share_percent: 100, ..limits() };
     let mut slots =
         Slots::new(limits).with_link(LinkPacer::new(Some(LINK_BYTES_PER_S * 8 / 1_000)));
-    let pack = |call| Offer { class: Class::Bulk, ..offer(call, 0, 0, Some(OBJECTIVE_MS), true) };
-    assert_eq!(slots.offer(at(0), pack(0)), Admission::Run);
+    let bulk = |call| Offer { class: Class::Bulk, ..offer(call, 0, 0, Some(OBJECTIVE_MS), true) };
+    assert_eq!(slots.offer(at(0), bulk(0)), Admission::Run);
     assert_eq!(slots.piece(at(60), CallKey(0), 16_384), at(60));
     slots.read(at(60), CallKey(0), LEDGER_BYTES - 16_384);
     let nested = Offer { class: Class::Gating, depth: 1, ..offer(1, 60, 0, None, false) };
@@ -292,16 +292,16 @@
     let small = LEDGER_BYTES / 9;
     for call in 0..60 {
         let now = call * 1_000;
-        let pack = Offer { class: Class::Bulk, ..offer(call, now, 0, Some(OBJECTIVE_MS), true) };
-        assert_eq!(slots.offer(at(now), pack), Admission::Run);
+        let bulk = Offer { class: Class::Bulk, ..offer(call, now, 0, Some(OBJECTIVE_MS), true) };
+        assert_eq!(slots.offer(at(now), bulk), Admission::Run);
         slots.piece(at(now + 60), CallKey(call), small);
         slots.end(at(now + 60), CallKey(call));
     }
     // Many small responses are admitted: together they occupy the link as long as two large ones.
     let now = 60_000;
     let admitted = (100..112).filter(|call| {
-        let pack = Offer { class: Class::Bulk, ..offer(*call, now, 0, Some(OBJECTIVE_MS), true) };
-        slots.offer(at(now), pack) == Admission::Run
+        let bulk = Offer { class: Class::Bulk, ..offer(*call, now, 0, Some(OBJECTIVE_MS), true) };
+        slots.offer(at(now), bulk) == Admission::Run
     });
     assert_eq!(admitted.count(), 6, "half of the slots");
 }
