--- a/core/tests/call_budget.rs
+++ b/core/tests/call_budget.rs
@@ -17,7 +17,7 @@
 #[test]
 fn window_bounds_the_sum_over_all_nodes() {
     // Guards against nodes that accumulate retries while a service is healthy and together exceed
-    // the budget when it fails: 18 nodes with 10 retries each, where 103 are allowed.
+    // the fleet-wide budget when it fails.
     let mut budgets = [Budget::new(); NODES as usize];
     let mut first_attempts = 0;
     for ms in (0..60_000).step_by(100) {
