--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -5,9 +5,9 @@
 
 pub use offer::{Admission, Objective, Offer, Popped};
 
-use super::depth::Depths;
-use super::link::Link;
-use super::policy::{Part, Policy};
+use super::depth::NestingDepths;
+use super::link::LinkPacer;
+use super::policy::{Mechanism, Policy};
 use super::{CallKey, Load};
 use crate::config::{Class, ServiceLimits};
 use crate::{Code, Time};
@@ -60,8 +60,8 @@
     late: VecDeque<QueuedRequest>,
     dispatches_since_bulk: u32,
     run_times: [Duration; 3],
-    depths: Depths,
-    link: Link,
+    depths: NestingDepths,
+    link: LinkPacer,
     policy: Policy,
 }
 
@@ -78,8 +78,8 @@
             late: VecDeque::new(),
             dispatches_since_bulk: 0,
             run_times: [INITIAL_RUN_TIME; 3],
-            depths: Depths::new(),
-            link: Link::new(None),
+            depths: NestingDepths::new(),
+            link: LinkPacer::new(None),
             policy: Policy::new(),
         }
     }
@@ -90,7 +90,7 @@
     }
 
     /// Sets the VM's link, which limits when bulk responses are sent.
-    pub fn with_link(mut self, link: Link) -> Slots {
+    pub fn with_link(mut self, link: LinkPacer) -> Slots {
         self.link = link;
         self
     }
@@ -102,11 +102,11 @@
             return now;
         };
         if running.class == Class::Bulk && running.sent_bytes == 0 {
-            self.link.began(now.since(running.started));
+            self.link.record_first_byte(now.since(running.started));
         }
         running.sent_bytes += bytes;
         running.remaining_bytes = running.remaining_bytes.saturating_sub(bytes);
-        self.link.piece(now, running.class, bytes)
+        self.link.schedule_write(now, running.class, bytes)
     }
 
     /// Changes the limits. Running and queued requests are not affected.
@@ -121,11 +121,12 @@
 
     /// Admits or queues a request, or rejects it at once if it cannot complete in time.
     pub fn offer(&mut self, now: Time, mut offer: Offer) -> Admission {
-        if !self.policy.has(Part::NestedFirst) {
+        if !self.policy.is_enabled(Mechanism::NestedFirst) {
             offer.depth = 0;
         }
-        offer.objective = offer.objective.filter(|_| self.policy.has(Part::InTimeFirst));
-        self.depths.count(offer.depth);
+        offer.objective =
+            offer.objective.filter(|_| self.policy.is_enabled(Mechanism::InTimeFirst));
+        self.depths.record(offer.depth);
         if offer.deadline <= now {
             return Admission::Refuse(Code::DeadlinePassed, Duration::ZERO);
         }
@@ -225,7 +226,7 @@
     /// Records the size of a bulk response that has been sent.
     fn record_response_size(&mut self, answer: &Running) {
         if answer.class == Class::Bulk && answer.sent_bytes > 0 {
-            self.link.sent(answer.sent_bytes);
+            self.link.record_size(answer.sent_bytes);
         }
     }
 
@@ -321,7 +322,7 @@
     }
 
     fn bulk_slots(&self, now: Time) -> u32 {
-        let percent = match self.policy.has(Part::BulkShare) {
+        let percent = match self.policy.is_enabled(Mechanism::BulkShare) {
             true => self.limits.bulk_share_percent,
             false => 100,
         };
@@ -330,15 +331,15 @@
 
     fn has_slot(&self, now: Time, offer: &Offer) -> bool {
         let slots = self.slots(now);
-        let reserved = match self.policy.has(Part::SlotsKept) {
-            true => self.depths.kept_free(slots, offer.depth),
+        let reserved = match self.policy.is_enabled(Mechanism::SlotsKept) {
+            true => self.depths.reserved_slots(slots, offer.depth),
             false => 0,
         };
         let used = self.running.len() as u32 + reserved;
         let free = used < slots;
         let bulk = || {
             self.running_bulk < self.bulk_slots(now)
-                && self.link.has_room(now, self.remaining_bytes())
+                && self.link.can_start(now, self.remaining_bytes())
         };
         free && (offer.class != Class::Bulk || bulk())
     }
@@ -353,7 +354,7 @@
         let mut remaining_bytes = 0;
         if offer.class == Class::Bulk {
             self.running_bulk += 1;
-            remaining_bytes = self.link.likely_size();
+            remaining_bytes = self.link.expected_size();
         }
         let running = Running { class: offer.class, started: now, sent_bytes: 0, remaining_bytes };
         self.running.insert(offer.call, running);
@@ -407,8 +408,8 @@
     }
 
     fn next_class(&mut self, now: Time) -> Option<Class> {
-        let bulk_waits =
-            self.policy.has(Part::BulkTurn) && !self.queues[Class::Bulk as usize].is_empty();
+        let bulk_waits = self.policy.is_enabled(Mechanism::BulkTurn)
+            && !self.queues[Class::Bulk as usize].is_empty();
         if bulk_waits
             && self.dispatches_since_bulk + 1 >= BULK_DISPATCH_INTERVAL
             && self.may_run_next(now, Class::Bulk)
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -10,7 +10,7 @@
 
 use super::admit::{Admission, Objective, Offer, Popped, Slots};
 use super::home::Homes;
-use super::link::Link;
+use super::link::LinkPacer;
 use super::once::{CachedResponse, IdempotencyTable};
 use super::policy::Policy;
 use super::quarantine::Suspects;
@@ -120,7 +120,7 @@
 
     /// Sets the bandwidth of the VM's link in kilobits per second.
     pub fn with_link(mut self, kbps: Option<u64>) -> Gatekeeper {
-        self.slots = self.slots.with_link(Link::new(kbps));
+        self.slots = self.slots.with_link(LinkPacer::new(kbps));
         self
     }
 
@@ -239,7 +239,7 @@
         let call = arrival.call;
         // Gating requests count as nested even if the caller does not send the depth.
         let depth = arrival.depth.max((terms.class == Class::Gating).into());
-        let objective = Objective { by: terms.objective, allow_late: terms.patient };
+        let objective = Objective { by: terms.objective, allow_late: terms.may_exceed_objective };
         let offer = Offer {
             call,
             class: terms.class,
--- a/core/src/call/home.rs
+++ b/core/src/call/home.rs
@@ -9,7 +9,7 @@
 use super::note::{
     HomeList, ListId, Note, OutgoingNote, ReleaseRequest, ReleaseResponse, Unreleased,
 };
-use super::{KEY_LIFE, MAX_CLOCK_SKEW, Members, RequestKey};
+use super::{KEY_LIFETIME, MAX_CLOCK_SKEW, Members, RequestKey};
 use crate::hash::Hash;
 use crate::member::VmState;
 use crate::{Name, Time};
@@ -172,11 +172,11 @@
             return RunPermission::NotHome;
         }
         // Unknown outcomes are checked first: a key that ran must never be reported as not run.
-        if key.minted() <= self.started + MAX_CLOCK_SKEW {
+        if key.created_at() <= self.started + MAX_CLOCK_SKEW {
             return RunPermission::Unknown;
         }
         let is_fenced = |fence: &Fence| {
-            key.minted() <= fence.until + MAX_CLOCK_SKEW && self.in_scope(&fence.scope, key)
+            key.created_at() <= fence.until + MAX_CLOCK_SKEW && self.in_scope(&fence.scope, key)
         };
         if self.fences.iter().any(is_fenced) {
             return RunPermission::Unknown;
@@ -254,8 +254,9 @@
 
     /// Sends release requests that are due and drops expired entries.
     pub fn tick(&mut self, now: Time, out: &mut Vec<OutgoingNote>) {
-        self.fences.retain(|fence| now.since(fence.until) <= KEY_LIFE + MAX_CLOCK_SKEW * 2);
-        self.inherited.retain(|entry| entry.released.is_none_or(|at| now.since(at) <= KEY_LIFE));
+        self.fences.retain(|fence| now.since(fence.until) <= KEY_LIFETIME + MAX_CLOCK_SKEW * 2);
+        self.inherited
+            .retain(|entry| entry.released.is_none_or(|at| now.since(at) <= KEY_LIFETIME));
         if self.leaving {
             return;
         }
--- a/core/src/call/once.rs
+++ b/core/src/call/once.rs
@@ -1,6 +1,6 @@
 //! Idempotency table: the state of each `Idempotency-Key` that this gatekeeper has handled.
 
-use super::{CallKey, KEY_LIFE, MAX_CLOCK_SKEW, RequestKey};
+use super::{CallKey, KEY_LIFETIME, MAX_CLOCK_SKEW, RequestKey};
 use crate::Time;
 use crate::hash::Hash;
 use bytes::Bytes;
@@ -92,7 +92,7 @@
     /// Looks up a key for a request with this digest.
     pub fn look_up(&self, now: Time, key: RequestKey, digest: &Hash) -> KeyStatus {
         let Some(record) = self.records.get(&key) else {
-            let evicted = key.minted() <= self.evicted_until.max(oldest_accepted(now));
+            let evicted = key.created_at() <= self.evicted_until.max(oldest_accepted(now));
             return if evicted { KeyStatus::Unknown } else { KeyStatus::New };
         };
         if record.digest.is_some_and(|known| known != *digest) {
@@ -184,7 +184,7 @@
         while self
             .records
             .first_key_value()
-            .is_some_and(|(key, _)| key.minted() < oldest_accepted(now))
+            .is_some_and(|(key, _)| key.created_at() < oldest_accepted(now))
         {
             self.evict_oldest_record();
         }
@@ -192,7 +192,7 @@
             let Some(key) = self.evict_oldest_record() else {
                 return;
             };
-            self.evicted_until = self.evicted_until.max(key.minted());
+            self.evicted_until = self.evicted_until.max(key.created_at());
         }
     }
 
@@ -229,5 +229,5 @@
 
 /// Keys created before this time are rejected.
 fn oldest_accepted(now: Time) -> Time {
-    now - KEY_LIFE - MAX_CLOCK_SKEW
+    now - KEY_LIFETIME - MAX_CLOCK_SKEW
 }
--- a/core/tests/call_entry.rs
+++ b/core/tests/call_entry.rs
@@ -1,4 +1,4 @@
-//! Decisions of the entry node: where a request goes, when it is sent again, what is said of it.
+//! The entry node: target selection, retries and reported outcomes.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -16,9 +16,9 @@
 use sycamore_core::{Code, Time};
 
 const START: Time = Time(1_700_000_000_000_000);
-const SOON: Duration = Duration::from_millis(200);
+const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Targets as `vm/region/zone`.
+/// Builds a snapshot from targets in the form `vm/region/zone`.
 fn snapshot(version: u64, targets: &[&str]) -> Arc<Snapshot> {
     let routes = r#"{"once":{"path_prefix":"/once","service":"s","idempotent":false},
         "idem":{"path_prefix":"/idem","service":"s","idempotent":true,"max_attempts":4,
@@ -61,12 +61,12 @@
     }
 
     fn end(&mut self, call: CallKey, end: AttemptEnd) -> Option<Output> {
-        self.input(Input::Attempt { call, end, whole: true })
+        self.input(Input::Attempt { call, end, replayable: true })
     }
 
     fn answer(&mut self, forward: &Forward, took: Duration) {
         self.now = self.now + took;
-        self.end(forward.call, AttemptEnd::Answering { load: None, waited: Duration::ZERO });
+        self.end(forward.call, AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO });
         self.input(Input::Close(forward.call));
     }
 }
@@ -86,7 +86,7 @@
 }
 
 fn refused(code: Code) -> AttemptEnd {
-    AttemptEnd::Refused { code, retry_after: SOON, load: None, crashes: 0 }
+    AttemptEnd::Refused { code, retry_after: RETRY_AFTER, load: None, crashes: 0 }
 }
 
 fn key(low: u64) -> RequestKey {
@@ -97,7 +97,7 @@
 fn retry_elsewhere() {
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
-    let second = forward(driver.end(first.call, AttemptEnd::Lost));
+    let second = forward(driver.end(first.call, AttemptEnd::ConnectionLost));
     assert_ne!(first.vm, second.vm);
     assert_eq!(second.attempt, 2);
 }
@@ -107,7 +107,7 @@
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     assert_eq!(
-        driver.end(first.call, AttemptEnd::Answering { load: None, waited: Duration::ZERO }),
+        driver.end(first.call, AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO }),
         None
     );
     assert_eq!(driver.input(Input::Close(first.call)), None);
@@ -119,14 +119,17 @@
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     let end = refused(Code::QueueFull);
-    let output = driver.input(Input::Attempt { call: first.call, end, whole: false });
-    assert_eq!(finished(output), Outcome::NotRun { code: Code::QueueFull, retry_after: SOON });
+    let output = driver.input(Input::Attempt { call: first.call, end, replayable: false });
+    assert_eq!(
+        finished(output),
+        Outcome::NotRun { code: Code::QueueFull, retry_after: RETRY_AFTER }
+    );
 }
 
 #[test]
 fn outcome_unknown_stays() {
-    // Story: the first target breaks while it runs the request, the second refuses. "Not run"
-    // would be false: the first may have run it.
+    // Guards against reporting "not run" when the second target refuses but the first, which
+    // crashed, may have run the request.
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     let broken = AttemptEnd::Failed { code: Code::TargetFailed, crashes: 1 };
@@ -149,21 +152,22 @@
 
 #[test]
 fn once_sent_to_one_home() {
-    // Story: a signing is sent, and its answer is lost. Sent again elsewhere it would run twice.
+    // Guards against running a signing twice because it is retried on another target after its
+    // response was lost.
     let mut driver = Driver::new(&SIX);
     for low in 0..20 {
         let first = forward(driver.arrive_at("/once", Some(key(low))));
         let again = forward(driver.arrive_at("/once", Some(key(low))));
         assert_eq!(first.vm, again.vm);
-        let outcome = finished(driver.end(first.call, AttemptEnd::Lost));
+        let outcome = finished(driver.end(first.call, AttemptEnd::ConnectionLost));
         assert_eq!(outcome, Outcome::Unknown { code: Code::AnswerLost });
     }
 }
 
 #[test]
 fn once_next_home() {
-    // Story: the home of a key is stopped as planned. It has let go of its keys to the next home
-    // in order; a signing goes there, and only to homes that say for sure that it did not run.
+    // Guards against losing or duplicating a signing while the home of its key is draining: it
+    // moves to the next home only after a refusal that guarantees that it did not run.
     let mut driver = Driver::new(&SIX);
     let home = forward(driver.arrive_at("/once", Some(key(1))));
     let next = forward(driver.end(home.call, refused(Code::Draining)));
@@ -172,7 +176,7 @@
     assert_eq!(direct.vm, next.vm);
     let back = forward(driver.end(direct.call, refused(Code::NotHome)));
     assert!(back.vm != next.vm);
-    let outcome = finished(driver.end(back.call, AttemptEnd::Lost));
+    let outcome = finished(driver.end(back.call, AttemptEnd::ConnectionLost));
     assert_eq!(outcome, Outcome::Unknown { code: Code::AnswerLost });
 }
 
@@ -194,8 +198,8 @@
 
 #[test]
 fn budget_bounds_retries() {
-    // Story: a service fails. Each caller's request is sent four times, and the load that broke
-    // it is now four times as high, so it stays broken.
+    // Guards against retries that multiply the load on a failing service and keep it from
+    // recovering.
     let mut driver = Driver::new(&SIX);
     let offered = 1_000;
     let mut attempts = 0;
@@ -203,7 +207,7 @@
         let mut next = Some(driver.arrive());
         while let Some(attempt) = next {
             attempts += 1;
-            next = match driver.end(attempt.call, AttemptEnd::Lost) {
+            next = match driver.end(attempt.call, AttemptEnd::ConnectionLost) {
                 Some(Output::Forward(forward)) => Some(forward),
                 _ => None,
             };
@@ -226,7 +230,8 @@
 
 #[test]
 fn leaving_by_refusal() {
-    // Story: the VM list never says that a target leaves. Its own refusal does.
+    // Guards against sending requests to a draining target that the membership view still reports
+    // as live.
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     let second = forward(driver.end(first.call, refused(Code::Draining)));
@@ -239,18 +244,18 @@
 #[test]
 fn view_hint() {
     let mut driver = Driver::new(&SIX);
-    let gone = |vms: &[&str]| -> Arc<Members> {
+    let view_without = |vms: &[&str]| -> Arc<Members> {
         Arc::new(vms.iter().map(|vm| (name(vm), VmState::Gone)).collect())
     };
-    driver.input(Input::View(gone(&["a", "b"])));
+    driver.input(Input::View(view_without(&["a", "b"])));
     for _ in 0..100 {
         let sent = driver.arrive();
         assert!(!["a", "b"].contains(&sent.vm.as_str()));
         driver.answer(&sent, Duration::from_micros(10));
     }
-    // Story: a partition makes the list call most targets gone. Sending everything to the two
-    // left would break them; the list is not believed.
-    driver.input(Input::View(gone(&["a", "b", "c", "d"])));
+    // Guards against overloading the remaining targets when a partition makes most of them appear
+    // gone in the membership view.
+    driver.input(Input::View(view_without(&["a", "b", "c", "d"])));
     let mut seen = BTreeMap::new();
     for _ in 0..300 {
         let sent = driver.arrive();
@@ -262,7 +267,7 @@
 
 #[test]
 fn balance_slow_target() {
-    // Story: one of six targets is ten times slower. It must not get a sixth of the work.
+    // Guards against sending an equal share of requests to a target that is ten times slower.
     let mut driver = Driver::new(&SIX);
     let mut slow = 0;
     for _ in 0..1_000 {
@@ -281,7 +286,7 @@
     assert_eq!(first.vm.as_str(), "a");
     driver.now = driver.now + Duration::from_millis(2);
     let load = Some(Load { in_flight: 12, slots: 12, queued: 20, wait_ms: 150 });
-    driver.end(first.call, AttemptEnd::Answering { load, waited: Duration::ZERO });
+    driver.end(first.call, AttemptEnd::ResponseStarted { load, waited: Duration::ZERO });
     assert_eq!(driver.arrive().vm.as_str(), "b");
 }
 
@@ -338,9 +343,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random attempts, ends and versions: every call gets one final outcome, "not run" only if no
-    /// attempt may have reached a target, and a request that may run only once is never sent
-    /// again after one that may have.
+    /// For random sequences of attempts, ends and versions, each call has exactly one final
+    /// outcome, "not run" is reported only if no attempt may have reached a target, and a
+    /// non-idempotent request is not retried after an attempt that may have.
     #[test]
     fn entry_history(steps in prop::collection::vec(step(), 1..200)) {
         let mut driver = Driver::new(&SIX);
@@ -357,7 +362,7 @@
                 Step::End(at, kind) if !open.is_empty() => {
                     let at = at % open.len();
                     let end = match kind {
-                        0 => AttemptEnd::Lost,
+                        0 => AttemptEnd::ConnectionLost,
                         1 => AttemptEnd::NotSent,
                         2 => refused(Code::Draining),
                         3 => refused(Code::QueueFull),
@@ -365,7 +370,8 @@
                         5 => refused(Code::TargetUnreachable),
                         _ => AttemptEnd::Failed { code: Code::TargetFailed, crashes: 1 },
                     };
-                    open[at].2 |= matches!(end, AttemptEnd::Lost | AttemptEnd::Failed { .. });
+                    open[at].2 |=
+                        matches!(end, AttemptEnd::ConnectionLost | AttemptEnd::Failed { .. });
                     let output = driver.end(open[at].0, end);
                     (output, at)
                 }
@@ -413,8 +419,7 @@
 
 #[test]
 fn balance_unreachable_tried_once() {
-    // Story: a VM has lost power. Each request that is sent there waits for a connection in vain,
-    // for a third of the time that its caller counts on.
+    // Guards against each request waiting for a connection to a VM that has lost power.
     let mut driver = Driver::new(&SIX);
     let mut tried = 0;
     for _ in 0..60 {
@@ -431,8 +436,8 @@
 
 #[test]
 fn balance_node_started_again() {
-    // Story: every node is stopped and started in turn, as planned. Entry nodes go on avoiding
-    // each target long after its node is back, until hardly any is left.
+    // Guards against avoiding restarted targets for too long during a rolling restart, until hardly
+    // any target is left.
     let mut driver = Driver::new(&["a/r/z", "b/r/z"]);
     let mut first = driver.arrive();
     while first.vm.as_str() != "a" {
@@ -447,19 +452,19 @@
 
 #[test]
 fn balance_target_that_never_answers() {
-    // Story: a target takes requests and never answers, while its health check is good. Each
-    // request that is sent there ends at its caller's deadline, one after the other for minutes.
+    // Guards against sending requests to a target that never responds although its health check
+    // passes.
     let mut driver = Driver::new(&SIX);
-    let mut mute = 0;
+    let mut unresponsive = 0;
     for _ in 0..120 {
         let sent = driver.arrive();
         if sent.vm.as_str() == "a" {
-            mute += 1;
+            unresponsive += 1;
             driver.now = driver.now + Duration::from_millis(100);
             driver.input(Input::Expire { call: sent.call, sent: true });
         } else {
             driver.answer(&sent, Duration::from_millis(20));
         }
     }
-    assert!(mute <= 6, "{mute} of 120 to a target that never answers");
+    assert!(unresponsive <= 6, "{unresponsive} of 120 to a target that never answers");
 }
--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -1,4 +1,4 @@
-//! What an entry node does while every target of a service is full.
+//! The entry node when all targets of a service are overloaded.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -14,10 +14,10 @@
 
 const START: Time = Time(1_700_000_000_000_000);
 
-/// When a full target says to come back.
-const LATER: Duration = Duration::from_millis(300);
+/// `retry_after` of the refusals.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A service of four targets, whose route allows two further gatekeepers to be asked.
+/// A service with four targets and a route that allows two spare forwards.
 fn snapshot() -> Arc<Snapshot> {
     let route = r#"{"path_prefix":"/","service":"s","idempotent":false,"once":"attempt",
         "max_attempts":2,"spare_forwards":2,"objective_ms":600,"deadline_ms":2000}"#;
@@ -44,8 +44,8 @@
         out.pop()
     }
 
-    /// A request that every target turns away for load. Returns the forwards that it took.
-    fn turned_away(&mut self) -> Vec<Forward> {
+    /// Sends a request that every target refuses because of load. Returns its forwards.
+    fn send_to_overloaded_service(&mut self) -> Vec<Forward> {
         self.next += 1;
         let call = CallKey(self.next);
         let arrival =
@@ -56,11 +56,11 @@
             forwards.push(forward);
             let end = AttemptEnd::Refused {
                 code: Code::QueueFull,
-                retry_after: LATER,
+                retry_after: RETRY_AFTER,
                 load: None,
                 crashes: 0,
             };
-            output = self.input(Input::Attempt { call, end, whole: true });
+            output = self.input(Input::Attempt { call, end, replayable: true });
         }
         assert!(matches!(output, Some(Output::Finish { .. })), "{output:?}");
         forwards
@@ -69,25 +69,24 @@
 
 #[test]
 fn full_service_asked_once() {
-    // Story: a service loses half of its targets and the others are full. Each request asks four
-    // gatekeepers in turn before it waits at one or is turned away, so that nodes with a tenth of
-    // a core spend their time on refusals, and what could be answered is late as well.
+    // Guards against each request asking several gatekeepers in turn when all targets are
+    // overloaded, which spends the processor time of small nodes on refusals.
     let mut driver = Driver::new();
-    let first = driver.turned_away();
+    let first = driver.send_to_overloaded_service();
     assert_eq!(first.len(), 3, "{first:?}");
-    // The fourth target has not refused yet.
-    driver.turned_away();
-    let third = driver.turned_away();
+    // The fourth target has not refused a request yet.
+    driver.send_to_overloaded_service();
+    let third = driver.send_to_overloaded_service();
     assert_eq!(third.len(), 1, "{third:?}");
-    assert!(third[0].terms.patient);
+    assert!(third[0].terms.may_exceed_objective);
 }
 
 #[test]
-fn full_service_asked_again_later() {
+fn overloaded_service_retried_after_backoff() {
     let mut driver = Driver::new();
-    driver.turned_away();
-    driver.turned_away();
-    driver.now = START + LATER;
-    let forwards = driver.turned_away();
-    assert!(!forwards[0].terms.patient, "{forwards:?}");
+    driver.send_to_overloaded_service();
+    driver.send_to_overloaded_service();
+    driver.now = START + RETRY_AFTER;
+    let forwards = driver.send_to_overloaded_service();
+    assert!(!forwards[0].terms.may_exceed_objective, "{forwards:?}");
 }
--- a/core/tests/call_once_by_attempt.rs
+++ b/core/tests/call_once_by_attempt.rs
@@ -75,7 +75,7 @@
     }
 
     fn end(&mut self, call: CallKey, end: AttemptEnd) -> Option<Output> {
-        self.input(Input::Attempt { call, end, whole: true })
+        self.input(Input::Attempt { call, end, replayable: true })
     }
 }
 
@@ -102,7 +102,7 @@
 fn once_never_again_after_it_may_have_run() {
     // A request must not be retried once a target may have run it.
     let ends = [
-        AttemptEnd::Lost,
+        AttemptEnd::ConnectionLost,
         AttemptEnd::Failed { code: Code::TargetFailed, crashes: 0 },
         AttemptEnd::Failed { code: Code::DeadlinePassed, crashes: 0 },
     ];
@@ -115,7 +115,7 @@
     // A failure reported by the target itself is a response.
     let mut driver = Driver::new(1);
     let sent = driver.sign();
-    assert_eq!(driver.end(sent.call, AttemptEnd::AnsweringFailure { load: None }), None);
+    assert_eq!(driver.end(sent.call, AttemptEnd::ErrorResponseStarted { load: None }), None);
 }
 
 #[test]
@@ -126,7 +126,7 @@
         let next = forward(driver.end(sent.call, refused(code)));
         assert_ne!(next.vm, sent.vm, "{code:?}");
         // Once the request may have run, a later rejection does not prove that it has not.
-        let reported = outcome(driver.end(next.call, AttemptEnd::Lost));
+        let reported = outcome(driver.end(next.call, AttemptEnd::ConnectionLost));
         assert!(matches!(reported, Outcome::Unknown { .. }), "{reported:?}");
     }
 }
@@ -149,10 +149,10 @@
     let mut driver = Driver::new(1);
     let mut sent = driver.sign();
     for _ in 0..2 {
-        assert!(!sent.terms.patient);
+        assert!(!sent.terms.may_exceed_objective);
         sent = forward(driver.end(sent.call, refused(Code::QueueFull)));
     }
-    assert!(sent.terms.patient, "the last gatekeeper must queue the request");
+    assert!(sent.terms.may_exceed_objective, "the last gatekeeper must queue the request");
     let reported = outcome(driver.end(sent.call, refused(Code::QueueFull)));
     assert!(matches!(reported, Outcome::NotRun { code: Code::QueueFull, .. }), "{reported:?}");
 }
@@ -214,7 +214,7 @@
     // reject the retry.
     let mut driver = Driver::new(1);
     let sent = forward(driver.arrive("h.example", "/look/1"));
-    let next = forward(driver.end(sent.call, AttemptEnd::AnsweringFailure { load: None }));
+    let next = forward(driver.end(sent.call, AttemptEnd::ErrorResponseStarted { load: None }));
     let reported = outcome(driver.end(next.call, refused(Code::TargetRefused)));
     assert!(matches!(reported, Outcome::Unknown { code: Code::TargetFailed }), "{reported:?}");
 }
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -1,4 +1,4 @@
-//! Retries over a tree of calls: many entry nodes, one service that calls another.
+//! Retries in a call tree: many entry nodes, and a service that calls another.
 
 #[path = "support/snapshot.rs"]
 mod support;
@@ -19,18 +19,18 @@
 const DESKS: usize = 8;
 const VAULTS: usize = 6;
 
-/// What operators allow the whole fleet in each ten seconds, and what of it the documents state:
-/// nodes count at different moments.
+/// Fleet-wide limit per ten seconds, and the lower values that are configured because nodes do not
+/// count at the same moments.
 const ALLOWED_PERCENT: usize = 20;
 const ALLOWED_RESERVE: usize = 60;
-const STATED: (usize, usize) = (12, 36);
+const CONFIGURED: (usize, usize) = (12, 36);
 
-/// Time between two steps of the replay, and steps in ten seconds.
+/// Duration of a simulation step, and the number of steps in ten seconds.
 const STEP: Duration = Duration::from_millis(10);
 const WINDOW: usize = 1_000;
 
 fn snapshot() -> Arc<Snapshot> {
-    let (percent, reserve) = STATED;
+    let (percent, reserve) = CONFIGURED;
     let service = |kind: &str, count: usize| {
         let vms: Vec<String> = (0..count).map(|index| format!("{kind}{index}")).collect();
         let vms: Vec<&str> = vms.iter().map(String::as_str).collect();
@@ -51,28 +51,28 @@
     support::version(1, &services, &routes)
 }
 
-/// A run at a desk. One of a lookup makes one call and ends with it.
+/// A run on a desk. A lookup makes one nested call and ends with its result.
 struct Run {
     entry: usize,
     call: CallKey,
     terms: Terms,
 }
 
-/// What reached the vaults in one step.
+/// Requests that reached the vaults in one step.
 #[derive(Clone, Copy, Default)]
-struct Seen {
+struct StepCounts {
     requests: usize,
     repeats: usize,
 }
 
 struct Fleet {
     entries: Vec<Entry>,
-    // By desk.
+    // Indexed by desk.
     runs: Vec<Vec<Run>>,
     rng: Pcg64Mcg,
     now: Time,
     next: u64,
-    seen: Vec<Seen>,
+    counts: Vec<StepCounts>,
 }
 
 impl Fleet {
@@ -85,7 +85,7 @@
         }
         let runs = (0..DESKS).map(|_| Vec::new()).collect();
         let rng = Pcg64Mcg::seed_from_u64(1);
-        Fleet { entries, runs, rng, now: START, next: 0, seen: Vec::new() }
+        Fleet { entries, runs, rng, now: START, next: 0, counts: Vec::new() }
     }
 
     fn input(&mut self, entry: usize, input: Input<'_>) -> Option<Output> {
@@ -107,27 +107,27 @@
         self.runs[desk].push(Run { entry, call: forward.call, terms: forward.terms });
     }
 
-    /// A caller's request comes to an entry node.
-    fn ask(&mut self, path: &str) {
+    /// Sends a request to a random entry node.
+    fn send_request(&mut self, path: &str) {
         let entry = self.rng.random_range(0..DESKS + VAULTS);
         if let (_, Some(Output::Forward(forward))) = self.arrive(entry, path, Runs::default()) {
             self.start_run(entry, forward);
         }
     }
 
-    /// The call that a run makes, while vaults shed this share of what arrives. Returns whether
-    /// it was answered.
-    fn nested(&mut self, desk: usize, repeat: bool, own_runs: Runs, shed: f64) -> bool {
+    /// Makes the nested call of a run, while vaults reject `reject_rate` of the requests. Returns
+    /// whether it succeeded.
+    fn nested_call(&mut self, desk: usize, repeat: bool, own_runs: Runs, reject_rate: f64) -> bool {
         let (call, mut output) = self.arrive(desk, "/vault", own_runs);
-        let mut seen = Seen { requests: 1, repeats: 0 };
+        let mut counts = StepCounts { requests: 1, repeats: 0 };
         let mut arrivals = 0;
         let mut answered = false;
         while let Some(Output::Forward(_)) = output {
             arrivals += 1;
-            seen.repeats += usize::from(repeat || arrivals > 1);
-            answered = !self.rng.random_bool(shed);
+            counts.repeats += usize::from(repeat || arrivals > 1);
+            answered = !self.rng.random_bool(reject_rate);
             let end = match answered {
-                true => AttemptEnd::Answering { load: None, waited: Duration::ZERO },
+                true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
                 false => AttemptEnd::Refused {
                     code: Code::TargetRefused,
                     retry_after: Duration::from_millis(50),
@@ -135,17 +135,17 @@
                     crashes: 0,
                 },
             };
-            output = self.input(desk, Input::Attempt { call, end, whole: true });
+            output = self.input(desk, Input::Attempt { call, end, replayable: true });
         }
         self.input(desk, Input::Close(call));
-        let step = self.seen.last_mut().unwrap();
-        step.requests += seen.requests;
-        step.repeats += seen.repeats;
+        let step = self.counts.last_mut().unwrap();
+        step.requests += counts.requests;
+        step.repeats += counts.repeats;
         answered
     }
 
-    /// Every run at a desk makes its call, if it makes one, and ends with its outcome.
-    fn end_runs(&mut self, desk: usize, shed: f64) {
+    /// Completes all runs on a desk, including their nested calls.
+    fn end_runs(&mut self, desk: usize, reject_rate: f64) {
         let runs = std::mem::take(&mut self.runs[desk]);
         let mut counts = RunCounts::new();
         for Run { terms, .. } in &runs {
@@ -154,11 +154,11 @@
         let own_runs = counts.kinds_with_repeats();
         for Run { entry, call, terms } in runs {
             let signing = !terms.idempotent;
-            let end = match signing || self.nested(desk, terms.repeat, own_runs, shed) {
-                true => AttemptEnd::Answering { load: None, waited: Duration::ZERO },
-                false => AttemptEnd::AnsweringFailure { load: None },
+            let end = match signing || self.nested_call(desk, terms.repeat, own_runs, reject_rate) {
+                true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
+                false => AttemptEnd::ErrorResponseStarted { load: None },
             };
-            match self.input(entry, Input::Attempt { call, end, whole: true }) {
+            match self.input(entry, Input::Attempt { call, end, replayable: true }) {
                 Some(Output::Forward(forward)) => self.start_run(entry, forward),
                 _ => {
                     self.input(entry, Input::Close(call));
@@ -167,33 +167,32 @@
         }
     }
 
-    /// A step in which so many lookups and signings come at random nodes.
-    fn step(&mut self, shed: f64, (lookups, signings): (usize, usize)) {
+    /// Advances by one step, with the given number of lookups and signings sent to random nodes.
+    fn step(&mut self, reject_rate: f64, (lookups, signings): (usize, usize)) {
         self.now = self.now + STEP;
-        self.seen.push(Seen::default());
-        (0..lookups).for_each(|_| self.ask("/desk"));
-        (0..signings).for_each(|_| self.ask("/sign"));
+        self.counts.push(StepCounts::default());
+        (0..lookups).for_each(|_| self.send_request("/desk"));
+        (0..signings).for_each(|_| self.send_request("/sign"));
         for desk in 0..DESKS {
-            self.end_runs(desk, shed);
+            self.end_runs(desk, reject_rate);
         }
     }
 
-    /// The most by which repeats exceed what is allowed in any ten seconds.
+    /// Maximum number of repeats above the limit in any ten seconds.
     fn worst_excess(&self) -> i64 {
-        let excess = |window: &[Seen]| {
-            let requests: usize = window.iter().map(|seen| seen.requests).sum();
-            let repeats: usize = window.iter().map(|seen| seen.repeats).sum();
+        let excess = |window: &[StepCounts]| {
+            let requests: usize = window.iter().map(|counts| counts.requests).sum();
+            let repeats: usize = window.iter().map(|counts| counts.repeats).sum();
             repeats as i64 - (requests * ALLOWED_PERCENT / 100 + ALLOWED_RESERVE) as i64
         };
-        self.seen.windows(WINDOW).map(excess).max().unwrap_or(i64::MIN)
+        self.counts.windows(WINDOW).map(excess).max().unwrap_or(i64::MIN)
     }
 }
 
 #[test]
 fn repeats_below_stay_in_budget() {
-    // Story: every target of the vault sheds 55 of 100 requests. Desks fail for it, their lookups
-    // are sent once more, and each repeated run calls the vault again. Neither the desk's retries
-    // nor the vault's own exceed their budget, but their sum at the vault does.
+    // Guards against retries of desks and of vaults that stay within their own budgets but together
+    // exceed the budget at the vaults, because each retried run repeats its nested call.
     let mut fleet = Fleet::new();
     (0..1_500).for_each(|_| fleet.step(0.0, (4, 0)));
     (0..1_500).for_each(|_| fleet.step(0.55, (4, 0)));
@@ -203,7 +202,7 @@
 
 #[test]
 fn repeats_below_among_runs_without_calls() {
-    // The same, while nine in ten runs of the desk are signings, which call nobody.
+    // Same, with 90% of the runs on desks being signings, which make no nested calls.
     let mut fleet = Fleet::new();
     (0..1_500).for_each(|_| fleet.step(0.0, (4, 36)));
     (0..1_500).for_each(|_| fleet.step(0.55, (4, 36)));
@@ -213,8 +212,8 @@
 
 #[test]
 fn repeats_told_apart_from_other_runs() {
-    // Story: a target runs nine signings and one lookup that is a repeat. Each call that comes from
-    // there is made by the lookup, and one in ten is counted as a repeat's.
+    // Guards against underestimating the share of repeats among nested calls when most runs on a
+    // target make no calls.
     let terms = |idempotent| Terms {
         service: name("desk"),
         idempotent,
@@ -222,7 +221,7 @@
         class: Class::Interactive,
         rank: 0,
         objective: START,
-        patient: false,
+        may_exceed_objective: false,
         repeat: idempotent,
     };
     let (signing, lookup) = (RunKind::of(&terms(false)), RunKind::of(&terms(true)));
@@ -238,10 +237,10 @@
 
 #[test]
 fn repeats_below_are_used() {
-    // The budget is meant to be used: with one in ten shed, one in ten calls is made again.
+    // The budget can be used: with 10% rejected, about 10% of the nested calls are retried.
     let mut fleet = Fleet::new();
     (0..2_000).for_each(|_| fleet.step(0.1, (4, 0)));
-    let repeats: usize = fleet.seen.iter().map(|seen| seen.repeats).sum();
+    let repeats: usize = fleet.counts.iter().map(|counts| counts.repeats).sum();
     assert!(repeats > 500, "{repeats}");
     assert!(fleet.worst_excess() <= 0);
 }
