--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -237,7 +237,7 @@
             self.pending_reports.next_send(),
         ];
         let first = times.into_iter().flatten().min().unwrap_or(now);
-        first.max(now + limits::MIN_WAKE)
+        first.max(now + limits::MIN_WAKE_DELAY)
     }
 
     /// Works out the node's place again after a change of lists or words.
@@ -245,7 +245,7 @@
         if now < self.topology_at {
             return;
         }
-        self.topology_at = now + limits::TOPOLOGY;
+        self.topology_at = now + limits::TOPOLOGY_REFRESH_INTERVAL;
         // A node that left out its own word would leave the first places of its zone to others that
         // do the same.
         self.members.apply_report(now, &self.word, true);
--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -2,9 +2,10 @@
 
 use super::backoff::{around, jitter};
 use super::limits::{
-    AWAY_PARENT_HOPS, COMPARE, COMPARE_AWAY, HEARTBEAT, HEARTBEAT_ACROSS, HEARTBEAT_UNLISTED,
-    MAX_DISTRUSTED, NO_PATH, RELAY_PARENT_HOPS, SEEK_AT_ONCE, SEEK_PAUSE, SEEK_RANDOM,
-    STRANGER_HOPS, TOP, UPGRADE,
+    COMPARE_INTERVAL, CROSS_ZONE_COMPARE_EVERY, CROSS_ZONE_PARENT_HOPS, FALLBACK_PARENT_HOPS,
+    HEARTBEAT_INTERVAL, HEARTBEAT_INTERVAL_CROSS_REGION, HEARTBEAT_INTERVAL_WITHOUT_LIST,
+    MAX_BLOCKED_PEERS, NO_PATH, PARENT_UPGRADE_INTERVAL, RELAY_PARENT_HOPS, RELAYS_PER_ZONE,
+    SEARCH_PAUSE, SEARCH_RANDOM_PEERS, SEARCH_WIDTH,
 };
 use super::message::{Ask, Pong};
 use super::port::{Output, Peer};
@@ -68,7 +69,7 @@
         if uppers == 0 {
             return self.members.list(&self.cfg.place.zone).is_some();
         }
-        let rounds = 1 + uppers.div_ceil(SEEK_AT_ONCE);
+        let rounds = 1 + uppers.div_ceil(SEARCH_WIDTH);
         self.attach.parent.is_none() && self.attach.rounds > rounds.min(3)
     }
 
@@ -90,11 +91,11 @@
     /// How often a peer is asked as parent.
     fn heartbeat(&self, parent: &Peer) -> Duration {
         if self.topology.zone_vms == 0 {
-            return HEARTBEAT_UNLISTED;
+            return HEARTBEAT_INTERVAL_WITHOUT_LIST;
         }
         match self.cfg.place.link_to(&parent.place) {
-            Link::Zone | Link::Region => HEARTBEAT,
-            Link::CrossRegion => HEARTBEAT_ACROSS,
+            Link::Zone | Link::Region => HEARTBEAT_INTERVAL,
+            Link::CrossRegion => HEARTBEAT_INTERVAL_CROSS_REGION,
         }
     }
 
@@ -124,7 +125,7 @@
         span: Duration,
         out: &mut Vec<Output>,
     ) {
-        if self.attach.distrusted.len() >= MAX_DISTRUSTED {
+        if self.attach.distrusted.len() >= MAX_BLOCKED_PEERS {
             self.attach.distrusted.swap_remove_index(0);
         }
         self.attach.distrusted.insert(peer.vm.clone(), now + span);
@@ -145,7 +146,7 @@
         }
         let best = self.wants_upgrade(now).cloned();
         if let Some(best) = best.filter(|_| now >= self.attach.upgrade_at) {
-            self.attach.upgrade_at = now + around(UPGRADE, &mut self.rng);
+            self.attach.upgrade_at = now + around(PARENT_UPGRADE_INTERVAL, &mut self.rng);
             self.ping_peer(now, &best, Ask::Attach, out);
         }
         if now >= self.attach.compare_at {
@@ -155,7 +156,7 @@
 
     /// One round of the search: the best parent alone, then several at once.
     ///
-    /// Each question is given up after [`ANSWER_WAIT`], as a relay may take connections and never
+    /// Each question is given up after [`ANSWER_TIMEOUT`], as a relay may take connections and never
     /// answer.
     fn seek(&mut self, now: Time, out: &mut Vec<Output>) {
         let uppers = self.topology.uppers.len();
@@ -164,11 +165,11 @@
         }
         let round = self.attach.rounds;
         self.attach.rounds += 1;
-        let pause = if round < 2 { Duration::ZERO } else { SEEK_PAUSE };
+        let pause = if round < 2 { Duration::ZERO } else { SEARCH_PAUSE };
         self.attach.at = now + jitter(pause, &mut self.rng);
         let (first, count) = match round {
             0 => (0, 1),
-            _ => ((round - 1) * SEEK_AT_ONCE, SEEK_AT_ONCE.min(uppers)),
+            _ => ((round - 1) * SEARCH_WIDTH, SEARCH_WIDTH.min(uppers)),
         };
         for number in first..first + count {
             let upper = self.topology.uppers[number % uppers].clone();
@@ -176,7 +177,7 @@
                 self.ping_peer(now, &upper, Ask::Attach, out);
             }
         }
-        if self.topology.rank >= TOP && self.takes_strangers() {
+        if self.topology.rank >= RELAYS_PER_ZONE && self.takes_strangers() {
             self.seek_anyone(now, out);
         }
     }
@@ -188,7 +189,7 @@
     /// other.
     fn seek_anyone(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
-        for _ in 0..SEEK_RANDOM {
+        for _ in 0..SEARCH_RANDOM_PEERS {
             let member = self.members.random_live(now, &zone, &own, &mut self.rng);
             let peer = member.map(topology::peer).filter(|peer| self.attach.trusts(now, peer));
             if let Some(peer) = peer {
@@ -200,10 +201,10 @@
     /// Compares versions with a random peer, so that what was lost on the way is found again and
     /// parts of the fleet that were cut off from each other become one.
     fn compare(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.attach.compare_at = now + around(COMPARE, &mut self.rng);
+        self.attach.compare_at = now + around(COMPARE_INTERVAL, &mut self.rng);
         let own = self.cfg.vm.clone();
         let mut zone = self.cfg.place.zone.clone();
-        if self.rng.random_range(0..COMPARE_AWAY) == 0 {
+        if self.rng.random_range(0..CROSS_ZONE_COMPARE_EVERY) == 0 {
             zone = self.random_zone().unwrap_or(zone);
         }
         let member = self.members.random_live(now, &zone, &own, &mut self.rng);
@@ -265,12 +266,14 @@
             return true;
         }
         if !self.topology.uppers.contains(from) {
-            return self.takes_strangers() && hops <= STRANGER_HOPS && !self.children.has(&from.vm);
+            return self.takes_strangers()
+                && hops <= FALLBACK_PARENT_HOPS
+                && !self.children.has(&from.vm);
         }
-        if self.topology.rank < TOP {
+        if self.topology.rank < RELAYS_PER_ZONE {
             return hops <= RELAY_PARENT_HOPS;
         }
-        from.place.zone == self.cfg.place.zone || hops <= AWAY_PARENT_HOPS
+        from.place.zone == self.cfg.place.zone || hops <= CROSS_ZONE_PARENT_HOPS
     }
 
     fn is_better(&self, from: &Peer) -> bool {
--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -7,7 +7,7 @@
 use super::Spread;
 use super::backoff::jitter;
 use super::limits::{
-    CALLS_OF_READING, LIST_WAIT, ORPHAN_CALLS_PER_S, RELAY_CALLS_PER_S, TOP, WATCH_WAIT,
+    CALLS_PER_READ, LIST_WAIT, ORPHAN_CALLS_PER_S, RELAY_CALLS_PER_S, RELAYS_PER_ZONE, WATCH_WAIT,
     WATCH_WAIT_HOME,
 };
 use super::port::Output;
@@ -62,7 +62,7 @@
             let seeds_unresponsive = self.join.as_ref().is_none_or(|join| !join.is_asking(now));
             return if seeds_unresponsive { Access::Orphan } else { Access::None };
         }
-        let is_relay = self.topology.rank < TOP;
+        let is_relay = self.topology.rank < RELAYS_PER_ZONE;
         if is_relay && (self.is_orphan() || self.lacks_zone_lists()) {
             return Access::Relay;
         }
@@ -83,7 +83,7 @@
     /// call rate stays below the platform's limit.
     pub(super) fn call_interval(&self, access: Access) -> Duration {
         let zones = self.topology.zones as u32;
-        let relays = zones * TOP as u32;
+        let relays = zones * RELAYS_PER_ZONE as u32;
         let vms = match self.topology.zone_vms as u32 {
             0 => self.cfg.fleet_vms,
             zone_vms => zone_vms.saturating_mul(zones).max(self.cfg.fleet_vms),
@@ -152,10 +152,10 @@
         // their watches return, at the same time. A preset body and its parts are only useful
         // together, so they are read without pauses in between. The pause afterwards and the
         // initial jitter are extended accordingly.
-        let calls = if call.purpose.begins_reading() { CALLS_OF_READING } else { 1 };
+        let calls = if call.purpose.begins_reading() { CALLS_PER_READ } else { 1 };
         let first = now + jitter(interval * calls, &mut self.rng);
         let at = *self.source.budget_at.get_or_insert(first);
-        let ahead = at.since(now) <= interval * CALLS_OF_READING;
+        let ahead = at.since(now) <= interval * CALLS_PER_READ;
         let follows = self.source.follows && call.purpose.is_reading() && ahead;
         if now < at && !follows {
             return Some(at);
--- a/core/src/spread/children.rs
+++ b/core/src/spread/children.rs
@@ -1,7 +1,7 @@
 //! The nodes that hang below this one.
 
 use super::Spread;
-use super::limits::{CHILD_LEASE, CHILD_LEASE_ACROSS, MAX_CHILDREN};
+use super::limits::{CHILD_LEASE, CHILD_LEASE_CROSS_REGION, MAX_CHILDREN};
 use super::message::{Base, Delta, PeerMsg};
 use super::port::{Output, Peer};
 use super::store::Store;
@@ -96,7 +96,7 @@
         let open = self.word.state == VmState::Live && !self.rejoins();
         let lease = match self.cfg.place.link_to(&from.place) {
             Link::Zone | Link::Region => CHILD_LEASE,
-            Link::CrossRegion => CHILD_LEASE_ACROSS,
+            Link::CrossRegion => CHILD_LEASE_CROSS_REGION,
         };
         open && self.children.keep(now + lease, now, from)
     }
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -1,7 +1,8 @@
 //! Taking a version from a peer, and putting it into force.
 
 use super::limits::{
-    ANSWER_WAIT, DISTRUST, DISTRUST_MISSING, MAX_HOLDERS, SCOPE_RETRY, WHOLE_WAIT,
+    ANSWER_TIMEOUT, BLOCK_DURATION, BLOCK_DURATION_MISSING, FULL_PULL_TIMEOUT, MAX_HOLDERS,
+    SCOPE_RETRY,
 };
 use super::message::{Delta, PeerMsg, Pull, Summary};
 use super::port::{Output, Peer};
@@ -88,7 +89,7 @@
         let scope = self.wanted_scope();
         let base = self.newest_store().filter(|store| *store.scope() == scope).map(Store::base);
         // A whole scope takes longer on its way than a change.
-        let wait = if base.is_some() { ANSWER_WAIT } else { WHOLE_WAIT };
+        let wait = if base.is_some() { ANSWER_TIMEOUT } else { FULL_PULL_TIMEOUT };
         let pull = Pull { version: wanted.version, base, scope: scope.services() };
         self.send(&from, PeerMsg::Pull(Box::new(pull)), out);
         self.fetch = Some(Fetch { wanted, scope, from, until: now + wait, others });
@@ -97,7 +98,7 @@
     pub(super) fn tick_fetch(&mut self, now: Time, out: &mut Vec<Output>) {
         if let Some(fetch) = self.fetch.as_ref().filter(|fetch| fetch.until <= now) {
             let from = fetch.from.clone();
-            self.distrust(now, &from, DISTRUST, out);
+            self.distrust(now, &from, BLOCK_DURATION, out);
             self.fetch_next(now, out);
         }
         self.widen_scope(now, out);
@@ -136,7 +137,7 @@
     pub(super) fn take_missing(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
         if self.fetch.as_ref().is_some_and(|fetch| fetch.from.vm == from.vm) {
             if self.attach.parent() == Some(from) {
-                self.distrust(now, from, DISTRUST_MISSING, out);
+                self.distrust(now, from, BLOCK_DURATION_MISSING, out);
             }
             self.fetch_next(now, out);
         }
@@ -169,7 +170,7 @@
             }
             Err(fault) => {
                 self.refuse(now, seen.version, Some(from), fault, out);
-                self.distrust(now, from, DISTRUST, out);
+                self.distrust(now, from, BLOCK_DURATION, out);
                 self.fetch_next(now, out);
             }
         }
@@ -199,7 +200,7 @@
             }
             Err(fault) => {
                 self.refuse(now, seen.version, Some(from), fault, out);
-                self.distrust(now, from, DISTRUST, out);
+                self.distrust(now, from, BLOCK_DURATION, out);
             }
         }
     }
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -6,7 +6,7 @@
 //! version heard of can't be had, or nobody can be asked, it waits a bounded time and then serves
 //! the best it has; only the remembered version still holds.
 
-use super::limits::{ANSWER_WAIT, JOIN_EXTENSIONS, JOIN_PARENTS, JOIN_RANDOM, JOIN_SEEDS};
+use super::limits::{ANSWER_TIMEOUT, JOIN_EXTENSIONS, JOIN_PARENTS, JOIN_RANDOM, JOIN_SEEDS};
 use super::message::{Ask, Pong};
 use super::port::{Output, Peer};
 use super::{Spread, topology};
@@ -64,7 +64,7 @@
         self.begin_join(now);
         let listed = self.members.list(&self.cfg.place.zone).is_some();
         if let Some(join) = &mut self.join {
-            join.at = now + ANSWER_WAIT;
+            join.at = now + ANSWER_TIMEOUT;
             join.asked_listed = listed;
         }
     }
@@ -122,7 +122,7 @@
         }
         if let Some(join) = &mut self.join {
             join.waiting = asked;
-            join.at = now + ANSWER_WAIT;
+            join.at = now + ANSWER_TIMEOUT;
             join.asked_at.get_or_insert(join.at);
             join.asked_listed = listed;
         }
--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -1,7 +1,9 @@
 //! A node's view of the fleet: the platform's VM lists, which may be stale, combined with the
 //! states that nodes report about themselves.
 
-use super::limits::{LIST_LAG, MAX_FLOORS, MAX_HEARD, MAX_WORDS, WORDS_REPEAT};
+use super::limits::{
+    LIST_LAG, MAX_FLOORS, MAX_REPORTED_VMS, MAX_REPORTS_PER_PONG, REPORT_REPEAT_PERIOD,
+};
 use super::message::{ListMark, Summary, Word, ZoneList, ZonesList};
 use crate::config::InForce;
 use crate::member::{Member, VmState};
@@ -123,7 +125,7 @@
         if !differs && !direct {
             return false;
         }
-        if self.reports.len() >= MAX_HEARD {
+        if self.reports.len() >= MAX_REPORTED_VMS {
             self.reports.swap_remove_index(0);
         }
         let changed = if differs { now } else { Time::ZERO };
@@ -135,9 +137,14 @@
     /// Reports that changed recently, limited to the most that one message carries.
     pub fn recent_reports(&self, now: Time) -> Vec<Word> {
         let recent = |reported: &&ReportedState| {
-            reported.changed > Time::ZERO && now.since(reported.changed) < WORDS_REPEAT
+            { reported.changed > Time::ZERO && now.since(reported.changed) < REPORT_REPEAT_PERIOD }
         };
-        self.reports.values().filter(recent).take(MAX_WORDS).map(|h| h.word.clone()).collect()
+        self.reports
+            .values()
+            .filter(recent)
+            .take(MAX_REPORTS_PER_PONG)
+            .map(|h| h.word.clone())
+            .collect()
     }
 
     /// Effective state of a listed VM.
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -1,7 +1,7 @@
 //! Pings to peers and handling of their answers.
 
 use super::Spread;
-use super::limits::{ANSWER_WAIT, LISTS_EVERY, MAX_ASKED, TOP};
+use super::limits::{ANSWER_TIMEOUT, LIST_COMPARE_EVERY, MAX_PENDING_PINGS, RELAYS_PER_ZONE};
 use super::message::{Ask, PeerMsg, Ping, Pong, Summary};
 use super::port::{Output, Peer};
 use super::topology;
@@ -27,7 +27,7 @@
 impl PendingPings {
     /// Registers a ping and returns its sequence number, or `None` if too many are pending.
     fn open(&mut self, to: SocketAddr, ask: Ask, deadline: Time) -> Option<u32> {
-        if self.pings.len() >= MAX_ASKED {
+        if self.pings.len() >= MAX_PENDING_PINGS {
             return None;
         }
         let seq = self.next_seq;
@@ -85,10 +85,10 @@
         if self.pending_pings.has_pending_to(to, ask) {
             return None;
         }
-        let seq = self.pending_pings.open(to, ask, now + ANSWER_WAIT)?;
+        let seq = self.pending_pings.open(to, ask, now + ANSWER_TIMEOUT)?;
         let is_parent = self.attach.parent().is_some_and(|parent| parent.address == to);
         let steady = is_parent && ask == Ask::Attach && self.topology.zone_vms > 0;
-        let with_lists = !steady || seq % LISTS_EVERY == 0;
+        let with_lists = !steady || seq % LIST_COMPARE_EVERY == 0;
         Some(PeerMsg::Ping(Box::new(Ping {
             seq,
             ask,
@@ -108,7 +108,7 @@
     /// zones of its own region and of the platform's region.
     pub(super) fn wanted_list_zones(&self) -> Vec<Place> {
         let mut wanted = vec![self.cfg.place.clone()];
-        if self.topology.rank < TOP || self.topology.reader.is_some() {
+        if self.topology.rank < RELAYS_PER_ZONE || self.topology.reader.is_some() {
             let home = topology::home_region(&self.cfg, &self.members);
             for region in [&self.cfg.place.region, &home] {
                 for place in topology::zones_of(&self.members, region) {
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -1,8 +1,9 @@
 //! Reading the platform: what its values say, and how a body is put together.
 
 use super::limits::{
-    BODY_PATIENCE, EXTRA_PAUSE, LIST_PAUSE, ORPHAN_BACKOFF, ORPHAN_BACKOFF_INTERVALS,
-    READER_BACKOFF, TORN_BACKOFF, TORN_REPORTED, WATCH_PAUSE,
+    BODY_READ_DELAY, DIGEST_FAILURE_BACKOFF, DIGEST_FAILURES_BEFORE_REPORT,
+    EXTRA_ZONE_LIST_INTERVAL, LIST_READ_INTERVAL, MIN_WATCH_INTERVAL, ORPHAN_BACKOFF,
+    ORPHAN_BACKOFF_INTERVALS, READER_BACKOFF,
 };
 use super::message::{Summary, ZoneList, ZonesList};
 use super::port::{Output, Peer, SourceReply, SourceValue};
@@ -177,7 +178,7 @@
     fn begin_reading(&mut self, now: Time, publication: InForce) {
         let patience = match self.topology.reader {
             Some(number) if !self.topology.home && self.attach.parent().is_some() => {
-                BODY_PATIENCE * (number as u32 + 1)
+                BODY_READ_DELAY * (number as u32 + 1)
             }
             _ => Duration::ZERO,
         };
@@ -244,9 +245,9 @@
             self.refuse(now, publication.version, None, fault, out);
             return;
         }
-        let (first, longest) = TORN_BACKOFF;
+        let (first, longest) = DIGEST_FAILURE_BACKOFF;
         reading.at = now + reading.backoff.fail(first, longest, &mut self.rng);
-        if reading.backoff.failures() == TORN_REPORTED {
+        if reading.backoff.failures() == DIGEST_FAILURES_BEFORE_REPORT {
             self.refuse(now, publication.version, None, fault, out);
         }
     }
@@ -296,7 +297,7 @@
     fn take_source_zones(&mut self, now: Time, value: SourceValue) {
         let watch = &mut self.source.zones;
         watch.index = value.index;
-        watch.at = now + LIST_PAUSE;
+        watch.at = now + LIST_READ_INTERVAL;
         watch.backoff.reset();
         let parsed = value.body.and_then(|body| serde_json::from_slice::<Zones>(&body).ok());
         let Some(zones) = parsed else { return };
@@ -310,7 +311,7 @@
         let extra = self.extra_zones.contains(&place);
         let watch = self.source.lists.entry(place.zone.clone()).or_default();
         watch.index = value.index;
-        watch.at = now + if extra { EXTRA_PAUSE } else { LIST_PAUSE };
+        watch.at = now + if extra { EXTRA_ZONE_LIST_INTERVAL } else { LIST_READ_INTERVAL };
         watch.backoff.reset();
         let parsed = value.body.and_then(|body| serde_json::from_slice::<VmList>(&body).ok());
         let Some(list) = parsed else { return };
@@ -348,7 +349,7 @@
             self.fail(now, READER_BACKOFF.0, READER_BACKOFF.1, rng);
         } else {
             self.backoff.reset();
-            self.at = now + WATCH_PAUSE;
+            self.at = now + MIN_WATCH_INTERVAL;
         }
         changed
     }
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -1,7 +1,7 @@
 //! Taking messages and answering them.
 
 use super::Spread;
-use super::limits::{MAX_LIST_VMS, MAX_LISTS, MEET_PAUSE};
+use super::limits::{CONTACT_INTERVAL, MAX_LIST_VMS, MAX_LISTS};
 use super::message::{Ask, PeerMsg, Ping, Pong, Pull, ZoneList, ZonesList};
 use super::port::{Output, Peer};
 use crate::Time;
@@ -74,7 +74,7 @@
     fn meet(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
         let alone = self.members.list(&self.cfg.place.zone).is_none();
         if alone && now >= self.meet_at {
-            self.meet_at = now + MEET_PAUSE;
+            self.meet_at = now + CONTACT_INTERVAL;
             self.ping_peer(now, from, Ask::Join, out);
         }
     }
--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform that a node has open, and what it has read so far.
 
 use super::backoff::Backoff;
-use super::limits::{MAX_BAD, SOURCE_ANSWER, SOURCE_ANSWER_LARGE};
+use super::limits::{MAX_INVALID_PUBLICATIONS, SOURCE_ANSWER_GRACE, SOURCE_ANSWER_GRACE_LARGE};
 use super::port::{CallId, SourceCall};
 use crate::config::document::PartRef;
 use crate::config::{InForce, Preset};
@@ -171,7 +171,7 @@
 
     /// Remembers a publication as bad.
     pub fn mark_bad(&mut self, publication: InForce) {
-        if self.bad.len() == MAX_BAD {
+        if self.bad.len() == MAX_INVALID_PUBLICATIONS {
             self.bad.pop_front();
         }
         self.bad.push_back(publication);
@@ -194,8 +194,8 @@
 impl OpenCall {
     fn give_up(&self) -> Time {
         let answer = match self.purpose {
-            Purpose::InForce | Purpose::Zones => SOURCE_ANSWER,
-            Purpose::Body | Purpose::Part(_) | Purpose::List(_) => SOURCE_ANSWER_LARGE,
+            Purpose::InForce | Purpose::Zones => SOURCE_ANSWER_GRACE,
+            Purpose::Body | Purpose::Part(_) | Purpose::List(_) => SOURCE_ANSWER_GRACE_LARGE,
         };
         self.began + self.wait + answer
     }
--- a/core/src/spread/state_reports.rs
+++ b/core/src/spread/state_reports.rs
@@ -1,7 +1,7 @@
 //! Propagation of VM state reports along the distribution tree.
 
 use super::Spread;
-use super::limits::{ANNOUNCE_RANDOM, MAX_WORDS_TAKEN, WORDS_DELAY};
+use super::limits::{ANNOUNCE_RANDOM, MAX_REPORTS_ACCEPTED, REPORT_BATCH_DELAY};
 use super::message::{PeerMsg, Word};
 use super::port::{Output, Peer};
 use super::topology;
@@ -23,7 +23,7 @@
     fn push(&mut self, now: Time, word: Word) {
         self.reports.retain(|report| report.vm != word.vm);
         self.reports.push(word);
-        self.send_at.get_or_insert(now + WORDS_DELAY);
+        self.send_at.get_or_insert(now + REPORT_BATCH_DELAY);
     }
 }
 
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn handle_state_reports(&mut self, now: Time, words: &[Word]) {
-        for word in words.iter().take(MAX_WORDS_TAKEN) {
+        for word in words.iter().take(MAX_REPORTS_ACCEPTED) {
             self.handle_state_report(now, word, false);
         }
     }
--- a/core/src/spread/topology.rs
+++ b/core/src/spread/topology.rs
@@ -1,11 +1,11 @@
 //! Who reads the platform and who takes versions from whom, worked out by every node alone from
 //! the same lists and the same hash, so that no one appoints anyone.
 //!
-//! In each zone the VMs are ranked by rendezvous hash. The first [`TOP`] are the zone's relays;
+//! In each zone the VMs are ranked by rendezvous hash. The first [`RELAYS_PER_ZONE`] are the zone's relays;
 //! the others hang below them in a tree with [`FAN_OUT`] children each. The zones of a region are
 //! ranked the same way; the first VM of each of the first two zones is a reader of the region.
 
-use super::limits::{ASSUMED_ZONES, FAN_OUT, TOP};
+use super::limits::{ASSUMED_ZONES, FAN_OUT, RELAYS_PER_ZONE};
 use super::members::Members;
 use super::port::{Config, Peer};
 use crate::hash::rendezvous_score;
@@ -42,7 +42,7 @@
             role: Role::Leaf,
             reader: None,
             home: false,
-            rank: TOP,
+            rank: RELAYS_PER_ZONE,
             zone_vms: 0,
             zones: ASSUMED_ZONES,
             uppers: Vec::new(),
@@ -61,7 +61,7 @@
             Some(rank) if staying => rank,
             _ => {
                 let better = order.iter().filter(|m| view.score(m) > own_score).count();
-                better.max(TOP)
+                better.max(RELAYS_PER_ZONE)
             }
         };
         let home = home_region(cfg, members);
@@ -72,7 +72,7 @@
         let is_home = home == cfg.place.region;
         let mut uppers = match reader {
             Some(number) => reader_uppers(number, is_home, &readers, &home_readers),
-            None if rank < TOP => relay_uppers(rank, &order, &readers, &home_readers),
+            None if rank < RELAYS_PER_ZONE => relay_uppers(rank, &order, &readers, &home_readers),
             None => tree_uppers(rank, &order),
         };
         match reader {
@@ -82,8 +82,10 @@
         }
         let role = match reader {
             Some(_) => Role::RegionReader,
-            None if rank < TOP => Role::ZoneRelay,
-            None if TOP + rank * FAN_OUT < order.len() && position.is_some() => Role::Relay,
+            None if rank < RELAYS_PER_ZONE => Role::ZoneRelay,
+            None if RELAYS_PER_ZONE + rank * FAN_OUT < order.len() && position.is_some() => {
+                Role::Relay
+            }
             None => Role::Leaf,
         };
         Topology {
@@ -152,7 +154,7 @@
     fn readers(&self, region: &Name) -> Vec<&'a Member> {
         let zones = zones_of(self.members, region);
         let tops = zones.iter().filter_map(|place| self.top(&place.zone, None));
-        let mut readers: Vec<&Member> = tops.take(TOP).collect();
+        let mut readers: Vec<&Member> = tops.take(RELAYS_PER_ZONE).collect();
         if let [only] = readers[..] {
             readers.extend(self.top(&only.zone, Some(&only.vm)));
         }
@@ -201,9 +203,9 @@
 }
 
 fn tree_uppers(rank: usize, order: &[&Member]) -> Vec<Peer> {
-    let parent = (rank - TOP) / FAN_OUT;
+    let parent = (rank - RELAYS_PER_ZONE) / FAN_OUT;
     let beside = parent ^ 1;
-    let above = parent.saturating_sub(TOP) / FAN_OUT;
+    let above = parent.saturating_sub(RELAYS_PER_ZONE) / FAN_OUT;
     let ranks = [parent, beside, above, 0, 1];
     let lower = ranks.into_iter().filter(|upper| *upper < rank);
     lower.filter_map(|upper| order.get(upper)).map(|member| peer(member)).collect()
