--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -82,7 +82,7 @@
     scope_at: Time,
     /// Peers that answered the first questions: parents for a node that has no list to take one
     /// from, as when the platform is down at its start.
-    acquainted: Vec<Peer>,
+    join_contacts: Vec<Peer>,
     removed_targets: notes::RemovedTargets,
     /// Zones whose lists are read because a target there was dropped and may have failed.
     extra_zones: Vec<crate::place::Place>,
@@ -122,7 +122,7 @@
             staged: None,
             snapshot: None,
             scope_at: Time::ZERO,
-            acquainted: Vec::new(),
+            join_contacts: Vec::new(),
             removed_targets: notes::RemovedTargets::default(),
             extra_zones: Vec::new(),
             newest_heard: 0,
@@ -252,10 +252,10 @@
         let staying = self.word.state == VmState::Live;
         let mut topology = Topology::new(now, &self.cfg, &self.members, staying);
         if self.members.list(&self.cfg.place.zone).is_none() {
-            topology.uppers = self.acquainted.clone();
+            topology.parent_candidates = self.join_contacts.clone();
         }
-        if topology.uppers != self.topology.uppers {
-            self.attach.uppers_changed(now);
+        if topology.parent_candidates != self.topology.parent_candidates {
+            self.attach.candidates_changed(now);
         }
         self.topology = topology;
         let mut not_live = self.members.not_live(now);
--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -23,13 +23,13 @@
     parent: Option<Peer>,
     hops: u8,
     /// Next question to the parent, or next round of the search.
-    at: Time,
+    next_at: Time,
     /// Rounds of the search since there was a parent.
-    rounds: usize,
+    search_rounds: usize,
     upgrade_at: Time,
     compare_at: Time,
     /// Peers that are not taken as parents, and until when.
-    distrusted: IndexMap<Name, Time>,
+    blocked: IndexMap<Name, Time>,
 }
 
 impl Attach {
@@ -45,19 +45,19 @@
 
     /// Lets the parent go without a word and searches anew.
     pub fn forget(&mut self, now: Time) {
-        *self = Attach { at: now, ..Attach::default() };
+        *self = Attach { next_at: now, ..Attach::default() };
     }
 
-    fn trusts(&self, now: Time, peer: &Peer) -> bool {
-        self.distrusted.get(&peer.vm).is_none_or(|until| *until <= now)
+    fn allows(&self, now: Time, peer: &Peer) -> bool {
+        self.blocked.get(&peer.vm).is_none_or(|until| *until <= now)
     }
 
     /// Tries the best parent soon.
-    pub fn uppers_changed(&mut self, now: Time) {
+    pub fn candidates_changed(&mut self, now: Time) {
         self.upgrade_at = now;
         if self.parent.is_none() {
-            self.rounds = 0;
-            self.at = now;
+            self.search_rounds = 0;
+            self.next_at = now;
         }
     }
 }
@@ -65,12 +65,12 @@
 impl Spread {
     /// Whether every possible parent has been asked and none will do.
     pub(super) fn is_orphan(&self) -> bool {
-        let uppers = self.topology.uppers.len();
-        if uppers == 0 {
+        let parent_candidates = self.topology.parent_candidates.len();
+        if parent_candidates == 0 {
             return self.members.list(&self.cfg.place.zone).is_some();
         }
-        let rounds = 1 + uppers.div_ceil(SEARCH_WIDTH);
-        self.attach.parent.is_none() && self.attach.rounds > rounds.min(3)
+        let rounds = 1 + parent_candidates.div_ceil(SEARCH_WIDTH);
+        self.attach.parent.is_none() && self.attach.search_rounds > rounds.min(3)
     }
 
     /// Hops to a reader, as told to children.
@@ -84,7 +84,7 @@
 
     /// Whether any peer with a way to a reader will do as parent. Not for a node that has got
     /// through to the platform: others take it for their way, and would be its own.
-    fn takes_strangers(&self) -> bool {
+    fn accepts_any_parent(&self) -> bool {
         self.is_orphan() && !self.source.is_watching()
     }
 
@@ -101,34 +101,38 @@
 
     pub(super) fn attach_wake(&self, now: Time) -> Option<Time> {
         let searching = self.attach.parent.is_none();
-        let has_uppers = !self.topology.uppers.is_empty();
+        let has_candidates = !self.topology.parent_candidates.is_empty();
         let waits = searching && self.pending_pings.has_pending(Ask::Attach);
-        let next = (has_uppers && !waits).then_some(self.attach.at);
-        let upgrade = self.wants_upgrade(now).map(|_| self.attach.upgrade_at);
+        let next = (has_candidates && !waits).then_some(self.attach.next_at);
+        let upgrade = self.better_parent(now).map(|_| self.attach.upgrade_at);
         next.into_iter().chain(upgrade).chain([self.attach.compare_at]).min()
     }
 
     /// The best parent, if another one is held.
-    fn wants_upgrade(&self, now: Time) -> Option<&Peer> {
+    fn better_parent(&self, now: Time) -> Option<&Peer> {
         let held = self.attach.parent.as_ref()?;
-        let best = self.topology.uppers.iter().find(|upper| self.attach.trusts(now, upper))?;
+        let best = self
+            .topology
+            .parent_candidates
+            .iter()
+            .find(|candidate| self.attach.allows(now, candidate))?;
         (best != held).then_some(best)
     }
 
     /// Does not take a peer as parent for a while.
     ///
     /// Avoids a parent that answers questions but sends wrong content, or none.
-    pub(super) fn distrust(
+    pub(super) fn block_parent(
         &mut self,
         now: Time,
         peer: &Peer,
         span: Duration,
         out: &mut Vec<Output>,
     ) {
-        if self.attach.distrusted.len() >= MAX_BLOCKED_PEERS {
-            self.attach.distrusted.swap_remove_index(0);
+        if self.attach.blocked.len() >= MAX_BLOCKED_PEERS {
+            self.attach.blocked.swap_remove_index(0);
         }
-        self.attach.distrusted.insert(peer.vm.clone(), now + span);
+        self.attach.blocked.insert(peer.vm.clone(), now + span);
         if self.attach.parent.as_ref() == Some(peer) {
             self.lose_parent(now, out);
         }
@@ -137,14 +141,14 @@
     pub(super) fn tick_attach(&mut self, now: Time, out: &mut Vec<Output>) {
         self.children.expire(now);
         match self.attach.parent.clone() {
-            Some(parent) if now >= self.attach.at => {
-                self.attach.at = now + around(self.heartbeat(&parent), &mut self.rng);
+            Some(parent) if now >= self.attach.next_at => {
+                self.attach.next_at = now + around(self.heartbeat(&parent), &mut self.rng);
                 self.ping_peer(now, &parent, Ask::Attach, out);
             }
             Some(_) => {}
-            None => self.seek(now, out),
+            None => self.search_parent(now, out),
         }
-        let best = self.wants_upgrade(now).cloned();
+        let best = self.better_parent(now).cloned();
         if let Some(best) = best.filter(|_| now >= self.attach.upgrade_at) {
             self.attach.upgrade_at = now + around(PARENT_UPGRADE_INTERVAL, &mut self.rng);
             self.ping_peer(now, &best, Ask::Attach, out);
@@ -158,27 +162,30 @@
     ///
     /// Each question is given up after [`ANSWER_TIMEOUT`], as a relay may take connections and never
     /// answer.
-    fn seek(&mut self, now: Time, out: &mut Vec<Output>) {
-        let uppers = self.topology.uppers.len();
-        if uppers == 0 || now < self.attach.at || self.pending_pings.has_pending(Ask::Attach) {
+    fn search_parent(&mut self, now: Time, out: &mut Vec<Output>) {
+        let parent_candidates = self.topology.parent_candidates.len();
+        if parent_candidates == 0
+            || now < self.attach.next_at
+            || self.pending_pings.has_pending(Ask::Attach)
+        {
             return;
         }
-        let round = self.attach.rounds;
-        self.attach.rounds += 1;
+        let round = self.attach.search_rounds;
+        self.attach.search_rounds += 1;
         let pause = if round < 2 { Duration::ZERO } else { SEARCH_PAUSE };
-        self.attach.at = now + jitter(pause, &mut self.rng);
+        self.attach.next_at = now + jitter(pause, &mut self.rng);
         let (first, count) = match round {
             0 => (0, 1),
-            _ => ((round - 1) * SEARCH_WIDTH, SEARCH_WIDTH.min(uppers)),
+            _ => ((round - 1) * SEARCH_WIDTH, SEARCH_WIDTH.min(parent_candidates)),
         };
         for number in first..first + count {
-            let upper = self.topology.uppers[number % uppers].clone();
-            if self.attach.trusts(now, &upper) {
-                self.ping_peer(now, &upper, Ask::Attach, out);
+            let candidate = self.topology.parent_candidates[number % parent_candidates].clone();
+            if self.attach.allows(now, &candidate) {
+                self.ping_peer(now, &candidate, Ask::Attach, out);
             }
         }
-        if self.topology.rank >= RELAYS_PER_ZONE && self.takes_strangers() {
-            self.seek_anyone(now, out);
+        if self.topology.rank >= RELAYS_PER_ZONE && self.accepts_any_parent() {
+            self.ask_random_peers(now, out);
         }
     }
 
@@ -187,11 +194,11 @@
     /// After the loss of all relays of a region, the first node that has read the platform takes
     /// others below it, which take more: the budget would let so many nodes read only one after the
     /// other.
-    fn seek_anyone(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn ask_random_peers(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
         for _ in 0..SEARCH_RANDOM_PEERS {
             let member = self.members.random_live(now, &zone, &own, &mut self.rng);
-            let peer = member.map(topology::peer).filter(|peer| self.attach.trusts(now, peer));
+            let peer = member.map(topology::peer).filter(|peer| self.attach.allows(now, peer));
             if let Some(peer) = peer {
                 self.ping_peer(now, &peer, Ask::Attach, out);
             }
@@ -228,21 +235,22 @@
 
     pub(super) fn lose_parent(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(parent) = self.attach.parent.take() else { return };
-        self.attach.rounds = 1;
-        self.attach.at = now;
+        self.attach.search_rounds = 1;
+        self.attach.next_at = now;
         let event = Event::new(now, EventKind::ParentLost).with_peer(&parent.vm);
         out.push(Output::Event(event.with_code(Code::PeerUnreachable)));
     }
 
-    pub(super) fn take_attached(
+    pub(super) fn handle_attach_answer(
         &mut self,
         now: Time,
         from: &Peer,
         pong: &Pong,
         out: &mut Vec<Output>,
     ) {
-        let fits =
-            pong.attached && self.fits_as_parent(from, pong.hops) && self.attach.trusts(now, from);
+        let fits = pong.attached
+            && self.is_acceptable_parent(from, pong.hops)
+            && self.attach.allows(now, from);
         let is_parent = self.attach.parent.as_ref().is_some_and(|parent| parent.vm == from.vm);
         if is_parent {
             self.attach.hops = pong.hops;
@@ -256,17 +264,17 @@
         }
         self.attach.parent = Some(from.clone());
         self.attach.hops = pong.hops;
-        self.attach.rounds = 0;
-        self.attach.at = now + around(self.heartbeat(from), &mut self.rng);
+        self.attach.search_rounds = 0;
+        self.attach.next_at = now + around(self.heartbeat(from), &mut self.rng);
         out.push(Output::Event(Event::new(now, EventKind::ParentChosen).with_peer(&from.vm)));
     }
 
-    fn fits_as_parent(&self, from: &Peer, hops: u8) -> bool {
+    fn is_acceptable_parent(&self, from: &Peer, hops: u8) -> bool {
         if self.topology.reader.is_some() || self.topology.zone_vms == 0 {
             return true;
         }
-        if !self.topology.uppers.contains(from) {
-            return self.takes_strangers()
+        if !self.topology.parent_candidates.contains(from) {
+            return self.accepts_any_parent()
                 && hops <= FALLBACK_PARENT_HOPS
                 && !self.children.has(&from.vm);
         }
@@ -277,7 +285,9 @@
     }
 
     fn is_better(&self, from: &Peer) -> bool {
-        let place = |peer: &Peer| self.topology.uppers.iter().position(|upper| upper == peer);
+        let place = |peer: &Peer| {
+            self.topology.parent_candidates.iter().position(|candidate| candidate == peer)
+        };
         let held = self.attach.parent.as_ref();
         let Some(new) = place(from) else { return held.is_none() };
         held.is_none_or(|held| place(held).is_none_or(|held| new < held))
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -98,7 +98,7 @@
     pub(super) fn tick_fetch(&mut self, now: Time, out: &mut Vec<Output>) {
         if let Some(fetch) = self.fetch.as_ref().filter(|fetch| fetch.until <= now) {
             let from = fetch.from.clone();
-            self.distrust(now, &from, BLOCK_DURATION, out);
+            self.block_parent(now, &from, BLOCK_DURATION, out);
             self.fetch_next(now, out);
         }
         self.widen_scope(now, out);
@@ -137,7 +137,7 @@
     pub(super) fn take_missing(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
         if self.fetch.as_ref().is_some_and(|fetch| fetch.from.vm == from.vm) {
             if self.attach.parent() == Some(from) {
-                self.distrust(now, from, BLOCK_DURATION_MISSING, out);
+                self.block_parent(now, from, BLOCK_DURATION_MISSING, out);
             }
             self.fetch_next(now, out);
         }
@@ -170,7 +170,7 @@
             }
             Err(fault) => {
                 self.refuse(now, seen.version, Some(from), fault, out);
-                self.distrust(now, from, BLOCK_DURATION, out);
+                self.block_parent(now, from, BLOCK_DURATION, out);
                 self.fetch_next(now, out);
             }
         }
@@ -200,7 +200,7 @@
             }
             Err(fault) => {
                 self.refuse(now, seen.version, Some(from), fault, out);
-                self.distrust(now, from, BLOCK_DURATION, out);
+                self.block_parent(now, from, BLOCK_DURATION, out);
             }
         }
     }
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -142,7 +142,7 @@
     /// less than the others, and the others less than a zone that holds what this VM confirmed.
     fn join_peers(&mut self, now: Time) -> Vec<Peer> {
         let mut peers: Vec<Peer> =
-            self.topology.uppers.iter().take(JOIN_PARENTS).cloned().collect();
+            self.topology.parent_candidates.iter().take(JOIN_PARENTS).cloned().collect();
         let own = self.cfg.vm.clone();
         for _ in 0..JOIN_RANDOM {
             let zones = [Some(self.cfg.place.zone.clone()), self.random_zone()];
@@ -156,8 +156,8 @@
     }
 
     pub(super) fn join_answered(&mut self, from: &Peer, to: SocketAddr, pong: &Pong) {
-        if self.acquainted.len() < JOIN_SEEDS && !self.acquainted.contains(from) {
-            self.acquainted.push(from.clone());
+        if self.join_contacts.len() < JOIN_SEEDS && !self.join_contacts.contains(from) {
+            self.join_contacts.push(from.clone());
             self.lists_changed();
         }
         if let Some(floor) = &pong.floor {
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -170,7 +170,7 @@
         }
         self.confirmed = true;
         match ping.ask {
-            Ask::Attach => self.take_attached(now, from, pong, out),
+            Ask::Attach => self.handle_attach_answer(now, from, pong, out),
             Ask::Join => self.join_answered(from, ping.to, pong),
             Ask::Compare => {}
         }
--- a/core/src/spread/topology.rs
+++ b/core/src/spread/topology.rs
@@ -31,7 +31,7 @@
         /// Number of zones.
         pub zones: usize,
         /// Possible parents, best first.
-        pub uppers: Vec<Peer>,
+        pub parent_candidates: Vec<Peer>,
     }
 }
 
@@ -45,7 +45,7 @@
             rank: RELAYS_PER_ZONE,
             zone_vms: 0,
             zones: ASSUMED_ZONES,
-            uppers: Vec::new(),
+            parent_candidates: Vec::new(),
         }
     }
 
@@ -70,15 +70,17 @@
         let reader = readers.iter().position(is_reader);
         let home_readers = view.readers(&home);
         let is_home = home == cfg.place.region;
-        let mut uppers = match reader {
-            Some(number) => reader_uppers(number, is_home, &readers, &home_readers),
-            None if rank < RELAYS_PER_ZONE => relay_uppers(rank, &order, &readers, &home_readers),
-            None => tree_uppers(rank, &order),
+        let mut parent_candidates = match reader {
+            Some(number) => reader_candidates(number, is_home, &readers, &home_readers),
+            None if rank < RELAYS_PER_ZONE => {
+                relay_candidates(rank, &order, &readers, &home_readers)
+            }
+            None => tree_candidates(rank, &order),
         };
         match reader {
-            Some(_) => uppers.extend(view.other_readers(&home, &cfg.place.region)),
+            Some(_) => parent_candidates.extend(view.other_readers(&home, &cfg.place.region)),
             // The last resort before the platform: the tops of the region's other zones.
-            None => uppers.extend(view.tops(&cfg.place.region)),
+            None => parent_candidates.extend(view.tops(&cfg.place.region)),
         }
         let role = match reader {
             Some(_) => Role::RegionReader,
@@ -95,7 +97,7 @@
             rank,
             zone_vms: order.len(),
             zones: members.zones().map_or(ASSUMED_ZONES, |zones| zones.zones.len().max(1)),
-            uppers: distinct(uppers, &cfg.vm),
+            parent_candidates: distinct(parent_candidates, &cfg.vm),
         }
     }
 }
@@ -176,7 +178,7 @@
     }
 }
 
-fn reader_uppers(
+fn reader_candidates(
     number: usize,
     home: bool,
     own: &[&Member],
@@ -188,7 +190,7 @@
     first.iter().chain(others).map(|member| peer(member)).collect()
 }
 
-fn relay_uppers(
+fn relay_candidates(
     rank: usize,
     order: &[&Member],
     readers: &[&Member],
@@ -202,13 +204,13 @@
     all.map(|member| peer(member)).collect()
 }
 
-fn tree_uppers(rank: usize, order: &[&Member]) -> Vec<Peer> {
+fn tree_candidates(rank: usize, order: &[&Member]) -> Vec<Peer> {
     let parent = (rank - RELAYS_PER_ZONE) / FAN_OUT;
     let beside = parent ^ 1;
     let above = parent.saturating_sub(RELAYS_PER_ZONE) / FAN_OUT;
     let ranks = [parent, beside, above, 0, 1];
-    let lower = ranks.into_iter().filter(|upper| *upper < rank);
-    lower.filter_map(|upper| order.get(upper)).map(|member| peer(member)).collect()
+    let lower = ranks.into_iter().filter(|candidate| *candidate < rank);
+    lower.filter_map(|candidate| order.get(candidate)).map(|member| peer(member)).collect()
 }
 
 /// The peer that a member runs.
