--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -97,7 +97,7 @@
     source: source::Source,
     pending_reports: state_reports::PendingReports,
     /// Not before this time is a peer asked because it was heard from.
-    meet_at: Time,
+    contact_at: Time,
     shown: Option<View>,
 }
 
@@ -135,7 +135,7 @@
             fetch: None,
             source: source::Source::default(),
             pending_reports: state_reports::PendingReports::default(),
-            meet_at: Time::ZERO,
+            contact_at: Time::ZERO,
             shown: None,
         }
     }
@@ -148,8 +148,8 @@
         match input {
             Input::Start => self.start(now),
             Input::Wake => {}
-            Input::Source(reply) => self.take_reply(now, reply, out),
-            Input::Peer { from, msg } => self.take_message(now, &from, msg, out),
+            Input::Source(reply) => self.handle_reply(now, reply, out),
+            Input::Peer { from, msg } => self.handle_message(now, &from, msg, out),
             Input::PeerFailed { to } => self.peer_failed(now, to, out),
             Input::Note(note) => self.send_note(note, out),
             Input::Stop => self.stop(now, out),
@@ -313,7 +313,13 @@
         out.push(Output::Refused(fault));
     }
 
-    fn hear_of(&mut self, now: Time, version: u64, from: Option<&Peer>, out: &mut Vec<Output>) {
+    fn observe_version(
+        &mut self,
+        now: Time,
+        version: u64,
+        from: Option<&Peer>,
+        out: &mut Vec<Output>,
+    ) {
         if version <= self.newest_heard {
             return;
         }
--- a/core/src/spread/children.rs
+++ b/core/src/spread/children.rs
@@ -37,7 +37,7 @@
 
 impl Children {
     /// Takes a child, or renews it. False if there is no room.
-    fn keep(&mut self, until: Time, now: Time, peer: &Peer) -> bool {
+    fn renew(&mut self, until: Time, now: Time, peer: &Peer) -> bool {
         self.expire(now);
         if let Some(child) = self.children.get_mut(&peer.vm) {
             child.until = until;
@@ -67,7 +67,7 @@
     }
 
     /// Remembers what a child has been sent.
-    pub fn delivered(&mut self, vm: &Name, delta: &Delta, scope: &Scope) {
+    pub fn record_delivered(&mut self, vm: &Name, delta: &Delta, scope: &Scope) {
         if let Some(child) = self.children.get_mut(vm) {
             let version = delta.summary.in_force.version;
             let base = Base { version, digest: delta.digest };
@@ -92,13 +92,13 @@
 
 impl Spread {
     /// Whether a peer may hang below this node.
-    pub(super) fn take_child(&mut self, now: Time, from: &Peer) -> bool {
+    pub(super) fn accept_child(&mut self, now: Time, from: &Peer) -> bool {
         let open = self.word.state == VmState::Live && !self.rejoins();
         let lease = match self.cfg.place.link_to(&from.place) {
             Link::Zone | Link::Region => CHILD_LEASE,
             Link::CrossRegion => CHILD_LEASE_CROSS_REGION,
         };
-        open && self.children.keep(now + lease, now, from)
+        open && self.children.renew(now + lease, now, from)
     }
 
     /// Sends children the version in force, and tells the parent of it, except whoever it came
@@ -113,7 +113,7 @@
             if child.until <= now || !told(&child.peer) {
                 continue;
             }
-            let delta = child.held.as_mut().and_then(|held| push(store, held));
+            let delta = child.held.as_mut().and_then(|held| push_delta(store, held));
             let msg = delta.map_or_else(|| notice.clone(), PeerMsg::Delta);
             messages.push((child.peer.clone(), msg));
         }
@@ -127,7 +127,7 @@
 }
 
 /// The difference for a child that holds `held`; `None` if it needs its whole scope.
-fn push(store: &mut Store, held: &mut Held) -> Option<Arc<Delta>> {
+fn push_delta(store: &mut Store, held: &mut Held) -> Option<Arc<Delta>> {
     let delta = store.delta(Some(&held.base), &held.scope)?;
     delta.base.as_ref()?;
     held.base = Base { version: store.version(), digest: delta.digest };
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -27,10 +27,16 @@
 
 impl Spread {
     /// Takes notice of a version that a peer has in force, and fetches it if it is newer.
-    pub(super) fn hear(&mut self, now: Time, from: &Peer, seen: &Summary, out: &mut Vec<Output>) {
-        self.hear_of(now, seen.in_force.version, Some(from), out);
+    pub(super) fn handle_summary(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        seen: &Summary,
+        out: &mut Vec<Output>,
+    ) {
+        self.observe_version(now, seen.in_force.version, Some(from), out);
         self.compare_content(now, from, seen, out);
-        if !self.lacks(now, from, &seen.in_force, out) {
+        if !self.needs_version(now, from, &seen.in_force, out) {
             return;
         }
         match &mut self.fetch {
@@ -46,7 +52,13 @@
     }
 
     /// Whether a version accepted by a peer is newer than what is held here.
-    fn lacks(&mut self, now: Time, from: &Peer, seen: &InForce, out: &mut Vec<Output>) -> bool {
+    fn needs_version(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        seen: &InForce,
+        out: &mut Vec<Output>,
+    ) -> bool {
         if let Decision::Reject(code) = self.floor.evaluate_accepted(seen) {
             // An older version is what a peer that is behind has in force; only two bodies under
             // one version are worth a report.
@@ -134,7 +146,7 @@
         }
     }
 
-    pub(super) fn take_missing(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
+    pub(super) fn handle_missing(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
         if self.fetch.as_ref().is_some_and(|fetch| fetch.from.vm == from.vm) {
             if self.attach.parent() == Some(from) {
                 self.block_parent(now, from, BLOCK_DURATION_MISSING, out);
@@ -144,7 +156,7 @@
     }
 
     /// Takes the content that was asked for; anything else is dropped.
-    pub(super) fn take_delta(
+    pub(super) fn handle_delta(
         &mut self,
         now: Time,
         from: &Peer,
@@ -154,7 +166,7 @@
         let base = self.newest_store().map(Store::base);
         let usable = delta.base.is_none() || delta.base == base;
         let asked = self.fetch.as_ref().filter(|fetch| usable && fetch.from.vm == from.vm);
-        let Some(fetch) = asked else { return self.take_push(now, from, delta, out) };
+        let Some(fetch) = asked else { return self.handle_pushed_delta(now, from, delta, out) };
         let seen = &delta.summary.in_force;
         let older = *seen != fetch.wanted && !seen.replaces(&fetch.wanted);
         let scope = fetch.scope.clone();
@@ -166,7 +178,7 @@
         match result {
             Ok(checked) => {
                 self.fetch = None;
-                self.offer(now, checked, out);
+                self.accept_version(now, checked, out);
             }
             Err(fault) => {
                 self.refuse(now, seen.version, Some(from), fault, out);
@@ -178,17 +190,23 @@
 
     /// Takes a difference that the parent sent unasked, if it fits what is held here. If not, the
     /// version is fetched as if the parent had only told of it.
-    fn take_push(&mut self, now: Time, from: &Peer, delta: &Delta, out: &mut Vec<Output>) {
+    fn handle_pushed_delta(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        delta: &Delta,
+        out: &mut Vec<Output>,
+    ) {
         let seen = &delta.summary.in_force;
         let base = self.newest_store().map(|store| (store.base(), store.scope().clone()));
         let wanted = self.wanted_scope();
         let fits =
             base.filter(|(base, scope)| delta.base.as_ref() == Some(base) && *scope == wanted);
         let Some((_, scope)) = fits.filter(|_| self.attach.parent() == Some(from)) else {
-            return self.hear(now, from, &delta.summary, out);
+            return self.handle_summary(now, from, &delta.summary, out);
         };
-        self.hear_of(now, seen.version, Some(from), out);
-        if !self.lacks(now, from, seen, out) {
+        self.observe_version(now, seen.version, Some(from), out);
+        if !self.needs_version(now, from, seen, out) {
             return;
         }
         match self.check(delta, scope, from) {
@@ -196,7 +214,7 @@
                 if self.fetch.as_ref().is_some_and(|fetch| !fetch.wanted.replaces(seen)) {
                     self.fetch = None;
                 }
-                self.offer(now, checked, out);
+                self.accept_version(now, checked, out);
             }
             Err(fault) => {
                 self.refuse(now, seen.version, Some(from), fault, out);
@@ -215,7 +233,7 @@
     }
 
     /// Puts a checked version into force, or holds it back while peers are being asked.
-    pub(super) fn offer(&mut self, now: Time, checked: Checked, out: &mut Vec<Output>) {
+    pub(super) fn accept_version(&mut self, now: Time, checked: Checked, out: &mut Vec<Output>) {
         let publication = &checked.store.summary().in_force;
         if matches!(self.floor.evaluate_accepted(publication), Decision::Reject(_)) {
             return;
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -176,7 +176,7 @@
         }
         if let Some(have) = &pong.have {
             self.members.record_floor(&from.vm, have);
-            self.hear(now, from, have, out);
+            self.handle_summary(now, from, have, out);
         }
         let theirs = pong.have.as_ref().map_or(0, |have| have.in_force.version);
         if self.in_force().is_some_and(|own| own.version >= theirs) {
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 impl Spread {
-    pub(super) fn take_reply(&mut self, now: Time, reply: SourceReply, out: &mut Vec<Output>) {
+    pub(super) fn handle_reply(&mut self, now: Time, reply: SourceReply, out: &mut Vec<Output>) {
         let Some(call) = self.source.close(reply.id) else { return };
         match reply.result {
             Ok(value) => {
@@ -29,7 +29,7 @@
                     out.push(Output::Event(Event::new(now, EventKind::SourceBack)));
                     self.watch_lists_again(out);
                 }
-                self.take_value(now, &call, value, out);
+                self.handle_value(now, &call, value, out);
             }
             Err(code) => self.source_failed(now, &call, code, out),
         }
@@ -72,7 +72,7 @@
         }
     }
 
-    fn take_value(
+    fn handle_value(
         &mut self,
         now: Time,
         call: &OpenCall,
@@ -80,15 +80,15 @@
         out: &mut Vec<Output>,
     ) {
         match &call.purpose {
-            Purpose::InForce => self.take_in_force(now, call, value, out),
-            Purpose::Body => self.take_body(now, value.body, out),
-            Purpose::Part(digest) => self.take_part(now, *digest, value.body, out),
-            Purpose::Zones => self.take_source_zones(now, value),
-            Purpose::List(place) => self.take_source_list(now, place.clone(), value),
+            Purpose::InForce => self.handle_in_force(now, call, value, out),
+            Purpose::Body => self.handle_body(now, value.body, out),
+            Purpose::Part(digest) => self.handle_part(now, *digest, value.body, out),
+            Purpose::Zones => self.handle_source_zones(now, value),
+            Purpose::List(place) => self.handle_source_list(now, place.clone(), value),
         }
     }
 
-    fn take_in_force(
+    fn handle_in_force(
         &mut self,
         now: Time,
         call: &OpenCall,
@@ -103,7 +103,7 @@
             return;
         }
         match validate::parse_in_force(&body) {
-            Ok(seen) => self.take_publication(now, seen, went_back, out),
+            Ok(seen) => self.handle_publication(now, seen, went_back, out),
             Err(fault) => self.report_rubbish(now, &body, fault, out),
         }
     }
@@ -121,7 +121,7 @@
     }
 
     /// Judges a publication read from the platform.
-    fn take_publication(
+    fn handle_publication(
         &mut self,
         now: Time,
         seen: InForce,
@@ -140,7 +140,7 @@
         match verdict {
             Decision::AlreadyKnown => {}
             Decision::Fetch => {
-                self.hear_of(now, seen.version, None, out);
+                self.observe_version(now, seen.version, None, out);
                 self.begin_reading(now, seen);
             }
             Decision::Reject(code) => {
@@ -202,7 +202,7 @@
         }
     }
 
-    fn take_body(&mut self, now: Time, body: Option<Bytes>, out: &mut Vec<Output>) {
+    fn handle_body(&mut self, now: Time, body: Option<Bytes>, out: &mut Vec<Output>) {
         let Some(reading) = &mut self.source.reading else { return };
         let publication = reading.publication.clone();
         let parsed = match &body {
@@ -216,11 +216,11 @@
                 reading.at = now;
                 self.finish_reading(now, out);
             }
-            Err(fault) => self.body_refused(now, fault, out),
+            Err(fault) => self.handle_invalid_body(now, fault, out),
         }
     }
 
-    fn take_part(&mut self, now: Time, digest: Hash, body: Option<Bytes>, out: &mut Vec<Output>) {
+    fn handle_part(&mut self, now: Time, digest: Hash, body: Option<Bytes>, out: &mut Vec<Output>) {
         let parsed = match body {
             Some(body) => validate::parse_part(&body, &digest).map(|_| body),
             None => Err(Fault::new(Code::DigestMismatch).with_detail("no value")),
@@ -230,13 +230,13 @@
                 self.source.parts.insert(digest, body);
                 self.finish_reading(now, out);
             }
-            Err(fault) => self.body_refused(now, fault, out),
+            Err(fault) => self.handle_invalid_body(now, fault, out),
         }
     }
 
     /// A body that fails its digest was read across a publish: it is read again, and never used
     /// beside another. Any other fault is in what was published.
-    fn body_refused(&mut self, now: Time, fault: Fault, out: &mut Vec<Output>) {
+    fn handle_invalid_body(&mut self, now: Time, fault: Fault, out: &mut Vec<Output>) {
         let Some(reading) = &mut self.source.reading else { return };
         let publication = reading.publication.clone();
         if fault.code != Code::DigestMismatch {
@@ -264,9 +264,9 @@
         match self.check_preset(&publication, preset) {
             Ok(checked) => {
                 self.source.reading = None;
-                self.offer(now, checked, out);
+                self.accept_version(now, checked, out);
             }
-            Err(fault) => self.body_refused(now, fault, out),
+            Err(fault) => self.handle_invalid_body(now, fault, out),
         }
     }
 
@@ -294,7 +294,7 @@
         Ok(Checked { store: Store::new(summary, scope, content), snapshot, from: None })
     }
 
-    fn take_source_zones(&mut self, now: Time, value: SourceValue) {
+    fn handle_source_zones(&mut self, now: Time, value: SourceValue) {
         let watch = &mut self.source.zones;
         watch.index = value.index;
         watch.at = now + LIST_READ_INTERVAL;
@@ -307,7 +307,7 @@
         }
     }
 
-    fn take_source_list(&mut self, now: Time, place: Place, value: SourceValue) {
+    fn handle_source_list(&mut self, now: Time, place: Place, value: SourceValue) {
         let extra = self.extra_zones.contains(&place);
         let watch = self.source.lists.entry(place.zone.clone()).or_default();
         watch.index = value.index;
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl Spread {
-    pub(super) fn take_message(
+    pub(super) fn handle_message(
         &mut self,
         now: Time,
         from: &Peer,
@@ -22,20 +22,20 @@
             return;
         }
         match msg {
-            PeerMsg::Ping(ping) => self.take_ping(now, from, &ping, out),
+            PeerMsg::Ping(ping) => self.handle_ping(now, from, &ping, out),
             PeerMsg::Pong(pong) => self.handle_pong(now, from, &pong, out),
-            PeerMsg::Notice(summary) => self.hear(now, from, &summary, out),
-            PeerMsg::Pull(pull) => self.take_pull(from, &pull, out),
-            PeerMsg::Delta(delta) => self.take_delta(now, from, &delta, out),
-            PeerMsg::Missing(_) => self.take_missing(now, from, out),
+            PeerMsg::Notice(summary) => self.handle_summary(now, from, &summary, out),
+            PeerMsg::Pull(pull) => self.handle_pull(from, &pull, out),
+            PeerMsg::Delta(delta) => self.handle_delta(now, from, &delta, out),
+            PeerMsg::Missing(_) => self.handle_missing(now, from, out),
             PeerMsg::Words(words) => self.handle_state_reports(now, &words),
-            PeerMsg::Lists(lists) => self.take_lists(now, lists),
-            PeerMsg::Zones(zones) => self.take_zones(zones),
+            PeerMsg::Lists(lists) => self.handle_lists(now, lists),
+            PeerMsg::Zones(zones) => self.handle_zones(zones),
             PeerMsg::Note(note) => out.push(Output::Note { from: from.vm.clone(), note }),
         }
     }
 
-    fn take_ping(&mut self, now: Time, from: &Peer, ping: &Ping, out: &mut Vec<Output>) {
+    fn handle_ping(&mut self, now: Time, from: &Peer, ping: &Ping, out: &mut Vec<Output>) {
         // A question with another VM's word is a fault of the sender.
         if ping.word.vm != from.vm {
             return;
@@ -48,7 +48,7 @@
         if let Some(have) = &ping.have {
             self.members.record_floor(&from.vm, have);
         }
-        let attached = ping.ask == Ask::Attach && self.take_child(now, from);
+        let attached = ping.ask == Ask::Attach && self.accept_child(now, from);
         let pong = Pong {
             seq: ping.seq,
             attached,
@@ -60,9 +60,9 @@
         };
         self.send(from, PeerMsg::Pong(Box::new(pong)), out);
         self.send_lists(now, from, ping, out);
-        self.meet(now, from, out);
+        self.contact_sender(now, from, out);
         if let Some(have) = &ping.have {
-            self.hear(now, from, have, out);
+            self.handle_summary(now, from, have, out);
         }
     }
 
@@ -71,10 +71,10 @@
     ///
     /// The pause guards against two such nodes that each answer a question with a question: they
     /// would do so as fast as messages travel, until one of them learns a list.
-    fn meet(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
+    fn contact_sender(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
         let alone = self.members.list(&self.cfg.place.zone).is_none();
-        if alone && now >= self.meet_at {
-            self.meet_at = now + CONTACT_INTERVAL;
+        if alone && now >= self.contact_at {
+            self.contact_at = now + CONTACT_INTERVAL;
             self.ping_peer(now, from, Ask::Join, out);
         }
     }
@@ -97,14 +97,14 @@
         }
     }
 
-    fn take_pull(&mut self, from: &Peer, pull: &Pull, out: &mut Vec<Output>) {
+    fn handle_pull(&mut self, from: &Peer, pull: &Pull, out: &mut Vec<Output>) {
         let scope = Scope::new(pull.scope.as_deref());
         let open = !self.rejoins();
         let store = self.in_force.as_mut().filter(|store| open && store.version() >= pull.version);
         let delta = store.and_then(|store| store.delta(pull.base.as_ref(), &scope));
         let msg = match delta {
             Some(delta) => {
-                self.children.delivered(&from.vm, &delta, &scope);
+                self.children.record_delivered(&from.vm, &delta, &scope);
                 PeerMsg::Delta(delta)
             }
             None => PeerMsg::Missing(self.in_force().map_or(0, |in_force| in_force.version)),
@@ -112,7 +112,7 @@
         self.send(from, msg, out);
     }
 
-    fn take_lists(&mut self, now: Time, lists: Vec<Arc<ZoneList>>) {
+    fn handle_lists(&mut self, now: Time, lists: Vec<Arc<ZoneList>>) {
         for list in lists.into_iter().take(MAX_LISTS) {
             let held = self.members.list(&list.place.zone).is_some();
             let room = held || self.members.lists().count() < MAX_LISTS;
@@ -122,7 +122,7 @@
         }
     }
 
-    fn take_zones(&mut self, zones: Arc<ZonesList>) {
+    fn handle_zones(&mut self, zones: Arc<ZonesList>) {
         if zones.zones.len() <= MAX_LISTS && self.members.update_zones(zones) {
             self.lists_changed();
         }
