--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -5,7 +5,7 @@
 //! the adapter hands it [`Input::Wake`] at the time of the last [`Output::WakeAt`].
 //!
 //! - `topology`: who reads the platform, and who takes versions from whom
-//! - `budget`: which calls to the platform a node makes, and when; `reading`: what they bring
+//! - `budget`: which calls to the platform a node makes, and when; `body_read`: what they bring
 //! - `attach`: finding a parent and keeping it; `children`: the nodes below
 //! - `pings`: what peers are asked, and what they answer
 //! - `fetch`: taking a version from a peer; `serve`: answering peers
@@ -276,7 +276,7 @@
             newest_heard: self.newest_heard,
             role: self.topology.role,
             parent: self.came_from.clone(),
-            platform_answers: self.source.answers,
+            platform_answers: self.source.reachable,
             confirmed: self.confirmed,
         };
         if self.shown.as_ref() != Some(&view) {
--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -11,7 +11,7 @@
     WATCH_WAIT_HOME,
 };
 use super::port::Output;
-use super::source::{Purpose, Reading};
+use super::source::{BodyRead, CallPurpose};
 use crate::place::Place;
 use crate::{Code, Name, Time};
 use std::time::Duration;
@@ -31,21 +31,21 @@
 
 /// A call that is due.
 struct DueCall {
-    purpose: Purpose,
+    purpose: CallPurpose,
     key: String,
     index: u64,
     wait: Duration,
 }
 
 impl DueCall {
-    fn now(purpose: Purpose, key: impl Into<String>) -> DueCall {
+    fn now(purpose: CallPurpose, key: impl Into<String>) -> DueCall {
         DueCall { purpose, key: key.into(), index: 0, wait: Duration::ZERO }
     }
 
-    fn watch(purpose: Purpose, key: impl Into<String>, index: u64) -> DueCall {
+    fn watch(purpose: CallPurpose, key: impl Into<String>, index: u64) -> DueCall {
         let max_wait = match purpose {
-            Purpose::List(_) | Purpose::Zones => LIST_WAIT,
-            Purpose::InForce | Purpose::Body | Purpose::Part(_) => WATCH_WAIT,
+            CallPurpose::List(_) | CallPurpose::Zones => LIST_WAIT,
+            CallPurpose::InForce | CallPurpose::Body | CallPurpose::Part(_) => WATCH_WAIT,
         };
         let wait = if index == 0 { Duration::ZERO } else { max_wait };
         DueCall { purpose, key: key.into(), index, wait }
@@ -121,11 +121,11 @@
 
     /// Cancels all calls once the node no longer needs the platform.
     fn cancel_source_calls(&mut self, out: &mut Vec<Output>) {
-        let dropped = self.source.drop_calls(|_| true);
+        let dropped = self.source.cancel_calls(|_| true);
         out.extend(dropped.into_iter().map(Output::DropSource));
-        self.source.reading = None;
+        self.source.body_read = None;
         self.source.in_force.index = 0;
-        self.source.budget_at = None;
+        self.source.next_budgeted_at = None;
     }
 
     fn call_all_due(&mut self, now: Time, out: &mut Vec<Output>) -> Option<Time> {
@@ -144,7 +144,7 @@
     ) -> Option<Time> {
         let (due, next) = self.due_calls(now, access);
         let Some(call) = due.into_iter().next() else {
-            self.source.budget_at = self.source.budget_at.filter(|at| now < *at);
+            self.source.next_budgeted_at = self.source.next_budgeted_at.filter(|at| now < *at);
             return next;
         };
         let interval = self.call_interval(access);
@@ -152,20 +152,20 @@
         // their watches return, at the same time. A preset body and its parts are only useful
         // together, so they are read without pauses in between. The pause afterwards and the
         // initial jitter are extended accordingly.
-        let calls = if call.purpose.begins_reading() { CALLS_PER_READ } else { 1 };
+        let calls = if call.purpose.precedes_body_read() { CALLS_PER_READ } else { 1 };
         let first = now + jitter(interval * calls, &mut self.rng);
-        let at = *self.source.budget_at.get_or_insert(first);
+        let at = *self.source.next_budgeted_at.get_or_insert(first);
         let ahead = at.since(now) <= interval * CALLS_PER_READ;
-        let follows = self.source.follows && call.purpose.is_reading() && ahead;
+        let follows = self.source.may_follow_up && call.purpose.reads_body() && ahead;
         if now < at && !follows {
             return Some(at);
         }
-        self.source.follows = call.purpose.begins_reading() && call.wait.is_zero();
-        self.source.follows |= call.purpose.is_reading();
+        self.source.may_follow_up = call.purpose.precedes_body_read() && call.wait.is_zero();
+        self.source.may_follow_up |= call.purpose.reads_body();
         self.call(now, call, out);
         let pause = interval / 2 + jitter(interval, &mut self.rng);
         let next = at.max(now) + pause;
-        self.source.budget_at = Some(next);
+        self.source.next_budgeted_at = Some(next);
         Some(next)
     }
 
@@ -194,28 +194,30 @@
         let list_at =
             |place: &Place| self.source.lists.get(&place.zone).map_or(Time::ZERO, |w| w.at);
         if self.members.list(&own.zone).is_none() {
-            add(list_at(own), DueCall::now(Purpose::List(own.clone()), list(own)));
+            add(list_at(own), DueCall::now(CallPurpose::List(own.clone()), list(own)));
         }
         let reads = access == Access::Reader || self.is_orphan();
-        if let Some(reading) = self.source.reading.as_ref().filter(|_| !self.source.is_reading()) {
-            add(reading.at, self.next_reading_call(reading));
+        if let Some(body_read) =
+            self.source.body_read.as_ref().filter(|_| !self.source.reads_body())
+        {
+            add(body_read.at, self.next_reading_call(body_read));
         }
         if reads {
             let watch = &self.source.in_force;
-            let mut call = DueCall::watch(Purpose::InForce, "in-force", watch.index);
+            let mut call = DueCall::watch(CallPurpose::InForce, "in-force", watch.index);
             if access == Access::Reader && self.topology.home {
                 call.wait = call.wait.min(WATCH_WAIT_HOME);
             }
             add(watch.at, call);
         }
         // While the platform is unreachable, polling a single key is enough to detect its recovery.
-        let unreachable = self.source.answers == Some(false) && reads;
+        let unreachable = self.source.reachable == Some(false) && reads;
         let reads_lists = matches!(access, Access::Reader | Access::Relay);
         if reads_lists && !unreachable {
             let watch = &self.source.zones;
             let index = if access == Access::Reader { watch.index } else { 0 };
             if index > 0 || self.members.zones().is_none() {
-                add(watch.at, DueCall::watch(Purpose::Zones, "zones", index));
+                add(watch.at, DueCall::watch(CallPurpose::Zones, "zones", index));
             }
             for place in self.wanted_list_zones() {
                 let held = self.members.list(&place.zone).is_some();
@@ -224,23 +226,28 @@
                     let index = self.source.lists.get(&place.zone).map_or(0, |w| w.index);
                     add(
                         list_at(&place),
-                        DueCall::watch(Purpose::List(place.clone()), list(&place), index),
+                        DueCall::watch(CallPurpose::List(place.clone()), list(&place), index),
                     );
                 } else if !held && place != *own {
-                    add(list_at(&place), DueCall::now(Purpose::List(place.clone()), list(&place)));
+                    add(
+                        list_at(&place),
+                        DueCall::now(CallPurpose::List(place.clone()), list(&place)),
+                    );
                 }
             }
         }
         for place in &self.extra_zones {
-            add(list_at(place), DueCall::now(Purpose::List(place.clone()), list(place)));
+            add(list_at(place), DueCall::now(CallPurpose::List(place.clone()), list(place)));
         }
         (due, next)
     }
 
-    fn next_reading_call(&self, reading: &Reading) -> DueCall {
+    fn next_reading_call(&self, body_read: &BodyRead) -> DueCall {
         match self.source.missing_part() {
-            Some(part) => DueCall::now(Purpose::Part(part.digest), part.key.as_str()),
-            None => DueCall::now(Purpose::Body, format!("preset/{}", reading.publication.preset)),
+            Some(part) => DueCall::now(CallPurpose::Part(part.digest), part.key.as_str()),
+            None => {
+                DueCall::now(CallPurpose::Body, format!("preset/{}", body_read.publication.preset))
+            }
         }
     }
 }
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -127,7 +127,7 @@
         let wanted = held.summary().in_force.clone();
         match self.attach.parent().cloned() {
             Some(parent) => self.begin_fetch(now, parent, wanted, Vec::new(), out),
-            None => self.read_again(now, wanted),
+            None => self.reread_body(now, wanted),
         }
     }
 
@@ -238,7 +238,7 @@
         if matches!(self.floor.evaluate_accepted(publication), Decision::Reject(_)) {
             return;
         }
-        self.stop_reading(publication.clone(), out);
+        self.cancel_body_read(publication.clone(), out);
         if self.join.is_some() {
             self.staged = Some(checked);
         } else {
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -7,7 +7,7 @@
 };
 use super::message::{Summary, ZoneList, ZonesList};
 use super::port::{Output, Peer, SourceReply, SourceValue};
-use super::source::{OpenCall, Purpose, Reading, Watch};
+use super::source::{BodyRead, CallPurpose, OpenCall, Watch};
 use super::store::Store;
 use super::{Checked, Spread};
 use crate::config::{Decision, InForce, Preset, ResourceSet, Scope, Snapshot, resource, validate};
@@ -25,9 +25,9 @@
         let Some(call) = self.source.close(reply.id) else { return };
         match reply.result {
             Ok(value) => {
-                if self.source.answers.replace(true) == Some(false) {
+                if self.source.reachable.replace(true) == Some(false) {
                     out.push(Output::Event(Event::new(now, EventKind::SourceBack)));
-                    self.watch_lists_again(out);
+                    self.restart_list_watches(out);
                 }
                 self.handle_value(now, &call, value, out);
             }
@@ -37,9 +37,9 @@
 
     /// Makes the watches on lists anew after an outage, which may have swallowed their answers
     /// without a sign; they would otherwise be missed only after their long wait.
-    fn watch_lists_again(&mut self, out: &mut Vec<Output>) {
-        let is_list = |p: &Purpose| matches!(p, Purpose::List(_) | Purpose::Zones);
-        let dropped = self.source.drop_calls(is_list);
+    fn restart_list_watches(&mut self, out: &mut Vec<Output>) {
+        let is_list = |p: &CallPurpose| matches!(p, CallPurpose::List(_) | CallPurpose::Zones);
+        let dropped = self.source.cancel_calls(is_list);
         out.extend(dropped.into_iter().map(Output::DropSource));
     }
 
@@ -50,7 +50,7 @@
         code: Code,
         out: &mut Vec<Output>,
     ) {
-        if self.source.answers.replace(false) != Some(false) {
+        if self.source.reachable.replace(false) != Some(false) {
             out.push(Output::Event(Event::new(now, EventKind::SourceLost).with_code(code)));
         }
         let (first, reader) = READER_BACKOFF;
@@ -58,15 +58,15 @@
         let longest = (interval * ORPHAN_BACKOFF_INTERVALS).clamp(reader, ORPHAN_BACKOFF);
         let rng = &mut self.rng;
         match &call.purpose {
-            Purpose::InForce => self.source.in_force.fail(now, first, longest, rng),
-            Purpose::Zones => self.source.zones.fail(now, first, longest, rng),
-            Purpose::List(place) => {
+            CallPurpose::InForce => self.source.in_force.fail(now, first, longest, rng),
+            CallPurpose::Zones => self.source.zones.fail(now, first, longest, rng),
+            CallPurpose::List(place) => {
                 let watch = self.source.lists.entry(place.zone.clone()).or_default();
                 watch.fail(now, first, longest, rng);
             }
-            Purpose::Body | Purpose::Part(_) => {
-                if let Some(reading) = &mut self.source.reading {
-                    reading.at = now + reading.backoff.fail(first, longest, rng);
+            CallPurpose::Body | CallPurpose::Part(_) => {
+                if let Some(body_read) = &mut self.source.body_read {
+                    body_read.at = now + body_read.backoff.fail(first, longest, rng);
                 }
             }
         }
@@ -80,11 +80,11 @@
         out: &mut Vec<Output>,
     ) {
         match &call.purpose {
-            Purpose::InForce => self.handle_in_force(now, call, value, out),
-            Purpose::Body => self.handle_body(now, value.body, out),
-            Purpose::Part(digest) => self.handle_part(now, *digest, value.body, out),
-            Purpose::Zones => self.handle_source_zones(now, value),
-            Purpose::List(place) => self.handle_source_list(now, place.clone(), value),
+            CallPurpose::InForce => self.handle_in_force(now, call, value, out),
+            CallPurpose::Body => self.handle_body(now, value.body, out),
+            CallPurpose::Part(digest) => self.handle_part(now, *digest, value.body, out),
+            CallPurpose::Zones => self.handle_source_zones(now, value),
+            CallPurpose::List(place) => self.handle_source_list(now, place.clone(), value),
         }
     }
 
@@ -96,22 +96,22 @@
         out: &mut Vec<Output>,
     ) {
         let watch = &mut self.source.in_force;
-        let went_back = value.index < watch.index;
-        let changed = watch.answered(now, call, value.index, &mut self.rng);
+        let index_regressed = value.index < watch.index;
+        let changed = watch.record_answer(now, call, value.index, &mut self.rng);
         let Some(body) = value.body else { return };
         if !changed && self.newest_checked().is_some() {
             return;
         }
         match validate::parse_in_force(&body) {
-            Ok(seen) => self.handle_publication(now, seen, went_back, out),
-            Err(fault) => self.report_rubbish(now, &body, fault, out),
+            Ok(seen) => self.handle_publication(now, seen, index_regressed, out),
+            Err(fault) => self.report_unparsable(now, &body, fault, out),
         }
     }
 
     /// Reports a value that is not understood, once. What is in force stays.
-    fn report_rubbish(&mut self, now: Time, body: &Bytes, fault: Fault, out: &mut Vec<Output>) {
+    fn report_unparsable(&mut self, now: Time, body: &Bytes, fault: Fault, out: &mut Vec<Output>) {
         let hash = Hash::of(body);
-        if self.source.rubbish.replace(hash) != Some(hash) {
+        if self.source.last_unparsable.replace(hash) != Some(hash) {
             let event = Event::new(now, EventKind::VersionRefused).with_code(Code::SourceInvalid);
             out.push(Output::Event(event));
             out.push(Output::Refused(
@@ -125,11 +125,11 @@
         &mut self,
         now: Time,
         seen: InForce,
-        went_back: bool,
+        index_regressed: bool,
         out: &mut Vec<Output>,
     ) {
-        let pending = self.source.reading.as_ref().map(|reading| reading.publication.clone());
-        if self.newest_checked() == Some(&seen) || self.source.is_bad(&seen) {
+        let pending = self.source.body_read.as_ref().map(|body_read| body_read.publication.clone());
+        if self.newest_checked() == Some(&seen) || self.source.is_invalid(&seen) {
             return;
         }
         // The floor may be a version that this VM had before a restart and does not hold now.
@@ -141,15 +141,15 @@
             Decision::AlreadyKnown => {}
             Decision::Fetch => {
                 self.observe_version(now, seen.version, None, out);
-                self.begin_reading(now, seen);
+                self.start_body_read(now, seen);
             }
             Decision::Reject(code) => {
                 if code == Code::VersionConflict
                     && pending.is_some_and(|pending| pending.version == seen.version)
                 {
-                    self.source.reading = None;
+                    self.source.body_read = None;
                 }
-                let older = code == Code::VersionOlder && went_back;
+                let older = code == Code::VersionOlder && index_regressed;
                 let code = if older { Code::SourceWentBack } else { code };
                 self.refuse_once(now, &seen, None, Fault::new(code), out);
             }
@@ -175,46 +175,47 @@
 
     /// Starts to read a body. Readers outside the platform's region first leave those inside it
     /// time to send the difference, which spares a whole body over a link that is paid by volume.
-    fn begin_reading(&mut self, now: Time, publication: InForce) {
-        let patience = match self.topology.reader {
+    fn start_body_read(&mut self, now: Time, publication: InForce) {
+        let delay = match self.topology.reader {
             Some(number) if !self.topology.home && self.attach.parent().is_some() => {
                 BODY_READ_DELAY * (number as u32 + 1)
             }
             _ => Duration::ZERO,
         };
-        self.source.reading = Some(Reading::new(publication, now + patience));
+        self.source.body_read = Some(BodyRead::new(publication, now + delay));
     }
 
     /// Reads the body of the version in force again, for the part outside the scope held so far.
-    pub(super) fn read_again(&mut self, now: Time, publication: InForce) {
-        if self.source.reading.is_none() {
-            self.source.reading = Some(Reading::new(publication, now));
+    pub(super) fn reread_body(&mut self, now: Time, publication: InForce) {
+        if self.source.body_read.is_none() {
+            self.source.body_read = Some(BodyRead::new(publication, now));
         }
     }
 
     /// Stops reading a body that is no longer needed.
-    pub(super) fn stop_reading(&mut self, checked: InForce, out: &mut Vec<Output>) {
-        let reading = self.source.reading.as_ref();
-        if reading.is_some_and(|reading| !reading.publication.replaces(&checked)) {
-            self.source.reading = None;
-            let dropped = self.source.drop_calls(|p| matches!(p, Purpose::Body | Purpose::Part(_)));
+    pub(super) fn cancel_body_read(&mut self, checked: InForce, out: &mut Vec<Output>) {
+        let body_read = self.source.body_read.as_ref();
+        if body_read.is_some_and(|body_read| !body_read.publication.replaces(&checked)) {
+            self.source.body_read = None;
+            let dropped =
+                self.source.cancel_calls(|p| matches!(p, CallPurpose::Body | CallPurpose::Part(_)));
             out.extend(dropped.into_iter().map(Output::DropSource));
         }
     }
 
     fn handle_body(&mut self, now: Time, body: Option<Bytes>, out: &mut Vec<Output>) {
-        let Some(reading) = &mut self.source.reading else { return };
-        let publication = reading.publication.clone();
+        let Some(body_read) = &mut self.source.body_read else { return };
+        let publication = body_read.publication.clone();
         let parsed = match &body {
             Some(body) => validate::parse_preset(body, &publication),
             None => Err(Fault::new(Code::DigestMismatch).with_detail("no value")),
         };
         match parsed {
             Ok(preset) => {
-                reading.preset = Some(preset);
-                reading.backoff.reset();
-                reading.at = now;
-                self.finish_reading(now, out);
+                body_read.preset = Some(preset);
+                body_read.backoff.reset();
+                body_read.at = now;
+                self.finish_body_read(now, out);
             }
             Err(fault) => self.handle_invalid_body(now, fault, out),
         }
@@ -228,7 +229,7 @@
         match parsed {
             Ok(body) => {
                 self.source.parts.insert(digest, body);
-                self.finish_reading(now, out);
+                self.finish_body_read(now, out);
             }
             Err(fault) => self.handle_invalid_body(now, fault, out),
         }
@@ -237,33 +238,33 @@
     /// A body that fails its digest was read across a publish: it is read again, and never used
     /// beside another. Any other fault is in what was published.
     fn handle_invalid_body(&mut self, now: Time, fault: Fault, out: &mut Vec<Output>) {
-        let Some(reading) = &mut self.source.reading else { return };
-        let publication = reading.publication.clone();
+        let Some(body_read) = &mut self.source.body_read else { return };
+        let publication = body_read.publication.clone();
         if fault.code != Code::DigestMismatch {
-            self.source.reading = None;
-            self.source.mark_bad(publication.clone());
+            self.source.body_read = None;
+            self.source.mark_invalid(publication.clone());
             self.refuse(now, publication.version, None, fault, out);
             return;
         }
         let (first, longest) = DIGEST_FAILURE_BACKOFF;
-        reading.at = now + reading.backoff.fail(first, longest, &mut self.rng);
-        if reading.backoff.failures() == DIGEST_FAILURES_BEFORE_REPORT {
+        body_read.at = now + body_read.backoff.fail(first, longest, &mut self.rng);
+        if body_read.backoff.failures() == DIGEST_FAILURES_BEFORE_REPORT {
             self.refuse(now, publication.version, None, fault, out);
         }
     }
 
     /// Puts the preset together once all of its parts have come.
-    fn finish_reading(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(reading) = &self.source.reading else { return };
-        let Some(preset) = &reading.preset else { return };
+    fn finish_body_read(&mut self, now: Time, out: &mut Vec<Output>) {
+        let Some(body_read) = &self.source.body_read else { return };
+        let Some(preset) = &body_read.preset else { return };
         if self.source.missing_part().is_some() {
             return;
         }
-        let publication = reading.publication.clone();
+        let publication = body_read.publication.clone();
         let preset = preset.clone();
         match self.check_preset(&publication, preset) {
             Ok(checked) => {
-                self.source.reading = None;
+                self.source.body_read = None;
                 self.accept_version(now, checked, out);
             }
             Err(fault) => self.handle_invalid_body(now, fault, out),
@@ -336,7 +337,7 @@
     /// Takes note of an answer. Returns whether the index changed.
     ///
     /// Pauses between watches that bring nothing: the platform may answer each at once.
-    fn answered(
+    fn record_answer(
         &mut self,
         now: Time,
         call: &OpenCall,
@@ -345,7 +346,7 @@
     ) -> bool {
         let changed = index != self.index;
         self.index = index;
-        if !changed && now.since(call.began) < call.wait / 2 || index == 0 {
+        if !changed && now.since(call.started_at) < call.wait / 2 || index == 0 {
             self.fail(now, READER_BACKOFF.0, READER_BACKOFF.1, rng);
         } else {
             self.backoff.reset();
--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -15,7 +15,7 @@
 
 data! {
     /// What a call to the platform is for.
-    pub enum Purpose {
+    pub enum CallPurpose {
         /// The key `in-force`.
         InForce,
         /// The body of the preset being read.
@@ -31,23 +31,23 @@
     /// A call that has not ended.
     pub struct OpenCall {
         /// What it is for.
-        pub purpose: Purpose,
+        pub purpose: CallPurpose,
         /// When it was made.
-        pub began: Time,
+        pub started_at: Time,
         /// How long the platform may wait for a change.
         pub wait: Duration,
     }
 }
 
-impl Purpose {
+impl CallPurpose {
     /// Whether a body may be read after it.
-    pub fn begins_reading(&self) -> bool {
-        matches!(self, Purpose::InForce | Purpose::Body)
+    pub fn precedes_body_read(&self) -> bool {
+        matches!(self, CallPurpose::InForce | CallPurpose::Body)
     }
 
     /// Whether it is for the body of a preset.
-    pub fn is_reading(&self) -> bool {
-        matches!(self, Purpose::Body | Purpose::Part(_))
+    pub fn reads_body(&self) -> bool {
+        matches!(self, CallPurpose::Body | CallPurpose::Part(_))
     }
 }
 
@@ -64,7 +64,7 @@
 
 /// The body of a publication, on its way.
 #[derive(Debug)]
-pub struct Reading {
+pub struct BodyRead {
     /// What was published.
     pub publication: InForce,
     /// The body, once it has come; its parts may be missing.
@@ -81,7 +81,7 @@
     next_id: u64,
     calls: IndexMap<CallId, OpenCall>,
     /// Whether the last call was answered.
-    pub answers: Option<bool>,
+    pub reachable: Option<bool>,
     /// The key `in-force`.
     pub in_force: Watch,
     /// The key `zones`.
@@ -89,21 +89,21 @@
     /// The lists of VMs, by zone.
     pub lists: IndexMap<Name, Watch>,
     /// The body being read.
-    pub reading: Option<Reading>,
+    pub body_read: Option<BodyRead>,
     /// The parts of the last preset read, by digest: their JSON as read, which takes a fraction of
     /// the memory of the documents.
     pub parts: IndexMap<Hash, Bytes>,
     /// The last publication refused, so that it is reported once.
     pub refused: Option<InForce>,
     /// Hash of the last value that was not understood, so that it is reported once.
-    pub rubbish: Option<Hash>,
+    pub last_unparsable: Option<Hash>,
     /// For nodes that are not readers: no call before this time; `None` while none is needed.
-    pub budget_at: Option<Time>,
+    pub next_budgeted_at: Option<Time>,
     /// Whether the last call within the budget was one that a body or a part may follow.
-    pub follows: bool,
+    pub may_follow_up: bool,
     /// When the next call may be due.
     pub wake_at: Option<Time>,
-    bad: VecDeque<InForce>,
+    invalid: VecDeque<InForce>,
 }
 
 impl Source {
@@ -111,14 +111,14 @@
     pub fn open(
         &mut self,
         now: Time,
-        purpose: Purpose,
+        purpose: CallPurpose,
         key: Name,
         watch: (u64, Duration),
     ) -> SourceCall {
         let id = CallId(self.next_id);
         self.next_id += 1;
         let (index, wait) = watch;
-        self.calls.insert(id, OpenCall { purpose, began: now, wait });
+        self.calls.insert(id, OpenCall { purpose, started_at: now, wait });
         SourceCall { id, key, index, wait }
     }
 
@@ -128,34 +128,34 @@
     }
 
     /// Whether a call for this purpose is open.
-    pub fn is_open(&self, purpose: &Purpose) -> bool {
+    pub fn is_open(&self, purpose: &CallPurpose) -> bool {
         self.calls.values().any(|call| call.purpose == *purpose)
     }
 
     /// Whether the key `in-force` is read again and again, and was answered the last time.
     pub fn is_watching(&self) -> bool {
-        self.answers == Some(true) && self.in_force.index > 0
+        self.reachable == Some(true) && self.in_force.index > 0
     }
 
     /// Whether a call for the body or a part is open.
-    pub fn is_reading(&self) -> bool {
-        self.calls.values().any(|call| call.purpose.is_reading())
+    pub fn reads_body(&self) -> bool {
+        self.calls.values().any(|call| call.purpose.reads_body())
     }
 
     /// A call whose answer is overdue.
     ///
     /// A call that the platform has taken and not answered in time.
     pub fn overdue(&self, now: Time) -> Option<CallId> {
-        self.calls.iter().find(|(_, call)| call.give_up() <= now).map(|(id, _)| *id)
+        self.calls.iter().find(|(_, call)| call.deadline() <= now).map(|(id, _)| *id)
     }
 
     /// When the first open call is overdue.
     pub fn next_overdue(&self) -> Option<Time> {
-        self.calls.values().map(OpenCall::give_up).min()
+        self.calls.values().map(OpenCall::deadline).min()
     }
 
     /// Gives up every call that `unwanted` picks.
-    pub fn drop_calls(&mut self, unwanted: impl Fn(&Purpose) -> bool) -> Vec<CallId> {
+    pub fn cancel_calls(&mut self, unwanted: impl Fn(&CallPurpose) -> bool) -> Vec<CallId> {
         let picked = self.calls.iter().filter(|(_, call)| unwanted(&call.purpose));
         let ids: Vec<CallId> = picked.map(|(id, _)| *id).collect();
         for id in &ids {
@@ -165,38 +165,40 @@
     }
 
     /// Whether a publication was read whole and found bad.
-    pub fn is_bad(&self, publication: &InForce) -> bool {
-        self.bad.contains(publication)
+    pub fn is_invalid(&self, publication: &InForce) -> bool {
+        self.invalid.contains(publication)
     }
 
     /// Remembers a publication as bad.
-    pub fn mark_bad(&mut self, publication: InForce) {
-        if self.bad.len() == MAX_INVALID_PUBLICATIONS {
-            self.bad.pop_front();
+    pub fn mark_invalid(&mut self, publication: InForce) {
+        if self.invalid.len() == MAX_INVALID_PUBLICATIONS {
+            self.invalid.pop_front();
         }
-        self.bad.push_back(publication);
+        self.invalid.push_back(publication);
     }
 
     /// The first part of the preset being read that has not come yet.
     pub fn missing_part(&self) -> Option<&PartRef> {
-        let preset = self.reading.as_ref()?.preset.as_ref()?;
+        let preset = self.body_read.as_ref()?.preset.as_ref()?;
         preset.parts.iter().find(|part| !self.parts.contains_key(&part.digest))
     }
 }
 
-impl Reading {
+impl BodyRead {
     /// A body that is to be read from `at` on.
-    pub fn new(publication: InForce, at: Time) -> Reading {
-        Reading { publication, preset: None, at, backoff: Backoff::default() }
+    pub fn new(publication: InForce, at: Time) -> BodyRead {
+        BodyRead { publication, preset: None, at, backoff: Backoff::default() }
     }
 }
 
 impl OpenCall {
-    fn give_up(&self) -> Time {
+    fn deadline(&self) -> Time {
         let answer = match self.purpose {
-            Purpose::InForce | Purpose::Zones => SOURCE_ANSWER_GRACE,
-            Purpose::Body | Purpose::Part(_) | Purpose::List(_) => SOURCE_ANSWER_GRACE_LARGE,
+            CallPurpose::InForce | CallPurpose::Zones => SOURCE_ANSWER_GRACE,
+            CallPurpose::Body | CallPurpose::Part(_) | CallPurpose::List(_) => {
+                SOURCE_ANSWER_GRACE_LARGE
+            }
         };
-        self.began + self.wait + answer
+        self.started_at + self.wait + answer
     }
 }
