--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -251,7 +251,7 @@
         let publication = checked.store.summary().in_force.clone();
         self.floor.accept(publication.clone());
         let known = self.in_force() == Some(&publication);
-        self.in_force = Some(checked.store.after(self.in_force.take()));
+        self.in_force = Some(checked.store.with_history_of(self.in_force.take()));
         if known {
             return;
         }
--- a/core/src/spread/store.rs
+++ b/core/src/spread/store.rs
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 
 /// Versions back for which a difference can be made; a node further behind gets its whole scope.
-const MAX_STEPS: usize = 64;
+const MAX_HISTORY_STEPS: usize = 64;
 
 /// Changes kept over all steps; bounds the memory of a history of large changes.
-const MAX_STEP_CHANGES: usize = 20_000;
+const MAX_HISTORY_CHANGES: usize = 20_000;
 
 /// Differences kept to be sent to several nodes.
-const MAX_CACHED: usize = 32;
+const MAX_CACHED_DELTAS: usize = 32;
 
 /// Resources over all differences kept; bounds the memory of those that hold a whole scope.
 const MAX_CACHED_RESOURCES: usize = 15_000;
@@ -27,7 +27,7 @@
 
 /// What changed from one held version to the next.
 #[derive(Debug)]
-struct Step {
+struct HistoryStep {
     from: u64,
     /// By resource, what was there in the older version.
     changes: Changes,
@@ -35,7 +35,7 @@
 
 /// A difference kept for the next node that asks for the same.
 #[derive(Debug)]
-struct Cached {
+struct CachedDelta {
     base: Option<Base>,
     scope: Scope,
     delta: Arc<Delta>,
@@ -48,15 +48,15 @@
     scope: Scope,
     content: ResourceSet,
     digest: Hash,
-    steps: VecDeque<Step>,
-    cached: VecDeque<Cached>,
+    history: VecDeque<HistoryStep>,
+    cached: VecDeque<CachedDelta>,
 }
 
 impl Store {
     /// Holds a version.
     pub fn new(summary: Summary, scope: Scope, content: ResourceSet) -> Store {
         let digest = content.manifest(&scope).digest();
-        Store { summary, scope, content, digest, steps: VecDeque::new(), cached: VecDeque::new() }
+        Store { summary, scope, content, digest, history: VecDeque::new(), cached: VecDeque::new() }
     }
 
     /// The version held.
@@ -85,24 +85,25 @@
     }
 
     /// Replaces an older store by this one and keeps its history.
-    pub fn after(mut self, older: Option<Store>) -> Store {
+    pub fn with_history_of(mut self, older: Option<Store>) -> Store {
         let Some(older) = older else { return self };
         // A history over a change of scope would miss what lay outside of it.
         if older.scope != self.scope || older.version() == self.version() {
             return self;
         }
         let changes = self.content.changes_since(&older.content);
-        self.steps = older.steps;
-        self.steps.push_back(Step { from: older.summary.in_force.version, changes });
-        self.trim();
+        self.history = older.history;
+        self.history.push_back(HistoryStep { from: older.summary.in_force.version, changes });
+        self.trim_history();
         self
     }
 
-    fn trim(&mut self) {
-        let count = |steps: &VecDeque<Step>| steps.iter().map(|step| step.changes.len()).sum();
-        let mut changes: usize = count(&self.steps);
-        while self.steps.len() > MAX_STEPS || changes > MAX_STEP_CHANGES {
-            let Some(step) = self.steps.pop_front() else { return };
+    fn trim_history(&mut self) {
+        let count =
+            |history: &VecDeque<HistoryStep>| history.iter().map(|step| step.changes.len()).sum();
+        let mut changes: usize = count(&self.history);
+        while self.history.len() > MAX_HISTORY_STEPS || changes > MAX_HISTORY_CHANGES {
+            let Some(step) = self.history.pop_front() else { return };
             changes -= step.changes.len();
         }
     }
@@ -117,23 +118,23 @@
         if let Some(hit) = hit {
             return Some(hit.delta.clone());
         }
-        let delta = base.and_then(|base| self.difference(base, scope));
-        let delta = Arc::new(delta.unwrap_or_else(|| self.everything(scope)));
+        let delta = base.and_then(|base| self.delta_since(base, scope));
+        let delta = Arc::new(delta.unwrap_or_else(|| self.full_delta(scope)));
         let base = base.cloned();
-        self.cached.push_back(Cached { base, scope: scope.clone(), delta: delta.clone() });
-        self.trim_cached();
+        self.cached.push_back(CachedDelta { base, scope: scope.clone(), delta: delta.clone() });
+        self.trim_cache();
         Some(delta)
     }
 
-    fn trim_cached(&mut self) {
+    fn trim_cache(&mut self) {
         let mut resources: usize = self.cached.iter().map(|c| c.delta.changed.len()).sum();
-        while self.cached.len() > MAX_CACHED || resources > MAX_CACHED_RESOURCES {
+        while self.cached.len() > MAX_CACHED_DELTAS || resources > MAX_CACHED_RESOURCES {
             let Some(oldest) = self.cached.pop_front() else { return };
             resources -= oldest.delta.changed.len();
         }
     }
 
-    fn everything(&self, scope: &Scope) -> Delta {
+    fn full_delta(&self, scope: &Scope) -> Delta {
         let resources = self.content.in_scope(scope);
         Delta {
             summary: self.summary.clone(),
@@ -144,8 +145,8 @@
         }
     }
 
-    fn difference(&self, base: &Base, scope: &Scope) -> Option<Delta> {
-        let before = self.before(base.version)?;
+    fn delta_since(&self, base: &Base, scope: &Scope) -> Option<Delta> {
+        let before = self.values_at(base.version)?;
         let mut manifest = self.content.manifest(scope);
         let digest = manifest.digest();
         let covers = |digest: &&ResourceDigest| scope.covers(&digest.service);
@@ -182,13 +183,13 @@
 
     /// Every resource that changed since `version`, with what it was then. `None` if the history
     /// does not go back that far.
-    fn before(&self, version: u64) -> Option<BTreeMap<&ResourceId, Option<&ResourceDigest>>> {
+    fn values_at(&self, version: u64) -> Option<BTreeMap<&ResourceId, Option<&ResourceDigest>>> {
         if version == self.version() {
             return Some(BTreeMap::new());
         }
-        let start = self.steps.iter().position(|step| step.from == version)?;
+        let start = self.history.iter().position(|step| step.from == version)?;
         let mut before = BTreeMap::new();
-        for step in self.steps.iter().skip(start) {
+        for step in self.history.iter().skip(start) {
             for (id, old) in &step.changes {
                 before.entry(id).or_insert(old.as_ref());
             }
--- a/core/tests/spread_delta.rs
+++ b/core/tests/spread_delta.rs
@@ -104,7 +104,7 @@
         for (index, version) in versions.iter().enumerate() {
             let number = index as u64 + 1;
             let content = ResourceSet::new(resources(version)).unwrap();
-            relay = Some(Store::new(summary(number), Scope::All, content).after(relay.take()));
+            relay = Some(Store::new(summary(number), Scope::All, content).with_history_of(relay.take()));
             if skips[index] {
                 continue;
             }
@@ -119,7 +119,7 @@
                     prop_assert_ne!(before.get(id), Some(&Hash::of(body)));
                 }
             }
-            child = Some(Store::new(summary(number), scope.clone(), content).after(child.take()));
+            child = Some(Store::new(summary(number), scope.clone(), content).with_history_of(child.take()));
         }
     }
 
@@ -133,7 +133,7 @@
         let mut relay = Store::new(summary(1), Scope::All, ResourceSet::new(resources(&first)).unwrap());
         let child = Store::new(summary(1), Scope::All, ResourceSet::new(resources(&first)).unwrap());
         relay = Store::new(summary(2), Scope::All, ResourceSet::new(resources(&second)).unwrap())
-            .after(Some(relay));
+            .with_history_of(Some(relay));
         let mut delta =
             relay.delta(Some(&child.base()), &Scope::All).unwrap().as_ref().clone();
         let changed = delta.changed.len();
@@ -169,7 +169,7 @@
     let content = |targets| ResourceSet::new(resources(&version(targets))).unwrap();
     let old = Store::new(summary(1), Scope::All, content(1));
     let base = old.base();
-    let mut new = Store::new(summary(2), Scope::All, content(2)).after(Some(old));
+    let mut new = Store::new(summary(2), Scope::All, content(2)).with_history_of(Some(old));
     let delta = new.delta(Some(&base), &Scope::All).unwrap();
     let sent: Vec<&ResourceId> = delta.changed.iter().map(|(id, _)| id).collect();
     assert_eq!(sent, [&ResourceId::new(ResourceKind::Targets, &service_name(2))]);
@@ -192,7 +192,7 @@
     let content = |limits| ResourceSet::new(resources(&version(limits))).unwrap();
     let child = Store::new(summary(1), Scope::All, content(7));
     let relay = Store::new(summary(1), Scope::All, content(1));
-    let mut relay = Store::new(summary(2), Scope::All, content(1)).after(Some(relay));
+    let mut relay = Store::new(summary(2), Scope::All, content(1)).with_history_of(Some(relay));
     let delta = relay.delta(Some(&child.base()), &Scope::All).unwrap();
     assert_eq!(delta.base, None, "the whole scope is sent");
     let content = store::apply(&delta, Some(&child), &Scope::All).unwrap();
