--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -5,7 +5,7 @@
 //! the adapter hands it [`Input::Wake`] at the time of the last [`Output::WakeAt`].
 //!
 //! - `topology`: who reads the platform, and who takes versions from whom
-//! - `budget`: which calls to the platform a node makes, and when; `body_read`: what they bring
+//! - `budget`: which calls to the platform a node makes, and when; `reading`: what they bring
 //! - `attach`: finding a parent and keeping it; `children`: the nodes below
 //! - `pings`: what peers are asked, and what they answer
 //! - `fetch`: taking a version from a peer; `serve`: answering peers
@@ -53,7 +53,7 @@
 
 /// A version that has been checked whole, and where it came from.
 #[derive(Debug)]
-struct Checked {
+struct VerifiedVersion {
     store: Store,
     snapshot: Arc<Snapshot>,
     /// The peer that sent it; `None` for the platform.
@@ -76,10 +76,10 @@
     floor: VersionFloor,
     in_force: Option<Store>,
     /// Checked, but held back until the node has asked its peers.
-    staged: Option<Checked>,
+    staged: Option<VerifiedVersion>,
     snapshot: Option<Arc<Snapshot>>,
     /// Not before this time is the rest of the version in force asked for.
-    scope_at: Time,
+    scope_retry_at: Time,
     /// Peers that answered the first questions: parents for a node that has no list to take one
     /// from, as when the platform is down at its start.
     join_contacts: Vec<Peer>,
@@ -87,7 +87,7 @@
     /// Zones whose lists are read because a target there was dropped and may have failed.
     extra_zones: Vec<crate::place::Place>,
     newest_heard: u64,
-    came_from: Option<Name>,
+    version_origin: Option<Name>,
     confirmed: bool,
     join: Option<join::Join>,
     attach: attach::Attach,
@@ -98,7 +98,7 @@
     pending_reports: state_reports::PendingReports,
     /// Not before this time is a peer asked because it was heard from.
     contact_at: Time,
-    shown: Option<View>,
+    last_view: Option<View>,
 }
 
 impl Spread {
@@ -121,12 +121,12 @@
             in_force: None,
             staged: None,
             snapshot: None,
-            scope_at: Time::ZERO,
+            scope_retry_at: Time::ZERO,
             join_contacts: Vec::new(),
             removed_targets: notes::RemovedTargets::default(),
             extra_zones: Vec::new(),
             newest_heard: 0,
-            came_from: None,
+            version_origin: None,
             confirmed: false,
             join: None,
             attach: attach::Attach::default(),
@@ -136,14 +136,14 @@
             source: source::Source::default(),
             pending_reports: state_reports::PendingReports::default(),
             contact_at: Time::ZERO,
-            shown: None,
+            last_view: None,
         }
     }
 
     /// Takes one input at `now` and appends what is to be done.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         if self.started {
-            self.notice_gap(now, out);
+            self.check_clock_gap(now, out);
         }
         match input {
             Input::Start => self.start(now),
@@ -182,7 +182,7 @@
     fn start(&mut self, now: Time) {
         self.started = true;
         self.word.incarnation = now.0;
-        self.begin_join(now);
+        self.start_join(now);
     }
 
     fn stop(&mut self, now: Time, out: &mut Vec<Output>) {
@@ -196,7 +196,7 @@
 
     /// After a pause the view may be stale: lets the children go and asks peers again before the
     /// node relays anything.
-    fn notice_gap(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn check_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(expected) = self.wake_at else { return };
         if now.since(expected) < CLOCK_GAP {
             return;
@@ -208,7 +208,7 @@
         self.pending_pings.clear();
         self.attach.forget(now);
         self.confirmed = false;
-        self.begin_join(now);
+        self.start_join(now);
     }
 
     /// Does whatever is due and asks to be woken for the rest.
@@ -220,7 +220,7 @@
         self.tick_fetch(now, out);
         self.tick_source(now, out);
         self.tick_state_reports(now, out);
-        self.show(out);
+        self.emit_view(out);
         let wake = self.next_wake(now);
         self.wake_at = Some(wake);
         out.push(Output::WakeAt(wake));
@@ -249,8 +249,8 @@
         // A node that left out its own word would leave the first places of its zone to others that
         // do the same.
         self.members.apply_report(now, &self.word, true);
-        let staying = self.word.state == VmState::Live;
-        let mut topology = Topology::new(now, &self.cfg, &self.members, staying);
+        let in_service = self.word.state == VmState::Live;
+        let mut topology = Topology::new(now, &self.cfg, &self.members, in_service);
         if self.members.list(&self.cfg.place.zone).is_none() {
             topology.parent_candidates = self.join_contacts.clone();
         }
@@ -271,16 +271,16 @@
         self.topology_at = Time::ZERO;
     }
 
-    fn show(&mut self, out: &mut Vec<Output>) {
+    fn emit_view(&mut self, out: &mut Vec<Output>) {
         let view = View {
             newest_heard: self.newest_heard,
             role: self.topology.role,
-            parent: self.came_from.clone(),
+            parent: self.version_origin.clone(),
             platform_answers: self.source.reachable,
             confirmed: self.confirmed,
         };
-        if self.shown.as_ref() != Some(&view) {
-            self.shown = Some(view.clone());
+        if self.last_view.as_ref() != Some(&view) {
+            self.last_view = Some(view.clone());
             out.push(Output::View(view));
         }
     }
@@ -296,7 +296,7 @@
         }
     }
 
-    fn refuse(
+    fn report_refused(
         &self,
         now: Time,
         version: u64,
@@ -337,7 +337,7 @@
     }
 
     /// Sends to an address whose place is not known; counted as the dearest link.
-    fn send_unknown(&self, to: SocketAddr, msg: PeerMsg, out: &mut Vec<Output>) {
+    fn send_to_address(&self, to: SocketAddr, msg: PeerMsg, out: &mut Vec<Output>) {
         out.push(Output::Send { to, link: Link::CrossRegion, msg });
     }
 }
--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -59,7 +59,7 @@
         }
         let listed = self.members.list(&self.cfg.place.zone).is_some();
         if !listed {
-            let seeds_unresponsive = self.join.as_ref().is_none_or(|join| !join.is_asking(now));
+            let seeds_unresponsive = self.join.as_ref().is_none_or(|join| !join.is_waiting(now));
             return if seeds_unresponsive { Access::Orphan } else { Access::None };
         }
         let is_relay = self.topology.rank < RELAYS_PER_ZONE;
@@ -112,7 +112,7 @@
         self.source.wake_at = match access {
             Access::None => {
                 self.cancel_source_calls(out);
-                self.join.as_ref().and_then(|join| join.asks_until())
+                self.join.as_ref().and_then(|join| join.waits_until())
             }
             Access::Reader => self.call_all_due(now, out),
             Access::Relay | Access::Orphan => self.call_within_budget(now, access, out),
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -7,7 +7,7 @@
 use super::message::{Delta, PeerMsg, Pull, Summary};
 use super::port::{Output, Peer};
 use super::store::{self, Store};
-use super::{Checked, Spread};
+use super::{Spread, VerifiedVersion};
 use crate::config::{Decision, InForce, Scope, Snapshot};
 use crate::event::{Event, EventKind};
 use crate::{Code, Fault, Name, Time};
@@ -63,7 +63,7 @@
             // An older version is what a peer that is behind has in force; only two bodies under
             // one version are worth a report.
             if code == Code::VersionConflict {
-                self.refuse_once(now, seen, Some(from), Fault::new(code), out);
+                self.report_refused_once(now, seen, Some(from), Fault::new(code), out);
             }
             return false;
         }
@@ -86,7 +86,7 @@
         if held.in_force == seen.in_force && held.whole != seen.whole {
             let publication = seen.in_force.clone();
             let fault = Fault::new(Code::PeerHashMismatch).with_place(&from.vm);
-            self.refuse_once(now, &publication, Some(from), fault, out);
+            self.report_refused_once(now, &publication, Some(from), fault, out);
         }
     }
 
@@ -120,10 +120,10 @@
     fn widen_scope(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(held) = &self.in_force else { return };
         let wide = held.scope().includes(&self.wanted_scope());
-        if wide || self.fetch.is_some() || now < self.scope_at {
+        if wide || self.fetch.is_some() || now < self.scope_retry_at {
             return;
         }
-        self.scope_at = now + SCOPE_RETRY;
+        self.scope_retry_at = now + SCOPE_RETRY;
         let wanted = held.summary().in_force.clone();
         match self.attach.parent().cloned() {
             Some(parent) => self.begin_fetch(now, parent, wanted, Vec::new(), out),
@@ -181,7 +181,7 @@
                 self.accept_version(now, checked, out);
             }
             Err(fault) => {
-                self.refuse(now, seen.version, Some(from), fault, out);
+                self.report_refused(now, seen.version, Some(from), fault, out);
                 self.block_parent(now, from, BLOCK_DURATION, out);
                 self.fetch_next(now, out);
             }
@@ -217,23 +217,28 @@
                 self.accept_version(now, checked, out);
             }
             Err(fault) => {
-                self.refuse(now, seen.version, Some(from), fault, out);
+                self.report_refused(now, seen.version, Some(from), fault, out);
                 self.block_parent(now, from, BLOCK_DURATION, out);
             }
         }
     }
 
     /// Builds a version whole from what a peer sent, beside the one in force.
-    fn check(&self, delta: &Delta, scope: Scope, from: &Peer) -> crate::Result<Checked> {
+    fn check(&self, delta: &Delta, scope: Scope, from: &Peer) -> crate::Result<VerifiedVersion> {
         let content = store::apply(delta, self.newest_store(), &scope)?;
         let resources = content.in_scope(&self.scope);
         let snapshot = Snapshot::from_resources(delta.summary.in_force.clone(), &resources)?;
         let store = Store::new(delta.summary.clone(), scope, content);
-        Ok(Checked { store, snapshot, from: Some(from.clone()) })
+        Ok(VerifiedVersion { store, snapshot, from: Some(from.clone()) })
     }
 
     /// Puts a checked version into force, or holds it back while peers are being asked.
-    pub(super) fn accept_version(&mut self, now: Time, checked: Checked, out: &mut Vec<Output>) {
+    pub(super) fn accept_version(
+        &mut self,
+        now: Time,
+        checked: VerifiedVersion,
+        out: &mut Vec<Output>,
+    ) {
         let publication = &checked.store.summary().in_force;
         if matches!(self.floor.evaluate_accepted(publication), Decision::Reject(_)) {
             return;
@@ -247,7 +252,12 @@
     }
 
     /// Swaps the version in force. The one place where it changes.
-    pub(super) fn put_in_force(&mut self, now: Time, checked: Checked, out: &mut Vec<Output>) {
+    pub(super) fn put_in_force(
+        &mut self,
+        now: Time,
+        checked: VerifiedVersion,
+        out: &mut Vec<Output>,
+    ) {
         let publication = checked.store.summary().in_force.clone();
         self.floor.accept(publication.clone());
         let known = self.in_force() == Some(&publication);
@@ -256,7 +266,7 @@
             return;
         }
         let origin = checked.from.as_ref().map(|peer| peer.vm.clone());
-        self.came_from = origin.or_else(|| Name::new("platform"));
+        self.version_origin = origin.or_else(|| Name::new("platform"));
         let mut event =
             Event::new(now, EventKind::VersionInForce).with_version(publication.version);
         if let Some(from) = &checked.from {
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -18,97 +18,102 @@
 #[derive(Debug)]
 pub struct Join {
     /// The node gives up waiting at this time.
-    limit: Time,
+    deadline: Time,
     /// Next round not before this time.
-    at: Time,
-    waiting: Vec<SocketAddr>,
+    next_round_at: Time,
+    pending: Vec<SocketAddr>,
     answered: bool,
-    asked_listed: bool,
+    asked_with_list: bool,
     /// When the first round was over, answered or not.
-    asked_at: Option<Time>,
+    first_round_until: Option<Time>,
     /// The highest version that an answer named.
-    heard: u64,
+    highest_version: u64,
     /// How often the limit has been put off.
-    extended: u32,
+    extensions: u32,
 }
 
 impl Join {
     /// Whether the node still waits for peers and should not turn to the platform yet.
-    pub fn is_asking(&self, now: Time) -> bool {
-        !self.waiting.is_empty() && now < self.at
+    pub fn is_waiting(&self, now: Time) -> bool {
+        !self.pending.is_empty() && now < self.next_round_at
     }
 
     /// Until when it waits for the peers asked.
-    pub fn asks_until(&self) -> Option<Time> {
-        (!self.waiting.is_empty()).then_some(self.at)
+    pub fn waits_until(&self) -> Option<Time> {
+        (!self.pending.is_empty()).then_some(self.next_round_at)
     }
 }
 
 impl Spread {
-    pub(super) fn begin_join(&mut self, now: Time) {
+    pub(super) fn start_join(&mut self, now: Time) {
         self.join = Some(Join {
-            limit: now + self.cfg.first_configuration,
-            at: now,
-            waiting: Vec::new(),
+            deadline: now + self.cfg.first_configuration,
+            next_round_at: now,
+            pending: Vec::new(),
             answered: false,
-            asked_listed: false,
-            asked_at: None,
-            heard: 0,
-            extended: 0,
+            asked_with_list: false,
+            first_round_until: None,
+            highest_version: 0,
+            extensions: 0,
         });
     }
 
     /// Another round after one that ended with nothing, with a pause before it: peers that hold
     /// nothing either answer at once, and the rounds would follow on each other as fast.
-    fn join_again(&mut self, now: Time) {
-        self.begin_join(now);
+    fn restart_join(&mut self, now: Time) {
+        self.start_join(now);
         let listed = self.members.list(&self.cfg.place.zone).is_some();
         if let Some(join) = &mut self.join {
-            join.at = now + ANSWER_TIMEOUT;
-            join.asked_listed = listed;
+            join.next_round_at = now + ANSWER_TIMEOUT;
+            join.asked_with_list = listed;
         }
     }
 
     /// Whether the node has a version in force but must ask again before it acts as a relay.
-    pub(super) fn rejoins(&self) -> bool {
+    pub(super) fn is_rejoining(&self) -> bool {
         self.join.is_some() && self.in_force.is_some()
     }
 
     pub(super) fn join_wake(&self, now: Time) -> Option<Time> {
         let join = self.join.as_ref()?;
         let listed = self.members.list(&self.cfg.place.zone).is_some();
-        let done = join.answered && listed && now >= join.at;
-        Some(if done || !join.waiting.is_empty() { join.limit } else { join.at.min(join.limit) })
+        let done = join.answered && listed && now >= join.next_round_at;
+        Some(if done || !join.pending.is_empty() {
+            join.deadline
+        } else {
+            join.next_round_at.min(join.deadline)
+        })
     }
 
     pub(super) fn tick_join(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.extend_join(now);
+        self.extend_join_deadline(now);
         let Some(join) = &self.join else { return };
-        let idle = join.waiting.is_empty();
+        let idle = join.pending.is_empty();
         let listed = self.members.list(&self.cfg.place.zone).is_some();
-        let new_peers = listed && !join.asked_listed;
-        let again = now >= join.at && !(join.answered && listed);
+        let new_peers = listed && !join.asked_with_list;
+        let again = now >= join.next_round_at && !(join.answered && listed);
         if idle && (new_peers || again) {
-            self.ask_round(now, listed, out);
+            self.start_join_round(now, listed, out);
         }
-        if self.may_end(now) {
-            self.end_join(now, out);
+        if self.can_finish_join(now) {
+            self.finish_join(now, out);
         }
     }
 
     /// The node may have held, before its restart, a newer version that a peer names but could not
     /// send in time. It asks again before it serves less, for a bounded time.
-    fn extend_join(&mut self, now: Time) {
+    fn extend_join_deadline(&mut self, now: Time) {
         let held = self.newest_checked().map_or(0, |held| held.version);
         let Some(join) = &mut self.join else { return };
-        if now >= join.limit && held < join.heard && join.extended < JOIN_EXTENSIONS {
-            join.extended += 1;
+        if now >= join.deadline && held < join.highest_version && join.extensions < JOIN_EXTENSIONS
+        {
+            join.extensions += 1;
             join.answered = false;
-            join.limit = now + self.cfg.first_configuration;
+            join.deadline = now + self.cfg.first_configuration;
         }
     }
 
-    fn ask_round(&mut self, now: Time, listed: bool, out: &mut Vec<Output>) {
+    fn start_join_round(&mut self, now: Time, listed: bool, out: &mut Vec<Output>) {
         let mut asked = Vec::new();
         for peer in self.join_peers(now) {
             self.ping_peer(now, &peer, Ask::Join, out);
@@ -121,10 +126,10 @@
             }
         }
         if let Some(join) = &mut self.join {
-            join.waiting = asked;
-            join.at = now + ANSWER_TIMEOUT;
-            join.asked_at.get_or_insert(join.at);
-            join.asked_listed = listed;
+            join.pending = asked;
+            join.next_round_at = now + ANSWER_TIMEOUT;
+            join.first_round_until.get_or_insert(join.next_round_at);
+            join.asked_with_list = listed;
         }
     }
 
@@ -165,42 +170,44 @@
         }
         let Some(join) = &mut self.join else { return };
         join.answered = true;
-        join.waiting.retain(|address| *address != to);
-        join.heard = join.heard.max(pong.have.as_ref().map_or(0, |have| have.in_force.version));
+        join.pending.retain(|address| *address != to);
+        join.highest_version =
+            join.highest_version.max(pong.have.as_ref().map_or(0, |have| have.in_force.version));
     }
 
     pub(super) fn join_unanswered(&mut self, to: SocketAddr) {
         if let Some(join) = &mut self.join {
-            join.waiting.retain(|address| *address != to);
+            join.pending.retain(|address| *address != to);
         }
     }
 
-    fn may_end(&self, now: Time) -> bool {
+    fn can_finish_join(&self, now: Time) -> bool {
         let Some(join) = &self.join else { return false };
-        if now >= join.limit {
+        if now >= join.deadline {
             return true;
         }
-        if !join.waiting.is_empty() {
+        if !join.pending.is_empty() {
             return false;
         }
         if !join.answered {
-            return self.is_alone();
+            return self.has_no_peers();
         }
         let held = self.newest_checked().map_or(0, |held| held.version);
-        let asked_enough = join.asked_listed || join.asked_at.is_some_and(|at| now >= at);
-        asked_enough && held >= join.heard.max(self.floor.version())
+        let asked_enough =
+            join.asked_with_list || join.first_round_until.is_some_and(|at| now >= at);
+        asked_enough && held >= join.highest_version.max(self.floor.version())
     }
 
     /// Whether there is nobody to ask: no seed, and no other VM in any list.
-    fn is_alone(&self) -> bool {
+    fn has_no_peers(&self) -> bool {
         let listed = self.members.list(&self.cfg.place.zone).is_some();
         let others = self.members.lists().flat_map(|list| &list.vms);
         listed && self.cfg.seeds.is_empty() && others.into_iter().all(|m| m.vm == self.cfg.vm)
     }
 
-    fn end_join(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn finish_join(&mut self, now: Time, out: &mut Vec<Output>) {
         self.join = None;
-        if self.is_alone() {
+        if self.has_no_peers() {
             out.push(Output::Confirmed);
         }
         let staged = self.staged.take();
@@ -208,8 +215,8 @@
             self.put_in_force(now, staged, out);
         }
         // The platform shows a bad version and no peer could be reached: ask again.
-        if self.in_force.is_none() && !self.is_alone() {
-            self.join_again(now);
+        if self.in_force.is_none() && !self.has_no_peers() {
+            self.restart_join(now);
         }
     }
 }
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -77,7 +77,7 @@
         out: &mut Vec<Output>,
     ) {
         if let Some(ping) = self.new_ping(now, to, ask) {
-            self.send_unknown(to, ping, out);
+            self.send_to_address(to, ping, out);
         }
     }
 
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -9,7 +9,7 @@
 use super::port::{Output, Peer, SourceReply, SourceValue};
 use super::source::{BodyRead, CallPurpose, OpenCall, Watch};
 use super::store::Store;
-use super::{Checked, Spread};
+use super::{Spread, VerifiedVersion};
 use crate::config::{Decision, InForce, Preset, ResourceSet, Scope, Snapshot, resource, validate};
 use crate::event::{Event, EventKind};
 use crate::hash::Hash;
@@ -151,13 +151,13 @@
                 }
                 let older = code == Code::VersionOlder && index_regressed;
                 let code = if older { Code::SourceWentBack } else { code };
-                self.refuse_once(now, &seen, None, Fault::new(code), out);
+                self.report_refused_once(now, &seen, None, Fault::new(code), out);
             }
         }
     }
 
     /// Reports that a publication is refused, once.
-    pub(super) fn refuse_once(
+    pub(super) fn report_refused_once(
         &mut self,
         now: Time,
         seen: &InForce,
@@ -165,12 +165,12 @@
         fault: Fault,
         out: &mut Vec<Output>,
     ) {
-        if self.source.refused.as_ref() == Some(seen) {
+        if self.source.last_refused.as_ref() == Some(seen) {
             return;
         }
-        self.source.refused = Some(seen.clone());
+        self.source.last_refused = Some(seen.clone());
         let place = format!("version {} {}", seen.version, seen.digest);
-        self.refuse(now, seen.version, from, fault.with_place(place), out);
+        self.report_refused(now, seen.version, from, fault.with_place(place), out);
     }
 
     /// Starts to read a body. Readers outside the platform's region first leave those inside it
@@ -243,13 +243,13 @@
         if fault.code != Code::DigestMismatch {
             self.source.body_read = None;
             self.source.mark_invalid(publication.clone());
-            self.refuse(now, publication.version, None, fault, out);
+            self.report_refused(now, publication.version, None, fault, out);
             return;
         }
         let (first, longest) = DIGEST_FAILURE_BACKOFF;
         body_read.at = now + body_read.backoff.fail(first, longest, &mut self.rng);
         if body_read.backoff.failures() == DIGEST_FAILURES_BEFORE_REPORT {
-            self.refuse(now, publication.version, None, fault, out);
+            self.report_refused(now, publication.version, None, fault, out);
         }
     }
 
@@ -271,7 +271,11 @@
         }
     }
 
-    fn check_preset(&mut self, publication: &InForce, mut preset: Preset) -> Result<Checked> {
+    fn check_preset(
+        &mut self,
+        publication: &InForce,
+        mut preset: Preset,
+    ) -> Result<VerifiedVersion> {
         let refs = std::mem::take(&mut preset.parts);
         for part in &refs {
             if let Some(body) = self.source.parts.get(&part.digest) {
@@ -292,7 +296,7 @@
         let snapshot =
             Snapshot::from_resources(publication.clone(), &content.in_scope(&self.scope))?;
         let summary = Summary { in_force: publication.clone(), whole, store_age_ms: None };
-        Ok(Checked { store: Store::new(summary, scope, content), snapshot, from: None })
+        Ok(VerifiedVersion { store: Store::new(summary, scope, content), snapshot, from: None })
     }
 
     fn handle_source_zones(&mut self, now: Time, value: SourceValue) {
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -99,7 +99,7 @@
 
     fn handle_pull(&mut self, from: &Peer, pull: &Pull, out: &mut Vec<Output>) {
         let scope = Scope::new(pull.scope.as_deref());
-        let open = !self.rejoins();
+        let open = !self.is_rejoining();
         let store = self.in_force.as_mut().filter(|store| open && store.version() >= pull.version);
         let delta = store.and_then(|store| store.delta(pull.base.as_ref(), &scope));
         let msg = match delta {
--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -94,7 +94,7 @@
     /// the memory of the documents.
     pub parts: IndexMap<Hash, Bytes>,
     /// The last publication refused, so that it is reported once.
-    pub refused: Option<InForce>,
+    pub last_refused: Option<InForce>,
     /// Hash of the last value that was not understood, so that it is reported once.
     pub last_unparsable: Option<Hash>,
     /// For nodes that are not readers: no call before this time; `None` while none is needed.
--- a/core/src/spread/topology.rs
+++ b/core/src/spread/topology.rs
@@ -49,26 +49,26 @@
         }
     }
 
-    /// Works out the place of a node. `staying` is false once it is leaving.
-    pub fn new(now: Time, cfg: &Config, members: &Members, staying: bool) -> Topology {
-        let view = View { now, members };
-        let order = view.ranked(&cfg.place.zone);
+    /// Works out the place of a node. `in_service` is false once it is leaving.
+    pub fn new(now: Time, cfg: &Config, members: &Members, in_service: bool) -> Topology {
+        let ranking = Ranking { now, members };
+        let order = ranking.ranked(&cfg.place.zone);
         let position = order.iter().position(|member| member.vm == cfg.vm);
         let own_score = rendezvous_score(cfg.place.zone.as_bytes(), cfg.vm.as_bytes());
         // A VM that the list does not name yet, or that leaves, takes a place that no one relies
         // on: nobody else would look for it at the top.
         let rank = match position {
-            Some(rank) if staying => rank,
+            Some(rank) if in_service => rank,
             _ => {
-                let better = order.iter().filter(|m| view.score(m) > own_score).count();
+                let better = order.iter().filter(|m| ranking.score(m) > own_score).count();
                 better.max(RELAYS_PER_ZONE)
             }
         };
         let home = home_region(cfg, members);
-        let readers = view.readers(&cfg.place.region);
-        let is_reader = |member: &&Member| member.vm == cfg.vm && staying;
+        let readers = ranking.readers(&cfg.place.region);
+        let is_reader = |member: &&Member| member.vm == cfg.vm && in_service;
         let reader = readers.iter().position(is_reader);
-        let home_readers = view.readers(&home);
+        let home_readers = ranking.readers(&home);
         let is_home = home == cfg.place.region;
         let mut parent_candidates = match reader {
             Some(number) => reader_candidates(number, is_home, &readers, &home_readers),
@@ -78,9 +78,9 @@
             None => tree_candidates(rank, &order),
         };
         match reader {
-            Some(_) => parent_candidates.extend(view.other_readers(&home, &cfg.place.region)),
+            Some(_) => parent_candidates.extend(ranking.other_readers(&home, &cfg.place.region)),
             // The last resort before the platform: the tops of the region's other zones.
-            None => parent_candidates.extend(view.tops(&cfg.place.region)),
+            None => parent_candidates.extend(ranking.best_of_each_zone(&cfg.place.region)),
         }
         let role = match reader {
             Some(_) => Role::RegionReader,
@@ -122,12 +122,12 @@
     places
 }
 
-struct View<'a> {
+struct Ranking<'a> {
     now: Time,
     members: &'a Members,
 }
 
-impl<'a> View<'a> {
+impl<'a> Ranking<'a> {
     fn score(&self, member: &Member) -> u64 {
         rendezvous_score(member.zone.as_bytes(), member.vm.as_bytes())
     }
@@ -146,8 +146,8 @@
     }
 
     /// The best live VM of a zone other than `not`.
-    fn top(&self, zone: &Name, not: Option<&Name>) -> Option<&'a Member> {
-        let fits = |member: &&Member| Some(&member.vm) != not;
+    fn best_in_zone(&self, zone: &Name, excluded: Option<&Name>) -> Option<&'a Member> {
+        let fits = |member: &&Member| Some(&member.vm) != excluded;
         self.live(zone)
             .filter(fits)
             .max_by_key(|member| (self.score(member), Reverse(member.vm.clone())))
@@ -155,10 +155,10 @@
 
     fn readers(&self, region: &Name) -> Vec<&'a Member> {
         let zones = zones_of(self.members, region);
-        let tops = zones.iter().filter_map(|place| self.top(&place.zone, None));
+        let tops = zones.iter().filter_map(|place| self.best_in_zone(&place.zone, None));
         let mut readers: Vec<&Member> = tops.take(RELAYS_PER_ZONE).collect();
         if let [only] = readers[..] {
-            readers.extend(self.top(&only.zone, Some(&only.vm)));
+            readers.extend(self.best_in_zone(&only.zone, Some(&only.vm)));
         }
         readers
     }
@@ -172,9 +172,9 @@
         regions.iter().filter_map(|region| self.readers(region).first().map(|m| peer(m))).collect()
     }
 
-    fn tops(&self, region: &Name) -> Vec<Peer> {
+    fn best_of_each_zone(&self, region: &Name) -> Vec<Peer> {
         let zones = zones_of(self.members, region);
-        zones.iter().filter_map(|place| self.top(&place.zone, None)).map(peer).collect()
+        zones.iter().filter_map(|place| self.best_in_zone(&place.zone, None)).map(peer).collect()
     }
 }
 
@@ -206,9 +206,9 @@
 
 fn tree_candidates(rank: usize, order: &[&Member]) -> Vec<Peer> {
     let parent = (rank - RELAYS_PER_ZONE) / FAN_OUT;
-    let beside = parent ^ 1;
-    let above = parent.saturating_sub(RELAYS_PER_ZONE) / FAN_OUT;
-    let ranks = [parent, beside, above, 0, 1];
+    let sibling = parent ^ 1;
+    let grandparent = parent.saturating_sub(RELAYS_PER_ZONE) / FAN_OUT;
+    let ranks = [parent, sibling, grandparent, 0, 1];
     let lower = ranks.into_iter().filter(|candidate| *candidate < rank);
     lower.filter_map(|candidate| order.get(candidate)).map(|member| peer(member)).collect()
 }
