--- a/bench/src/fleet/size.rs
+++ b/bench/src/fleet/size.rs
@@ -67,7 +67,7 @@
         PeerMsg::Notice(_) => "notice",
         PeerMsg::Pull(_) | PeerMsg::Missing(_) => "pull",
         PeerMsg::Delta(_) => "delta",
-        PeerMsg::Words(_) => "words",
+        PeerMsg::StateReports(_) => "words",
         PeerMsg::Lists(_) | PeerMsg::Zones(_) => "lists",
         PeerMsg::Note(_) => "note",
     }
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -99,10 +99,10 @@
             return;
         }
         let known = self.published.as_ref().map_or(0, |held| held.version);
-        let same = self.held.as_ref().is_some_and(|held| held.digest == summary.whole);
+        let same = self.held.as_ref().is_some_and(|held| held.digest == summary.manifest_digest);
         let ask = match summary.in_force.version.cmp(&known) {
-            Ordering::Greater => self.offers.may_ask(now, summary.whole),
-            Ordering::Equal => !same && self.offers.may_merge(now, summary.whole),
+            Ordering::Greater => self.offers.may_ask(now, summary.manifest_digest),
+            Ordering::Equal => !same && self.offers.may_merge(now, summary.manifest_digest),
             Ordering::Less => false,
         };
         if ask {
@@ -131,7 +131,7 @@
     /// The reader, or whoever is asked to be it, names what it holds.
     fn take_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         let msg = match &self.held {
-            Some(held) if held.digest == summary.whole => {
+            Some(held) if held.digest == summary.manifest_digest => {
                 return self.in_step(now, from, summary, out);
             }
             Some(held) => relay::question(held),
--- a/core/src/discovery/rejoin.rs
+++ b/core/src/discovery/rejoin.rs
@@ -84,8 +84,11 @@
 pub fn whole(snapshot: &Snapshot) -> PeerMsg {
     let resources = resource::split_preset(&snapshot.to_preset());
     let digest = resource::manifest(&resources).digest();
-    let summary =
-        Summary { in_force: snapshot.in_force.clone(), whole: digest, store_age_ms: None };
+    let summary = Summary {
+        in_force: snapshot.in_force.clone(),
+        manifest_digest: digest,
+        store_age_ms: None,
+    };
     let changed = resources.into_iter().map(|(id, resource)| (id, resource.body)).collect();
     PeerMsg::Delta(Arc::new(Delta { summary, base: None, changed, removed: Vec::new(), digest }))
 }
--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -54,7 +54,7 @@
         let preset: Name = self.published.preset.name.clone();
         let in_force = InForce { version: self.published.version, preset, digest: Hash::of(b"") };
         let ms = |age: Duration| u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-        Summary { in_force, whole: self.digest, store_age_ms: store_age.map(ms) }
+        Summary { in_force, manifest_digest: self.digest, store_age_ms: store_age.map(ms) }
     }
 
     /// The view after a difference. Fails if it is not from this view, or if something else comes
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -32,7 +32,7 @@
 mod source;
 mod state_reports;
 
-pub use message::{Delta, PeerMsg, Summary, Word};
+pub use message::{Delta, PeerMsg, StateReport, Summary};
 pub use port::{Config, Input, Output, Peer, SourceCall, SourceReply, SourceValue, View};
 
 use crate::config::{InForce, Scope, Snapshot, VersionFloor};
@@ -66,7 +66,7 @@
     cfg: Config,
     scope: Scope,
     rng: Pcg64Mcg,
-    word: Word,
+    own_report: StateReport,
     started: bool,
     wake_at: Option<Time>,
     members: Members,
@@ -105,12 +105,12 @@
     /// A node that has not started. `seed` feeds its random choices.
     pub fn new(cfg: Config, seed: u64) -> Spread {
         let scope = Scope::new(cfg.scope.as_deref());
-        let word = Word { vm: cfg.vm.clone(), incarnation: 0, state: VmState::Live };
+        let own_report = StateReport { vm: cfg.vm.clone(), incarnation: 0, state: VmState::Live };
         Spread {
             cfg,
             scope,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            word,
+            own_report,
             started: false,
             wake_at: None,
             members: Members::default(),
@@ -181,15 +181,15 @@
 
     fn start(&mut self, now: Time) {
         self.started = true;
-        self.word.incarnation = now.0;
+        self.own_report.incarnation = now.0;
         self.start_join(now);
     }
 
     fn stop(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.word.state != VmState::Live {
+        if self.own_report.state != VmState::Live {
             return;
         }
-        self.word.state = VmState::Leaving;
+        self.own_report.state = VmState::Leaving;
         self.announce(now, out);
         self.topology_at = Time::ZERO;
     }
@@ -248,8 +248,8 @@
         self.topology_at = now + limits::TOPOLOGY_REFRESH_INTERVAL;
         // A node that left out its own word would leave the first places of its zone to others that
         // do the same.
-        self.members.apply_report(now, &self.word, true);
-        let in_service = self.word.state == VmState::Live;
+        self.members.apply_report(now, &self.own_report, true);
+        let in_service = self.own_report.state == VmState::Live;
         let mut topology = Topology::new(now, &self.cfg, &self.members, in_service);
         if self.members.list(&self.cfg.place.zone).is_none() {
             topology.parent_candidates = self.join_contacts.clone();
--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -7,7 +7,7 @@
     MAX_BLOCKED_PEERS, NO_PATH, PARENT_UPGRADE_INTERVAL, RELAY_PARENT_HOPS, RELAYS_PER_ZONE,
     SEARCH_PAUSE, SEARCH_RANDOM_PEERS, SEARCH_WIDTH,
 };
-use super::message::{Ask, Pong};
+use super::message::{PingKind, Pong};
 use super::port::{Output, Peer};
 use super::{Spread, topology};
 use crate::event::{Event, EventKind};
@@ -102,7 +102,7 @@
     pub(super) fn attach_wake(&self, now: Time) -> Option<Time> {
         let searching = self.attach.parent.is_none();
         let has_candidates = !self.topology.parent_candidates.is_empty();
-        let waits = searching && self.pending_pings.has_pending(Ask::Attach);
+        let waits = searching && self.pending_pings.has_pending(PingKind::Attach);
         let next = (has_candidates && !waits).then_some(self.attach.next_at);
         let upgrade = self.better_parent(now).map(|_| self.attach.upgrade_at);
         next.into_iter().chain(upgrade).chain([self.attach.compare_at]).min()
@@ -143,7 +143,7 @@
         match self.attach.parent.clone() {
             Some(parent) if now >= self.attach.next_at => {
                 self.attach.next_at = now + around(self.heartbeat(&parent), &mut self.rng);
-                self.ping_peer(now, &parent, Ask::Attach, out);
+                self.ping_peer(now, &parent, PingKind::Attach, out);
             }
             Some(_) => {}
             None => self.search_parent(now, out),
@@ -151,7 +151,7 @@
         let best = self.better_parent(now).cloned();
         if let Some(best) = best.filter(|_| now >= self.attach.upgrade_at) {
             self.attach.upgrade_at = now + around(PARENT_UPGRADE_INTERVAL, &mut self.rng);
-            self.ping_peer(now, &best, Ask::Attach, out);
+            self.ping_peer(now, &best, PingKind::Attach, out);
         }
         if now >= self.attach.compare_at {
             self.compare(now, out);
@@ -166,7 +166,7 @@
         let parent_candidates = self.topology.parent_candidates.len();
         if parent_candidates == 0
             || now < self.attach.next_at
-            || self.pending_pings.has_pending(Ask::Attach)
+            || self.pending_pings.has_pending(PingKind::Attach)
         {
             return;
         }
@@ -181,7 +181,7 @@
         for number in first..first + count {
             let candidate = self.topology.parent_candidates[number % parent_candidates].clone();
             if self.attach.allows(now, &candidate) {
-                self.ping_peer(now, &candidate, Ask::Attach, out);
+                self.ping_peer(now, &candidate, PingKind::Attach, out);
             }
         }
         if self.topology.rank >= RELAYS_PER_ZONE && self.accepts_any_parent() {
@@ -200,7 +200,7 @@
             let member = self.members.random_live(now, &zone, &own, &mut self.rng);
             let peer = member.map(topology::peer).filter(|peer| self.attach.allows(now, peer));
             if let Some(peer) = peer {
-                self.ping_peer(now, &peer, Ask::Attach, out);
+                self.ping_peer(now, &peer, PingKind::Attach, out);
             }
         }
     }
@@ -216,7 +216,7 @@
         }
         let member = self.members.random_live(now, &zone, &own, &mut self.rng);
         if let Some(peer) = member.map(topology::peer) {
-            self.ping_peer(now, &peer, Ask::Compare, out);
+            self.ping_peer(now, &peer, PingKind::Compare, out);
         }
     }
 
--- a/core/src/spread/children.rs
+++ b/core/src/spread/children.rs
@@ -93,7 +93,7 @@
 impl Spread {
     /// Whether a peer may hang below this node.
     pub(super) fn accept_child(&mut self, now: Time, from: &Peer) -> bool {
-        let open = self.word.state == VmState::Live && !self.is_rejoining();
+        let open = self.own_report.state == VmState::Live && !self.is_rejoining();
         let lease = match self.cfg.place.link_to(&from.place) {
             Link::Zone | Link::Region => CHILD_LEASE,
             Link::CrossRegion => CHILD_LEASE_CROSS_REGION,
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -83,7 +83,7 @@
     /// content.
     fn compare_content(&mut self, now: Time, from: &Peer, seen: &Summary, out: &mut Vec<Output>) {
         let Some(held) = self.in_force.as_ref().map(|store| store.summary()) else { return };
-        if held.in_force == seen.in_force && held.whole != seen.whole {
+        if held.in_force == seen.in_force && held.manifest_digest != seen.manifest_digest {
             let publication = seen.in_force.clone();
             let fault = Fault::new(Code::PeerHashMismatch).with_place(&from.vm);
             self.report_refused_once(now, &publication, Some(from), fault, out);
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -7,7 +7,7 @@
 //! the best it has; only the remembered version still holds.
 
 use super::limits::{ANSWER_TIMEOUT, JOIN_EXTENSIONS, JOIN_PARENTS, JOIN_RANDOM, JOIN_SEEDS};
-use super::message::{Ask, Pong};
+use super::message::{PingKind, Pong};
 use super::port::{Output, Peer};
 use super::{Spread, topology};
 use crate::Time;
@@ -116,12 +116,12 @@
     fn start_join_round(&mut self, now: Time, listed: bool, out: &mut Vec<Output>) {
         let mut asked = Vec::new();
         for peer in self.join_peers(now) {
-            self.ping_peer(now, &peer, Ask::Join, out);
+            self.ping_peer(now, &peer, PingKind::Join, out);
             asked.push(peer.address);
         }
         for seed in self.join_seeds() {
             if !asked.contains(&seed) {
-                self.ping_address(now, seed, Ask::Join, out);
+                self.ping_address(now, seed, PingKind::Join, out);
                 asked.push(seed);
             }
         }
--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -4,7 +4,7 @@
 use super::limits::{
     LIST_LAG, MAX_FLOORS, MAX_REPORTED_VMS, MAX_REPORTS_PER_PONG, REPORT_REPEAT_PERIOD,
 };
-use super::message::{ListMark, Summary, Word, ZoneList, ZonesList};
+use super::message::{ListMark, StateReport, Summary, ZoneList, ZonesList};
 use crate::config::InForce;
 use crate::member::{Member, VmState};
 use crate::place::Place;
@@ -18,7 +18,7 @@
 /// The latest state that a node reported about itself, received directly or through other nodes.
 #[derive(Debug)]
 struct ReportedState {
-    word: Word,
+    word: StateReport,
     at: Time,
     changed: Time,
 }
@@ -103,7 +103,7 @@
 
     /// Applies a state that a node reported about its own VM. `direct` means that the report was
     /// received from that node itself. Returns whether the change should be propagated.
-    pub fn apply_report(&mut self, now: Time, word: &Word, direct: bool) -> bool {
+    pub fn apply_report(&mut self, now: Time, word: &StateReport, direct: bool) -> bool {
         if let Some(reported) = self.reports.get_mut(&word.vm) {
             let newer =
                 (word.incarnation, word.state) > (reported.word.incarnation, reported.word.state);
@@ -135,7 +135,7 @@
     }
 
     /// Reports that changed recently, limited to the most that one message carries.
-    pub fn recent_reports(&self, now: Time) -> Vec<Word> {
+    pub fn recent_reports(&self, now: Time) -> Vec<StateReport> {
         let recent = |reported: &&ReportedState| {
             { reported.changed > Time::ZERO && now.since(reported.changed) < REPORT_REPEAT_PERIOD }
         };
--- a/core/src/spread/message.rs
+++ b/core/src/spread/message.rs
@@ -16,14 +16,14 @@
         pub in_force: InForce,
         /// Digest of the manifest of the whole version. Two nodes that hold one version under two
         /// digests have found a fault.
-        pub whole: Hash,
+        pub manifest_digest: Hash,
         /// How long ago the store answered the sender, in milliseconds; absent if the sender does
         /// not read it.
         pub store_age_ms: Option<u32>,
     }
 
     /// What a node says of its own VM.
-    pub struct Word {
+    pub struct StateReport {
         /// The VM.
         pub vm: Name,
         /// Start of the node's process in microseconds since the Unix epoch: a later start
@@ -64,9 +64,9 @@
         /// Comes back with the answer.
         pub seq: u32,
         /// Why it is asked.
-        pub ask: Ask,
+        pub kind: PingKind,
         /// The asking node's own word.
-        pub word: Word,
+        pub report: StateReport,
         /// The version in force on the asking node.
         pub have: Option<Summary>,
         /// Index of the asking node's list of zones; zero if it holds none.
@@ -85,14 +85,14 @@
         /// [`NO_PATH`](super::limits::NO_PATH) for a node without a parent.
         pub hops: u8,
         /// The answering node's own word.
-        pub word: Word,
+        pub report: StateReport,
         /// The version in force on the answering node.
         pub have: Option<Summary>,
         /// The newest version that the asking node's VM has confirmed to the answering node, maybe
         /// before a restart.
         pub floor: Option<InForce>,
         /// Words that have changed of late, for a peer that missed them.
-        pub words: Vec<Word>,
+        pub reports: Vec<StateReport>,
     }
 
     /// Asks for a version, as a difference from one that is held.
@@ -142,7 +142,7 @@
         /// The answer to a pull that can't be met: the newest version that could be.
         Missing(u64),
         /// Changes of VM states.
-        Words(Vec<Word>),
+        StateReports(Vec<StateReport>),
         /// Lists of VMs that are newer than the receiver's.
         Lists(Vec<Arc<ZoneList>>),
         /// The list of zones, newer than the receiver's.
@@ -154,7 +154,7 @@
 
 kebab_enum! {
     /// Why a node asks another.
-    pub enum Ask {
+    pub enum PingKind {
         /// It has started and knows nothing.
         Join,
         /// It wants notices, now and until it has been silent for a while.
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -2,7 +2,7 @@
 
 use super::Spread;
 use super::limits::{ANSWER_TIMEOUT, LIST_COMPARE_EVERY, MAX_PENDING_PINGS, RELAYS_PER_ZONE};
-use super::message::{Ask, PeerMsg, Ping, Pong, Summary};
+use super::message::{PeerMsg, Ping, PingKind, Pong, Summary};
 use super::port::{Output, Peer};
 use super::topology;
 use crate::Time;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 struct PendingPing {
     to: SocketAddr,
-    ask: Ask,
+    kind: PingKind,
     deadline: Time,
 }
 
@@ -26,23 +26,23 @@
 
 impl PendingPings {
     /// Registers a ping and returns its sequence number, or `None` if too many are pending.
-    fn open(&mut self, to: SocketAddr, ask: Ask, deadline: Time) -> Option<u32> {
+    fn open(&mut self, to: SocketAddr, kind: PingKind, deadline: Time) -> Option<u32> {
         if self.pings.len() >= MAX_PENDING_PINGS {
             return None;
         }
         let seq = self.next_seq;
         self.next_seq = self.next_seq.wrapping_add(1);
-        self.pings.insert(seq, PendingPing { to, ask, deadline });
+        self.pings.insert(seq, PendingPing { to, kind, deadline });
         Some(seq)
     }
 
     /// Whether a ping of this kind is pending.
-    pub fn has_pending(&self, ask: Ask) -> bool {
-        self.pings.values().any(|ping| ping.ask == ask)
+    pub fn has_pending(&self, kind: PingKind) -> bool {
+        self.pings.values().any(|ping| ping.kind == kind)
     }
 
-    fn has_pending_to(&self, to: SocketAddr, ask: Ask) -> bool {
-        self.pings.values().any(|ping| ping.to == to && ping.ask == ask)
+    fn has_pending_to(&self, to: SocketAddr, kind: PingKind) -> bool {
+        self.pings.values().any(|ping| ping.to == to && ping.kind == kind)
     }
 
     /// The earliest deadline of all pending pings.
@@ -62,8 +62,14 @@
 }
 
 impl Spread {
-    pub(super) fn ping_peer(&mut self, now: Time, to: &Peer, ask: Ask, out: &mut Vec<Output>) {
-        if let Some(ping) = self.new_ping(now, to.address, ask) {
+    pub(super) fn ping_peer(
+        &mut self,
+        now: Time,
+        to: &Peer,
+        kind: PingKind,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(ping) = self.new_ping(now, to.address, kind) {
             self.send(to, ping, out);
         }
     }
@@ -73,26 +79,26 @@
         &mut self,
         now: Time,
         to: SocketAddr,
-        ask: Ask,
+        kind: PingKind,
         out: &mut Vec<Output>,
     ) {
-        if let Some(ping) = self.new_ping(now, to, ask) {
+        if let Some(ping) = self.new_ping(now, to, kind) {
             self.send_to_address(to, ping, out);
         }
     }
 
-    fn new_ping(&mut self, now: Time, to: SocketAddr, ask: Ask) -> Option<PeerMsg> {
-        if self.pending_pings.has_pending_to(to, ask) {
+    fn new_ping(&mut self, now: Time, to: SocketAddr, kind: PingKind) -> Option<PeerMsg> {
+        if self.pending_pings.has_pending_to(to, kind) {
             return None;
         }
-        let seq = self.pending_pings.open(to, ask, now + ANSWER_TIMEOUT)?;
+        let seq = self.pending_pings.open(to, kind, now + ANSWER_TIMEOUT)?;
         let is_parent = self.attach.parent().is_some_and(|parent| parent.address == to);
-        let steady = is_parent && ask == Ask::Attach && self.topology.zone_vms > 0;
+        let steady = is_parent && kind == PingKind::Attach && self.topology.zone_vms > 0;
         let with_lists = !steady || seq % LIST_COMPARE_EVERY == 0;
         Some(PeerMsg::Ping(Box::new(Ping {
             seq,
-            ask,
-            word: self.word.clone(),
+            kind,
+            report: self.own_report.clone(),
             have: self.held_summary(),
             zones: self.members.zones().map_or(0, |zones| zones.index),
             lists: with_lists.then(|| self.members.marks(&self.wanted_list_zones())),
@@ -139,15 +145,15 @@
     }
 
     fn ping_failed(&mut self, now: Time, ping: &PendingPing, out: &mut Vec<Output>) {
-        match ping.ask {
-            Ask::Attach => {
+        match ping.kind {
+            PingKind::Attach => {
                 let parent = self.attach.parent();
                 if parent.is_some_and(|parent| parent.address == ping.to) {
                     self.lose_parent(now, out);
                 }
             }
-            Ask::Join => self.join_unanswered(ping.to),
-            Ask::Compare => {}
+            PingKind::Join => self.join_unanswered(ping.to),
+            PingKind::Compare => {}
         }
     }
 
@@ -164,15 +170,15 @@
         if ping.deadline < now {
             return self.ping_failed(now, &ping, out);
         }
-        self.handle_state_report(now, &pong.word, true);
-        for word in &pong.words {
+        self.handle_state_report(now, &pong.report, true);
+        for word in &pong.reports {
             self.handle_state_report(now, word, false);
         }
         self.confirmed = true;
-        match ping.ask {
-            Ask::Attach => self.handle_attach_answer(now, from, pong, out),
-            Ask::Join => self.join_answered(from, ping.to, pong),
-            Ask::Compare => {}
+        match ping.kind {
+            PingKind::Attach => self.handle_attach_answer(now, from, pong, out),
+            PingKind::Join => self.join_answered(from, ping.to, pong),
+            PingKind::Compare => {}
         }
         if let Some(have) = &pong.have {
             self.members.record_floor(&from.vm, have);
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -290,12 +290,13 @@
         if let Some(held) = &self.in_force {
             content.share_bodies(held.content());
         }
-        let whole = content.manifest(&Scope::All).digest();
+        let manifest_digest = content.manifest(&Scope::All).digest();
         let scope = self.wanted_scope();
         content.retain_scope(&scope);
         let snapshot =
             Snapshot::from_resources(publication.clone(), &content.in_scope(&self.scope))?;
-        let summary = Summary { in_force: publication.clone(), whole, store_age_ms: None };
+        let summary =
+            Summary { in_force: publication.clone(), manifest_digest, store_age_ms: None };
         Ok(VerifiedVersion { store: Store::new(summary, scope, content), snapshot, from: None })
     }
 
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -2,7 +2,7 @@
 
 use super::Spread;
 use super::limits::{CONTACT_INTERVAL, MAX_LIST_VMS, MAX_LISTS};
-use super::message::{Ask, PeerMsg, Ping, Pong, Pull, ZoneList, ZonesList};
+use super::message::{PeerMsg, Ping, PingKind, Pong, Pull, ZoneList, ZonesList};
 use super::port::{Output, Peer};
 use crate::Time;
 use crate::config::Scope;
@@ -28,7 +28,7 @@
             PeerMsg::Pull(pull) => self.handle_pull(from, &pull, out),
             PeerMsg::Delta(delta) => self.handle_delta(now, from, &delta, out),
             PeerMsg::Missing(_) => self.handle_missing(now, from, out),
-            PeerMsg::Words(words) => self.handle_state_reports(now, &words),
+            PeerMsg::StateReports(reports) => self.handle_state_reports(now, &reports),
             PeerMsg::Lists(lists) => self.handle_lists(now, lists),
             PeerMsg::Zones(zones) => self.handle_zones(zones),
             PeerMsg::Note(note) => out.push(Output::Note { from: from.vm.clone(), note }),
@@ -37,26 +37,26 @@
 
     fn handle_ping(&mut self, now: Time, from: &Peer, ping: &Ping, out: &mut Vec<Output>) {
         // A question with another VM's word is a fault of the sender.
-        if ping.word.vm != from.vm {
+        if ping.report.vm != from.vm {
             return;
         }
-        self.handle_state_report(now, &ping.word, true);
-        let floor = match ping.ask {
-            Ask::Join => self.members.floor_of(&from.vm).cloned(),
-            Ask::Attach | Ask::Compare => None,
+        self.handle_state_report(now, &ping.report, true);
+        let floor = match ping.kind {
+            PingKind::Join => self.members.floor_of(&from.vm).cloned(),
+            PingKind::Attach | PingKind::Compare => None,
         };
         if let Some(have) = &ping.have {
             self.members.record_floor(&from.vm, have);
         }
-        let attached = ping.ask == Ask::Attach && self.accept_child(now, from);
+        let attached = ping.kind == PingKind::Attach && self.accept_child(now, from);
         let pong = Pong {
             seq: ping.seq,
             attached,
             hops: self.own_hops(),
-            word: self.word.clone(),
+            report: self.own_report.clone(),
             have: self.held_summary(),
             floor,
-            words: self.members.recent_reports(now),
+            reports: self.members.recent_reports(now),
         };
         self.send(from, PeerMsg::Pong(Box::new(pong)), out);
         self.send_lists(now, from, ping, out);
@@ -75,7 +75,7 @@
         let alone = self.members.list(&self.cfg.place.zone).is_none();
         if alone && now >= self.contact_at {
             self.contact_at = now + CONTACT_INTERVAL;
-            self.ping_peer(now, from, Ask::Join, out);
+            self.ping_peer(now, from, PingKind::Join, out);
         }
     }
 
@@ -92,8 +92,8 @@
         let newer = |mark: &super::message::ListMark| {
             self.members.list(&mark.zone).is_some_and(|list| list.index < mark.index)
         };
-        if ping.ask != Ask::Compare && marks.iter().any(newer) {
-            self.ping_peer(now, from, Ask::Compare, out);
+        if ping.kind != PingKind::Compare && marks.iter().any(newer) {
+            self.ping_peer(now, from, PingKind::Compare, out);
         }
     }
 
--- a/core/src/spread/state_reports.rs
+++ b/core/src/spread/state_reports.rs
@@ -2,7 +2,7 @@
 
 use super::Spread;
 use super::limits::{ANNOUNCE_RANDOM, MAX_REPORTS_ACCEPTED, REPORT_BATCH_DELAY};
-use super::message::{PeerMsg, Word};
+use super::message::{PeerMsg, StateReport};
 use super::port::{Output, Peer};
 use super::topology;
 use crate::Time;
@@ -10,7 +10,7 @@
 /// State reports waiting to be sent to neighbors in one batch.
 #[derive(Debug, Default)]
 pub struct PendingReports {
-    reports: Vec<Word>,
+    reports: Vec<StateReport>,
     send_at: Option<Time>,
 }
 
@@ -20,7 +20,7 @@
         self.send_at
     }
 
-    fn push(&mut self, now: Time, word: Word) {
+    fn push(&mut self, now: Time, word: StateReport) {
         self.reports.retain(|report| report.vm != word.vm);
         self.reports.push(word);
         self.send_at.get_or_insert(now + REPORT_BATCH_DELAY);
@@ -31,7 +31,7 @@
     /// Handles a state report. `direct` means that it was received from the node that it describes.
     /// Only reports that change the known state are forwarded, so that a report crosses each link
     /// at most once.
-    pub(super) fn handle_state_report(&mut self, now: Time, word: &Word, direct: bool) {
+    pub(super) fn handle_state_report(&mut self, now: Time, word: &StateReport, direct: bool) {
         if word.vm == self.cfg.vm {
             return;
         }
@@ -41,7 +41,7 @@
         }
     }
 
-    pub(super) fn handle_state_reports(&mut self, now: Time, words: &[Word]) {
+    pub(super) fn handle_state_reports(&mut self, now: Time, words: &[StateReport]) {
         for word in words.iter().take(MAX_REPORTS_ACCEPTED) {
             self.handle_state_report(now, word, false);
         }
@@ -50,11 +50,11 @@
     /// Announces the node's own state to its neighbors and to random members of its zone.
     pub(super) fn announce(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
-        let word = self.word.clone();
+        let word = self.own_report.clone();
         for _ in 0..ANNOUNCE_RANDOM {
             let member = self.members.random_live(now, &zone, &own, &mut self.rng);
             if let Some(peer) = member.map(topology::peer) {
-                self.send(&peer, PeerMsg::Words(vec![word.clone()]), out);
+                self.send(&peer, PeerMsg::StateReports(vec![word.clone()]), out);
             }
         }
         self.pending_reports.push(now, word);
@@ -70,7 +70,7 @@
         let mut recipients: Vec<Peer> = self.children.live(now).cloned().collect();
         recipients.extend(self.attach.parent().cloned());
         for peer in recipients {
-            self.send(&peer, PeerMsg::Words(words.clone()), out);
+            self.send(&peer, PeerMsg::StateReports(words.clone()), out);
         }
     }
 }
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -15,7 +15,7 @@
 use sycamore_core::node::{Input, Node, Output};
 use sycamore_core::place::Place;
 use sycamore_core::spread::message::{
-    Ask, Base, Delta, ListMark, Ping, Pong, Pull, Summary, Word, ZoneList, ZonesList,
+    Base, Delta, ListMark, Ping, PingKind, Pong, Pull, StateReport, Summary, ZoneList, ZonesList,
 };
 use sycamore_core::spread::port::{CallId, Config, Peer, SourceReply, SourceValue};
 use sycamore_core::spread::{self, PeerMsg};
@@ -101,11 +101,11 @@
     }
 
     fn summary(&mut self) -> Summary {
-        Summary { in_force: self.in_force(), whole: self.hash(), store_age_ms: None }
+        Summary { in_force: self.in_force(), manifest_digest: self.hash(), store_age_ms: None }
     }
 
-    fn word(&mut self) -> Word {
-        Word {
+    fn word(&mut self) -> StateReport {
+        StateReport {
             vm: self.vm(),
             incarnation: START.0.saturating_add(self.number()),
             state: self.state(),
@@ -174,8 +174,8 @@
         match self.0.random_range(0..10) {
             0 => PeerMsg::Ping(Box::new(Ping {
                 seq: self.number() as u32,
-                ask: self.choose(&[Ask::Join, Ask::Attach, Ask::Compare]),
-                word: self.word(),
+                kind: self.choose(&[PingKind::Join, PingKind::Attach, PingKind::Compare]),
+                report: self.word(),
                 have: self.option_of(InputGenerator::summary),
                 zones: self.number(),
                 lists: self.option_of(|generator| {
@@ -189,10 +189,10 @@
                 seq: self.number() as u32,
                 attached: self.flag(),
                 hops: self.number() as u8,
-                word: self.word(),
+                report: self.word(),
                 have: self.option_of(InputGenerator::summary),
                 floor: self.option_of(InputGenerator::in_force),
-                words: self.vec_of(InputGenerator::word),
+                reports: self.vec_of(InputGenerator::word),
             })),
             3 => PeerMsg::Notice(Box::new(self.summary())),
             4 => PeerMsg::Pull(Box::new(Pull {
@@ -208,7 +208,7 @@
                 digest: self.hash(),
             })),
             6 => PeerMsg::Missing(self.number()),
-            7 => PeerMsg::Words(self.vec_of(InputGenerator::word)),
+            7 => PeerMsg::StateReports(self.vec_of(InputGenerator::word)),
             8 => PeerMsg::Lists(self.vec_of(|generator| {
                 let vms = generator.vec_of(InputGenerator::member);
                 Arc::new(ZoneList { place: generator.place(), index: generator.number(), vms })
--- a/core/tests/spread_faults.rs
+++ b/core/tests/spread_faults.rs
@@ -223,15 +223,15 @@
             place: cfg.place.clone(),
             address: cfg.address,
         };
-        let word = sycamore_core::spread::Word {
+        let report = sycamore_core::spread::StateReport {
             vm: cfg.vm.clone(),
             incarnation: u64::MAX / 2,
             state: VmState::Live,
         };
         let ping = sycamore_core::spread::message::Ping {
             seq: 0,
-            ask: sycamore_core::spread::message::Ask::Compare,
-            word,
+            kind: sycamore_core::spread::message::PingKind::Compare,
+            report,
             have: Some(have.clone()),
             zones: 1_000,
             lists: None,
--- a/node/src/spread/codec.rs
+++ b/node/src/spread/codec.rs
@@ -13,7 +13,7 @@
 use sycamore_core::place::Place;
 use sycamore_core::spread::Peer;
 use sycamore_core::spread::message::{
-    Ask, Base, Delta, ListMark, PeerMsg, Ping, Pong, Pull, Summary, Word,
+    Base, Delta, ListMark, PeerMsg, Ping, PingKind, Pong, Pull, StateReport, Summary,
 };
 
 type Result<T> = std::result::Result<T, Error>;
@@ -64,7 +64,7 @@
         PeerMsg::Pull(pull) => write_pull(pull, to.init_pull()),
         PeerMsg::Delta(delta) => write_delta(delta, payloads, to.init_delta())?,
         PeerMsg::Missing(version) => to.set_missing(*version),
-        PeerMsg::Words(words) => write_words(words, to.init_words(words.len() as u32)),
+        PeerMsg::StateReports(words) => write_words(words, to.init_words(words.len() as u32)),
         PeerMsg::Lists(lists) => {
             let mut to = to.init_lists(lists.len() as u32);
             for (index, list) in lists.iter().enumerate() {
@@ -106,7 +106,7 @@
         Which::Pull(pull) => PeerMsg::Pull(Box::new(read_pull(pull?)?)),
         Which::Delta(delta) => PeerMsg::Delta(Arc::new(read_delta(delta?)?)),
         Which::Missing(version) => PeerMsg::Missing(version),
-        Which::Words(words) => PeerMsg::Words(read_words(words?)?),
+        Which::Words(words) => PeerMsg::StateReports(read_words(words?)?),
         Which::Lists(lists) => {
             let lists = lists?.iter().map(read_list).collect::<Result<Vec<_>>>()?;
             PeerMsg::Lists(lists)
@@ -145,7 +145,7 @@
 }
 
 fn write_summary(summary: &Summary, mut to: wire::summary::Builder<'_>) {
-    to.set_whole(summary.whole.as_bytes());
+    to.set_whole(summary.manifest_digest.as_bytes());
     to.set_store_age(summary.store_age_ms.unwrap_or(NO_STORE_AGE));
     write_in_force(&summary.in_force, to.init_in_force());
 }
@@ -153,12 +153,12 @@
 fn read_summary(from: wire::summary::Reader<'_>) -> Result<Summary> {
     Ok(Summary {
         in_force: read_in_force(from.get_in_force()?)?,
-        whole: read_hash(from.get_whole()?)?,
+        manifest_digest: read_hash(from.get_whole()?)?,
         store_age_ms: Some(from.get_store_age()).filter(|age| *age != NO_STORE_AGE),
     })
 }
 
-fn write_word(word: &Word, mut to: wire::word::Builder<'_>) {
+fn write_word(word: &StateReport, mut to: wire::word::Builder<'_>) {
     to.set_vm(word.vm.as_bytes());
     to.set_incarnation(word.incarnation);
     to.set_state(match word.state {
@@ -168,34 +168,34 @@
     });
 }
 
-fn read_word(from: wire::word::Reader<'_>) -> Result<Word> {
+fn read_word(from: wire::word::Reader<'_>) -> Result<StateReport> {
     let state = match from.get_state()? {
         wire::State::Live => VmState::Live,
         wire::State::Leaving => VmState::Leaving,
         wire::State::Gone => VmState::Gone,
     };
-    Ok(Word { vm: read_name(from.get_vm()?)?, incarnation: from.get_incarnation(), state })
+    Ok(StateReport { vm: read_name(from.get_vm()?)?, incarnation: from.get_incarnation(), state })
 }
 
-fn write_words(words: &[Word], mut to: capnp::struct_list::Builder<'_, wire::word::Owned>) {
+fn write_words(words: &[StateReport], mut to: capnp::struct_list::Builder<'_, wire::word::Owned>) {
     for (index, word) in words.iter().enumerate() {
         write_word(word, to.reborrow().get(index as u32));
     }
 }
 
-fn read_words(from: capnp::struct_list::Reader<'_, wire::word::Owned>) -> Result<Vec<Word>> {
+fn read_words(from: capnp::struct_list::Reader<'_, wire::word::Owned>) -> Result<Vec<StateReport>> {
     from.iter().map(read_word).collect()
 }
 
 fn write_ping(ping: &Ping, mut to: wire::ping::Builder<'_>) {
     to.set_seq(ping.seq);
     to.set_zones(ping.zones);
-    to.set_ask(match ping.ask {
-        Ask::Join => wire::Ask::Join,
-        Ask::Attach => wire::Ask::Attach,
-        Ask::Compare => wire::Ask::Compare,
+    to.set_ask(match ping.kind {
+        PingKind::Join => wire::Ask::Join,
+        PingKind::Attach => wire::Ask::Attach,
+        PingKind::Compare => wire::Ask::Compare,
     });
-    write_word(&ping.word, to.reborrow().init_word());
+    write_word(&ping.report, to.reborrow().init_word());
     if let Some(have) = &ping.have {
         write_summary(have, to.reborrow().init_have());
     }
@@ -210,10 +210,10 @@
 }
 
 fn read_ping(from: wire::ping::Reader<'_>) -> Result<Ping> {
-    let ask = match from.get_ask()? {
-        wire::Ask::Join => Ask::Join,
-        wire::Ask::Attach => Ask::Attach,
-        wire::Ask::Compare => Ask::Compare,
+    let kind = match from.get_ask()? {
+        wire::Ask::Join => PingKind::Join,
+        wire::Ask::Attach => PingKind::Attach,
+        wire::Ask::Compare => PingKind::Compare,
     };
     let have = if from.has_have() { Some(read_summary(from.get_have()?)?) } else { None };
     let mark = |mark: wire::list_mark::Reader<'_>| {
@@ -226,8 +226,8 @@
     };
     Ok(Ping {
         seq: from.get_seq(),
-        ask,
-        word: read_word(from.get_word()?)?,
+        kind,
+        report: read_word(from.get_word()?)?,
         have,
         zones: from.get_zones(),
         lists,
@@ -238,14 +238,14 @@
     to.set_seq(pong.seq);
     to.set_attached(pong.attached);
     to.set_hops(pong.hops);
-    write_word(&pong.word, to.reborrow().init_word());
+    write_word(&pong.report, to.reborrow().init_word());
     if let Some(have) = &pong.have {
         write_summary(have, to.reborrow().init_have());
     }
     if let Some(floor) = &pong.floor {
         write_in_force(floor, to.reborrow().init_floor());
     }
-    write_words(&pong.words, to.init_words(pong.words.len() as u32));
+    write_words(&pong.reports, to.init_words(pong.reports.len() as u32));
 }
 
 fn read_pong(from: wire::pong::Reader<'_>) -> Result<Pong> {
@@ -255,10 +255,10 @@
         seq: from.get_seq(),
         attached: from.get_attached(),
         hops: from.get_hops(),
-        word: read_word(from.get_word()?)?,
+        report: read_word(from.get_word()?)?,
         have,
         floor,
-        words: read_words(from.get_words()?)?,
+        reports: read_words(from.get_words()?)?,
     })
 }
 
--- a/node/tests/spread_codec.rs
+++ b/node/tests/spread_codec.rs
@@ -18,7 +18,7 @@
 use sycamore_core::place::Place;
 use sycamore_core::spread::PeerMsg;
 use sycamore_core::spread::message::{
-    Ask, Base, Delta, ListMark, Ping, Pong, Pull, Summary, Word, ZoneList, ZonesList,
+    Base, Delta, ListMark, Ping, PingKind, Pong, Pull, StateReport, Summary, ZoneList, ZonesList,
 };
 use sycamore_node::spread::codec;
 use sycamore_node::spread::payload::{MAX_UNPACKED_BYTES, Payloads, unpack_list};
@@ -48,12 +48,17 @@
 }
 
 fn summary() -> impl Strategy<Value = Summary> {
-    (in_force(), hash(), proptest::option::of(0..u32::MAX))
-        .prop_map(|(in_force, whole, store_age_ms)| Summary { in_force, whole, store_age_ms })
+    (in_force(), hash(), proptest::option::of(0..u32::MAX)).prop_map(
+        |(in_force, manifest_digest, store_age_ms)| Summary {
+            in_force,
+            manifest_digest,
+            store_age_ms,
+        },
+    )
 }
 
-fn word() -> impl Strategy<Value = Word> {
-    (name(), any::<u64>(), state()).prop_map(|(vm, incarnation, state)| Word {
+fn word() -> impl Strategy<Value = StateReport> {
+    (name(), any::<u64>(), state()).prop_map(|(vm, incarnation, state)| StateReport {
         vm,
         incarnation,
         state,
@@ -81,12 +86,12 @@
 }
 
 fn ping() -> impl Strategy<Value = PeerMsg> {
-    let ask = prop::sample::select(vec![Ask::Join, Ask::Attach, Ask::Compare]);
+    let kind = prop::sample::select(vec![PingKind::Join, PingKind::Attach, PingKind::Compare]);
     let mark = (name(), any::<u64>()).prop_map(|(zone, index)| ListMark { zone, index });
     let lists = option::of(vec(mark, 0..4));
-    (any::<u32>(), ask, word(), option::of(summary()), any::<u64>(), lists).prop_map(
-        |(seq, ask, word, have, zones, lists)| {
-            PeerMsg::Ping(Box::new(Ping { seq, ask, word, have, zones, lists }))
+    (any::<u32>(), kind, word(), option::of(summary()), any::<u64>(), lists).prop_map(
+        |(seq, kind, report, have, zones, lists)| {
+            PeerMsg::Ping(Box::new(Ping { seq, kind, report, have, zones, lists }))
         },
     )
 }
@@ -94,8 +99,8 @@
 fn pong() -> impl Strategy<Value = PeerMsg> {
     let head = (any::<u32>(), any::<bool>(), any::<u8>(), word());
     (head, option::of(summary()), option::of(in_force()), vec(word(), 0..4)).prop_map(
-        |((seq, attached, hops, word), have, floor, words)| {
-            PeerMsg::Pong(Box::new(Pong { seq, attached, hops, word, have, floor, words }))
+        |((seq, attached, hops, report), have, floor, reports)| {
+            PeerMsg::Pong(Box::new(Pong { seq, attached, hops, report, have, floor, reports }))
         },
     )
 }
@@ -128,7 +133,7 @@
         note,
         summary().prop_map(|summary| PeerMsg::Notice(Box::new(summary))),
         any::<u64>().prop_map(PeerMsg::Missing),
-        vec(word(), 0..4).prop_map(PeerMsg::Words),
+        vec(word(), 0..4).prop_map(PeerMsg::StateReports),
         vec(list, 0..3).prop_map(PeerMsg::Lists),
     ]
 }
