--- a/core/tests/spread_budget.rs
+++ b/core/tests/spread_budget.rs
@@ -23,7 +23,7 @@
     fleet.platform.calls.clear();
     fleet.run(60 * SECOND);
     let calls = fleet.platform.calls.len();
-    println!("{calls} calls per minute, peak {}", fleet.platform.peak());
+    println!("{calls} calls per minute, peak {}", fleet.platform.peak_calls_per_second());
     // Ten readers watch `in-force`, `zones` and two VM lists, each renewed twice per minute. The two
     // readers in the platform's region renew `in-force` every two seconds.
     assert!(calls <= 10 * 4 * 2 + 2 * 30, "{calls} calls per minute");
@@ -44,16 +44,16 @@
         fleet.publish(version, &preset(version as u32));
         fleet.run(5 * SECOND);
     }
-    println!("peak {} calls per second", fleet.platform.peak());
+    println!("peak {} calls per second", fleet.platform.peak_calls_per_second());
     assert!(
-        fleet.platform.peak() < MAX_CALLS_PER_S,
+        fleet.platform.peak_calls_per_second() < MAX_CALLS_PER_S,
         "peak {} calls per second",
-        fleet.platform.peak()
+        fleet.platform.peak_calls_per_second()
     );
     fleet.heal();
     fleet.run(3 * SECOND);
     assert!(fleet.versions().iter().all(|version| *version == 3));
-    fleet.check_never_back();
+    fleet.assert_versions_never_decrease();
 }
 
 #[test]
@@ -64,11 +64,11 @@
     fleet.publish(1, &preset(1));
     fleet.start_all();
     fleet.run(10 * SECOND);
-    println!("peak {} calls per second", fleet.platform.peak());
+    println!("peak {} calls per second", fleet.platform.peak_calls_per_second());
     assert!(
-        fleet.platform.peak() < MAX_CALLS_PER_S,
+        fleet.platform.peak_calls_per_second() < MAX_CALLS_PER_S,
         "peak {} calls per second",
-        fleet.platform.peak()
+        fleet.platform.peak_calls_per_second()
     );
     assert!(fleet.versions().iter().all(|version| *version == 1));
 }
@@ -82,11 +82,15 @@
     fleet.start_all();
     fleet.run(10 * SECOND);
     fleet.platform.calls.clear();
-    fleet.platform.never_blocks = true;
+    fleet.platform.answers_watches_at_once = true;
     fleet.platform_wake_all();
     fleet.run(30 * SECOND);
-    println!("peak {} calls per second", fleet.platform.peak());
-    assert!(fleet.platform.peak() < 100, "peak {} calls per second", fleet.platform.peak());
+    println!("peak {} calls per second", fleet.platform.peak_calls_per_second());
+    assert!(
+        fleet.platform.peak_calls_per_second() < 100,
+        "peak {} calls per second",
+        fleet.platform.peak_calls_per_second()
+    );
 }
 
 #[test]
@@ -100,8 +104,12 @@
     fleet.platform.over_limit = true;
     fleet.platform_wake_all();
     fleet.run(30 * SECOND);
-    println!("peak {} calls per second", fleet.platform.peak());
-    assert!(fleet.platform.peak() < 100, "peak {} calls per second", fleet.platform.peak());
+    println!("peak {} calls per second", fleet.platform.peak_calls_per_second());
+    assert!(
+        fleet.platform.peak_calls_per_second() < 100,
+        "peak {} calls per second",
+        fleet.platform.peak_calls_per_second()
+    );
     fleet.publish(2, &preset(2));
     fleet.platform.over_limit = false;
     fleet.run(4 * SECOND);
--- a/core/tests/spread_conflict.rs
+++ b/core/tests/spread_conflict.rs
@@ -18,15 +18,15 @@
         fleet.publish(1, &preset(1));
         fleet.start_all();
         fleet.run(10 * SECOND);
-        fleet.cut_zones(&["a"]);
-        fleet.platform.cut = ["b", "c", "d", "e", "f"].map(name).to_vec();
+        fleet.partition_zones(&["a"]);
+        fleet.platform.unreachable_from = ["b", "c", "d", "e", "f"].map(name).to_vec();
         // Terminates open watches, which the partition alone would leave pending.
         fleet.platform_down(true);
         fleet.run(SECOND);
         fleet.platform_down(false);
         fleet.publish(2, &preset(first));
         fleet.run(10 * SECOND);
-        fleet.platform.cut = vec![name("a")];
+        fleet.platform.unreachable_from = vec![name("a")];
         fleet.platform_down(true);
         fleet.run(SECOND);
         fleet.platform_down(false);
@@ -41,6 +41,6 @@
         fleet.run(30 * SECOND);
         let all: Vec<_> = (0..NODES).map(|node| held(&fleet, node)).collect();
         assert!(all.iter().all(|other| *other == all[0]), "split: {all:?}");
-        fleet.check_never_back();
+        fleet.assert_versions_never_decrease();
     }
 }
--- a/core/tests/spread_delta.rs
+++ b/core/tests/spread_delta.rs
@@ -64,7 +64,7 @@
 }
 
 /// The naive version: everything of the version that belongs to a service in scope.
-fn naive(version: &Version, scope: &Scope) -> BTreeMap<ResourceId, Hash> {
+fn expected_resources(version: &Version, scope: &Scope) -> BTreeMap<ResourceId, Hash> {
     let belongs = |id: &ResourceId| match id.kind {
         ResourceKind::Service | ResourceKind::Targets => scope.covers(&id.name),
         ResourceKind::Route => {
@@ -111,10 +111,10 @@
             let base = child.as_ref().map(Store::base);
             let delta = relay.as_mut().unwrap().delta(base.as_ref(), &scope).unwrap();
             let content = store::apply(&delta, child.as_ref(), &scope).unwrap();
-            prop_assert_eq!(held(&content), naive(version, &scope));
+            prop_assert_eq!(held(&content), expected_resources(version, &scope));
             if let Some(before) = base.as_ref().filter(|_| delta.base.is_some()) {
                 // Nothing is sent that the child holds already.
-                let before = naive(&versions[before.version as usize - 1], &scope);
+                let before = expected_resources(&versions[before.version as usize - 1], &scope);
                 for (id, body) in &delta.changed {
                     prop_assert_ne!(before.get(id), Some(&Hash::of(body)));
                 }
@@ -196,5 +196,5 @@
     let delta = relay.delta(Some(&child.base()), &Scope::All).unwrap();
     assert_eq!(delta.base, None, "the whole scope is sent");
     let content = store::apply(&delta, Some(&child), &Scope::All).unwrap();
-    assert_eq!(held(&content), naive(&version(1), &Scope::All));
+    assert_eq!(held(&content), expected_resources(&version(1), &Scope::All));
 }
--- a/core/tests/spread_faults.rs
+++ b/core/tests/spread_faults.rs
@@ -3,7 +3,7 @@
 #[path = "support/fleet.rs"]
 mod fleet;
 
-use fleet::{Fleet, Slot, preset};
+use fleet::{Fleet, SimNode, preset};
 use std::sync::Arc;
 use std::time::Duration;
 use sycamore_core::Code;
@@ -23,12 +23,12 @@
     fleet
 }
 
-fn role(slot: &Slot) -> Role {
+fn role(slot: &SimNode) -> Role {
     slot.spread.as_ref().unwrap().topology().role
 }
 
-fn nodes_with(fleet: &Fleet, picks: impl Fn(&Slot) -> bool) -> Vec<usize> {
-    (0..fleet.nodes.len()).filter(|node| picks(&fleet.nodes[*node])).collect()
+fn nodes_with(fleet: &Fleet, predicate: impl Fn(&SimNode) -> bool) -> Vec<usize> {
+    (0..fleet.nodes.len()).filter(|node| predicate(&fleet.nodes[*node])).collect()
 }
 
 #[test]
@@ -39,7 +39,11 @@
     fleet.platform.calls.clear();
     fleet.platform_down(true);
     fleet.run(60 * SECOND);
-    assert!(fleet.platform.peak() < 60, "{} calls in a second", fleet.platform.peak());
+    assert!(
+        fleet.platform.peak_calls_per_second() < 60,
+        "{} calls in a second",
+        fleet.platform.peak_calls_per_second()
+    );
     fleet.publish(2, &preset(2));
     fleet.platform_down(false);
     fleet.run(3 * SECOND);
@@ -110,7 +114,11 @@
     fleet.start_all();
     fleet.run(5 * SECOND);
     assert_eq!(fleet.versions(), vec![1; 120]);
-    assert!(fleet.platform.peak() < 1_000, "{} calls in a second", fleet.platform.peak());
+    assert!(
+        fleet.platform.peak_calls_per_second() < 1_000,
+        "{} calls in a second",
+        fleet.platform.peak_calls_per_second()
+    );
 }
 
 #[test]
@@ -123,18 +131,23 @@
     fleet.start_all();
     fleet.run(10 * SECOND);
     let reads = |zone: &&str| {
-        let reader =
-            |slot: &Slot| slot.cfg.place.zone.as_str() == *zone && role(slot) == Role::RegionReader;
+        let reader = |slot: &SimNode| {
+            slot.cfg.place.zone.as_str() == *zone && role(slot) == Role::RegionReader
+        };
         !nodes_with(&fleet, reader).is_empty()
     };
     let zone = *["d", "e", "f"].iter().find(|zone| !reads(zone)).unwrap();
     fleet.platform.calls.clear();
-    fleet.cut_zones(&[zone]);
+    fleet.partition_zones(&[zone]);
     fleet.run(10 * SECOND);
     fleet.publish(2, &preset(2));
     fleet.run(3 * SECOND);
     assert_eq!(fleet.versions(), vec![2; 18]);
-    assert!(fleet.platform.peak() < 100, "{} calls in a second", fleet.platform.peak());
+    assert!(
+        fleet.platform.peak_calls_per_second() < 100,
+        "{} calls in a second",
+        fleet.platform.peak_calls_per_second()
+    );
 }
 
 #[test]
@@ -143,7 +156,7 @@
     // versions must come through readers of other zones.
     for zone in ["a", "b", "c"] {
         let mut fleet = settled(6, 3);
-        fleet.platform.cut = vec![fleet::name(zone)];
+        fleet.platform.unreachable_from = vec![fleet::name(zone)];
         fleet.platform_down(true);
         fleet.run(SECOND);
         fleet.platform_down(false);
@@ -160,8 +173,8 @@
     // in which two versions came out. It keeps serving the one it had and has the newest within
     // three seconds of the heal.
     let mut fleet = settled(6, 3);
-    fleet.cut_zones(&["c"]);
-    fleet.platform.cut = vec![fleet::name("c")];
+    fleet.partition_zones(&["c"]);
+    fleet.platform.unreachable_from = vec![fleet::name("c")];
     fleet.platform_down(true);
     fleet.run(SECOND / 10);
     fleet.platform_down(false);
@@ -177,7 +190,7 @@
     fleet.heal();
     fleet.run(3 * SECOND);
     assert_eq!(fleet.versions(), vec![3; 18]);
-    fleet.check_never_back();
+    fleet.assert_versions_never_decrease();
 }
 
 #[test]
@@ -190,7 +203,7 @@
     fleet.run(3 * SECOND);
     // The platform answers long before the neighbours do.
     fleet.latency = SECOND / 10;
-    fleet.cut_zones(&["a"]);
+    fleet.partition_zones(&["a"]);
     fleet.publish(1, &preset(1));
     for node in nodes_with(&fleet, |slot| slot.cfg.place.zone.as_str() == "a") {
         fleet.kill(node);
@@ -199,7 +212,7 @@
         fleet.run(10 * SECOND);
         assert_eq!(fleet.version(node), 2);
     }
-    fleet.check_never_back();
+    fleet.assert_versions_never_decrease();
 }
 
 #[test]
@@ -269,7 +282,7 @@
     assert_eq!(fleet.count(reader, EventKind::ClockGap, None), 1);
     fleet.run(3 * SECOND);
     assert_eq!(fleet.versions(), vec![2; 16]);
-    fleet.check_never_back();
+    fleet.assert_versions_never_decrease();
 }
 
 #[test]
@@ -295,7 +308,7 @@
     let places: Vec<_> = [0, 12].map(|node| fleet.nodes[node].cfg.place.clone()).into();
     let number = |vm: &sycamore_core::Name| vm.as_str()[2..].parse::<u32>().unwrap();
     for place in &places {
-        fleet.list(place, |vm| (number(vm) < 8).then_some(VmState::Live));
+        fleet.publish_vm_list(place, |vm| (number(vm) < 8).then_some(VmState::Live));
     }
     fleet.publish(1, &preset(1));
     for node in 0..24 {
--- a/core/tests/spread_random.rs
+++ b/core/tests/spread_random.rs
@@ -51,59 +51,65 @@
 }
 
 /// A fleet with the naive version of its state beside it.
-struct Trial {
+struct TrackedFleet {
     fleet: Fleet,
     /// The last version number used.
-    last: u64,
+    last_version: u64,
     /// Versions in force that have been checked, by node.
     checked: Vec<usize>,
     /// Where each node's present process began in its list of versions.
-    began: Vec<usize>,
+    life_start: Vec<usize>,
 }
 
-impl Trial {
-    fn new() -> Trial {
+impl TrackedFleet {
+    fn new() -> TrackedFleet {
         let mut fleet = Fleet::new(ZONES, PER_ZONE);
         fleet.publish(1, &preset(1));
         fleet.start_all();
         fleet.run(Duration::from_secs(8));
-        Trial { fleet, last: 1, checked: vec![0; NODES], began: vec![0; NODES] }
+        TrackedFleet { fleet, last_version: 1, checked: vec![0; NODES], life_start: vec![0; NODES] }
     }
 
     fn apply(&mut self, op: &Op) {
         let fleet = &mut self.fleet;
         match *op {
             Op::Publish => {
-                self.last += 1;
-                fleet.publish(self.last, &preset(self.last as u32));
+                self.last_version += 1;
+                fleet.publish(self.last_version, &preset(self.last_version as u32));
             }
             Op::PublishBad => {
-                self.last += 1;
-                let body = preset(self.last as u32);
-                fleet.publish(self.last, &body.replace(r#""service":"maps""#, r#""service":"x""#));
+                self.last_version += 1;
+                let body = preset(self.last_version as u32);
+                fleet.publish(
+                    self.last_version,
+                    &body.replace(r#""service":"maps""#, r#""service":"x""#),
+                );
             }
             Op::PublishTorn => {
-                self.last += 1;
-                fleet.choose(&fleet::publication(self.last, &preset(self.last as u32)));
+                self.last_version += 1;
+                fleet.set_in_force(&fleet::publication(
+                    self.last_version,
+                    &preset(self.last_version as u32),
+                ));
             }
             Op::PublishOlder => {
-                let older = self.last.saturating_sub(1).max(1);
+                let older = self.last_version.saturating_sub(1).max(1);
                 fleet.publish(older, &preset(older as u32));
             }
             Op::Kill(node) => fleet.kill(node),
             Op::Start(node) if fleet.nodes[node].spread.is_none() => {
-                self.began[node] = fleet.nodes[node].in_force.len();
+                self.life_start[node] = fleet.nodes[node].in_force.len();
                 fleet.start(node);
             }
             Op::Freeze(node) => fleet.freeze(node),
             Op::Thaw(node) if fleet.nodes[node].frozen => fleet.thaw(node),
             Op::CutZone(zone) => {
                 let zone = fleet.nodes[zone * PER_ZONE].cfg.place.zone.clone();
-                fleet.cut_zones(&[zone.as_str()]);
+                fleet.partition_zones(&[zone.as_str()]);
             }
             Op::CutPlatform(zone) => {
                 let zone: Name = fleet.nodes[zone * PER_ZONE].cfg.place.zone.clone();
-                fleet.platform.cut.push(zone);
+                fleet.platform.unreachable_from.push(zone);
             }
             Op::PlatformDown => fleet.platform_down(true),
             Op::PlatformUp => fleet.platform_down(false),
@@ -118,7 +124,7 @@
     fn check(&mut self) {
         for (node, slot) in self.fleet.nodes.iter().enumerate() {
             let life: Vec<u64> =
-                slot.in_force[self.began[node]..].iter().map(|s| s.version()).collect();
+                slot.in_force[self.life_start[node]..].iter().map(|s| s.version()).collect();
             assert!(life.is_sorted(), "{} went back: {life:?}", slot.cfg.vm);
             for snapshot in &slot.in_force[self.checked[node]..] {
                 let slots = snapshot.services().iter().map(|service| service.limits.slots);
@@ -145,8 +151,8 @@
         self.apply(&Op::Run(12_000));
         self.apply(&Op::Publish);
         self.apply(&Op::Run(3_000));
-        assert_eq!(self.fleet.versions(), vec![self.last; NODES]);
-        assert!(self.fleet.platform.peak() < 500);
+        assert_eq!(self.fleet.versions(), vec![self.last_version; NODES]);
+        assert!(self.fleet.platform.peak_calls_per_second() < 500);
     }
 }
 
@@ -163,10 +169,10 @@
 
     #[test]
     fn spread_against_naive(ops in prop::collection::vec(op(), 1..40)) {
-        let mut trial = Trial::new();
+        let mut fleet = TrackedFleet::new();
         for op in &ops {
-            trial.apply(op);
+            fleet.apply(op);
         }
-        trial.settle();
+        fleet.settle();
     }
 }
--- a/core/tests/spread_versions.rs
+++ b/core/tests/spread_versions.rs
@@ -27,7 +27,7 @@
     fleet.publish(2, &preset(2));
     fleet.run(SECOND);
     assert_eq!(fleet.versions(), vec![2; 18]);
-    fleet.check_never_back();
+    fleet.assert_versions_never_decrease();
 }
 
 #[test]
@@ -42,7 +42,7 @@
     }
     fleet.run(2 * SECOND);
     assert_eq!(fleet.versions(), vec![6; 18]);
-    fleet.check_never_back();
+    fleet.assert_versions_never_decrease();
 }
 
 #[test]
@@ -72,7 +72,7 @@
     // Were they combined, nodes would serve old content under the new version and never learn of
     // the new content. The body is read again until it matches.
     let mut fleet = settled();
-    fleet.choose(&publication(2, &preset(2)));
+    fleet.set_in_force(&publication(2, &preset(2)));
     fleet.run(3 * SECOND);
     assert_eq!(fleet.versions(), vec![1; 18]);
     fleet.set("preset/ordinary", preset(2));
@@ -122,7 +122,7 @@
         for mark in [2, 3] {
             let mut chosen = publication(2, &body(mark));
             chosen.preset = fleet::name(if mark == 2 { "first" } else { "second" });
-            fleet.choose(&chosen);
+            fleet.set_in_force(&chosen);
             fleet.run(Duration::from_millis(gap_ms));
         }
         fleet.run(10 * SECOND);
@@ -132,7 +132,7 @@
             last.iter().all(|in_force| *in_force == last[0]),
             "split after {gap_ms} ms: {last:?}"
         );
-        fleet.check_never_back();
+        fleet.assert_versions_never_decrease();
     }
 }
 
@@ -151,7 +151,7 @@
         });
         for (mark, reached) in [(first, true), (second, false)] {
             let cut = zones.iter().filter(|zone| is_first(zone) != reached);
-            fleet.platform.cut = cut.map(|zone| fleet::name(*zone)).collect();
+            fleet.platform.unreachable_from = cut.map(|zone| fleet::name(*zone)).collect();
             fleet.platform_down(true);
             fleet.platform_down(false);
             fleet.publish(2, &preset(mark));
@@ -160,7 +160,7 @@
         assert_eq!(fleet.versions(), vec![2; 18]);
         fleet.heal();
         fleet.run(10 * SECOND);
-        let last = |slot: &fleet::Slot| slot.in_force.last().unwrap().in_force.clone();
+        let last = |slot: &fleet::SimNode| slot.in_force.last().unwrap().in_force.clone();
         let one = last(&fleet.nodes[0]);
         assert!(fleet.nodes.iter().all(|slot| last(slot) == one), "the fleet stays split");
         let reported = (0..18).filter(|n| {
@@ -206,7 +206,11 @@
     fleet.publish(2, "not a preset");
     fleet.run(5 * SECOND);
     assert_eq!(fleet.versions(), vec![1; 18]);
-    assert!(fleet.platform.peak() < 100, "{} calls in a second", fleet.platform.peak());
+    assert!(
+        fleet.platform.peak_calls_per_second() < 100,
+        "{} calls in a second",
+        fleet.platform.peak_calls_per_second()
+    );
     fleet.publish(3, &preset(3));
     fleet.run(2 * SECOND);
     assert_eq!(fleet.versions(), vec![3; 18]);
--- a/core/tests/support/fleet.rs
+++ b/core/tests/support/fleet.rs
@@ -24,7 +24,7 @@
 const LATENCY: Duration = Duration::from_millis(2);
 
 /// A node and what it did since its VM first started.
-pub struct Slot {
+pub struct SimNode {
     pub cfg: Config,
     pub spread: Option<Spread>,
     pub frozen: bool,
@@ -34,9 +34,9 @@
     pub view: Option<View>,
     /// The version in force at each confirmation.
     pub confirmed: Vec<u64>,
-    starts: u64,
+    generation: u64,
     wake: Option<Time>,
-    held: Vec<Input>,
+    queued_inputs: Vec<Input>,
 }
 
 enum Action {
@@ -46,7 +46,7 @@
 }
 
 /// What a test does to a message on its way.
-pub type Filter = Box<dyn Fn(&Slot, &Slot, &PeerMsg) -> Option<PeerMsg>>;
+pub type Filter = Box<dyn Fn(&SimNode, &SimNode, &PeerMsg) -> Option<PeerMsg>>;
 
 /// The platform, its values by key with the index of their last change.
 #[derive(Default)]
@@ -54,29 +54,29 @@
     pub values: BTreeMap<String, (u64, Bytes)>,
     pub index: u64,
     /// Zones that can't reach it.
-    pub cut: Vec<Name>,
+    pub unreachable_from: Vec<Name>,
     pub down: bool,
     /// Takes calls and never answers.
     pub silent: bool,
     /// Answers every watch at once.
-    pub never_blocks: bool,
+    pub answers_watches_at_once: bool,
     /// Answers every call with 429.
     pub over_limit: bool,
     /// Times of all calls.
     pub calls: Vec<(Time, String)>,
-    waiting: Vec<(usize, u64, SourceCall)>,
+    blocked_calls: Vec<(usize, u64, SourceCall)>,
 }
 
 pub struct Fleet {
     pub now: Time,
-    pub nodes: Vec<Slot>,
+    pub nodes: Vec<SimNode>,
     pub platform: Platform,
     pub filter: Filter,
     /// Latency of messages between nodes.
     pub latency: Duration,
     queue: BTreeMap<(Time, u64), (usize, Action)>,
     by_address: IndexMap<SocketAddr, usize>,
-    number: u64,
+    event_seq: u64,
     seed: u64,
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// Most calls in any one second.
-    pub fn peak(&self) -> usize {
+    pub fn peak_calls_per_second(&self) -> usize {
         let mut start = 0;
         let mut peak = 0;
         for (end, (at, _)) in self.calls.iter().enumerate() {
@@ -153,7 +153,7 @@
             latency: LATENCY,
             queue: BTreeMap::new(),
             by_address: IndexMap::new(),
-            number: 0,
+            event_seq: 0,
             seed,
         };
         let letters = "abcdefghij";
@@ -167,7 +167,7 @@
             places.push(place);
         }
         for place in &places {
-            fleet.list(place, |_| Some(VmState::Live));
+            fleet.publish_vm_list(place, |_| Some(VmState::Live));
         }
         let zones = serde_json::to_vec(&Zones { zones: places }).unwrap();
         fleet.platform.set("zones", zones);
@@ -187,7 +187,7 @@
             first_configuration: Duration::from_secs(5),
         };
         self.by_address.insert(address, self.nodes.len());
-        self.nodes.push(Slot {
+        self.nodes.push(SimNode {
             cfg,
             spread: None,
             frozen: false,
@@ -196,16 +196,16 @@
             members: IndexMap::new(),
             view: None,
             confirmed: Vec::new(),
-            starts: 0,
+            generation: 0,
             wake: None,
-            held: Vec::new(),
+            queued_inputs: Vec::new(),
         });
     }
 
     /// Publishes the list of a zone; `state` gives the state of each VM, or leaves it out.
-    pub fn list(&mut self, place: &Place, state: impl Fn(&Name) -> Option<VmState>) {
+    pub fn publish_vm_list(&mut self, place: &Place, state: impl Fn(&Name) -> Option<VmState>) {
         let members = self.nodes.iter().filter(|slot| slot.cfg.place == *place);
-        let member = |slot: &Slot| {
+        let member = |slot: &SimNode| {
             Some(Member {
                 vm: slot.cfg.vm.clone(),
                 region: place.region.clone(),
@@ -223,22 +223,22 @@
     /// Writes a key of the platform and wakes whoever watches it.
     pub fn set(&mut self, key: &str, value: impl Into<Bytes>) {
         self.platform.set(key, value);
-        let (wake, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.platform.waiting)
+        let (wake, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.platform.blocked_calls)
             .into_iter()
             .partition(|(_, _, call)| call.key.as_str() == key);
-        self.platform.waiting = wait;
-        for (node, starts, call) in wake {
-            self.reply(node, starts, &call);
+        self.platform.blocked_calls = wait;
+        for (node, generation, call) in wake {
+            self.reply(node, generation, &call);
         }
     }
 
     /// Publishes a body under a version.
     pub fn publish(&mut self, version: u64, body: &str) {
         self.set("preset/ordinary", body.to_owned());
-        self.choose(&publication(version, body));
+        self.set_in_force(&publication(version, body));
     }
 
-    pub fn choose(&mut self, in_force: &InForce) {
+    pub fn set_in_force(&mut self, in_force: &InForce) {
         self.set("in-force", serde_json::to_vec(in_force).unwrap());
     }
 
@@ -248,10 +248,10 @@
 
     pub fn start(&mut self, node: usize) {
         let slot = &mut self.nodes[node];
-        slot.starts += 1;
+        slot.generation += 1;
         slot.frozen = false;
-        slot.held.clear();
-        let seed = self.seed.wrapping_mul(1_000_003) ^ (node as u64) << 20 ^ slot.starts;
+        slot.queued_inputs.clear();
+        let seed = self.seed.wrapping_mul(1_000_003) ^ (node as u64) << 20 ^ slot.generation;
         slot.spread = Some(Spread::new(slot.cfg.clone(), seed));
         self.input(node, Input::Start);
     }
@@ -274,7 +274,7 @@
     pub fn thaw(&mut self, node: usize) {
         self.nodes[node].frozen = false;
         self.input(node, Input::Wake);
-        for input in std::mem::take(&mut self.nodes[node].held) {
+        for input in std::mem::take(&mut self.nodes[node].queued_inputs) {
             self.input(node, input);
         }
     }
@@ -296,29 +296,29 @@
     fn act(&mut self, node: usize, action: Action) {
         let slot = &self.nodes[node];
         match action {
-            Action::Wake(starts) => {
-                let due = slot.wake == Some(self.now) && slot.starts == starts;
+            Action::Wake(generation) => {
+                let due = slot.wake == Some(self.now) && slot.generation == generation;
                 if due && !slot.frozen {
                     self.input(node, Input::Wake);
                 }
             }
-            Action::Input(starts, input) => {
+            Action::Input(generation, input) => {
                 let reply = matches!(input, Input::Source(_) | Input::PeerFailed { .. });
-                if reply && slot.starts != starts {
+                if reply && slot.generation != generation {
                     return;
                 }
                 if slot.frozen {
-                    self.nodes[node].held.push(input);
+                    self.nodes[node].queued_inputs.push(input);
                 } else {
                     self.input(node, input);
                 }
             }
-            Action::Timeout(starts, call) => {
-                let waiting = &mut self.platform.waiting;
+            Action::Timeout(generation, call) => {
+                let waiting = &mut self.platform.blocked_calls;
                 let before = waiting.len();
-                waiting.retain(|(n, s, c)| (*n, *s, c.id) != (node, starts, call.id));
+                waiting.retain(|(n, s, c)| (*n, *s, c.id) != (node, generation, call.id));
                 if waiting.len() < before {
-                    self.reply(node, starts, &call);
+                    self.reply(node, generation, &call);
                 }
             }
         }
@@ -353,26 +353,26 @@
             }
             Output::WakeAt(at) => {
                 slot.wake = Some(at);
-                let starts = slot.starts;
-                self.push(at.max(now), node, Action::Wake(starts));
+                let generation = slot.generation;
+                self.push(at.max(now), node, Action::Wake(generation));
             }
             Output::Refused(_) | Output::Note { .. } => {}
         }
     }
 
     fn push(&mut self, at: Time, node: usize, action: Action) {
-        self.number += 1;
-        self.queue.insert((at, self.number), (node, action));
+        self.event_seq += 1;
+        self.queue.insert((at, self.event_seq), (node, action));
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, msg: PeerMsg) {
         let Some(node) = self.by_address.get(&to).copied() else { return };
         let sender = &self.nodes[from];
         let Some(msg) = (self.filter)(sender, &self.nodes[node], &msg) else { return };
-        let starts = sender.starts;
+        let generation = sender.generation;
         if self.nodes[node].spread.is_none() {
             let failed = Input::PeerFailed { to };
-            return self.push(self.now + LATENCY, from, Action::Input(starts, failed));
+            return self.push(self.now + LATENCY, from, Action::Input(generation, failed));
         }
         let cfg = &sender.cfg;
         let peer = Peer { vm: cfg.vm.clone(), place: cfg.place.clone(), address: cfg.address };
@@ -382,65 +382,65 @@
 
     fn read(&mut self, node: usize, call: SourceCall) {
         let slot = &self.nodes[node];
-        let starts = slot.starts;
+        let generation = slot.generation;
         self.platform.calls.push((self.now, call.key.to_string()));
         if self.platform.silent {
             return;
         }
-        if self.platform.down || self.platform.cut.contains(&slot.cfg.place.zone) {
+        if self.platform.down || self.platform.unreachable_from.contains(&slot.cfg.place.zone) {
             let result = Err(Code::SourceUnreachable);
             let reply = Input::Source(SourceReply { id: call.id, result });
-            return self.push(self.now + LATENCY, node, Action::Input(starts, reply));
+            return self.push(self.now + LATENCY, node, Action::Input(generation, reply));
         }
         if self.platform.over_limit {
             let reply = SourceReply { id: call.id, result: Err(Code::SourceOverLimit) };
             return self.push(
                 self.now + LATENCY,
                 node,
-                Action::Input(starts, Input::Source(reply)),
+                Action::Input(generation, Input::Source(reply)),
             );
         }
         let index = self.platform.read(&call).index;
-        if call.index > 0 && index == call.index && !self.platform.never_blocks {
-            self.push(self.now + call.wait, node, Action::Timeout(starts, call.clone()));
-            self.platform.waiting.push((node, starts, call));
+        if call.index > 0 && index == call.index && !self.platform.answers_watches_at_once {
+            self.push(self.now + call.wait, node, Action::Timeout(generation, call.clone()));
+            self.platform.blocked_calls.push((node, generation, call));
         } else {
-            self.reply(node, starts, &call);
+            self.reply(node, generation, &call);
         }
     }
 
     fn drop_call(&mut self, node: usize, id: CallId) {
-        let starts = self.nodes[node].starts;
-        self.platform.waiting.retain(|(n, s, c)| (*n, *s, c.id) != (node, starts, id));
+        let generation = self.nodes[node].generation;
+        self.platform.blocked_calls.retain(|(n, s, c)| (*n, *s, c.id) != (node, generation, id));
     }
 
-    fn reply(&mut self, node: usize, starts: u64, call: &SourceCall) {
+    fn reply(&mut self, node: usize, generation: u64, call: &SourceCall) {
         let result = Ok(self.platform.read(call));
         let reply = Input::Source(SourceReply { id: call.id, result });
-        self.push(self.now + LATENCY, node, Action::Input(starts, reply));
+        self.push(self.now + LATENCY, node, Action::Input(generation, reply));
     }
 
     /// Answers every watch that waits, though nothing has changed.
     pub fn platform_wake_all(&mut self) {
-        for (node, starts, call) in std::mem::take(&mut self.platform.waiting) {
-            self.reply(node, starts, &call);
+        for (node, generation, call) in std::mem::take(&mut self.platform.blocked_calls) {
+            self.reply(node, generation, &call);
         }
     }
 
     /// Makes the platform swallow every open call and all that follow, or answer new ones again.
     pub fn platform_silent(&mut self, silent: bool) {
         self.platform.silent = silent;
-        self.platform.waiting.clear();
+        self.platform.blocked_calls.clear();
     }
 
     /// Breaks off every open call to the platform, as an outage does.
     pub fn platform_down(&mut self, down: bool) {
         self.platform.down = down;
         if down {
-            for (node, starts, call) in std::mem::take(&mut self.platform.waiting) {
+            for (node, generation, call) in std::mem::take(&mut self.platform.blocked_calls) {
                 let result = Err(Code::SourceUnreachable);
                 let reply = Input::Source(SourceReply { id: call.id, result });
-                self.push(self.now + LATENCY, node, Action::Input(starts, reply));
+                self.push(self.now + LATENCY, node, Action::Input(generation, reply));
             }
         }
     }
@@ -465,7 +465,7 @@
     }
 
     /// Panics if any VM ever went back to an older version, restarts included.
-    pub fn check_never_back(&self) {
+    pub fn assert_versions_never_decrease(&self) {
         for slot in &self.nodes {
             let versions: Vec<u64> = slot.in_force.iter().map(|s| s.version()).collect();
             assert!(versions.is_sorted(), "{} went back: {versions:?}", slot.cfg.vm);
@@ -473,7 +473,7 @@
     }
 
     /// A filter that loses every message between the zones of `cut` and all others.
-    pub fn cut_zones(&mut self, cut: &[&str]) {
+    pub fn partition_zones(&mut self, cut: &[&str]) {
         let cut: Vec<Name> = cut.iter().map(|zone| name(*zone)).collect();
         self.filter = Box::new(move |from, to, msg| {
             let (from, to) = (&from.cfg.place.zone, &to.cfg.place.zone);
@@ -484,6 +484,6 @@
 
     pub fn heal(&mut self) {
         self.filter = Box::new(|_, _, msg| Some(msg.clone()));
-        self.platform.cut.clear();
+        self.platform.unreachable_from.clear();
     }
 }
