--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -1,16 +1,18 @@
-//! Spread of versions and of the VM list over the fleet.
+//! Distribution of configuration versions and VM lists across the fleet.
 //!
-//! [`Spread`] is the decider of one node. It is told what happens as an [`Input`] and answers with
-//! [`Output`]s that an adapter, or a fleet in memory, carries out. It keeps every timer itself:
-//! the adapter hands it [`Input::Wake`] at the time of the last [`Output::WakeAt`].
+//! [`Spread`] is the sans-I/O state machine of one node. It receives [`Input`]s and returns
+//! [`Output`]s, which an adapter or an in-memory simulation executes. It manages its own timers:
+//! the adapter delivers [`Input::Wake`] at the time given by the latest [`Output::WakeAt`].
 //!
-//! - `topology`: who reads the platform, and who takes versions from whom
-//! - `budget`: which calls to the platform a node makes, and when; `reading`: what they bring
-//! - `attach`: finding a parent and keeping it; `children`: the nodes below
-//! - `pings`: what peers are asked, and what they answer
-//! - `fetch`: taking a version from a peer; `serve`: answering peers
-//! - `join`: what a node asks before it relies on what it holds
-//! - `state_reports`: passing on what VMs say of themselves
+//! - `topology`: which nodes read the platform, and who can be whose parent
+//! - `budget`: rate limiting and scheduling of platform calls; `source`: open calls and watches;
+//!   `reading`: processing of the replies
+//! - `attach`: choosing and monitoring the parent; `children`: nodes attached to this one
+//! - `questions`: outstanding pings and their answers
+//! - `fetch`: fetching versions from peers; `serve`: handling of peer messages
+//! - `join`: queries to peers after a start or a clock gap
+//! - `members`: known zones, VMs and VM states; `words`: propagation of VM state reports
+//! - `notes`: delivery of notes between call paths
 
 pub mod limits;
 pub mod message;
@@ -51,16 +53,16 @@
 use store::Store;
 use topology::Topology;
 
-/// A version that has been checked whole, and where it came from.
+/// A fully validated version and the peer it was received from.
 #[derive(Debug)]
 struct VerifiedVersion {
     store: Store,
     snapshot: Arc<Snapshot>,
-    /// The peer that sent it; `None` for the platform.
+    /// `None` if the version was read from the platform.
     from: Option<Peer>,
 }
 
-/// The decider of one node for the spread of versions.
+/// State machine that distributes versions on one node.
 #[derive(Debug)]
 pub struct Spread {
     cfg: Config,
@@ -75,16 +77,16 @@
     not_live: IndexMap<Name, VmState>,
     floor: VersionFloor,
     in_force: Option<Store>,
-    /// Checked, but held back until the node has asked its peers.
+    /// Validated, but not put into force until the join has finished.
     staged: Option<VerifiedVersion>,
     snapshot: Option<Arc<Snapshot>>,
-    /// Not before this time is the rest of the version in force asked for.
+    /// Earliest time to retry fetching resources missing from the current scope.
     scope_retry_at: Time,
-    /// Peers that answered the first questions: parents for a node that has no list to take one
-    /// from, as when the platform is down at its start.
+    /// Peers that answered join pings. They serve as parent candidates until the node has a VM
+    /// list, for example if the platform is down at startup.
     join_contacts: Vec<Peer>,
     removed_targets: notes::RemovedTargets,
-    /// Zones whose lists are read because a target there was dropped and may have failed.
+    /// Zones whose VM lists are read because a removed target there may have failed.
     extra_zones: Vec<crate::place::Place>,
     newest_heard: u64,
     version_origin: Option<Name>,
@@ -96,13 +98,13 @@
     fetch: Option<fetch::Fetch>,
     source: source::Source,
     pending_reports: state_reports::PendingReports,
-    /// Not before this time is a peer asked because it was heard from.
+    /// Earliest time to ping another unknown sender; see `contact_sender`.
     contact_at: Time,
     last_view: Option<View>,
 }
 
 impl Spread {
-    /// A node that has not started. `seed` feeds its random choices.
+    /// Creates a node that has not started. `seed` initializes its random number generator.
     pub fn new(cfg: Config, seed: u64) -> Spread {
         let scope = Scope::new(cfg.scope.as_deref());
         let own_report = StateReport { vm: cfg.vm.clone(), incarnation: 0, state: VmState::Live };
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Takes one input at `now` and appends what is to be done.
+    /// Processes one input at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         if self.started {
             self.check_clock_gap(now, out);
@@ -159,22 +161,22 @@
         }
     }
 
-    /// The version in force; `None` before the first.
+    /// The version in force; `None` before the first one.
     pub fn in_force(&self) -> Option<&InForce> {
         self.in_force.as_ref().map(|store| &store.summary().in_force)
     }
 
-    /// The resources held.
+    /// The store of the version in force.
     pub fn store(&self) -> Option<&Store> {
         self.in_force.as_ref()
     }
 
-    /// The node's place in the spread.
+    /// This node's position in the distribution topology.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// The parent that sends notices.
+    /// The current parent, which sends version notices.
     pub fn parent(&self) -> Option<&Peer> {
         self.attach.parent()
     }
@@ -194,8 +196,8 @@
         self.topology_at = Time::ZERO;
     }
 
-    /// After a pause the view may be stale: lets the children go and asks peers again before the
-    /// node relays anything.
+    /// After a pause of the process, local state may be stale. Drops all children and rejoins
+    /// before the node acts as a relay again.
     fn check_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(expected) = self.wake_at else { return };
         if now.since(expected) < CLOCK_GAP {
@@ -211,7 +213,7 @@
         self.start_join(now);
     }
 
-    /// Does whatever is due and asks to be woken for the rest.
+    /// Runs all due timers and schedules the next wake.
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.refresh_topology(now, out);
         self.expire_pings(now, out);
@@ -240,14 +242,14 @@
         first.max(now + limits::MIN_WAKE_DELAY)
     }
 
-    /// Works out the node's place again after a change of lists or words.
+    /// Recomputes the topology when it is due or has been invalidated.
     fn refresh_topology(&mut self, now: Time, out: &mut Vec<Output>) {
         if now < self.topology_at {
             return;
         }
         self.topology_at = now + limits::TOPOLOGY_REFRESH_INTERVAL;
-        // A node that left out its own word would leave the first places of its zone to others that
-        // do the same.
+        // Without its own report, a node could disagree with its peers about who ranks first in the
+        // zone.
         self.members.apply_report(now, &self.own_report, true);
         let in_service = self.own_report.state == VmState::Live;
         let mut topology = Topology::new(now, &self.cfg, &self.members, in_service);
@@ -259,7 +261,7 @@
         }
         self.topology = topology;
         let mut not_live = self.members.not_live(now);
-        // The call path knows by itself whether its own node is leaving.
+        // The call path tracks the state of the local node itself.
         not_live.shift_remove(&self.cfg.vm);
         if not_live != self.not_live {
             self.not_live = not_live.clone();
@@ -285,8 +287,8 @@
         }
     }
 
-    /// The scope that the node holds. Relays hold everything, so that they can serve any child;
-    /// so does a leaf that stands in for one.
+    /// The scope this node should hold. Relays hold all resources so that they can serve any child;
+    /// so does a leaf that has children or watches the platform.
     fn wanted_scope(&self) -> Scope {
         let stands_in = !self.children.is_empty() || self.source.is_watching();
         match self.topology.role {
@@ -336,7 +338,7 @@
         out.push(Output::Send { to: to.address, link, msg });
     }
 
-    /// Sends to an address whose place is not known; counted as the dearest link.
+    /// Sends to an address whose location is unknown. Metrics count it as a cross-region link.
     fn send_to_address(&self, to: SocketAddr, msg: PeerMsg, out: &mut Vec<Output>) {
         out.push(Output::Send { to, link: Link::CrossRegion, msg });
     }
