--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -1,4 +1,4 @@
-//! Finding a parent and keeping it.
+//! Selection and monitoring of the parent.
 
 use super::backoff::{around, jitter};
 use super::limits::{
@@ -17,33 +17,32 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// The parent, or the search for one.
+/// The current parent, or the state of the search for one.
 #[derive(Debug, Default)]
 pub struct Attach {
     parent: Option<Peer>,
     hops: u8,
-    /// Next question to the parent, or next round of the search.
+    /// Time of the next ping to the parent or of the next search round.
     next_at: Time,
-    /// Rounds of the search since there was a parent.
+    /// Search rounds since the last parent was lost.
     search_rounds: usize,
     upgrade_at: Time,
     compare_at: Time,
-    /// Peers that are not taken as parents, and until when.
+    /// Peers that must not become the parent, with the time at which the block ends.
     blocked: IndexMap<Name, Time>,
 }
 
 impl Attach {
-    /// The parent.
     pub fn parent(&self) -> Option<&Peer> {
         self.parent.as_ref()
     }
 
-    /// Nodes between the parent and a reader.
+    /// Hops from the parent to a reader; [`NO_PATH`] without a parent.
     pub fn hops(&self) -> u8 {
         if self.parent.is_some() { self.hops } else { NO_PATH }
     }
 
-    /// Lets the parent go without a word and searches anew.
+    /// Drops the parent and restarts the search.
     pub fn forget(&mut self, now: Time) {
         *self = Attach { next_at: now, ..Attach::default() };
     }
@@ -52,7 +51,7 @@
         self.blocked.get(&peer.vm).is_none_or(|until| *until <= now)
     }
 
-    /// Tries the best parent soon.
+    /// Schedules an attempt to attach to the best candidate.
     pub fn candidates_changed(&mut self, now: Time) {
         self.upgrade_at = now;
         if self.parent.is_none() {
@@ -63,7 +62,7 @@
 }
 
 impl Spread {
-    /// Whether every possible parent has been asked and none will do.
+    /// Whether every candidate has been asked and none accepted this node.
     pub(super) fn is_orphan(&self) -> bool {
         let parent_candidates = self.topology.parent_candidates.len();
         if parent_candidates == 0 {
@@ -73,7 +72,7 @@
         self.attach.parent.is_none() && self.attach.search_rounds > rounds.min(3)
     }
 
-    /// Hops to a reader, as told to children.
+    /// Distance to a reader, as reported to children.
     pub(super) fn own_hops(&self) -> u8 {
         match self.topology.reader {
             Some(_) => 0,
@@ -82,13 +81,14 @@
         }
     }
 
-    /// Whether any peer with a way to a reader will do as parent. Not for a node that has got
-    /// through to the platform: others take it for their way, and would be its own.
+    /// Whether any peer with a path to a reader is acceptable as the parent. False for a node that
+    /// reads the platform itself: peers that attach to it would otherwise become its parent and
+    /// form a loop.
     fn accepts_any_parent(&self) -> bool {
         self.is_orphan() && !self.source.is_watching()
     }
 
-    /// How often a peer is asked as parent.
+    /// Interval between pings to the parent.
     fn heartbeat(&self, parent: &Peer) -> Duration {
         if self.topology.zone_vms == 0 {
             return HEARTBEAT_INTERVAL_WITHOUT_LIST;
@@ -108,7 +108,7 @@
         next.into_iter().chain(upgrade).chain([self.attach.compare_at]).min()
     }
 
-    /// The best parent, if another one is held.
+    /// The best candidate, if it is not the current parent.
     fn better_parent(&self, now: Time) -> Option<&Peer> {
         let held = self.attach.parent.as_ref()?;
         let best = self
@@ -119,9 +119,9 @@
         (best != held).then_some(best)
     }
 
-    /// Does not take a peer as parent for a while.
+    /// Excludes a peer from becoming the parent for `span`.
     ///
-    /// Avoids a parent that answers questions but sends wrong content, or none.
+    /// Guards against a parent that answers pings but sends invalid content or none.
     pub(super) fn block_parent(
         &mut self,
         now: Time,
@@ -158,10 +158,11 @@
         }
     }
 
-    /// One round of the search: the best parent alone, then several at once.
+    /// Runs one search round: the best candidate alone in the first round, several at once in later
+    /// ones.
     ///
-    /// Each question is given up after [`ANSWER_TIMEOUT`], as a relay may take connections and never
-    /// answer.
+    /// Each ping times out after [`ANSWER_TIMEOUT`](super::limits::ANSWER_TIMEOUT), because a hung
+    /// relay may accept connections without ever answering.
     fn search_parent(&mut self, now: Time, out: &mut Vec<Output>) {
         let parent_candidates = self.topology.parent_candidates.len();
         if parent_candidates == 0
@@ -189,11 +190,10 @@
         }
     }
 
-    /// Asks random peers of the zone.
+    /// Asks random peers of the zone to become the parent.
     ///
-    /// After the loss of all relays of a region, the first node that has read the platform takes
-    /// others below it, which take more: the budget would let so many nodes read only one after the
-    /// other.
+    /// When all relays of a region are lost, nodes attach to the first ones that have read the
+    /// platform instead of waiting for their own turn in the call budget.
     fn ask_random_peers(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
         for _ in 0..SEARCH_RANDOM_PEERS {
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Compares versions with a random peer, so that what was lost on the way is found again and
-    /// parts of the fleet that were cut off from each other become one.
+    /// Compares versions with a random peer. Recovers lost notices and reconnects parts of the
+    /// fleet after a network partition.
     fn compare(&mut self, now: Time, out: &mut Vec<Output>) {
         self.attach.compare_at = now + around(COMPARE_INTERVAL, &mut self.rng);
         let own = self.cfg.vm.clone();
@@ -220,7 +220,7 @@
         }
     }
 
-    /// A random other zone of the region; of another region only if there is none.
+    /// Picks another zone at random, preferring zones of the same region.
     pub(super) fn random_zone(&mut self) -> Option<Name> {
         let own = &self.cfg.place;
         let others = self.members.lists().map(|list| &list.place).filter(|p| p.zone != own.zone);
