--- a/core/src/spread/children.rs
+++ b/core/src/spread/children.rs
@@ -1,4 +1,4 @@
-//! The nodes that hang below this one.
+//! The nodes attached to this one.
 
 use super::Spread;
 use super::limits::{CHILD_LEASE, CHILD_LEASE_CROSS_REGION, MAX_CHILDREN};
@@ -13,30 +13,30 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A node that is sent notices.
+/// An attached node, which receives notices until its lease expires.
 #[derive(Debug)]
 struct Child {
     peer: Peer,
     until: Time,
-    /// What it was sent last, from which the next difference is made; `None` if not known.
+    /// The last content sent to the child, used as the base of the next delta; `None` if unknown.
     held: Option<Held>,
 }
 
-/// What a child holds, as far as its parent knows.
+/// The content a child is assumed to hold.
 #[derive(Clone, Debug)]
 struct Held {
     base: Base,
     scope: Scope,
 }
 
-/// The nodes that are sent notices.
+/// All attached nodes.
 #[derive(Debug, Default)]
 pub struct Children {
     children: IndexMap<Name, Child>,
 }
 
 impl Children {
-    /// Takes a child, or renews it. False if there is no room.
+    /// Adds a child or renews its lease. Returns false if [`MAX_CHILDREN`] is reached.
     fn renew(&mut self, until: Time, now: Time, peer: &Peer) -> bool {
         self.expire(now);
         if let Some(child) = self.children.get_mut(&peer.vm) {
@@ -51,13 +51,11 @@
         }
         room
     }
-
-    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.children.is_empty()
     }
 
-    /// Lets those go whose lease has run out.
+    /// Removes children whose leases have expired.
     pub(super) fn expire(&mut self, now: Time) {
         self.children.retain(|_, child| child.until > now);
     }
@@ -66,7 +64,7 @@
         self.children.contains_key(vm)
     }
 
-    /// Remembers what a child has been sent.
+    /// Records the content sent to a child.
     pub fn record_delivered(&mut self, vm: &Name, delta: &Delta, scope: &Scope) {
         if let Some(child) = self.children.get_mut(vm) {
             let version = delta.summary.in_force.version;
@@ -75,12 +73,10 @@
         }
     }
 
-    /// Every child whose lease runs.
+    /// Children whose leases have not expired.
     pub fn live(&self, now: Time) -> impl Iterator<Item = &Peer> {
         self.children.values().filter(move |child| child.until > now).map(|child| &child.peer)
     }
-
-    /// Lets every child go.
     pub fn clear(&mut self) {
         self.children.clear();
     }
@@ -91,7 +87,7 @@
 }
 
 impl Spread {
-    /// Whether a peer may hang below this node.
+    /// Attaches a peer as a child or renews its lease. Returns whether the peer is attached.
     pub(super) fn accept_child(&mut self, now: Time, from: &Peer) -> bool {
         let open = self.own_report.state == VmState::Live && !self.is_rejoining();
         let lease = match self.cfg.place.link_to(&from.place) {
@@ -101,9 +97,9 @@
         open && self.children.renew(now + lease, now, from)
     }
 
-    /// Sends children the version in force, and tells the parent of it, except whoever it came
-    /// from. A child whose content is known is sent the difference at once; it would otherwise ask
-    /// for it, and each version take three messages instead of one.
+    /// Sends the version in force to all children and a notice to the parent, skipping the peer
+    /// that the version came from. Children whose content is known get the delta immediately, which
+    /// saves the notice and pull round trip.
     pub(super) fn notify(&mut self, now: Time, from: Option<&Peer>, out: &mut Vec<Output>) {
         let Some(store) = &mut self.in_force else { return };
         let notice = PeerMsg::Notice(Box::new(store.summary().clone()));
@@ -126,7 +122,7 @@
     }
 }
 
-/// The difference for a child that holds `held`; `None` if it needs its whole scope.
+/// Returns the delta for a child that holds `held`; `None` if no delta can be computed.
 fn push_delta(store: &mut Store, held: &mut Held) -> Option<Arc<Delta>> {
     let delta = store.delta(Some(&held.base), &held.scope)?;
     delta.base.as_ref()?;
