--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -248,8 +248,8 @@
             return;
         }
         self.topology_at = now + limits::TOPOLOGY_REFRESH_INTERVAL;
-        // Without its own report, a node could disagree with its peers about who ranks first in the
-        // zone.
+        // The VM list lags behind. Without its own report, a node listed as not live would not rank
+        // itself, and the first ranks of its zone could stay vacant.
         self.members.apply_report(now, &self.own_report, true);
         let in_service = self.own_report.state == VmState::Live;
         let mut topology = Topology::new(now, &self.cfg, &self.members, in_service);
