--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -1,4 +1,4 @@
-//! Taking a version from a peer, and putting it into force.
+//! Fetching versions from peers and putting them into force.
 
 use super::limits::{
     ANSWER_TIMEOUT, BLOCK_DURATION, BLOCK_DURATION_MISSING, FULL_PULL_TIMEOUT, MAX_HOLDERS,
@@ -13,20 +13,21 @@
 use crate::{Code, Fault, Name, Time};
 use std::net::SocketAddr;
 
-/// A version on its way from a peer.
+/// A version being fetched from a peer.
 #[derive(Debug)]
 pub struct Fetch {
     wanted: InForce,
     scope: Scope,
     from: Peer,
-    /// When this peer is given up.
+    /// Time at which the request to the current peer times out.
     pub until: Time,
-    /// Other peers that hold the version.
+    /// Other peers known to hold the version.
     others: Vec<Peer>,
 }
 
 impl Spread {
-    /// Takes notice of a version that a peer has in force, and fetches it if it is newer.
+    /// Processes the summary of a version that a peer has in force, and fetches the version if it
+    /// is newer.
     pub(super) fn handle_summary(
         &mut self,
         now: Time,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Whether a version accepted by a peer is newer than what is held here.
+    /// Whether the version a peer has in force is newer than the one held here.
     fn needs_version(
         &mut self,
         now: Time,
@@ -60,8 +61,8 @@
         out: &mut Vec<Output>,
     ) -> bool {
         if let Decision::Reject(code) = self.floor.evaluate_accepted(seen) {
-            // An older version is what a peer that is behind has in force; only two bodies under
-            // one version are worth a report.
+            // A peer that lags behind announces older versions. Only two bodies under the same
+            // version number are an error.
             if code == Code::VersionConflict {
                 self.report_refused_once(now, seen, Some(from), Fault::new(code), out);
             }
@@ -70,7 +71,7 @@
         self.newest_checked().is_none_or(|held| seen.replaces(held))
     }
 
-    /// The newest version that has been checked whole here.
+    /// The newest version that has been fully validated here.
     pub(super) fn newest_checked(&self) -> Option<&InForce> {
         self.newest_store().map(|store| &store.summary().in_force)
     }
@@ -79,8 +80,8 @@
         self.staged.as_ref().map(|staged| &staged.store).or(self.in_force.as_ref())
     }
 
-    /// Two nodes that hold one publication under two manifests show that a relay has changed
-    /// content.
+    /// Reports a peer that holds the same publication with a different manifest: a relay has
+    /// altered the content.
     fn compare_content(&mut self, now: Time, from: &Peer, seen: &Summary, out: &mut Vec<Output>) {
         let Some(held) = self.in_force.as_ref().map(|store| store.summary()) else { return };
         if held.in_force == seen.in_force && held.manifest_digest != seen.manifest_digest {
@@ -100,7 +101,7 @@
     ) {
         let scope = self.wanted_scope();
         let base = self.newest_store().filter(|store| *store.scope() == scope).map(Store::base);
-        // A whole scope takes longer on its way than a change.
+        // Full content takes longer to transfer than a delta.
         let wait = if base.is_some() { ANSWER_TIMEOUT } else { FULL_PULL_TIMEOUT };
         let pull = Pull { version: wanted.version, base, scope: scope.services() };
         self.send(&from, PeerMsg::Pull(Box::new(pull)), out);
@@ -116,7 +117,7 @@
         self.widen_scope(now, out);
     }
 
-    /// Fetches the rest of the version in force for a node that has become a relay.
+    /// Fetches resources outside the held scope, for example after a leaf has become a relay.
     fn widen_scope(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(held) = &self.in_force else { return };
         let wide = held.scope().includes(&self.wanted_scope());
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Goes on to the next peer that holds the version. If there is none, the parent's next answer
-    /// names the version again, and a reader reads it from the platform.
+    /// Fetches from the next known holder. Without one, the version is announced again by the
+    /// parent's next answer, and a reader reads it from the platform.
     fn fetch_next(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(mut fetch) = self.fetch.take() else { return };
         if let Some(next) = fetch.others.pop() {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Takes the content that was asked for; anything else is dropped.
+    /// Processes requested content. An unrequested delta is handled as a push.
     pub(super) fn handle_delta(
         &mut self,
         now: Time,
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Takes a difference that the parent sent unasked, if it fits what is held here. If not, the
-    /// version is fetched as if the parent had only told of it.
+    /// Applies a delta that the parent pushed, if it matches the held content. Otherwise the
+    /// version is treated as announced and is fetched.
     fn handle_pushed_delta(
         &mut self,
         now: Time,
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Builds a version whole from what a peer sent, beside the one in force.
+    /// Builds and validates the new version without changing the one in force.
     fn check(&self, delta: &Delta, scope: Scope, from: &Peer) -> crate::Result<VerifiedVersion> {
         let content = store::apply(delta, self.newest_store(), &scope)?;
         let resources = content.in_scope(&self.scope);
@@ -232,7 +233,7 @@
         Ok(VerifiedVersion { store, snapshot, from: Some(from.clone()) })
     }
 
-    /// Puts a checked version into force, or holds it back while peers are being asked.
+    /// Puts a validated version into force, or stages it while a join is in progress.
     pub(super) fn accept_version(
         &mut self,
         now: Time,
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Swaps the version in force. The one place where it changes.
+    /// Replaces the version in force. This is the only place that changes it.
     pub(super) fn put_in_force(
         &mut self,
         now: Time,
