--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -1,10 +1,10 @@
-//! What a node asks its peers before it relies on what it holds: after a start, since it knows
-//! nothing, and after a pause, since what it knows may be stale.
+//! Queries to peers after a start, when the node holds no state, and after a clock gap, when its
+//! state may be stale.
 //!
-//! A node that has just started puts nothing into force before it has asked. It starts at the
-//! highest version heard, and never below the one that a neighbour remembers of its VM. When a
-//! version heard of can't be had, or nobody can be asked, it waits a bounded time and then serves
-//! the best it has; only the remembered version still holds.
+//! A starting node puts no version into force until it has asked its peers. It then uses the
+//! highest version reported, but never one below the floor that a peer has recorded for this VM. If
+//! that version cannot be fetched or no peer answers, the node waits up to a deadline and uses the
+//! best version it holds that is not below the floor.
 
 use super::limits::{ANSWER_TIMEOUT, JOIN_EXTENSIONS, JOIN_PARENTS, JOIN_RANDOM, JOIN_SEEDS};
 use super::message::{PingKind, Pong};
@@ -14,31 +14,31 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// A round of questions before the node relies on what it holds.
+/// State of a join in progress.
 #[derive(Debug)]
 pub struct Join {
-    /// The node gives up waiting at this time.
+    /// Time at which the node stops waiting for peers.
     deadline: Time,
-    /// Next round not before this time.
+    /// Earliest time of the next round.
     next_round_at: Time,
     pending: Vec<SocketAddr>,
     answered: bool,
     asked_with_list: bool,
-    /// When the first round was over, answered or not.
+    /// End of the first round, whether or not peers answered.
     first_round_until: Option<Time>,
-    /// The highest version that an answer named.
+    /// Highest version reported by a peer.
     highest_version: u64,
-    /// How often the limit has been put off.
+    /// Number of times the deadline has been extended.
     extensions: u32,
 }
 
 impl Join {
-    /// Whether the node still waits for peers and should not turn to the platform yet.
+    /// Whether the node is still waiting for peers and should not call the platform yet.
     pub fn is_waiting(&self, now: Time) -> bool {
         !self.pending.is_empty() && now < self.next_round_at
     }
 
-    /// Until when it waits for the peers asked.
+    /// End of the wait for the current round; `None` if no answers are pending.
     pub fn waits_until(&self) -> Option<Time> {
         (!self.pending.is_empty()).then_some(self.next_round_at)
     }
@@ -58,8 +58,8 @@
         });
     }
 
-    /// Another round after one that ended with nothing, with a pause before it: peers that hold
-    /// nothing either answer at once, and the rounds would follow on each other as fast.
+    /// Starts another join after one that found no version. The delay prevents a busy loop when
+    /// peers answer immediately but hold no version either.
     fn restart_join(&mut self, now: Time) {
         self.start_join(now);
         let listed = self.members.list(&self.cfg.place.zone).is_some();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether the node has a version in force but must ask again before it acts as a relay.
+    /// Whether the node has a version in force but must rejoin before it acts as a relay.
     pub(super) fn is_rejoining(&self) -> bool {
         self.join.is_some() && self.in_force.is_some()
     }
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The node may have held, before its restart, a newer version that a peer names but could not
-    /// send in time. It asks again before it serves less, for a bounded time.
+    /// Extends the deadline a limited number of times while a peer reports a version that has not
+    /// been fetched yet: this VM may have served that version before the restart.
     fn extend_join_deadline(&mut self, now: Time) {
         let held = self.newest_checked().map_or(0, |held| held.version);
         let Some(join) = &mut self.join else { return };
@@ -143,8 +143,9 @@
         seeds
     }
 
-    /// Likely parents and random peers, here and in other zones: a zone that is cut off may know
-    /// less than the others, and the others less than a zone that holds what this VM confirmed.
+    /// Parent candidates and random peers from this and another zone. Several zones are asked
+    /// because an isolated zone may lag behind, or be the only one that holds the version this VM
+    /// confirmed.
     fn join_peers(&mut self, now: Time) -> Vec<Peer> {
         let mut peers: Vec<Peer> =
             self.topology.parent_candidates.iter().take(JOIN_PARENTS).cloned().collect();
@@ -198,7 +199,7 @@
         asked_enough && held >= join.highest_version.max(self.floor.version())
     }
 
-    /// Whether there is nobody to ask: no seed, and no other VM in any list.
+    /// Whether there are no peers to ask: no seeds and no other VMs in the lists.
     fn has_no_peers(&self) -> bool {
         let listed = self.members.list(&self.cfg.place.zone).is_some();
         let others = self.members.lists().flat_map(|list| &list.vms);
@@ -214,7 +215,7 @@
         if let Some(staged) = staged.filter(|held| held.store.version() >= self.floor.version()) {
             self.put_in_force(now, staged, out);
         }
-        // The platform shows a bad version and no peer could be reached: ask again.
+        // Nothing could be put into force and there are peers to ask: join again.
         if self.in_force.is_none() && !self.has_no_peers() {
             self.restart_join(now);
         }
