--- a/core/src/spread/limits.rs
+++ b/core/src/spread/limits.rs
@@ -1,211 +1,212 @@
-//! Intervals, waits and bounds of the spread.
+//! Intervals, timeouts and size limits for version distribution.
 
 use std::time::Duration;
 
-/// Nodes below one relay in the tree of a zone.
+/// Children of each relay in a zone's tree.
 pub const FAN_OUT: usize = 16;
 
-/// Relays at the top of each zone, and readers of each region.
+/// Relays of each zone, and readers of each region.
 pub const RELAYS_PER_ZONE: usize = 2;
 
-/// Nodes that one node sends notices to; more are turned away to another parent. Above
-/// [`FAN_OUT`], since a relay takes the children of one that has died.
+/// Maximum number of children of a node. Larger than [`FAN_OUT`] so that a relay can take over the
+/// children of a failed one.
 pub const MAX_CHILDREN: usize = 64;
 
-/// How often a child asks its parent.
+/// Interval between pings to the parent.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same between two regions, where traffic is paid by volume. A reader hears of versions from
-/// the platform too, so that a silent parent costs it no more than [`BODY_READ_DELAY`].
+/// Interval between pings to a parent in another region, where traffic is billed by volume. Readers
+/// also learn of versions from the platform, so a silent parent delays them by at most
+/// [`BODY_READ_DELAY`].
 pub const HEARTBEAT_INTERVAL_CROSS_REGION: Duration = Duration::from_secs(20);
 
-/// The same while no list of the own zone is held: it comes with an answer.
+/// Interval between pings to the parent while the node has no VM list of its zone; answers deliver
+/// the list.
 pub const HEARTBEAT_INTERVAL_WITHOUT_LIST: Duration = Duration::from_millis(500);
 
-/// Questions to a parent between two that also compare lists.
+/// One in this many pings to the parent also compares lists.
 pub const LIST_COMPARE_EVERY: u32 = 4;
 
-/// How long an answer to a ping or a pull may take.
+/// Timeout for the answer to a ping or a pull.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a child that says nothing is sent notices.
+/// Time without a ping after which a child no longer receives notices.
 pub const CHILD_LEASE: Duration = Duration::from_secs(8);
 
-/// The same between two regions.
+/// [`CHILD_LEASE`] for a child in another region.
 pub const CHILD_LEASE_CROSS_REGION: Duration = Duration::from_secs(80);
 
-/// Parents asked at once by a node that has none.
+/// Candidates asked concurrently in a search round.
 pub const SEARCH_WIDTH: usize = 4;
 
-/// Shortest pause between two questions to whoever a node without a list hears from.
+/// Minimum interval between pings to unknown senders while the node has no VM list.
 pub const CONTACT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest pause between two rounds of asking every possible parent.
+/// Maximum pause between search rounds.
 pub const SEARCH_PAUSE: Duration = Duration::from_millis(800);
 
-/// Random peers of the zone asked in each round by a node that has lost every possible parent.
+/// Random peers of the zone asked in each search round once all candidates have failed.
 pub const SEARCH_RANDOM_PEERS: usize = 3;
 
-/// How often a node that is attached to its second choice tries its first one.
+/// Interval between attempts to switch to a better parent.
 pub const PARENT_UPGRADE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How often a node compares versions with a random peer.
+/// Interval between version comparisons with a random peer.
 pub const COMPARE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// One comparison in this many is with a peer of another zone of the region.
+/// One in this many comparisons is with a peer in another zone, preferably of the same region.
 pub const CROSS_ZONE_COMPARE_EVERY: u32 = 4;
 
-/// How long words are gathered before they are passed on together.
+/// Time during which state reports are collected before they are forwarded in one message.
 pub const REPORT_BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a changed word is repeated in answers.
+/// Time during which a changed state report is repeated in answers.
 pub const REPORT_REPEAT_PERIOD: Duration = Duration::from_secs(10);
 
-/// Most words in one answer.
+/// Maximum number of state reports in one answer.
 pub const MAX_REPORTS_PER_PONG: usize = 16;
 
-/// Most words taken from one message.
+/// Maximum number of state reports processed from one message.
 pub const MAX_REPORTS_ACCEPTED: usize = 4_096;
 
-/// How long a node's own word goes before a later entry in the platform's list, which lags.
+/// Time during which a node's own report takes precedence over newer platform lists, which lag
+/// behind.
 pub const LIST_LAG: Duration = Duration::from_secs(30);
 
-/// A wake this late means that the process was not running.
+/// Delay of a wake-up beyond which the process is assumed to have been paused.
 pub const CLOCK_GAP: Duration = Duration::from_secs(3);
 
-/// How often a starting node puts off its limit while a peer names a version that it can't get:
-/// a minute in all by default.
+/// Maximum number of deadline extensions while a peer reports a version that cannot be fetched.
 pub const JOIN_EXTENSIONS: u32 = 11;
 
-/// Peers asked after a start: seeds, likely parents, others of the zone, others elsewhere.
+/// Seeds asked in a join round.
 pub const JOIN_SEEDS: usize = 4;
-/// Likely parents asked after a start.
+/// Parent candidates asked in a join round.
 pub const JOIN_PARENTS: usize = 2;
-/// Random peers of the own zone, and of other zones, asked after a start.
+/// Random peers asked in a join round, each from the own zone and from another.
 pub const JOIN_RANDOM: usize = 2;
 
-/// Longest wait of a watch on the platform.
+/// Maximum wait of a blocking read of the platform.
 pub const WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// The same of lists. A watch that ends without a change answers with the whole list.
+/// [`WATCH_WAIT`] for lists, because a read that ends without a change returns the whole list.
 pub const LIST_WAIT: Duration = Duration::from_secs(600);
 
-/// The same of the key `in-force` within the platform's region, where calls cost little. A watch
-/// whose answer was lost in an outage is made again that much sooner.
+/// [`WATCH_WAIT`] for the key `in-force` within the platform's region, where calls are cheap. A
+/// short wait limits the delay if an answer is lost in an outage.
 pub const WATCH_WAIT_HOME: Duration = Duration::from_secs(2);
 
-/// How long after the end of its wait a call to the platform is given up.
+/// Time after the end of a call's wait before the call is abandoned.
 pub const SOURCE_ANSWER_GRACE: Duration = Duration::from_secs(1);
 
-/// The same for a body or a list, which may be as large as a value can be.
+/// [`SOURCE_ANSWER_GRACE`] for bodies and lists, which can be large.
 pub const SOURCE_ANSWER_GRACE_LARGE: Duration = Duration::from_secs(2);
 
-/// Shortest pause between two readings of one VM list, which changes often in a storm.
+/// Minimum interval between reads of the same list, which may change frequently.
 pub const LIST_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Shortest pause between two watches, should the platform answer them at once.
+/// Minimum interval between blocking reads, in case the platform answers them immediately.
 pub const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// First and longest pause of a reader between failed calls to the platform.
+/// Initial and maximum backoff of readers after failed calls to the platform.
 pub const READER_BACKOFF: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(1_000));
 
-/// Longest pause of any other node between failed calls to the platform.
+/// Upper limit of the maximum backoff of all other nodes.
 pub const ORPHAN_BACKOFF: Duration = Duration::from_secs(60);
 
-/// The same as a multiple of the mean time between its calls, which grows with the fleet. In a
-/// small fleet a node that nobody else can help soon tries again.
+/// Maximum backoff of all other nodes as a multiple of their mean call interval, which grows with
+/// the fleet. Lets orphans in small fleets retry sooner.
 pub const ORPHAN_BACKOFF_INTERVALS: u32 = 4;
 
-/// Calls that a reading may take at once: the key `in-force`, the body and its parts.
+/// Maximum number of consecutive calls for one version: the key `in-force`, the body and its parts.
 pub const CALLS_PER_READ: u32 = 8;
 
-/// Calls a second that all zone relays together may make when they have lost every reader.
+/// Calls per second by all zone relays together when no reader is reachable.
 pub const RELAY_CALLS_PER_S: u32 = 250;
 
-/// Calls a second that all other nodes together may make when they have lost every parent. With
-/// the relays' and the readers' share this stays under half of the platform's 2,000 a second.
+/// Calls per second by all other nodes together when no parent is reachable. Together with readers
+/// and relays, this stays below half of the platform's limit of 2,000 per second.
 pub const ORPHAN_CALLS_PER_S: u32 = 300;
 
-/// Zones assumed while the list of zones is not known.
+/// Number of zones assumed until the list of zones is known.
 pub const ASSUMED_ZONES: usize = 32;
 
-/// How long a reader outside the platform's region waits for a body from the readers there before
-/// it reads the body itself; twice as long for the second reader.
+/// Time that the first reader outside the platform's region waits for a delta before it reads the
+/// body itself; the second reader waits twice as long.
 pub const BODY_READ_DELAY: Duration = Duration::from_millis(700);
 
-/// Readings of a body that fails its digest before that is reported.
+/// Digest mismatches of a body before the failure is reported.
 pub const DIGEST_FAILURES_BEFORE_REPORT: u32 = 3;
 
-/// Publications found bad that are remembered, so that they are not read again.
+/// Invalid publications remembered so that they are not read again.
 pub const MAX_INVALID_PUBLICATIONS: usize = 16;
 
-/// Neighbours whose last confirmed version is remembered.
+/// Peers whose last confirmed version is remembered.
 pub const MAX_FLOORS: usize = 4_096;
 
-/// VMs whose own word is remembered.
+/// VMs whose state reports are stored.
 pub const MAX_REPORTED_VMS: usize = 65_536;
 
-/// VMs taken in one list.
+/// Maximum number of VMs in a list received from a peer.
 pub const MAX_LIST_VMS: usize = 50_000;
 
-/// Questions that wait for an answer at once.
+/// Maximum number of unanswered pings.
 pub const MAX_PENDING_PINGS: usize = 256;
 
-/// Hops of a node that has no path to a reader.
+/// Hop count of a node without a path to a reader.
 pub const NO_PATH: u8 = u8::MAX;
 
-/// Most hops of a zone relay's parent. A relay hangs below a reader, or in need below another
-/// relay that does; two relays that had lost their readers would otherwise hang below each other,
-/// each content and neither reading the platform.
+/// Maximum hop count of a zone relay's parent. Prevents two relays that have lost their readers
+/// from attaching to each other without either reading the platform.
 pub const RELAY_PARENT_HOPS: u8 = 1;
 
-/// Most hops of a parent that is no upper: one of the zone that has found a way when all uppers
-/// are lost. Bounded, so that nodes which hang below each other in a circle let go.
+/// Maximum hop count of a parent that is not a candidate. The limit breaks cycles of nodes attached
+/// to each other.
 pub const FALLBACK_PARENT_HOPS: u8 = 4;
 
-/// Most hops of a parent in another zone.
+/// Maximum hop count of a parent in another zone.
 pub const CROSS_ZONE_PARENT_HOPS: u8 = 2;
 
-/// How often the node's place is worked out again without a change of lists or words.
+/// Interval at which the topology is recomputed if no list or report changes.
 pub const TOPOLOGY_REFRESH_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Shortest time to the next wake, so that no mistake in a timer can spin.
+/// Minimum delay before the next wake-up; prevents a busy loop.
 pub const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
 
-/// How long a whole scope may take to come from a peer.
+/// Timeout for full content from a peer.
 pub const FULL_PULL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Peers remembered as holders of the version being fetched.
+/// Maximum number of other peers remembered as holders of the version being fetched.
 pub const MAX_HOLDERS: usize = 8;
 
-/// How often a new relay asks for what it lacks of the version in force.
+/// Interval between attempts to fetch resources missing from the scope.
 pub const SCOPE_RETRY: Duration = Duration::from_secs(2);
 
-/// Lists of VMs held at once.
+/// Maximum number of VM lists held.
 pub const MAX_LISTS: usize = 256;
 
-/// Random peers that a leaving node tells of it, besides its parent and children.
+/// Random peers notified by a leaving node, besides its parent and children.
 pub const ANNOUNCE_RANDOM: usize = 3;
 
-/// Zones whose list is read because a note goes there.
+/// Maximum number of zones whose lists are read to deliver notes.
 pub const MAX_EXTRA_ZONES: usize = 64;
 
-/// Dropped targets whose address is remembered.
+/// Removed targets whose addresses are remembered.
 pub const MAX_DROPPED: usize = 1_024;
 
-/// Pause between two readings of the list of a zone that notes go to.
+/// Minimum interval between reads of the list of an extra zone.
 pub const EXTRA_ZONE_LIST_INTERVAL: Duration = Duration::from_secs(60);
 
-/// First and longest pause between readings of a body that fails its digest.
+/// Initial and maximum backoff after a body fails its digest check.
 pub const DIGEST_FAILURE_BACKOFF: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_secs(30));
 
-/// How long a peer that sent wrong content, or nothing, is not taken as parent.
+/// Time during which a peer that sent invalid content, or none, cannot become the parent.
 pub const BLOCK_DURATION: Duration = Duration::from_secs(30);
 
-/// The same for one that can't serve the scope now, as a relay that is just becoming one.
+/// [`BLOCK_DURATION`] for a peer that does not hold the requested scope yet, such as a new relay.
 pub const BLOCK_DURATION_MISSING: Duration = Duration::from_secs(3);
 
-/// Peers distrusted at once.
+/// Maximum number of blocked peers.
 pub const MAX_BLOCKED_PEERS: usize = 64;
