--- a/core/src/spread/children.rs
+++ b/core/src/spread/children.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// Returns the delta for a child that holds `held`; `None` if no delta can be computed.
+/// Returns the delta for a child that holds `held`; `None` if the child needs its full scope.
 fn push_delta(store: &mut Store, held: &mut Held) -> Option<Arc<Delta>> {
     let delta = store.delta(Some(&held.base), &held.scope)?;
     delta.base.as_ref()?;
