--- a/core/src/spread/message.rs
+++ b/core/src/spread/message.rs
@@ -10,156 +10,134 @@
 use std::sync::Arc;
 
 data! {
-    /// A version by name and content.
+    /// Identifies a version and its content.
     pub struct Summary {
-        /// Version, preset and digest of the preset's body.
         pub in_force: InForce,
-        /// Digest of the manifest of the whole version. Two nodes that hold one version under two
-        /// digests have found a fault.
+        /// Digest of the manifest of the full version. Different digests for the same publication
+        /// indicate altered content.
         pub manifest_digest: Hash,
-        /// How long ago the store answered the sender, in milliseconds; absent if the sender does
-        /// not read it.
+        /// Time since the store last answered the sender, in milliseconds; absent if the sender
+        /// does not read the store.
         pub store_age_ms: Option<u32>,
     }
 
-    /// What a node says of its own VM.
+    /// The state of a VM as reported by its own node.
     pub struct StateReport {
-        /// The VM.
         pub vm: Name,
-        /// Start of the node's process in microseconds since the Unix epoch: a later start
-        /// replaces whatever was said before.
+        /// Start time of the node's process in microseconds since the Unix epoch. A report with a
+        /// higher incarnation supersedes earlier ones.
         pub incarnation: u64,
-        /// State of the VM.
         pub state: VmState,
     }
-
-    /// The VMs of one zone as the platform listed them.
     pub struct ZoneList {
-        /// The zone.
         pub place: Place,
-        /// The platform's index of the list; a higher one is newer.
+        /// The platform's index of the list; a higher index is newer.
         pub index: u64,
-        /// The VMs.
         pub vms: Vec<Member>,
     }
 
-    /// Which list of a zone a node holds.
+    /// The version of a zone's VM list that a node holds.
     pub struct ListMark {
-        /// The zone.
         pub zone: Name,
         /// The platform's index of the list; zero if none is held.
         pub index: u64,
     }
-
-    /// All zones, as the platform listed them.
     pub struct ZonesList {
         /// The platform's index of the key `zones`.
         pub index: u64,
-        /// Every zone.
         pub zones: Vec<Place>,
     }
 
-    /// A question about versions; answered by [`Pong`].
+    /// Exchanges versions and lists with a peer; answered by [`Pong`].
     pub struct Ping {
-        /// Comes back with the answer.
+        /// Sequence number, echoed in the answer.
         pub seq: u32,
-        /// Why it is asked.
         pub kind: PingKind,
-        /// The asking node's own word.
+        /// The sender's own state.
         pub report: StateReport,
-        /// The version in force on the asking node.
+        /// The version in force on the sender.
         pub have: Option<Summary>,
-        /// Index of the asking node's list of zones; zero if it holds none.
+        /// Index of the sender's list of zones; zero if it holds none.
         pub zones: u64,
-        /// Lists of VMs that the asking node keeps; `None` to leave lists aside this time.
+        /// VM lists held or wanted by the sender; `None` to skip the exchange of lists.
         pub lists: Option<Vec<ListMark>>,
     }
-
-    /// Answer to a [`Ping`].
     pub struct Pong {
-        /// From the question.
+        /// Sequence number of the [`Ping`].
         pub seq: u32,
-        /// Whether the answering node will send notices to the asking one.
+        /// Whether the sender accepts the receiver as a child and will send it notices.
         pub attached: bool,
-        /// Nodes between the answering one and a reader, plus one; zero for a reader,
-        /// [`NO_PATH`](super::limits::NO_PATH) for a node without a parent.
+        /// The sender's distance to a reader: zero for a reader,
+        /// [`NO_PATH`](super::limits::NO_PATH) without a path to one.
         pub hops: u8,
-        /// The answering node's own word.
+        /// The sender's own state.
         pub report: StateReport,
-        /// The version in force on the answering node.
+        /// The version in force on the sender.
         pub have: Option<Summary>,
-        /// The newest version that the asking node's VM has confirmed to the answering node, maybe
-        /// before a restart.
+        /// The newest version that the receiver's VM has confirmed to the sender, possibly before a
+        /// restart.
         pub floor: Option<InForce>,
-        /// Words that have changed of late, for a peer that missed them.
+        /// Recently changed VM states, for receivers that missed them.
         pub reports: Vec<StateReport>,
     }
 
-    /// Asks for a version, as a difference from one that is held.
+    /// Requests a version, preferably as a delta from a held one.
     pub struct Pull {
-        /// The version wanted; a newer one will do.
+        /// The minimum version requested.
         pub version: u64,
-        /// What is held.
+        /// The content held by the sender.
         pub base: Option<Base>,
-        /// Services wanted; `None` for all.
+        /// Requested services; `None` for all.
         pub scope: Option<Vec<Name>>,
     }
 
-    /// A version that a node holds within its scope.
+    /// The content a node holds within its scope.
     pub struct Base {
-        /// The version.
         pub version: u64,
-        /// Digest of the manifest of what is held.
+        /// Digest of the manifest of the held content.
         pub digest: Hash,
     }
 
-    /// A version, as a difference from one that the receiver holds.
+    /// A version, as a delta from one the receiver holds or in full.
     pub struct Delta {
-        /// The version.
         pub summary: Summary,
-        /// The base that it changes; `None` if it holds everything in scope.
+        /// The base of the delta; `None` if it contains all resources in scope.
         pub base: Option<Base>,
-        /// Resources added or changed, with their content.
+        /// Resources added or changed.
         pub changed: Vec<(ResourceId, Bytes)>,
-        /// Resources that are no longer there.
         pub removed: Vec<ResourceId>,
-        /// Digest of the manifest of the result within the scope.
+        /// Digest of the manifest of the resulting content.
         pub digest: Hash,
     }
-
-    /// A message from one node to another.
     pub enum PeerMsg {
-        /// Asks for the version in force.
         Ping(Box<Ping>),
-        /// Answers a ping.
         Pong(Box<Pong>),
-        /// Tells an attached node of a version in force.
+        /// Announces a version in force.
         Notice(Box<Summary>),
-        /// Asks for the content of a version.
         Pull(Box<Pull>),
-        /// Content of a version; shared, so that it is encoded once for many receivers.
+        /// Content of a version, shared so that it is encoded once for many receivers.
         Delta(Arc<Delta>),
-        /// The answer to a pull that can't be met: the newest version that could be.
+        /// Answer to a [`Pull`] that cannot be served, with the version in force on the sender.
         Missing(u64),
-        /// Changes of VM states.
+        /// Changed VM states.
         StateReports(Vec<StateReport>),
-        /// Lists of VMs that are newer than the receiver's.
+        /// VM lists newer than the receiver's.
         Lists(Vec<Arc<ZoneList>>),
-        /// The list of zones, newer than the receiver's.
+        /// A list of zones newer than the receiver's.
         Zones(Arc<ZonesList>),
-        /// A note between call paths.
+        /// A message between call paths.
         Note(Note),
     }
 }
 
 kebab_enum! {
-    /// Why a node asks another.
+    /// The reason for a [`Ping`].
     pub enum PingKind {
-        /// It has started and knows nothing.
+        /// The node has started, or resumed after a pause, and asks for the current version.
         Join,
-        /// It wants notices, now and until it has been silent for a while.
+        /// The sender attaches to the receiver as a child or renews its lease.
         Attach,
-        /// It compares versions with a random peer.
+        /// The sender compares versions and lists.
         Compare,
     }
 }
