--- a/core/src/spread/port.rs
+++ b/core/src/spread/port.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`Spread`](super::Spread).
+//! Inputs and outputs of [`Spread`](super::Spread).
 
 use super::message::PeerMsg;
 use crate::Time;
@@ -16,151 +16,137 @@
 use std::time::Duration;
 
 data! {
-    /// What a node knows of itself before it starts.
+    /// Static configuration of a node.
     pub struct Config {
-        /// VM that the node runs on.
         pub vm: Name,
-        /// Where the VM is.
         pub place: Place,
-        /// Address on which the node takes messages from peers.
+        /// Address on which the node receives messages from peers.
         pub address: SocketAddr,
-        /// Addresses of peers to ask first after a start; may be empty.
+        /// Addresses of peers to ask when joining; may be empty.
         pub seeds: Vec<SocketAddr>,
         /// Services whose routes the node needs; `None` for all.
         pub scope: Option<Vec<Name>>,
-        /// Region that the platform stands in, whose readers read bodies for the others; `None`
-        /// if not known, and then one region is taken by hash.
+        /// Region of the platform. Its readers fetch bodies on behalf of other regions. If `None`,
+        /// a region is chosen by hash.
         pub platform_region: Option<Name>,
-        /// Most VMs that the fleet may have; spreads the first calls to the platform.
+        /// Maximum number of VMs in the fleet; determines the interval between platform calls.
         pub fleet_vms: u32,
-        /// Longest wait after a start before peers that can't be asked are given up.
+        /// Maximum wait for peers when joining.
         pub first_configuration: Duration,
     }
 
-    /// Another node, as the transport knows it.
+    /// A node as a messaging endpoint.
     #[derive(Hash)]
     pub struct Peer {
-        /// VM that the node runs on.
         pub vm: Name,
-        /// Where that VM is.
         pub place: Place,
-        /// Address on which the node takes messages.
+        /// Address on which the node receives messages.
         pub address: SocketAddr,
     }
 }
 
 key! {
-    /// Matches a reply to its call.
+    /// Correlates a reply with its call.
     pub struct CallId(pub u64);
 }
 
 data! {
     /// A call to the platform: `GET /v1/kv/<key>`, blocking if `index` is above zero.
     pub struct SourceCall {
-        /// Comes back with the reply.
         pub id: CallId,
-        /// The key to read.
         pub key: Name,
-        /// Answer once the key's index is above this; zero to answer at once.
+        /// The call blocks until the key's index exceeds this; zero to return immediately.
         pub index: u64,
-        /// Longest wait for such a change.
+        /// Maximum time to block.
         pub wait: Duration,
     }
 
-    /// What the platform answered.
+    /// The platform's answer to a call.
     pub struct SourceValue {
         /// Index at which the key last changed.
         pub index: u64,
-        /// The value; `None` if the key does not exist.
+        /// `None` if the key does not exist.
         pub body: Option<Bytes>,
     }
 
-    /// The end of a call to the platform.
+    /// The outcome of a call to the platform.
     pub struct SourceReply {
-        /// The call that ended.
         pub id: CallId,
         /// The value, or [`Code::SourceUnreachable`], [`Code::SourceInvalid`] or
         /// [`Code::SourceOverLimit`].
         pub result: std::result::Result<SourceValue, Code>,
     }
 
-    /// Something that happened.
+    /// An event for the state machine.
     pub enum Input {
         /// The process has started.
         Start,
-        /// The time of the last [`Output::WakeAt`] has come.
+        /// The time of the latest [`Output::WakeAt`] has been reached.
         Wake,
-        /// A call to the platform has ended.
+        /// A call to the platform has finished.
         Source(SourceReply),
-        /// A message has come in.
+        /// A message was received.
         Peer {
-            /// Who sent it.
             from: Peer,
-            /// The message.
             msg: PeerMsg,
         },
-        /// A message could not be sent, or the connection to a peer broke.
+        /// A message could not be sent, or the connection to a peer failed.
         PeerFailed {
-            /// Address of the peer.
             to: SocketAddr,
         },
-        /// The call path wants a note sent.
+        /// The call path sends a note.
         Note(OutgoingNote),
-        /// The planned stop has begun.
+        /// A planned shutdown has begun.
         Stop,
     }
 
-    /// Something to be done.
+    /// An action for the adapter.
     pub enum Output {
-        /// Make this call to the platform.
+        /// Make a call to the platform.
         ReadSource(SourceCall),
-        /// Give up a call to the platform; no reply is wanted any more.
+        /// Cancel a call to the platform; its reply is no longer needed.
         DropSource(CallId),
         /// Send a message.
         Send {
-            /// Address of the peer.
             to: SocketAddr,
-            /// Class of the link, for the counters.
+            /// Class of the link, for metrics.
             link: Link,
-            /// The message.
             msg: PeerMsg,
         },
-        /// A note from another node's call path, for this node's.
+        /// Deliver a note from another node to the local call path.
         Note {
-            /// VM of the node that sent it.
+            /// VM of the sender.
             from: Name,
-            /// The note.
             note: crate::call::Note,
         },
         /// Put this version into force.
         InForce(Arc<Snapshot>),
-        /// The VMs that are known not to be live; all others count as live.
+        /// The VMs known not to be live; all others count as live.
         Members(IndexMap<Name, VmState>),
-        /// What `/status` shows has changed.
+        /// The state shown on `/status` has changed.
         View(View),
-        /// A peer asked since the start or the last clock gap holds nothing newer than the version
-        /// in force here.
+        /// The version in force is at least as new as that of a peer asked since the start or the
+        /// last clock gap.
         Confirmed,
-        /// Record a change of state.
+        /// Record an event.
         Event(Event),
-        /// A version was refused.
+        /// Report a refused version.
         Refused(Fault),
-        /// Hand in [`Input::Wake`] at this time; replaces the time given before.
+        /// Deliver [`Input::Wake`] at this time; replaces the previous time.
         WakeAt(Time),
     }
 
-    /// What the spread shows on `/status`.
+    /// State shown on `/status`.
     pub struct View {
-        /// The newest version heard of.
+        /// The newest version announced by any source.
         pub newest_heard: u64,
-        /// What this node does for the spread.
         pub role: Role,
-        /// The peer, or `platform`, that the last version came from.
+        /// The peer that the latest version was received from, or `platform`.
         pub parent: Option<Name>,
-        /// Whether the platform answered the last call; `None` if there was none.
+        /// Whether the platform answered the last call; `None` before the first call.
         pub platform_answers: Option<bool>,
-        /// Whether a peer has been asked about the version in force since the start. If not, the
-        /// version may be older than the one before the restart.
+        /// Whether a peer has answered since the start or the last clock gap. If not, the version
+        /// in force may be older than the one before the restart.
         pub confirmed: bool,
     }
 }
