--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -1,4 +1,4 @@
-//! Reading the platform: what its values say, and how a body is put together.
+//! Processing of platform replies, and assembly of preset bodies.
 
 use super::limits::{
     BODY_READ_DELAY, DIGEST_FAILURE_BACKOFF, DIGEST_FAILURES_BEFORE_REPORT,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Makes the watches on lists anew after an outage, which may have swallowed their answers
-    /// without a sign; they would otherwise be missed only after their long wait.
+    /// Restarts the watches on lists after an outage, which may have lost their answers unnoticed.
+    /// Otherwise a change would go unseen until the long wait ends.
     fn restart_list_watches(&mut self, out: &mut Vec<Output>) {
         let is_list = |p: &CallPurpose| matches!(p, CallPurpose::List(_) | CallPurpose::Zones);
         let dropped = self.source.cancel_calls(is_list);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Reports a value that is not understood, once. What is in force stays.
+    /// Reports a value that cannot be parsed, once. The version in force stays unchanged.
     fn report_unparsable(&mut self, now: Time, body: &Bytes, fault: Fault, out: &mut Vec<Output>) {
         let hash = Hash::of(body);
         if self.source.last_unparsable.replace(hash) != Some(hash) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Judges a publication read from the platform.
+    /// Decides whether to take a publication read from the platform.
     fn handle_publication(
         &mut self,
         now: Time,
@@ -132,7 +132,7 @@
         if self.newest_checked() == Some(&seen) || self.source.is_invalid(&seen) {
             return;
         }
-        // The floor may be a version that this VM had before a restart and does not hold now.
+        // The floor may be a version that this VM confirmed before a restart but does not hold now.
         let verdict = match self.floor.newest() {
             Some(floor) if *floor == seen && pending.as_ref() != Some(&seen) => Decision::Fetch,
             _ => self.floor.evaluate(&seen, pending.as_ref()),
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Reports that a publication is refused, once.
+    /// Reports a refused publication, once.
     pub(super) fn report_refused_once(
         &mut self,
         now: Time,
@@ -173,8 +173,8 @@
         self.report_refused(now, seen.version, from, fault.with_place(place), out);
     }
 
-    /// Starts to read a body. Readers outside the platform's region first leave those inside it
-    /// time to send the difference, which spares a whole body over a link that is paid by volume.
+    /// Starts to read a body. Readers outside the platform's region first wait for a delta from the
+    /// readers inside it, which avoids transferring the full body over a link billed by volume.
     fn start_body_read(&mut self, now: Time, publication: InForce) {
         let delay = match self.topology.reader {
             Some(number) if !self.topology.home && self.attach.parent().is_some() => {
@@ -185,14 +185,14 @@
         self.source.body_read = Some(BodyRead::new(publication, now + delay));
     }
 
-    /// Reads the body of the version in force again, for the part outside the scope held so far.
+    /// Reads the body of the version in force again to obtain resources outside the held scope.
     pub(super) fn reread_body(&mut self, now: Time, publication: InForce) {
         if self.source.body_read.is_none() {
             self.source.body_read = Some(BodyRead::new(publication, now));
         }
     }
 
-    /// Stops reading a body that is no longer needed.
+    /// Cancels the read of a body that is no longer needed.
     pub(super) fn cancel_body_read(&mut self, checked: InForce, out: &mut Vec<Output>) {
         let body_read = self.source.body_read.as_ref();
         if body_read.is_some_and(|body_read| !body_read.publication.replaces(&checked)) {
@@ -235,8 +235,8 @@
         }
     }
 
-    /// A body that fails its digest was read across a publish: it is read again, and never used
-    /// beside another. Any other fault is in what was published.
+    /// A digest mismatch means that the body was replaced during the read, so it is read again. Any
+    /// other fault marks the publication as invalid.
     fn handle_invalid_body(&mut self, now: Time, fault: Fault, out: &mut Vec<Output>) {
         let Some(body_read) = &mut self.source.body_read else { return };
         let publication = body_read.publication.clone();
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Puts the preset together once all of its parts have come.
+    /// Assembles the preset once all parts have been read.
     fn finish_body_read(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(body_read) = &self.source.body_read else { return };
         let Some(preset) = &body_read.preset else { return };
@@ -285,7 +285,7 @@
         validate::preset(&preset)?;
         self.source.parts.retain(|digest, _| refs.iter().any(|part| part.digest == *digest));
         let mut content = ResourceSet::new(resource::split_preset(&preset))?;
-        // The documents take several times the memory of what is kept of them.
+        // Parsed documents take several times the memory of the retained resources.
         drop(preset);
         if let Some(held) = &self.in_force {
             content.share_bodies(held.content());
@@ -339,9 +339,9 @@
         self.at = now + self.backoff.fail(first, longest, rng);
     }
 
-    /// Takes note of an answer. Returns whether the index changed.
+    /// Records an answer and schedules the next call. Returns whether the index changed.
     ///
-    /// Pauses between watches that bring nothing: the platform may answer each at once.
+    /// Backs off if an unchanged value is returned early, in case the platform does not block.
     fn record_answer(
         &mut self,
         now: Time,
