--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -1,4 +1,4 @@
-//! Taking messages and answering them.
+//! Handling of messages from peers.
 
 use super::Spread;
 use super::limits::{CONTACT_INTERVAL, MAX_LIST_VMS, MAX_LISTS};
@@ -16,8 +16,8 @@
         msg: PeerMsg,
         out: &mut Vec<Output>,
     ) {
-        // A message in this node's own name is a fault of the sender: it would become its own
-        // parent.
+        // A message that claims to be from this node is invalid; accepting it could make the node
+        // its own parent.
         if from.vm == self.cfg.vm {
             return;
         }
@@ -36,7 +36,7 @@
     }
 
     fn handle_ping(&mut self, now: Time, from: &Peer, ping: &Ping, out: &mut Vec<Output>) {
-        // A question with another VM's word is a fault of the sender.
+        // Nodes report only their own state in a ping.
         if ping.report.vm != from.vm {
             return;
         }
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Asks whoever is heard from, while the node knows of nobody to ask: one that started while
-    /// the platform was down and has no seeds would stay alone for as long as the outage lasts.
+    /// Pings an unknown sender while the node has no VM list. Without this, a node that starts
+    /// without seeds during a platform outage would stay isolated until the platform is back.
     ///
-    /// The pause guards against two such nodes that each answer a question with a question: they
-    /// would do so as fast as messages travel, until one of them learns a list.
+    /// The minimum interval prevents two such nodes from answering each other's pings with pings in
+    /// a tight loop.
     fn contact_sender(&mut self, now: Time, from: &Peer, out: &mut Vec<Output>) {
         let alone = self.members.list(&self.cfg.place.zone).is_none();
         if alone && now >= self.contact_at {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends the lists that the asking node lacks, and asks for those that this node lacks.
+    /// Sends lists that are newer than the peer's, and requests those that are newer on the peer.
     fn send_lists(&mut self, now: Time, from: &Peer, ping: &Ping, out: &mut Vec<Output>) {
         let Some(marks) = &ping.lists else { return };
         if let Some(zones) = self.members.zones().filter(|zones| zones.index > ping.zones) {
