--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform that a node has open, and what it has read so far.
+//! Open calls to the platform and the state of its watches.
 
 use super::backoff::Backoff;
 use super::limits::{MAX_INVALID_PUBLICATIONS, SOURCE_ANSWER_GRACE, SOURCE_ANSWER_GRACE_LARGE};
@@ -14,100 +14,95 @@
 use std::time::Duration;
 
 data! {
-    /// What a call to the platform is for.
+    /// The purpose of a call to the platform.
     pub enum CallPurpose {
         /// The key `in-force`.
         InForce,
-        /// The body of the preset being read.
+        /// The preset body being read.
         Body,
-        /// A part of the preset being read.
+        /// A part of the preset being read, by digest.
         Part(Hash),
         /// The key `zones`.
         Zones,
-        /// The VMs of a zone.
+        /// The VM list of a zone.
         List(Place),
     }
 
-    /// A call that has not ended.
+    /// A call without a reply yet.
     pub struct OpenCall {
-        /// What it is for.
         pub purpose: CallPurpose,
-        /// When it was made.
         pub started_at: Time,
-        /// How long the platform may wait for a change.
+        /// Maximum time for the platform to block.
         pub wait: Duration,
     }
 }
 
 impl CallPurpose {
-    /// Whether a body may be read after it.
+    /// Whether the read of a body or of its parts may follow this call.
     pub fn precedes_body_read(&self) -> bool {
         matches!(self, CallPurpose::InForce | CallPurpose::Body)
     }
 
-    /// Whether it is for the body of a preset.
+    /// Whether the call reads a preset body or a part.
     pub fn reads_body(&self) -> bool {
         matches!(self, CallPurpose::Body | CallPurpose::Part(_))
     }
 }
 
-/// A key that is read again and again.
+/// State of a key that is read repeatedly.
 #[derive(Debug, Default)]
 pub struct Watch {
     /// Index of the last value.
     pub index: u64,
-    /// Not before this time.
+    /// Earliest time of the next call.
     pub at: Time,
-    /// Pause after failures.
     pub backoff: Backoff,
 }
 
-/// The body of a publication, on its way.
+/// The read of a publication's body.
 #[derive(Debug)]
 pub struct BodyRead {
-    /// What was published.
     pub publication: InForce,
-    /// The body, once it has come; its parts may be missing.
+    /// The body once it has been read; parts may still be missing.
     pub preset: Option<Preset>,
-    /// Next call not before this time.
+    /// Earliest time of the next call.
     pub at: Time,
-    /// Pause after failures.
     pub backoff: Backoff,
 }
 
-/// What a node has open at the platform and knows from it.
+/// State of the platform client.
 #[derive(Debug, Default)]
 pub struct Source {
     next_id: u64,
     calls: IndexMap<CallId, OpenCall>,
-    /// Whether the last call was answered.
+    /// Whether the last call was answered; `None` before the first.
     pub reachable: Option<bool>,
-    /// The key `in-force`.
+    /// Watch on the key `in-force`.
     pub in_force: Watch,
-    /// The key `zones`.
+    /// Watch on the key `zones`.
     pub zones: Watch,
-    /// The lists of VMs, by zone.
+    /// Watches on VM lists, by zone.
     pub lists: IndexMap<Name, Watch>,
-    /// The body being read.
+    /// The body read in progress.
     pub body_read: Option<BodyRead>,
-    /// The parts of the last preset read, by digest: their JSON as read, which takes a fraction of
-    /// the memory of the documents.
+    /// Parts of the last preset read, by digest. Kept as raw JSON, which takes a fraction of the
+    /// memory of parsed documents.
     pub parts: IndexMap<Hash, Bytes>,
-    /// The last publication refused, so that it is reported once.
+    /// The last refused publication, reported only once.
     pub last_refused: Option<InForce>,
-    /// Hash of the last value that was not understood, so that it is reported once.
+    /// Hash of the last value that could not be parsed, reported only once.
     pub last_unparsable: Option<Hash>,
-    /// For nodes that are not readers: no call before this time; `None` while none is needed.
+    /// Earliest time of the next call of a node that is not a reader; `None` if no call is needed.
     pub next_budgeted_at: Option<Time>,
-    /// Whether the last call within the budget was one that a body or a part may follow.
+    /// Whether the next body or part may be read without waiting for the budget.
     pub may_follow_up: bool,
-    /// When the next call may be due.
+    /// Time at which the next call may be due.
     pub wake_at: Option<Time>,
     invalid: VecDeque<InForce>,
 }
 
 impl Source {
-    /// Opens a call.
+    /// Registers a call and returns it.
     pub fn open(
         &mut self,
         now: Time,
@@ -122,7 +117,7 @@
         SourceCall { id, key, index, wait }
     }
 
-    /// Ends a call. `None` if it had been given up.
+    /// Removes a finished call. Returns `None` if it has been cancelled.
     pub fn close(&mut self, id: CallId) -> Option<OpenCall> {
         self.calls.swap_remove(&id)
     }
@@ -132,7 +127,7 @@
         self.calls.values().any(|call| call.purpose == *purpose)
     }
 
-    /// Whether the key `in-force` is read again and again, and was answered the last time.
+    /// Whether the key `in-force` is being watched and the platform answered the last call.
     pub fn is_watching(&self) -> bool {
         self.reachable == Some(true) && self.in_force.index > 0
     }
@@ -142,19 +137,17 @@
         self.calls.values().any(|call| call.purpose.reads_body())
     }
 
-    /// A call whose answer is overdue.
-    ///
-    /// A call that the platform has taken and not answered in time.
+    /// Returns a call whose deadline has passed.
     pub fn overdue(&self, now: Time) -> Option<CallId> {
         self.calls.iter().find(|(_, call)| call.deadline() <= now).map(|(id, _)| *id)
     }
 
-    /// When the first open call is overdue.
+    /// The earliest deadline of all open calls.
     pub fn next_overdue(&self) -> Option<Time> {
         self.calls.values().map(OpenCall::deadline).min()
     }
 
-    /// Gives up every call that `unwanted` picks.
+    /// Cancels all calls that match `unwanted` and returns their ids.
     pub fn cancel_calls(&mut self, unwanted: impl Fn(&CallPurpose) -> bool) -> Vec<CallId> {
         let picked = self.calls.iter().filter(|(_, call)| unwanted(&call.purpose));
         let ids: Vec<CallId> = picked.map(|(id, _)| *id).collect();
@@ -164,12 +157,12 @@
         ids
     }
 
-    /// Whether a publication was read whole and found bad.
+    /// Whether a publication was read and found invalid.
     pub fn is_invalid(&self, publication: &InForce) -> bool {
         self.invalid.contains(publication)
     }
 
-    /// Remembers a publication as bad.
+    /// Remembers an invalid publication so that it is not read again.
     pub fn mark_invalid(&mut self, publication: InForce) {
         if self.invalid.len() == MAX_INVALID_PUBLICATIONS {
             self.invalid.pop_front();
@@ -177,7 +170,7 @@
         self.invalid.push_back(publication);
     }
 
-    /// The first part of the preset being read that has not come yet.
+    /// The first part of the preset being read that is still missing.
     pub fn missing_part(&self) -> Option<&PartRef> {
         let preset = self.body_read.as_ref()?.preset.as_ref()?;
         preset.parts.iter().find(|part| !self.parts.contains_key(&part.digest))
@@ -185,7 +178,7 @@
 }
 
 impl BodyRead {
-    /// A body that is to be read from `at` on.
+    /// Creates a read whose first call is made no earlier than `at`.
     pub fn new(publication: InForce, at: Time) -> BodyRead {
         BodyRead { publication, preset: None, at, backoff: Backoff::default() }
     }
