--- a/core/src/spread/store.rs
+++ b/core/src/spread/store.rs
@@ -1,4 +1,4 @@
-//! The version that a node holds, and the differences that it makes for others.
+//! The configuration version held by a node, and computation of deltas for peers.
 
 use super::message::{Base, Delta, Summary};
 use crate::config::resource_set::{ResourceDigest, ResourceSet};
@@ -8,32 +8,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Versions back for which a difference can be made; a node further behind gets its whole scope.
+/// Maximum number of past versions from which a delta can be made. Peers further behind get their
+/// full scope.
 const MAX_HISTORY_STEPS: usize = 64;
 
-/// Changes kept over all steps; bounds the memory of a history of large changes.
+/// Maximum number of changes in the history; bounds its memory.
 const MAX_HISTORY_CHANGES: usize = 20_000;
 
-/// Differences kept to be sent to several nodes.
+/// Maximum number of cached deltas.
 const MAX_CACHED_DELTAS: usize = 32;
 
-/// Resources over all differences kept; bounds the memory of those that hold a whole scope.
+/// Maximum number of resources in all cached deltas; bounds their memory.
 const MAX_CACHED_RESOURCES: usize = 15_000;
 
-/// Largest number of resources in a difference that is taken from a peer.
+/// Maximum number of resources in a delta accepted from a peer.
 pub const MAX_DELTA_RESOURCES: usize = 100_000;
 
 type Changes = BTreeMap<ResourceId, Option<ResourceDigest>>;
 
-/// What changed from one held version to the next.
+/// The changes from one held version to the next.
 #[derive(Debug)]
 struct HistoryStep {
     from: u64,
-    /// By resource, what was there in the older version.
+    /// The previous values, by resource.
     changes: Changes,
 }
 
-/// A difference kept for the next node that asks for the same.
+/// A delta cached for other peers with the same base and scope.
 #[derive(Debug)]
 struct CachedDelta {
     base: Option<Base>,
@@ -41,7 +42,7 @@
     delta: Arc<Delta>,
 }
 
-/// One version within a scope, with the steps that led to it.
+/// One version within a scope, with the history of earlier versions.
 #[derive(Debug)]
 pub struct Store {
     summary: Summary,
@@ -53,41 +54,35 @@
 }
 
 impl Store {
-    /// Holds a version.
+    /// Creates a store without history.
     pub fn new(summary: Summary, scope: Scope, content: ResourceSet) -> Store {
         let digest = content.manifest(&scope).digest();
         Store { summary, scope, content, digest, history: VecDeque::new(), cached: VecDeque::new() }
     }
-
-    /// The version held.
     pub fn summary(&self) -> &Summary {
         &self.summary
     }
 
-    /// The version number held.
+    /// The held version number.
     pub fn version(&self) -> u64 {
         self.summary.in_force.version
     }
-
-    /// The scope held.
     pub fn scope(&self) -> &Scope {
         &self.scope
     }
-
-    /// The resources held.
     pub fn content(&self) -> &ResourceSet {
         &self.content
     }
 
-    /// What a peer is told to make a difference from.
+    /// The version and digest that identify the held content as the base of a delta.
     pub fn base(&self) -> Base {
         Base { version: self.version(), digest: self.digest }
     }
 
-    /// Replaces an older store by this one and keeps its history.
+    /// Takes over the history of the store that this one replaces.
     pub fn with_history_of(mut self, older: Option<Store>) -> Store {
         let Some(older) = older else { return self };
-        // A history over a change of scope would miss what lay outside of it.
+        // The history does not cover resources outside the older scope.
         if older.scope != self.scope || older.version() == self.version() {
             return self;
         }
@@ -108,8 +103,8 @@
         }
     }
 
-    /// The difference from `base` within `scope`, or everything in scope if the base is not known.
-    /// `None` if this node does not hold all of the scope.
+    /// Returns the delta from `base` within `scope`, or the full scope if the base is unknown.
+    /// Returns `None` if this store does not cover the scope.
     pub fn delta(&mut self, base: Option<&Base>, scope: &Scope) -> Option<Arc<Delta>> {
         if !self.scope.includes(scope) {
             return None;
@@ -172,8 +167,8 @@
                 }
             }
         }
-        // After a conflict the base may have the same number and other content: with the changes
-        // undone the manifest must be the asking node's.
+        // After a conflict, a base with the same version number may have different content. Undoing
+        // the changes must yield the manifest of the peer's base.
         if manifest.digest() != base.digest {
             return None;
         }
@@ -181,8 +176,8 @@
         Some(Delta { summary, base: Some(base.clone()), changed, removed, digest })
     }
 
-    /// Every resource that changed since `version`, with what it was then. `None` if the history
-    /// does not go back that far.
+    /// Returns each resource that has changed since `version` with its value at that version, or
+    /// `None` if the history does not reach back that far.
     fn values_at(&self, version: u64) -> Option<BTreeMap<&ResourceId, Option<&ResourceDigest>>> {
         if version == self.version() {
             return Some(BTreeMap::new());
@@ -198,10 +193,10 @@
     }
 }
 
-/// The content that a difference leads to, checked against its digest.
+/// Applies a delta and verifies the resulting manifest.
 ///
-/// Every hash is computed from the received body, so that nothing of a wrong or incomplete
-/// difference is used.
+/// All hashes are computed from the received bodies, so a corrupted or incomplete delta is
+/// rejected.
 pub fn apply(delta: &Delta, held: Option<&Store>, scope: &Scope) -> Result<ResourceSet> {
     let fault = |code: Code| Fault::new(code).with_place(delta.summary.in_force.version);
     if delta.changed.len() + delta.removed.len() > MAX_DELTA_RESOURCES {
