--- a/core/src/spread/topology.rs
+++ b/core/src/spread/topology.rs
@@ -1,9 +1,10 @@
-//! Who reads the platform and who takes versions from whom, worked out by every node alone from
-//! the same lists and the same hash, so that no one appoints anyone.
+//! Assignment of readers, relays and parent candidates. Every node computes the same assignment
+//! from the VM lists and a hash, without coordination.
 //!
-//! In each zone the VMs are ranked by rendezvous hash. The first [`RELAYS_PER_ZONE`] are the zone's relays;
-//! the others hang below them in a tree with [`FAN_OUT`] children each. The zones of a region are
-//! ranked the same way; the first VM of each of the first two zones is a reader of the region.
+//! Rendezvous hashing ranks the VMs of each zone. The first [`RELAYS_PER_ZONE`] are the zone's
+//! relays; the others form a tree below them with [`FAN_OUT`] children per node. The zones of a
+//! region are ranked the same way; the first VM of each of the first two zones is a reader of the
+//! region.
 
 use super::limits::{ASSUMED_ZONES, FAN_OUT, RELAYS_PER_ZONE};
 use super::members::Members;
@@ -16,27 +17,26 @@
 use std::cmp::Reverse;
 
 data! {
-    /// A node's place in the spread.
+    /// A node's position in the distribution topology.
     pub struct Topology {
-        /// What the node does.
         pub role: Role,
-        /// Its number among its region's readers, from zero; `None` if it is none.
+        /// Index among the region's readers; `None` if the node is not a reader.
         pub reader: Option<usize>,
-        /// Whether its region is the one whose readers read bodies for all.
+        /// Whether the node is in the region whose readers fetch bodies for all regions.
         pub home: bool,
-        /// Its rank in its zone, from zero.
+        /// Rank in the zone, from zero.
         pub rank: usize,
-        /// VMs in its zone.
+        /// Number of live VMs in the zone.
         pub zone_vms: usize,
         /// Number of zones.
         pub zones: usize,
-        /// Possible parents, best first.
+        /// Possible parents, in order of preference.
         pub parent_candidates: Vec<Peer>,
     }
 }
 
 impl Topology {
-    /// The place of a node that holds no lists.
+    /// The position of a node without VM lists.
     pub fn unknown() -> Topology {
         Topology {
             role: Role::Leaf,
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Works out the place of a node. `in_service` is false once it is leaving.
+    /// Computes the position of a node. `in_service` is false once the node is leaving.
     pub fn new(now: Time, cfg: &Config, members: &Members, in_service: bool) -> Topology {
         let ranking = Ranking { now, members };
         let order = ranking.ranked(&cfg.place.zone);
         let position = order.iter().position(|member| member.vm == cfg.vm);
         let own_score = rendezvous_score(cfg.place.zone.as_bytes(), cfg.vm.as_bytes());
-        // A VM that the list does not name yet, or that leaves, takes a place that no one relies
-        // on: nobody else would look for it at the top.
+        // A VM that is leaving or not listed yet gets a rank below the relays, since its peers do
+        // not consider it as one.
         let rank = match position {
             Some(rank) if in_service => rank,
             _ => {
@@ -79,7 +79,7 @@
         };
         match reader {
             Some(_) => parent_candidates.extend(ranking.other_readers(&home, &cfg.place.region)),
-            // The last resort before the platform: the tops of the region's other zones.
+            // Last resort before the platform: the highest-ranked VM of each zone in the region.
             None => parent_candidates.extend(ranking.best_of_each_zone(&cfg.place.region)),
         }
         let role = match reader {
@@ -102,7 +102,7 @@
     }
 }
 
-/// The region whose readers read bodies from the platform for all others.
+/// The region whose readers fetch bodies from the platform for all other regions.
 pub fn home_region(cfg: &Config, members: &Members) -> Name {
     if let Some(region) = &cfg.platform_region {
         return region.clone();
@@ -113,7 +113,7 @@
     best.unwrap_or(&cfg.place.region).clone()
 }
 
-/// The zones of a region, best first.
+/// The zones of a region in rank order.
 pub fn zones_of(members: &Members, region: &Name) -> Vec<Place> {
     let zones = members.zones().map(|zones| zones.zones.as_slice()).unwrap_or_default();
     let mut places: Vec<Place> =
@@ -138,14 +138,14 @@
         vms.iter().filter(move |member| members.state(now, member) == VmState::Live)
     }
 
-    /// The live VMs of a zone, best first.
+    /// The live VMs of a zone in rank order.
     fn ranked(&self, zone: &Name) -> Vec<&'a Member> {
         let mut vms: Vec<&Member> = self.live(zone).collect();
         vms.sort_by_cached_key(|member| (Reverse(self.score(member)), member.vm.clone()));
         vms
     }
 
-    /// The best live VM of a zone other than `not`.
+    /// The highest-ranked live VM of a zone other than `excluded`.
     fn best_in_zone(&self, zone: &Name, excluded: Option<&Name>) -> Option<&'a Member> {
         let fits = |member: &&Member| Some(&member.vm) != excluded;
         self.live(zone)
@@ -185,7 +185,7 @@
     home_readers: &[&Member],
 ) -> Vec<Peer> {
     let (first, rest) = own.split_at(number);
-    // Only the first reader of a region takes bodies across; the second takes them from it.
+    // Only the first reader of a region fetches bodies across regions; the second fetches from it.
     let others: &[&Member] = if home { rest } else { home_readers };
     first.iter().chain(others).map(|member| peer(member)).collect()
 }
@@ -196,8 +196,8 @@
     readers: &[&Member],
     home_readers: &[&Member],
 ) -> Vec<Peer> {
-    // The two relays of a zone prefer different readers, so that one dead reader or one cut
-    // between two zones leaves the zone a fresh relay.
+    // The two relays of a zone prefer different readers, so that a single failed reader or network
+    // partition leaves the zone one up-to-date relay.
     let (left, right) = readers.split_at(rank.min(readers.len()));
     let above = order.iter().take(rank);
     let all = right.iter().chain(left).chain(above).chain(home_readers);
@@ -213,7 +213,7 @@
     lower.filter_map(|candidate| order.get(candidate)).map(|member| peer(member)).collect()
 }
 
-/// The peer that a member runs.
+/// Converts a listed member to a messaging endpoint.
 pub fn peer(member: &Member) -> Peer {
     Peer { vm: member.vm.clone(), place: member.place(), address: member.peers }
 }
