--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -208,7 +208,7 @@
         let publication = body_read.publication.clone();
         let parsed = match &body {
             Some(body) => validate::parse_preset(body, &publication),
-            None => Err(Fault::new(Code::DigestMismatch).with_detail("no value")),
+            None => Err(Fault::new(Code::DigestMismatch).with_detail("key has no value")),
         };
         match parsed {
             Ok(preset) => {
@@ -224,7 +224,7 @@
     fn handle_part(&mut self, now: Time, digest: Hash, body: Option<Bytes>, out: &mut Vec<Output>) {
         let parsed = match body {
             Some(body) => validate::parse_part(&body, &digest).map(|_| body),
-            None => Err(Fault::new(Code::DigestMismatch).with_detail("no value")),
+            None => Err(Fault::new(Code::DigestMismatch).with_detail("key has no value")),
         };
         match parsed {
             Ok(body) => {
--- a/core/src/spread/store.rs
+++ b/core/src/spread/store.rs
@@ -199,15 +199,21 @@
 /// rejected.
 pub fn apply(delta: &Delta, held: Option<&Store>, scope: &Scope) -> Result<ResourceSet> {
     let fault = |code: Code| Fault::new(code).with_place(delta.summary.in_force.version);
-    if delta.changed.len() + delta.removed.len() > MAX_DELTA_RESOURCES {
-        return Err(fault(Code::PeerInvalid).with_detail("too many resources"));
+    let resources = delta.changed.len() + delta.removed.len();
+    if resources > MAX_DELTA_RESOURCES {
+        let detail = format!("delta has {resources} resources, limit is {MAX_DELTA_RESOURCES}");
+        return Err(fault(Code::PeerInvalid).with_detail(detail));
     }
     let mut content = match (&delta.base, held) {
         (None, _) => ResourceSet::default(),
         (Some(base), Some(held)) if *base == held.base() && held.scope == *scope => {
             held.content.clone()
         }
-        (Some(_), _) => return Err(fault(Code::PeerInvalid).with_detail("base is not held")),
+        (Some(_), _) => {
+            return Err(
+                fault(Code::PeerInvalid).with_detail("delta base does not match the held content")
+            );
+        }
     };
     for id in &delta.removed {
         content.remove(id);
