--- a/core/tests/spread_delta.rs
+++ b/core/tests/spread_delta.rs
@@ -1,4 +1,4 @@
-//! Differences between versions against a naive version: the whole scope, copied.
+//! Deltas between versions, checked against a model that copies the full scope.
 
 use bytes::Bytes;
 use indexmap::IndexMap;
@@ -17,7 +17,7 @@
     Name::new(text).unwrap()
 }
 
-/// One version: for each service its content, if it exists, and the service each route leads to.
+/// One version: the content of each existing service, and the service of each route.
 #[derive(Clone, Debug)]
 struct Version {
     services: BTreeMap<u8, (u8, u8)>,
@@ -63,7 +63,7 @@
     resources
 }
 
-/// The naive version: everything of the version that belongs to a service in scope.
+/// All resources of the version that belong to a service in scope.
 fn expected_resources(version: &Version, scope: &Scope) -> BTreeMap<ResourceId, Hash> {
     let belongs = |id: &ResourceId| match id.kind {
         ResourceKind::Service | ResourceKind::Targets => scope.covers(&id.name),
@@ -98,7 +98,7 @@
         scope in scope(),
         skips in prop::collection::vec(any::<bool>(), 8),
     ) {
-        // A relay takes every version; a child in some scope pulls after some of them only.
+        // The relay takes every version; a child with a smaller scope skips some.
         let mut relay: Option<Store> = None;
         let mut child: Option<Store> = None;
         for (index, version) in versions.iter().enumerate() {
@@ -113,7 +113,7 @@
             let content = store::apply(&delta, child.as_ref(), &scope).unwrap();
             prop_assert_eq!(held(&content), expected_resources(version, &scope));
             if let Some(before) = base.as_ref().filter(|_| delta.base.is_some()) {
-                // Nothing is sent that the child holds already.
+                // Resources that the child already holds are not sent again.
                 let before = expected_resources(&versions[before.version as usize - 1], &scope);
                 for (id, body) in &delta.changed {
                     prop_assert_ne!(before.get(id), Some(&Hash::of(body)));
@@ -159,9 +159,8 @@
 
 #[test]
 fn delta_of_endpoint_churn() {
-    // Story: one target of a service is replaced, as happens 5,500 times a day. Were the limits
-    // and routes of the service, or other services, sent again, control traffic would follow the
-    // size of the fleet's configuration and not that of the change.
+    // Replacing one target must send only the targets of that service. Otherwise traffic grows with
+    // the size of the configuration instead of the change.
     let version = |targets| Version {
         services: (0..SERVICES).map(|s| (s, (1, if s == 2 { targets } else { 0 }))).collect(),
         routes: (0..8).map(|route| (route, route % SERVICES)).collect(),
@@ -178,13 +177,13 @@
     let digest = content(1).manifest(&elsewhere).digest();
     let base = sycamore_core::spread::message::Base { version: 1, digest };
     let delta = new.delta(Some(&base), &elsewhere).unwrap();
-    assert!(delta.changed.is_empty(), "a scope that the change does not touch is sent nothing");
+    assert!(delta.changed.is_empty(), "a scope without changes must get an empty delta");
 }
 
 #[test]
 fn delta_from_base_under_one_number() {
-    // Story: after a conflict a child holds another content under version 1 than the relay did. A
-    // difference made from the relay's version 1 would leave the child with a mixture.
+    // After a conflict, the child's version 1 differs from the relay's. A delta from the relay's
+    // version 1 would leave the child with mixed content.
     let version = |limits| Version {
         services: (0..SERVICES).map(|s| (s, (limits, 0))).collect(),
         routes: BTreeMap::new(),
@@ -194,7 +193,7 @@
     let relay = Store::new(summary(1), Scope::All, content(1));
     let mut relay = Store::new(summary(2), Scope::All, content(1)).with_history_of(Some(relay));
     let delta = relay.delta(Some(&child.base()), &Scope::All).unwrap();
-    assert_eq!(delta.base, None, "the whole scope is sent");
+    assert_eq!(delta.base, None, "the full scope must be sent");
     let content = store::apply(&delta, Some(&child), &Scope::All).unwrap();
     assert_eq!(held(&content), expected_resources(&version(1), &Scope::All));
 }
