--- a/core/tests/spread_faults.rs
+++ b/core/tests/spread_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of nodes, links and the platform, alone and in pairs, over a small fleet.
+//! Single and combined faults of nodes, links and the platform in a small fleet.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -33,8 +33,7 @@
 
 #[test]
 fn source_down_then_back() {
-    // Story: the platform does not answer for a minute. Nodes go on with what they hold and don't
-    // ask more often the longer it lasts; once it is back, what was published meanwhile arrives.
+    // Nodes must not poll more often during a platform outage, and must catch up once it is over.
     let mut fleet = settled(6, 3);
     fleet.platform.calls.clear();
     fleet.platform_down(true);
@@ -52,8 +51,8 @@
 
 #[test]
 fn source_silent_then_back() {
-    // Story: the platform takes calls and never answers, as behind a half-open connection. A node
-    // that waits for its answers for ever hears of no version after the platform is back.
+    // The platform accepts calls but never answers. Without a timeout, nodes would hear of no
+    // version after it recovers.
     let mut fleet = settled(6, 3);
     fleet.platform_silent(true);
     fleet.run(60 * SECOND);
@@ -66,8 +65,8 @@
 
 #[test]
 fn herd_of_a_zone_returns() {
-    // Story: every VM of a zone is killed at once and starts again at once, while the platform is
-    // down. The nodes know nothing; they get the version from other zones through the seeds.
+    // All VMs of a zone restart while the platform is down. They must get the version from other
+    // zones through their seeds.
     let mut fleet = settled(6, 3);
     let zone = nodes_with(&fleet, |slot| slot.cfg.place.zone.as_str() == "c");
     let seed = fleet.nodes[0].cfg.address;
@@ -86,8 +85,8 @@
 
 #[test]
 fn herd_of_all_relays_of_a_region() {
-    // Story: every reader and relay of a region dies at once; the list goes on naming them. The
-    // leaves, whose parents are all gone, still hear of the next version within seconds.
+    // All readers and relays of a region fail while the VM list still names them. Leaves must still
+    // receive the next version within seconds.
     let mut fleet = settled(4, 6);
     let relays = nodes_with(&fleet, |slot| {
         slot.cfg.place.region.as_str() == "r2" && role(slot) != Role::Leaf
@@ -103,8 +102,7 @@
 
 #[test]
 fn herd_of_everything_returns() {
-    // Story: the whole fleet loses power and returns in one instant. Nobody holds a version. The
-    // platform is asked by few enough to stay far below its limit, and everyone gets the version.
+    // The whole fleet restarts without any state. Platform calls must stay well below its limit.
     let mut fleet = settled(10, 12);
     for node in 0..120 {
         fleet.kill(node);
@@ -123,9 +121,8 @@
 
 #[test]
 fn zone_cut_from_others_reads_platform() {
-    // Story: a zone loses the links to every other zone but reaches the platform. None of its VMs
-    // is a reader of the region, and its relays lose theirs; without reading the platform
-    // themselves the zone would stay behind.
+    // A zone without a reader loses all links to other zones. Its relays must read the platform
+    // themselves.
     let mut fleet = Fleet::with_regions(6, 3, 3);
     fleet.publish(1, &preset(1));
     fleet.start_all();
@@ -152,8 +149,7 @@
 
 #[test]
 fn zone_cut_from_platform_hears_through_others() {
-    // Story: the platform is unreachable from the zone of the first reader of its region, and
-    // versions must come through readers of other zones.
+    // A zone that cannot reach the platform must receive versions through readers in other zones.
     for zone in ["a", "b", "c"] {
         let mut fleet = settled(6, 3);
         fleet.platform.unreachable_from = vec![fleet::name(zone)];
@@ -163,15 +159,14 @@
         fleet.run(5 * SECOND);
         fleet.publish(2, &preset(2));
         fleet.run(SECOND / 4);
-        assert_eq!(fleet.versions(), vec![2; 18], "zone {zone} cut off");
+        assert_eq!(fleet.versions(), vec![2; 18], "zone {zone} isolated from the platform");
     }
 }
 
 #[test]
 fn zone_cut_from_all_heals() {
-    // Story: a zone is cut from the platform and from every other zone, and healed after a minute
-    // in which two versions came out. It keeps serving the one it had and has the newest within
-    // three seconds of the heal.
+    // A fully isolated zone must keep its version, and catch up within three seconds after the
+    // partition heals.
     let mut fleet = settled(6, 3);
     fleet.partition_zones(&["c"]);
     fleet.platform.unreachable_from = vec![fleet::name("c")];
@@ -195,9 +190,8 @@
 
 #[test]
 fn restart_into_stale_zone_keeps_floor() {
-    // Story: version 2 is in force in a zone that is then cut off with a platform replica that
-    // still shows version 1. A node restarts there. Were it to believe the platform, its VM would
-    // go back from 2 to 1. Its neighbours hold 2.
+    // A node restarts in a partitioned zone whose platform replica shows version 1 while its
+    // neighbours hold version 2. Its VM must not go back to 1.
     let mut fleet = settled(2, 6);
     fleet.publish(2, &preset(2));
     fleet.run(3 * SECOND);
@@ -217,9 +211,8 @@
 
 #[test]
 fn restart_keeps_floor_that_only_a_neighbour_remembers() {
-    // Story: a node took version 2 from a reader that was then lost with everything else that
-    // held it, except for one neighbour, which has just started and holds version 1, but was told
-    // of 2 before by the node. The node restarts. The platform shows 1. It must not serve 1.
+    // A node restarts while only one neighbour remembers that its VM confirmed version 2; all
+    // others hold 1. It must not put version 1 into force.
     let mut fleet = settled(1, 2);
     let (old, new) = (0, 1);
     let have = {
@@ -258,7 +251,7 @@
     let before = fleet.nodes[new].in_force.len();
     fleet.start(new);
     fleet.run(20 * SECOND);
-    assert_eq!(fleet.nodes[new].in_force.len(), before, "went back to the platform's version");
+    assert_eq!(fleet.nodes[new].in_force.len(), before, "the older version from the platform was put into force");
     fleet.publish(3, &preset(3));
     fleet.run(3 * SECOND);
     assert_eq!(fleet.versions(), vec![3; 2]);
@@ -266,9 +259,8 @@
 
 #[test]
 fn pause_wakes_as_relay() {
-    // Story: the reader of a region is stopped for 30 s and runs on. Its children have other
-    // parents by then. For a moment it takes itself for their relay with an old version; it must
-    // not answer by it before it has asked.
+    // A reader resumes after a pause of 30 s. It must not serve its old version before it has asked
+    // its peers.
     let mut fleet = settled(4, 4);
     let reader = nodes_with(&fleet, |slot| role(slot) == Role::RegionReader)[0];
     fleet.freeze(reader);
@@ -287,8 +279,8 @@
 
 #[test]
 fn pause_of_a_relay_loses_no_version() {
-    // Story: a zone's relay stops in the very moment in which a version comes out. Its connections
-    // stay open, so that nothing breaks; its children notice only that it does not answer.
+    // Relays freeze just before a publish without closing connections. Their children must detect
+    // this by missing answers.
     let mut fleet = settled(4, 4);
     for relay in nodes_with(&fleet, |slot| role(slot) == Role::ZoneRelay) {
         fleet.freeze(relay);
@@ -302,8 +294,8 @@
 
 #[test]
 fn list_names_dead_and_misses_new() {
-    // Story: half of the VMs are replaced, and the platform's list still names the dead ones and
-    // none of the new. Both old and new nodes have to find living parents.
+    // The VM list still names replaced VMs and none of the new ones. All nodes must find live
+    // parents.
     let mut fleet = Fleet::new(2, 12);
     let places: Vec<_> = [0, 12].map(|node| fleet.nodes[node].cfg.place.clone()).into();
     let number = |vm: &sycamore_core::Name| vm.as_str()[2..].parse::<u32>().unwrap();
@@ -332,8 +324,8 @@
 
 #[test]
 fn relay_accepts_and_never_answers() {
-    // Story: a relay's process hangs: it takes messages and answers none. Its children go on to
-    // another parent in under a second, and to the next if that one hangs too.
+    // A relay accepts messages but never answers. Its children must switch to another parent within
+    // a second.
     let mut fleet = settled(2, 12);
     let top = nodes_with(&fleet, |slot| role(slot) == Role::RegionReader)[0];
     let silent = fleet.nodes[top].cfg.vm.clone();
@@ -352,11 +344,10 @@
 
 #[test]
 fn peer_sends_wrong_content() {
-    // Story: a relay's memory or code is broken, and one byte of a resource changes on its way. A
-    // node that took it would run with limits that nobody published. The whole difference is
-    // refused, reported, and taken from another peer.
+    // A relay alters a resource in transit. The delta must be rejected, reported, and fetched from
+    // another peer.
     let mut fleet = settled(2, 6);
-    // In a zone this small the leaves hang below the zone's first VM, which also is a reader.
+    // In a zone this small, all leaves attach to the first VM, which is also a reader.
     let relays = nodes_with(&fleet, |slot| role(slot) == Role::RegionReader)[..1].to_vec();
     let broken: Vec<_> = relays.iter().map(|node| fleet.nodes[*node].cfg.vm.clone()).collect();
     fleet.filter = Box::new(move |from, _, msg| match msg {
@@ -380,13 +371,13 @@
     let reported = (0..12)
         .map(|n| fleet.count(n, EventKind::VersionRefused, Some(Code::PeerHashMismatch)))
         .sum::<usize>();
-    assert!(reported > 0, "nobody reported the broken relay");
+    assert!(reported > 0, "no node reported the corrupted delta");
 }
 
 #[test]
 fn leaving_is_known_in_seconds() {
-    // Story: a VM is being replaced. Its node says that it leaves; the platform's list still calls
-    // it live. Nodes that believed the list would go on sending work there.
+    // A node reports that it is leaving while the VM list still says live. Peers must believe the
+    // node's own report, or they would keep sending it work.
     let mut fleet = settled(6, 3);
     let leaving = fleet.index("d-1");
     fleet.input(leaving, Input::Stop);
@@ -395,7 +386,8 @@
     for slot in fleet.nodes.iter().filter(|slot| slot.cfg.vm != vm) {
         assert_eq!(slot.members.get(&vm), Some(&VmState::Leaving), "{}", slot.cfg.vm);
     }
-    // It restarts: its new word beats the old one everywhere, though the list never changed.
+    // After a restart, the newer report must supersede the old one although the list has not
+    // changed.
     fleet.kill(leaving);
     fleet.run(SECOND);
     fleet.start(leaving);
@@ -407,9 +399,8 @@
 
 #[test]
 fn herd_of_all_relays_of_a_region_reads_few_bodies() {
-    // Story: as above, in larger zones. Every node below is right to read the platform, which
-    // stands in another region: each body read is a whole configuration over a link that is paid
-    // by volume. Those that got through first take the others below them.
+    // All relays of a region with large zones fail. Nodes must share the body instead of each
+    // reading it over a cross-region link billed by volume.
     let mut fleet = settled(4, 40);
     let relays = nodes_with(&fleet, |slot| {
         slot.cfg.place.region.as_str() == "r2" && role(slot) != Role::Leaf
