--- a/core/tests/spread_random.rs
+++ b/core/tests/spread_random.rs
@@ -1,5 +1,5 @@
-//! Random operators and faults over a small fleet, against a naive version of what has to come out:
-//! the highest good version published, with exactly its own content.
+//! Random operations and faults in a small fleet. Every node must end with the latest valid
+//! version, and never with mixed content.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -50,14 +50,14 @@
     ]
 }
 
-/// A fleet with the naive version of its state beside it.
+/// A fleet and the state expected of it.
 struct TrackedFleet {
     fleet: Fleet,
-    /// The last version number used.
+    /// The last version number published.
     last_version: u64,
-    /// Versions in force that have been checked, by node.
+    /// Number of versions already checked, by node.
     checked: Vec<usize>,
-    /// Where each node's present process began in its list of versions.
+    /// Index of the first version of each node's current process.
     life_start: Vec<usize>,
 }
 
@@ -120,12 +120,12 @@
         self.check();
     }
 
-    /// What holds at all times, whatever has happened.
+    /// Asserts the invariants that hold at all times.
     fn check(&mut self) {
         for (node, slot) in self.fleet.nodes.iter().enumerate() {
             let life: Vec<u64> =
                 slot.in_force[self.life_start[node]..].iter().map(|s| s.version()).collect();
-            assert!(life.is_sorted(), "{} went back: {life:?}", slot.cfg.vm);
+            assert!(life.is_sorted(), "{} went back to an older version: {life:?}", slot.cfg.vm);
             for snapshot in &slot.in_force[self.checked[node]..] {
                 let slots = snapshot.services().iter().map(|service| service.limits.slots);
                 let version = snapshot.version() as u32;
@@ -133,14 +133,14 @@
                 slots.sort();
                 let mut expected = [version % 100 + 1, 12];
                 expected.sort();
-                assert_eq!(slots, expected, "{} mixed content under {version}", slot.cfg.vm);
+                assert_eq!(slots, expected, "{} has mixed content in version {version}", slot.cfg.vm);
                 assert_eq!(snapshot.routes().len(), 2);
             }
             self.checked[node] = slot.in_force.len();
         }
     }
 
-    /// Ends every fault, publishes once more and looks at what comes out.
+    /// Ends all faults, publishes once more and asserts that all nodes converge.
     fn settle(&mut self) {
         self.fleet.heal();
         self.fleet.platform_down(false);
@@ -156,7 +156,8 @@
     }
 }
 
-/// A fixed few cases in CI; `PROPTEST_CASES` runs more, `PROPTEST_RNG_SEED` the same ones again.
+/// Runs a small number of cases by default; `PROPTEST_CASES` sets another number and
+/// `PROPTEST_RNG_SEED` makes a run repeatable.
 fn config() -> ProptestConfig {
     let more = std::env::var_os("PROPTEST_CASES").is_some();
     let cases = if more { ProptestConfig::default().cases } else { 24 };
