--- a/core/tests/spread_versions.rs
+++ b/core/tests/spread_versions.rs
@@ -1,5 +1,5 @@
-//! What must always hold of versions, over a small fleet: in force everywhere within seconds,
-//! never back, never in part, whatever the platform shows.
+//! Invariants of versions in a small fleet: they are in force everywhere within seconds, never
+//! replaced by older ones and never applied in part.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -11,7 +11,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A fleet of 18 nodes with version 1 in force everywhere.
+/// Returns a fleet of 18 nodes with version 1 in force everywhere.
 fn settled() -> Fleet {
     let mut fleet = Fleet::new(6, 3);
     fleet.publish(1, &preset(1));
@@ -32,9 +32,8 @@
 
 #[test]
 fn publish_while_bodies_cross() {
-    // Story: an operator publishes five versions within a tenth of a second. Readers in distant
-    // regions are still reading the first when the fifth is out, and differences cross on their
-    // way down. A node that took them in the order of arrival would end at an older one.
+    // Five versions are published within 100 ms, so that bodies and deltas overtake each other.
+    // Applying them in order of arrival would end at an older version.
     let mut fleet = settled();
     for version in 2..=6 {
         fleet.publish(version, &preset(version as u32));
@@ -47,9 +46,7 @@
 
 #[test]
 fn publish_bad_then_good() {
-    // Story: an operator publishes a body whose route names a service that is not there. Every
-    // call to that route would find nothing. The version is refused whole on every node, one that
-    // follows is taken.
+    // A preset with a dangling route must be refused on every node, and a later valid one accepted.
     let mut fleet = settled();
     let bad = preset(2).replace(r#""service":"maps""#, r#""service":"mops""#);
     fleet.publish(2, &bad);
@@ -58,9 +55,9 @@
     let refusals: usize = (0..18)
         .map(|node| fleet.count(node, EventKind::VersionRefused, Some(Code::RouteDangling)))
         .sum();
-    assert!(refusals >= 1, "nobody reported the bad version");
+    assert!(refusals >= 1, "no node reported the invalid version");
     let reads = fleet.platform.calls.iter().filter(|(_, key)| key.starts_with("preset/")).count();
-    assert!(reads <= 18, "the bad body was read {reads} times");
+    assert!(reads <= 18, "the invalid body was read {reads} times");
     fleet.publish(3, &preset(3));
     fleet.run(2 * SECOND);
     assert_eq!(fleet.versions(), vec![3; 18]);
@@ -68,9 +65,8 @@
 
 #[test]
 fn publish_torn_body() {
-    // Story: a reader sees the new `in-force` while the preset's key still holds the old body.
-    // Were they combined, nodes would serve old content under the new version and never learn of
-    // the new content. The body is read again until it matches.
+    // `in-force` already names the new version while the preset's key holds the old body. The two
+    // must not be combined; the body is read again until it matches.
     let mut fleet = settled();
     fleet.set_in_force(&publication(2, &preset(2)));
     fleet.run(3 * SECOND);
@@ -84,7 +80,7 @@
             .iter()
             .map(|s| s.services().iter().map(|e| e.limits.slots).max().unwrap_or(0))
             .collect();
-        assert_eq!(slots, [12, 12], "the maps service has the default of 12");
+        assert_eq!(slots, [12, 12], "the maps service must have the default of 12");
         let versions: Vec<u64> = slot.in_force.iter().map(|s| s.version()).collect();
         assert_eq!(versions, [1, 2]);
     }
@@ -92,9 +88,8 @@
 
 #[test]
 fn publish_conflict_late() {
-    // Story: an operator forgets to raise the version and publishes another body under the one in
-    // force. Nodes that took it would differ from those that did not, under one version number.
-    // It is refused everywhere, with a numbered error, and the one in force stays.
+    // Another body is published under the version in force. It must be refused and reported, or
+    // nodes would hold different content under the same version.
     let mut fleet = settled();
     fleet.publish(1, &preset(9));
     fleet.run(10 * SECOND);
@@ -103,14 +98,13 @@
     }
     let reported = (0..18)
         .filter(|n| fleet.count(*n, EventKind::VersionRefused, Some(Code::VersionConflict)) > 0);
-    assert!(reported.count() >= 6, "each reader reports it");
+    assert!(reported.count() >= 6, "each reader must report it");
 }
 
 #[test]
 fn publish_conflict_race() {
-    // Story: two operators publish different bodies under version 2 within a few milliseconds.
-    // Some readers see only the first, some only the second, and each part of the fleet accepts
-    // what its readers saw. Without a rule that all nodes share it stays split until version 3.
+    // Two bodies are published under version 2 within milliseconds. Nodes may see either one first,
+    // but must all end with the same one.
     for gap_ms in [0, 1, 2, 3, 5, 10, 50] {
         let mut fleet = settled();
         let body =
@@ -130,7 +124,7 @@
             fleet.nodes.iter().map(|s| s.in_force.last().unwrap().in_force.clone()).collect();
         assert!(
             last.iter().all(|in_force| *in_force == last[0]),
-            "split after {gap_ms} ms: {last:?}"
+            "nodes disagree after a gap of {gap_ms} ms: {last:?}"
         );
         fleet.assert_versions_never_decrease();
     }
@@ -138,9 +132,8 @@
 
 #[test]
 fn publish_conflict_in_two_halves() {
-    // Story: the regions are cut from each other, and each region's readers see and accept the
-    // body of another operator under version 2. When the cut heals, a fleet that only refuses
-    // conflicts would stay in two halves under one version number.
+    // Each half of a partitioned fleet accepts another body under version 2. After the partition
+    // heals, all nodes must agree on one of them.
     for (first, second) in [(2, 3), (3, 2)] {
         let mut fleet = settled();
         let zones = ["a", "b", "c", "d", "e", "f"];
@@ -162,11 +155,11 @@
         fleet.run(10 * SECOND);
         let last = |slot: &fleet::SimNode| slot.in_force.last().unwrap().in_force.clone();
         let one = last(&fleet.nodes[0]);
-        assert!(fleet.nodes.iter().all(|slot| last(slot) == one), "the fleet stays split");
+        assert!(fleet.nodes.iter().all(|slot| last(slot) == one), "nodes still disagree after the partition");
         let reported = (0..18).filter(|n| {
             fleet.count(*n, EventKind::VersionRefused, Some(Code::VersionConflict)) > 0
         });
-        assert!(reported.count() > 0, "nobody reported the conflict");
+        assert!(reported.count() > 0, "no node reported the conflict");
         fleet.publish(3, &preset(4));
         fleet.run(3 * SECOND);
         assert_eq!(fleet.versions(), vec![3; 18]);
@@ -175,8 +168,8 @@
 
 #[test]
 fn source_goes_back() {
-    // Story: the platform is restored from a backup: its index and the version in force are older
-    // than before. A node that believed it would serve a withdrawn configuration.
+    // The platform is restored from a backup with an older index and version. Nodes must keep the
+    // newer version.
     let mut fleet = settled();
     fleet.publish(2, &preset(2));
     fleet.run(2 * SECOND);
@@ -189,8 +182,8 @@
     assert_eq!(fleet.versions(), vec![2; 18]);
     let reported = (0..18)
         .filter(|n| fleet.count(*n, EventKind::VersionRefused, Some(Code::SourceWentBack)) > 0);
-    assert!(reported.count() >= 6, "each reader reports it");
-    // The restored platform goes on with lower indices: a new version is still taken.
+    assert!(reported.count() >= 6, "each reader must report it");
+    // New versions must be accepted although the restored indices are lower.
     fleet.publish(3, &preset(3));
     fleet.run(35 * SECOND);
     assert_eq!(fleet.versions(), vec![3; 18]);
@@ -198,8 +191,8 @@
 
 #[test]
 fn source_rubbish() {
-    // Story: the platform answers with text that is no publication, then with a publication whose
-    // body is text that is no preset. Nothing changes on any node; what follows is taken.
+    // The platform returns an unparsable publication, then an unparsable preset. Neither may change
+    // the version in force.
     let mut fleet = settled();
     fleet.set("in-force", "<html>502</html>");
     fleet.run(5 * SECOND);
@@ -218,16 +211,15 @@
 
 #[test]
 fn scope_leaves_nothing_out() {
-    // Story: a leaf holds only the services that its routes need. When a route moves to a service
-    // that the leaf did not hold before, and the difference names only the route, calls to it
-    // would find a service that is not there.
+    // A route moves to a service outside a leaf's content. The delta must include that service, not
+    // only the route.
     let mut fleet = Fleet::new(2, 6);
     for slot in &mut fleet.nodes {
         slot.cfg.scope = Some(vec![fleet::name("maps")]);
     }
     fleet.publish(1, &preset(1));
     fleet.start_all();
-    // Long enough for those that stood in for a relay at the start to be leaves again.
+    // Wait until nodes that acted as relays during startup are leaves again.
     fleet.run(20 * SECOND);
     let moved = preset(2).replace(
         r#""path_prefix":"/rosters","service":"roster""#,
