--- a/core/tests/support/fleet.rs
+++ b/core/tests/support/fleet.rs
@@ -1,7 +1,7 @@
-//! A few nodes in one thread, joined by one time-ordered queue with latency and cuts, and a
-//! platform that counts its calls.
+//! Simulation of a small fleet: nodes in one thread with a time-ordered event queue, network
+//! latency and partitions, and a platform that records its calls.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use bytes::Bytes;
 use indexmap::IndexMap;
@@ -20,10 +20,10 @@
 };
 use sycamore_core::{Code, Name, Time};
 
-/// Latency of the platform, and of links unless a test sets another.
+/// Latency of the platform; default latency of links.
 const LATENCY: Duration = Duration::from_millis(2);
 
-/// A node and what it did since its VM first started.
+/// A node with its recorded outputs, kept across restarts.
 pub struct SimNode {
     pub cfg: Config,
     pub spread: Option<Spread>,
@@ -32,7 +32,7 @@
     pub events: Vec<Event>,
     pub members: IndexMap<Name, VmState>,
     pub view: Option<View>,
-    /// The version in force at each confirmation.
+    /// The version in force at each [`Output::Confirmed`].
     pub confirmed: Vec<u64>,
     generation: u64,
     wake: Option<Time>,
@@ -45,24 +45,24 @@
     Timeout(u64, SourceCall),
 }
 
-/// What a test does to a message on its way.
+/// Passes, alters or drops a message from the first node to the second.
 pub type Filter = Box<dyn Fn(&SimNode, &SimNode, &PeerMsg) -> Option<PeerMsg>>;
 
-/// The platform, its values by key with the index of their last change.
+/// A simulated platform. Each value is stored with the index of its last change.
 #[derive(Default)]
 pub struct Platform {
     pub values: BTreeMap<String, (u64, Bytes)>,
     pub index: u64,
-    /// Zones that can't reach it.
+    /// Zones that cannot reach the platform.
     pub unreachable_from: Vec<Name>,
     pub down: bool,
-    /// Takes calls and never answers.
+    /// Accepts calls but never answers.
     pub silent: bool,
-    /// Answers every watch at once.
+    /// Answers blocking reads immediately.
     pub answers_watches_at_once: bool,
-    /// Answers every call with 429.
+    /// Answers every call with status 429.
     pub over_limit: bool,
-    /// Times of all calls.
+    /// Time and key of every call.
     pub calls: Vec<(Time, String)>,
     blocked_calls: Vec<(usize, u64, SourceCall)>,
 }
@@ -84,7 +84,7 @@
     Name::new(text.into()).unwrap()
 }
 
-/// The seed of a run, settable as `SYCAMORE_SEED` and printed with a failure.
+/// Returns the seed from `SYCAMORE_SEED`, by default 1, and prints it.
 pub fn seed() -> u64 {
     let seed = std::env::var("SYCAMORE_SEED").ok().and_then(|text| text.parse().ok());
     let seed = seed.unwrap_or(1);
@@ -92,7 +92,7 @@
     seed
 }
 
-/// A preset with one service a VM of `vms`, marked so that bodies differ.
+/// Returns a preset with two services; `mark` makes bodies differ.
 pub fn preset(mark: u32) -> String {
     format!(
         r#"{{"name":"ordinary","services":{{
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Most calls in any one second.
+    /// Maximum number of calls within any second.
     pub fn peak_calls_per_second(&self) -> usize {
         let mut start = 0;
         let mut peak = 0;
@@ -136,13 +136,13 @@
 }
 
 impl Fleet {
-    /// A fleet of `per_zone` VMs in each of the zones a and b of region r1, c and d of r2, and so
-    /// on; nothing is started.
+    /// Creates a fleet of `per_zone` VMs in each zone: a and b in region r1, c and d in r2, and so
+    /// on. No node is started.
     pub fn new(zones: usize, per_zone: usize) -> Fleet {
         Fleet::with_regions(zones, per_zone, 2)
     }
 
-    /// The same with another number of zones a region.
+    /// [`Fleet::new`] with `per_region` zones in each region.
     pub fn with_regions(zones: usize, per_zone: usize, per_region: usize) -> Fleet {
         let seed = seed();
         let mut fleet = Fleet {
@@ -202,7 +202,7 @@
         });
     }
 
-    /// Publishes the list of a zone; `state` gives the state of each VM, or leaves it out.
+    /// Publishes the VM list of a zone with the given states; VMs without a state are omitted.
     pub fn publish_vm_list(&mut self, place: &Place, state: impl Fn(&Name) -> Option<VmState>) {
         let members = self.nodes.iter().filter(|slot| slot.cfg.place == *place);
         let member = |slot: &SimNode| {
@@ -220,7 +220,7 @@
         self.set(&format!("vms/{}", place.zone), body);
     }
 
-    /// Writes a key of the platform and wakes whoever watches it.
+    /// Writes a key and answers the calls that block on it.
     pub fn set(&mut self, key: &str, value: impl Into<Bytes>) {
         self.platform.set(key, value);
         let (wake, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.platform.blocked_calls)
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Publishes a body under a version.
+    /// Publishes a body as the given version.
     pub fn publish(&mut self, version: u64, body: &str) {
         self.set("preset/ordinary", body.to_owned());
         self.set_in_force(&publication(version, body));
@@ -270,7 +270,7 @@
         self.nodes[node].frozen = true;
     }
 
-    /// Lets a frozen process run again: first its overdue timer, then what came in meanwhile.
+    /// Resumes a frozen node: first its overdue timer, then the queued inputs.
     pub fn thaw(&mut self, node: usize) {
         self.nodes[node].frozen = false;
         self.input(node, Input::Wake);
@@ -324,7 +324,7 @@
         }
     }
 
-    /// Hands an input to a node that runs.
+    /// Delivers an input to a node; ignored if it is not running.
     pub fn input(&mut self, node: usize, input: Input) {
         let now = self.now;
         let slot = &mut self.nodes[node];
@@ -420,20 +420,20 @@
         self.push(self.now + LATENCY, node, Action::Input(generation, reply));
     }
 
-    /// Answers every watch that waits, though nothing has changed.
+    /// Answers all blocked calls although no value has changed.
     pub fn platform_wake_all(&mut self) {
         for (node, generation, call) in std::mem::take(&mut self.platform.blocked_calls) {
             self.reply(node, generation, &call);
         }
     }
 
-    /// Makes the platform swallow every open call and all that follow, or answer new ones again.
+    /// Sets whether the platform leaves all open and new calls unanswered.
     pub fn platform_silent(&mut self, silent: bool) {
         self.platform.silent = silent;
         self.platform.blocked_calls.clear();
     }
 
-    /// Breaks off every open call to the platform, as an outage does.
+    /// Starts or ends an outage; an outage fails all open calls.
     pub fn platform_down(&mut self, down: bool) {
         self.platform.down = down;
         if down {
@@ -445,34 +445,34 @@
         }
     }
 
-    /// Version in force on a node that runs; zero before the first.
+    /// The version in force on a running node; zero if there is none.
     pub fn version(&self, node: usize) -> u64 {
         let spread = self.nodes[node].spread.as_ref();
         spread.and_then(|spread| spread.in_force()).map_or(0, |in_force| in_force.version)
     }
 
-    /// Versions in force on all nodes that run.
+    /// The versions in force on all running nodes.
     pub fn versions(&self) -> Vec<u64> {
         let running = (0..self.nodes.len()).filter(|node| self.nodes[*node].spread.is_some());
         running.map(|node| self.version(node)).collect()
     }
 
-    /// How often an event of a kind was recorded by a node.
+    /// Number of events of a kind recorded by a node.
     pub fn count(&self, node: usize, kind: EventKind, code: Option<Code>) -> usize {
         let code = code.map(Code::number);
         let fits = |event: &&Event| event.kind == kind && (code.is_none() || event.code == code);
         self.nodes[node].events.iter().filter(fits).count()
     }
 
-    /// Panics if any VM ever went back to an older version, restarts included.
+    /// Panics if any VM went back to an older version, restarts included.
     pub fn assert_versions_never_decrease(&self) {
         for slot in &self.nodes {
             let versions: Vec<u64> = slot.in_force.iter().map(|s| s.version()).collect();
-            assert!(versions.is_sorted(), "{} went back: {versions:?}", slot.cfg.vm);
+            assert!(versions.is_sorted(), "{} went back to an older version: {versions:?}", slot.cfg.vm);
         }
     }
 
-    /// A filter that loses every message between the zones of `cut` and all others.
+    /// Drops all messages between the zones in `cut` and any other zone.
     pub fn partition_zones(&mut self, cut: &[&str]) {
         let cut: Vec<Name> = cut.iter().map(|zone| name(*zone)).collect();
         self.filter = Box::new(move |from, to, msg| {
