--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -234,7 +234,7 @@
             self.pending_pings.next_deadline(),
             self.join_wake(now),
             self.attach_wake(now),
-            self.fetch.as_ref().map(|fetch| fetch.until),
+            self.fetch.as_ref().map(|fetch| fetch.deadline),
             self.source_wake(),
             self.pending_reports.next_send(),
         ];
@@ -290,9 +290,9 @@
     /// The scope this node should hold. Relays hold all resources so that they can serve any child;
     /// so does a leaf that has children or watches the platform.
     fn wanted_scope(&self) -> Scope {
-        let stands_in = !self.children.is_empty() || self.source.is_watching();
+        let acts_as_relay = !self.children.is_empty() || self.source.is_watching();
         match self.topology.role {
-            Role::Leaf if stands_in => Scope::All,
+            Role::Leaf if acts_as_relay => Scope::All,
             Role::Leaf => self.scope.clone(),
             Role::Relay | Role::ZoneRelay | Role::RegionReader => Scope::All,
         }
--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -1,6 +1,6 @@
 //! Selection and monitoring of the parent.
 
-use super::backoff::{around, jitter};
+use super::backoff::{jitter, with_jitter};
 use super::limits::{
     COMPARE_INTERVAL, CROSS_ZONE_COMPARE_EVERY, CROSS_ZONE_PARENT_HOPS, FALLBACK_PARENT_HOPS,
     HEARTBEAT_INTERVAL, HEARTBEAT_INTERVAL_CROSS_REGION, HEARTBEAT_INTERVAL_WITHOUT_LIST,
@@ -142,7 +142,7 @@
         self.children.expire(now);
         match self.attach.parent.clone() {
             Some(parent) if now >= self.attach.next_at => {
-                self.attach.next_at = now + around(self.heartbeat(&parent), &mut self.rng);
+                self.attach.next_at = now + with_jitter(self.heartbeat(&parent), &mut self.rng);
                 self.ping_peer(now, &parent, PingKind::Attach, out);
             }
             Some(_) => {}
@@ -150,7 +150,7 @@
         }
         let best = self.better_parent(now).cloned();
         if let Some(best) = best.filter(|_| now >= self.attach.upgrade_at) {
-            self.attach.upgrade_at = now + around(PARENT_UPGRADE_INTERVAL, &mut self.rng);
+            self.attach.upgrade_at = now + with_jitter(PARENT_UPGRADE_INTERVAL, &mut self.rng);
             self.ping_peer(now, &best, PingKind::Attach, out);
         }
         if now >= self.attach.compare_at {
@@ -179,8 +179,8 @@
             0 => (0, 1),
             _ => ((round - 1) * SEARCH_WIDTH, SEARCH_WIDTH.min(parent_candidates)),
         };
-        for number in first..first + count {
-            let candidate = self.topology.parent_candidates[number % parent_candidates].clone();
+        for index in first..first + count {
+            let candidate = self.topology.parent_candidates[index % parent_candidates].clone();
             if self.attach.allows(now, &candidate) {
                 self.ping_peer(now, &candidate, PingKind::Attach, out);
             }
@@ -208,7 +208,7 @@
     /// Compares versions with a random peer. Recovers lost notices and reconnects parts of the
     /// fleet after a network partition.
     fn compare(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.attach.compare_at = now + around(COMPARE_INTERVAL, &mut self.rng);
+        self.attach.compare_at = now + with_jitter(COMPARE_INTERVAL, &mut self.rng);
         let own = self.cfg.vm.clone();
         let mut zone = self.cfg.place.zone.clone();
         if self.rng.random_range(0..CROSS_ZONE_COMPARE_EVERY) == 0 {
@@ -259,13 +259,13 @@
             }
             return;
         }
-        if !fits || !self.is_better(from) {
+        if !fits || !self.is_preferred(from) {
             return;
         }
         self.attach.parent = Some(from.clone());
         self.attach.hops = pong.hops;
         self.attach.search_rounds = 0;
-        self.attach.next_at = now + around(self.heartbeat(from), &mut self.rng);
+        self.attach.next_at = now + with_jitter(self.heartbeat(from), &mut self.rng);
         out.push(Output::Event(Event::new(now, EventKind::ParentChosen).with_peer(&from.vm)));
     }
 
@@ -284,7 +284,7 @@
         from.place.zone == self.cfg.place.zone || hops <= CROSS_ZONE_PARENT_HOPS
     }
 
-    fn is_better(&self, from: &Peer) -> bool {
+    fn is_preferred(&self, from: &Peer) -> bool {
         let place = |peer: &Peer| {
             self.topology.parent_candidates.iter().position(|candidate| candidate == peer)
         };
--- a/core/src/spread/backoff.rs
+++ b/core/src/spread/backoff.rs
@@ -41,6 +41,6 @@
 }
 
 /// A random duration within 10 % of `middle`.
-pub fn around(middle: Duration, rng: &mut Pcg64Mcg) -> Duration {
+pub fn with_jitter(middle: Duration, rng: &mut Pcg64Mcg) -> Duration {
     middle.mul_f64(0.9) + jitter(middle.mul_f64(0.2), rng)
 }
--- a/core/src/spread/budget.rs
+++ b/core/src/spread/budget.rs
@@ -192,7 +192,7 @@
         let own = &self.cfg.place;
         let list = |place: &Place| format!("vms/{}", place.zone);
         let list_at =
-            |place: &Place| self.source.lists.get(&place.zone).map_or(Time::ZERO, |w| w.at);
+            |place: &Place| self.source.lists.get(&place.zone).map_or(Time::ZERO, |w| w.next_at);
         if self.members.list(&own.zone).is_none() {
             add(list_at(own), DueCall::now(CallPurpose::List(own.clone()), list(own)));
         }
@@ -200,7 +200,7 @@
         if let Some(body_read) =
             self.source.body_read.as_ref().filter(|_| !self.source.reads_body())
         {
-            add(body_read.at, self.next_reading_call(body_read));
+            add(body_read.next_at, self.next_reading_call(body_read));
         }
         if reads {
             let watch = &self.source.in_force;
@@ -208,7 +208,7 @@
             if access == Access::Reader && self.topology.home {
                 call.wait = call.wait.min(WATCH_WAIT_HOME);
             }
-            add(watch.at, call);
+            add(watch.next_at, call);
         }
         // While the platform is unreachable, polling a single key is enough to detect its recovery.
         let unreachable = self.source.reachable == Some(false) && reads;
@@ -217,7 +217,7 @@
             let watch = &self.source.zones;
             let index = if access == Access::Reader { watch.index } else { 0 };
             if index > 0 || self.members.zones().is_none() {
-                add(watch.at, DueCall::watch(CallPurpose::Zones, "zones", index));
+                add(watch.next_at, DueCall::watch(CallPurpose::Zones, "zones", index));
             }
             for place in self.wanted_list_zones() {
                 let held = self.members.list(&place.zone).is_some();
--- a/core/src/spread/children.rs
+++ b/core/src/spread/children.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 struct Child {
     peer: Peer,
-    until: Time,
+    lease_until: Time,
     /// The last content sent to the child, used as the base of the next delta; `None` if unknown.
     held: Option<Held>,
 }
@@ -37,16 +37,16 @@
 
 impl Children {
     /// Adds a child or renews its lease. Returns false if [`MAX_CHILDREN`] is reached.
-    fn renew(&mut self, until: Time, now: Time, peer: &Peer) -> bool {
+    fn renew(&mut self, lease_until: Time, now: Time, peer: &Peer) -> bool {
         self.expire(now);
         if let Some(child) = self.children.get_mut(&peer.vm) {
-            child.until = until;
+            child.lease_until = lease_until;
             child.peer = peer.clone();
             return true;
         }
         let room = self.children.len() < MAX_CHILDREN;
         if room {
-            let child = Child { peer: peer.clone(), until, held: None };
+            let child = Child { peer: peer.clone(), lease_until, held: None };
             self.children.insert(peer.vm.clone(), child);
         }
         room
@@ -57,7 +57,7 @@
 
     /// Removes children whose leases have expired.
     pub(super) fn expire(&mut self, now: Time) {
-        self.children.retain(|_, child| child.until > now);
+        self.children.retain(|_, child| child.lease_until > now);
     }
 
     pub(super) fn has(&self, vm: &Name) -> bool {
@@ -75,7 +75,7 @@
 
     /// Children whose leases have not expired.
     pub fn live(&self, now: Time) -> impl Iterator<Item = &Peer> {
-        self.children.values().filter(move |child| child.until > now).map(|child| &child.peer)
+        self.children.values().filter(move |child| child.lease_until > now).map(|child| &child.peer)
     }
     pub fn clear(&mut self) {
         self.children.clear();
@@ -103,10 +103,10 @@
     pub(super) fn notify(&mut self, now: Time, from: Option<&Peer>, out: &mut Vec<Output>) {
         let Some(store) = &mut self.in_force else { return };
         let notice = PeerMsg::Notice(Box::new(store.summary().clone()));
-        let told = |peer: &Peer| from.is_none_or(|from| from.vm != peer.vm);
+        let should_notify = |peer: &Peer| from.is_none_or(|from| from.vm != peer.vm);
         let mut messages = Vec::new();
         for child in self.children.children.values_mut() {
-            if child.until <= now || !told(&child.peer) {
+            if child.lease_until <= now || !should_notify(&child.peer) {
                 continue;
             }
             let delta = child.held.as_mut().and_then(|held| push_delta(store, held));
@@ -114,7 +114,7 @@
             messages.push((child.peer.clone(), msg));
         }
         let children = &self.children;
-        let parent = self.attach.parent().filter(|p| told(p) && !children.has(&p.vm));
+        let parent = self.attach.parent().filter(|p| should_notify(p) && !children.has(&p.vm));
         messages.extend(parent.map(|parent| (parent.clone(), notice)));
         for (peer, msg) in messages {
             self.send(&peer, msg, out);
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -2,7 +2,7 @@
 
 use super::limits::{
     ANSWER_TIMEOUT, BLOCK_DURATION, BLOCK_DURATION_MISSING, FULL_PULL_TIMEOUT, MAX_HOLDERS,
-    SCOPE_RETRY,
+    SCOPE_RETRY_INTERVAL,
 };
 use super::message::{Delta, PeerMsg, Pull, Summary};
 use super::port::{Output, Peer};
@@ -20,7 +20,7 @@
     scope: Scope,
     from: Peer,
     /// Time at which the request to the current peer times out.
-    pub until: Time,
+    pub deadline: Time,
     /// Other peers known to hold the version.
     others: Vec<Peer>,
 }
@@ -105,11 +105,11 @@
         let wait = if base.is_some() { ANSWER_TIMEOUT } else { FULL_PULL_TIMEOUT };
         let pull = Pull { version: wanted.version, base, scope: scope.services() };
         self.send(&from, PeerMsg::Pull(Box::new(pull)), out);
-        self.fetch = Some(Fetch { wanted, scope, from, until: now + wait, others });
+        self.fetch = Some(Fetch { wanted, scope, from, deadline: now + wait, others });
     }
 
     pub(super) fn tick_fetch(&mut self, now: Time, out: &mut Vec<Output>) {
-        if let Some(fetch) = self.fetch.as_ref().filter(|fetch| fetch.until <= now) {
+        if let Some(fetch) = self.fetch.as_ref().filter(|fetch| fetch.deadline <= now) {
             let from = fetch.from.clone();
             self.block_parent(now, &from, BLOCK_DURATION, out);
             self.fetch_next(now, out);
@@ -124,7 +124,7 @@
         if wide || self.fetch.is_some() || now < self.scope_retry_at {
             return;
         }
-        self.scope_retry_at = now + SCOPE_RETRY;
+        self.scope_retry_at = now + SCOPE_RETRY_INTERVAL;
         let wanted = held.summary().in_force.clone();
         match self.attach.parent().cloned() {
             Some(parent) => self.begin_fetch(now, parent, wanted, Vec::new(), out),
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -6,7 +6,7 @@
 //! that version cannot be fetched or no peer answers, the node waits up to a deadline and uses the
 //! best version it holds that is not below the floor.
 
-use super::limits::{ANSWER_TIMEOUT, JOIN_EXTENSIONS, JOIN_PARENTS, JOIN_RANDOM, JOIN_SEEDS};
+use super::limits::{ANSWER_TIMEOUT, JOIN_PARENTS, JOIN_RANDOM, JOIN_SEEDS, MAX_JOIN_EXTENSIONS};
 use super::message::{PingKind, Pong};
 use super::port::{Output, Peer};
 use super::{Spread, topology};
@@ -105,7 +105,9 @@
     fn extend_join_deadline(&mut self, now: Time) {
         let held = self.newest_checked().map_or(0, |held| held.version);
         let Some(join) = &mut self.join else { return };
-        if now >= join.deadline && held < join.highest_version && join.extensions < JOIN_EXTENSIONS
+        if now >= join.deadline
+            && held < join.highest_version
+            && join.extensions < MAX_JOIN_EXTENSIONS
         {
             join.extensions += 1;
             join.answered = false;
--- a/core/src/spread/limits.rs
+++ b/core/src/spread/limits.rs
@@ -77,7 +77,7 @@
 pub const CLOCK_GAP: Duration = Duration::from_secs(3);
 
 /// Maximum number of deadline extensions while a peer reports a version that cannot be fetched.
-pub const JOIN_EXTENSIONS: u32 = 11;
+pub const MAX_JOIN_EXTENSIONS: u32 = 11;
 
 /// Seeds asked in a join round.
 pub const JOIN_SEEDS: usize = 4;
@@ -181,19 +181,19 @@
 pub const MAX_HOLDERS: usize = 8;
 
 /// Interval between attempts to fetch resources missing from the scope.
-pub const SCOPE_RETRY: Duration = Duration::from_secs(2);
+pub const SCOPE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Maximum number of VM lists held.
 pub const MAX_LISTS: usize = 256;
 
 /// Random peers notified by a leaving node, besides its parent and children.
-pub const ANNOUNCE_RANDOM: usize = 3;
+pub const ANNOUNCE_RANDOM_PEERS: usize = 3;
 
 /// Maximum number of zones whose lists are read to deliver notes.
 pub const MAX_EXTRA_ZONES: usize = 64;
 
 /// Removed targets whose addresses are remembered.
-pub const MAX_DROPPED: usize = 1_024;
+pub const MAX_REMOVED_TARGETS: usize = 1_024;
 
 /// Minimum interval between reads of the list of an extra zone.
 pub const EXTRA_ZONE_LIST_INTERVAL: Duration = Duration::from_secs(60);
--- a/core/src/spread/notes.rs
+++ b/core/src/spread/notes.rs
@@ -3,7 +3,7 @@
 //! Notes are sent to targets of the same service, whose addresses are part of the version in force.
 //! A target removed by a newer version is reached at its last known address.
 
-use super::limits::{MAX_DROPPED, MAX_EXTRA_ZONES};
+use super::limits::{MAX_EXTRA_ZONES, MAX_REMOVED_TARGETS};
 use super::message::PeerMsg;
 use super::port::{Output, Peer};
 use super::{Spread, topology};
@@ -30,7 +30,7 @@
                 self.peers.insert(vm.clone(), peer_of(&entry.target));
             }
         }
-        while self.peers.len() > MAX_DROPPED {
+        while self.peers.len() > MAX_REMOVED_TARGETS {
             self.peers.shift_remove_index(0);
         }
     }
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -66,7 +66,7 @@
             }
             CallPurpose::Body | CallPurpose::Part(_) => {
                 if let Some(body_read) = &mut self.source.body_read {
-                    body_read.at = now + body_read.backoff.fail(first, longest, rng);
+                    body_read.next_at = now + body_read.backoff.fail(first, longest, rng);
                 }
             }
         }
@@ -214,7 +214,7 @@
             Ok(preset) => {
                 body_read.preset = Some(preset);
                 body_read.backoff.reset();
-                body_read.at = now;
+                body_read.next_at = now;
                 self.finish_body_read(now, out);
             }
             Err(fault) => self.handle_invalid_body(now, fault, out),
@@ -247,7 +247,7 @@
             return;
         }
         let (first, longest) = DIGEST_FAILURE_BACKOFF;
-        body_read.at = now + body_read.backoff.fail(first, longest, &mut self.rng);
+        body_read.next_at = now + body_read.backoff.fail(first, longest, &mut self.rng);
         if body_read.backoff.failures() == DIGEST_FAILURES_BEFORE_REPORT {
             self.report_refused(now, publication.version, None, fault, out);
         }
@@ -303,7 +303,7 @@
     fn handle_source_zones(&mut self, now: Time, value: SourceValue) {
         let watch = &mut self.source.zones;
         watch.index = value.index;
-        watch.at = now + LIST_READ_INTERVAL;
+        watch.next_at = now + LIST_READ_INTERVAL;
         watch.backoff.reset();
         let parsed = value.body.and_then(|body| serde_json::from_slice::<Zones>(&body).ok());
         let Some(zones) = parsed else { return };
@@ -317,7 +317,7 @@
         let extra = self.extra_zones.contains(&place);
         let watch = self.source.lists.entry(place.zone.clone()).or_default();
         watch.index = value.index;
-        watch.at = now + if extra { EXTRA_ZONE_LIST_INTERVAL } else { LIST_READ_INTERVAL };
+        watch.next_at = now + if extra { EXTRA_ZONE_LIST_INTERVAL } else { LIST_READ_INTERVAL };
         watch.backoff.reset();
         let parsed = value.body.and_then(|body| serde_json::from_slice::<VmList>(&body).ok());
         let Some(list) = parsed else { return };
@@ -336,7 +336,7 @@
         longest: Duration,
         rng: &mut rand_pcg::Pcg64Mcg,
     ) {
-        self.at = now + self.backoff.fail(first, longest, rng);
+        self.next_at = now + self.backoff.fail(first, longest, rng);
     }
 
     /// Records an answer and schedules the next call. Returns whether the index changed.
@@ -355,7 +355,7 @@
             self.fail(now, READER_BACKOFF.0, READER_BACKOFF.1, rng);
         } else {
             self.backoff.reset();
-            self.at = now + MIN_WATCH_INTERVAL;
+            self.next_at = now + MIN_WATCH_INTERVAL;
         }
         changed
     }
--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -55,7 +55,7 @@
     /// Index of the last value.
     pub index: u64,
     /// Earliest time of the next call.
-    pub at: Time,
+    pub next_at: Time,
     pub backoff: Backoff,
 }
 
@@ -66,7 +66,7 @@
     /// The body once it has been read; parts may still be missing.
     pub preset: Option<Preset>,
     /// Earliest time of the next call.
-    pub at: Time,
+    pub next_at: Time,
     pub backoff: Backoff,
 }
 
@@ -178,9 +178,9 @@
 }
 
 impl BodyRead {
-    /// Creates a read whose first call is made no earlier than `at`.
-    pub fn new(publication: InForce, at: Time) -> BodyRead {
-        BodyRead { publication, preset: None, at, backoff: Backoff::default() }
+    /// Creates a read whose first call is made no earlier than `next_at`.
+    pub fn new(publication: InForce, next_at: Time) -> BodyRead {
+        BodyRead { publication, preset: None, next_at, backoff: Backoff::default() }
     }
 }
 
--- a/core/src/spread/state_reports.rs
+++ b/core/src/spread/state_reports.rs
@@ -1,7 +1,7 @@
 //! Propagation of VM state reports along the distribution tree.
 
 use super::Spread;
-use super::limits::{ANNOUNCE_RANDOM, MAX_REPORTS_ACCEPTED, REPORT_BATCH_DELAY};
+use super::limits::{ANNOUNCE_RANDOM_PEERS, MAX_REPORTS_ACCEPTED, REPORT_BATCH_DELAY};
 use super::message::{PeerMsg, StateReport};
 use super::port::{Output, Peer};
 use super::topology;
@@ -51,7 +51,7 @@
     pub(super) fn announce(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
         let word = self.own_report.clone();
-        for _ in 0..ANNOUNCE_RANDOM {
+        for _ in 0..ANNOUNCE_RANDOM_PEERS {
             let member = self.members.random_live(now, &zone, &own, &mut self.rng);
             if let Some(peer) = member.map(topology::peer) {
                 self.send(&peer, PeerMsg::StateReports(vec![word.clone()]), out);
--- a/core/src/spread/topology.rs
+++ b/core/src/spread/topology.rs
@@ -97,7 +97,7 @@
             rank,
             zone_vms: order.len(),
             zones: members.zones().map_or(ASSUMED_ZONES, |zones| zones.zones.len().max(1)),
-            parent_candidates: distinct(parent_candidates, &cfg.vm),
+            parent_candidates: deduplicated(parent_candidates, &cfg.vm),
         }
     }
 }
@@ -218,7 +218,7 @@
     Peer { vm: member.vm.clone(), place: member.place(), address: member.peers }
 }
 
-fn distinct(peers: Vec<Peer>, own: &Name) -> Vec<Peer> {
+fn deduplicated(peers: Vec<Peer>, own: &Name) -> Vec<Peer> {
     let mut kept: Vec<Peer> = Vec::with_capacity(peers.len());
     for peer in peers {
         if peer.vm != *own && !kept.contains(&peer) {
