--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -4,7 +4,7 @@
 use super::limits::{
     LIST_LAG, MAX_FLOORS, MAX_REPORTED_VMS, MAX_REPORTS_PER_PONG, REPORT_REPEAT_PERIOD,
 };
-use super::message::{ListMark, StateReport, Summary, ZoneList, ZonesList};
+use super::message::{ListVersion, StateReport, Summary, ZoneList, ZonesList};
 use crate::config::InForce;
 use crate::member::{Member, VmState};
 use crate::place::Place;
@@ -79,20 +79,20 @@
     }
 
     /// The index of each stored list, plus index zero for each list in `wanted` that is missing.
-    pub fn marks(&self, wanted: &[Place]) -> Vec<ListMark> {
+    pub fn marks(&self, wanted: &[Place]) -> Vec<ListVersion> {
         let mark =
-            |list: &Arc<ZoneList>| ListMark { zone: list.place.zone.clone(), index: list.index };
-        let mut marks: Vec<ListMark> = self.lists().map(mark).collect();
+            |list: &Arc<ZoneList>| ListVersion { zone: list.place.zone.clone(), index: list.index };
+        let mut marks: Vec<ListVersion> = self.lists().map(mark).collect();
         for place in wanted {
             if !self.lists.contains_key(&place.zone) {
-                marks.push(ListMark { zone: place.zone.clone(), index: 0 });
+                marks.push(ListVersion { zone: place.zone.clone(), index: 0 });
             }
         }
         marks
     }
 
     /// Lists that are newer than `marks`, or that belong to `region` and are missing from `marks`.
-    pub fn newer_lists(&self, marks: &[ListMark], region: &Name) -> Vec<Arc<ZoneList>> {
+    pub fn newer_lists(&self, marks: &[ListVersion], region: &Name) -> Vec<Arc<ZoneList>> {
         let lacks =
             |list: &&Arc<ZoneList>| match marks.iter().find(|mark| mark.zone == list.place.zone) {
                 Some(mark) => mark.index < list.index,
--- a/core/src/spread/message.rs
+++ b/core/src/spread/message.rs
@@ -37,7 +37,7 @@
     }
 
     /// The version of a zone's VM list that a node holds.
-    pub struct ListMark {
+    pub struct ListVersion {
         pub zone: Name,
         /// The platform's index of the list; zero if none is held.
         pub index: u64,
@@ -60,7 +60,7 @@
         /// Index of the sender's list of zones; zero if it holds none.
         pub zones: u64,
         /// VM lists held or wanted by the sender; `None` to skip the exchange of lists.
-        pub lists: Option<Vec<ListMark>>,
+        pub lists: Option<Vec<ListVersion>>,
     }
     pub struct Pong {
         /// Sequence number of the [`Ping`].
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -89,7 +89,7 @@
         if !lists.is_empty() {
             self.send(from, PeerMsg::Lists(lists), out);
         }
-        let newer = |mark: &super::message::ListMark| {
+        let newer = |mark: &super::message::ListVersion| {
             self.members.list(&mark.zone).is_some_and(|list| list.index < mark.index)
         };
         if ping.kind != PingKind::Compare && marks.iter().any(newer) {
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -15,7 +15,7 @@
 use sycamore_core::node::{Input, Node, Output};
 use sycamore_core::place::Place;
 use sycamore_core::spread::message::{
-    Base, Delta, ListMark, Ping, PingKind, Pong, Pull, StateReport, Summary, ZoneList, ZonesList,
+    Base, Delta, ListVersion, Ping, PingKind, Pong, Pull, StateReport, Summary, ZoneList, ZonesList,
 };
 use sycamore_core::spread::port::{CallId, Config, Peer, SourceReply, SourceValue};
 use sycamore_core::spread::{self, PeerMsg};
@@ -179,7 +179,7 @@
                 have: self.option_of(InputGenerator::summary),
                 zones: self.number(),
                 lists: self.option_of(|generator| {
-                    generator.vec_of(|generator| ListMark {
+                    generator.vec_of(|generator| ListVersion {
                         zone: generator.place().zone,
                         index: generator.number(),
                     })
--- a/node/src/spread/codec.rs
+++ b/node/src/spread/codec.rs
@@ -13,7 +13,7 @@
 use sycamore_core::place::Place;
 use sycamore_core::spread::Peer;
 use sycamore_core::spread::message::{
-    Base, Delta, ListMark, PeerMsg, Ping, PingKind, Pong, Pull, StateReport, Summary,
+    Base, Delta, ListVersion, PeerMsg, Ping, PingKind, Pong, Pull, StateReport, Summary,
 };
 
 type Result<T> = std::result::Result<T, Error>;
@@ -217,7 +217,7 @@
     };
     let have = if from.has_have() { Some(read_summary(from.get_have()?)?) } else { None };
     let mark = |mark: wire::list_mark::Reader<'_>| {
-        Ok(ListMark { zone: read_name(mark.get_zone()?)?, index: mark.get_index() })
+        Ok(ListVersion { zone: read_name(mark.get_zone()?)?, index: mark.get_index() })
     };
     let lists = if from.has_lists() {
         Some(from.get_lists()?.iter().map(mark).collect::<Result<Vec<_>>>()?)
--- a/node/tests/spread_codec.rs
+++ b/node/tests/spread_codec.rs
@@ -18,7 +18,7 @@
 use sycamore_core::place::Place;
 use sycamore_core::spread::PeerMsg;
 use sycamore_core::spread::message::{
-    Base, Delta, ListMark, Ping, PingKind, Pong, Pull, StateReport, Summary, ZoneList, ZonesList,
+    Base, Delta, ListVersion, Ping, PingKind, Pong, Pull, StateReport, Summary, ZoneList, ZonesList,
 };
 use sycamore_node::spread::codec;
 use sycamore_node::spread::payload::{MAX_UNPACKED_BYTES, Payloads, unpack_list};
@@ -87,7 +87,7 @@
 
 fn ping() -> impl Strategy<Value = PeerMsg> {
     let kind = prop::sample::select(vec![PingKind::Join, PingKind::Attach, PingKind::Compare]);
-    let mark = (name(), any::<u64>()).prop_map(|(zone, index)| ListMark { zone, index });
+    let mark = (name(), any::<u64>()).prop_map(|(zone, index)| ListVersion { zone, index });
     let lists = option::of(vec(mark, 0..4));
     (any::<u32>(), kind, word(), option::of(summary()), any::<u64>(), lists).prop_map(
         |(seq, kind, report, have, zones, lists)| {
