--- a/core/tests/spread_budget.rs
+++ b/core/tests/spread_budget.rs
@@ -123,8 +123,8 @@
     let mut fleet = Fleet::new(6, 3);
     fleet.publish(1, &preset(1));
     fleet.platform_down(true);
-    let addresses: Vec<_> = fleet.nodes.iter().map(|slot| slot.cfg.address).collect();
-    fleet.nodes.iter_mut().for_each(|slot| slot.cfg.seeds = addresses.clone());
+    let addresses: Vec<_> = fleet.nodes.iter().map(|sim| sim.cfg.address).collect();
+    fleet.nodes.iter_mut().for_each(|sim| sim.cfg.seeds = addresses.clone());
     let sent = Rc::new(Cell::new(0));
     let counter = sent.clone();
     fleet.filter = Box::new(move |_, _, msg| {
--- a/core/tests/spread_confirm.rs
+++ b/core/tests/spread_confirm.rs
@@ -19,12 +19,12 @@
         fleet.start_all();
         fleet.run(10 * SECOND + Duration::from_millis(offset_ms));
         let node = 4;
-        fleet.freeze(node);
+        fleet.pause(node);
         let before = fleet.nodes[node].confirmed.len();
         assert!(before > 0, "not confirmed before the suspension, offset {offset_ms} ms");
         fleet.publish(2, &preset(2));
         fleet.run(8 * SECOND);
-        fleet.thaw(node);
+        fleet.resume(node);
         fleet.run(8 * SECOND);
         let after = &fleet.nodes[node].confirmed[before..];
         assert!(!after.is_empty(), "not confirmed after the suspension, offset {offset_ms} ms");
--- a/core/tests/spread_faults.rs
+++ b/core/tests/spread_faults.rs
@@ -23,8 +23,8 @@
     fleet
 }
 
-fn role(slot: &SimNode) -> Role {
-    slot.spread.as_ref().unwrap().topology().role
+fn role(sim: &SimNode) -> Role {
+    sim.spread.as_ref().unwrap().topology().role
 }
 
 fn nodes_with(fleet: &Fleet, predicate: impl Fn(&SimNode) -> bool) -> Vec<usize> {
@@ -68,7 +68,7 @@
     // All VMs of a zone restart while the platform is down. They must get the version from other
     // zones through their seeds.
     let mut fleet = settled(6, 3);
-    let zone = nodes_with(&fleet, |slot| slot.cfg.place.zone.as_str() == "c");
+    let zone = nodes_with(&fleet, |sim| sim.cfg.place.zone.as_str() == "c");
     let seed = fleet.nodes[0].cfg.address;
     for node in &zone {
         fleet.nodes[*node].cfg.seeds = vec![seed];
@@ -88,9 +88,8 @@
     // All readers and relays of a region fail while the VM list still names them. Leaves must still
     // receive the next version within seconds.
     let mut fleet = settled(4, 6);
-    let relays = nodes_with(&fleet, |slot| {
-        slot.cfg.place.region.as_str() == "r2" && role(slot) != Role::Leaf
-    });
+    let relays =
+        nodes_with(&fleet, |sim| sim.cfg.place.region.as_str() == "r2" && role(sim) != Role::Leaf);
     for node in &relays {
         fleet.kill(*node);
     }
@@ -128,9 +127,8 @@
     fleet.start_all();
     fleet.run(10 * SECOND);
     let reads = |zone: &&str| {
-        let reader = |slot: &SimNode| {
-            slot.cfg.place.zone.as_str() == *zone && role(slot) == Role::RegionReader
-        };
+        let reader =
+            |sim: &SimNode| sim.cfg.place.zone.as_str() == *zone && role(sim) == Role::RegionReader;
         !nodes_with(&fleet, reader).is_empty()
     };
     let zone = *["d", "e", "f"].iter().find(|zone| !reads(zone)).unwrap();
@@ -199,7 +197,7 @@
     fleet.latency = SECOND / 10;
     fleet.partition_zones(&["a"]);
     fleet.publish(1, &preset(1));
-    for node in nodes_with(&fleet, |slot| slot.cfg.place.zone.as_str() == "a") {
+    for node in nodes_with(&fleet, |sim| sim.cfg.place.zone.as_str() == "a") {
         fleet.kill(node);
         fleet.run(SECOND);
         fleet.start(node);
@@ -251,7 +249,11 @@
     let before = fleet.nodes[new].in_force.len();
     fleet.start(new);
     fleet.run(20 * SECOND);
-    assert_eq!(fleet.nodes[new].in_force.len(), before, "the older version from the platform was put into force");
+    assert_eq!(
+        fleet.nodes[new].in_force.len(),
+        before,
+        "the older version from the platform was put into force"
+    );
     fleet.publish(3, &preset(3));
     fleet.run(3 * SECOND);
     assert_eq!(fleet.versions(), vec![3; 2]);
@@ -262,15 +264,15 @@
     // A reader resumes after a pause of 30 s. It must not serve its old version before it has asked
     // its peers.
     let mut fleet = settled(4, 4);
-    let reader = nodes_with(&fleet, |slot| role(slot) == Role::RegionReader)[0];
-    fleet.freeze(reader);
+    let reader = nodes_with(&fleet, |sim| role(sim) == Role::RegionReader)[0];
+    fleet.pause(reader);
     fleet.run(10 * SECOND);
     fleet.publish(2, &preset(2));
     fleet.run(20 * SECOND);
     for node in (0..16).filter(|node| *node != reader) {
         assert_eq!(fleet.version(node), 2);
     }
-    fleet.thaw(reader);
+    fleet.resume(reader);
     assert_eq!(fleet.count(reader, EventKind::ClockGap, None), 1);
     fleet.run(3 * SECOND);
     assert_eq!(fleet.versions(), vec![2; 16]);
@@ -282,12 +284,12 @@
     // Relays freeze just before a publish without closing connections. Their children must detect
     // this by missing answers.
     let mut fleet = settled(4, 4);
-    for relay in nodes_with(&fleet, |slot| role(slot) == Role::ZoneRelay) {
-        fleet.freeze(relay);
+    for relay in nodes_with(&fleet, |sim| role(sim) == Role::ZoneRelay) {
+        fleet.pause(relay);
     }
     fleet.publish(2, &preset(2));
     fleet.run(3 * SECOND);
-    for node in nodes_with(&fleet, |slot| !slot.frozen) {
+    for node in nodes_with(&fleet, |sim| !sim.paused) {
         assert_eq!(fleet.version(node), 2, "{}", fleet.nodes[node].cfg.vm);
     }
 }
@@ -327,10 +329,10 @@
     // A relay accepts messages but never answers. Its children must switch to another parent within
     // a second.
     let mut fleet = settled(2, 12);
-    let top = nodes_with(&fleet, |slot| role(slot) == Role::RegionReader)[0];
+    let top = nodes_with(&fleet, |sim| role(sim) == Role::RegionReader)[0];
     let silent = fleet.nodes[top].cfg.vm.clone();
-    let below = nodes_with(&fleet, |slot| {
-        slot.spread.as_ref().unwrap().parent().is_some_and(|parent| parent.vm == silent)
+    let below = nodes_with(&fleet, |sim| {
+        sim.spread.as_ref().unwrap().parent().is_some_and(|parent| parent.vm == silent)
     });
     assert!(below.len() > 8);
     fleet.filter = Box::new(move |from, _, msg| (from.cfg.vm != silent).then(|| msg.clone()));
@@ -348,7 +350,7 @@
     // another peer.
     let mut fleet = settled(2, 6);
     // In a zone this small, all leaves attach to the first VM, which is also a reader.
-    let relays = nodes_with(&fleet, |slot| role(slot) == Role::RegionReader)[..1].to_vec();
+    let relays = nodes_with(&fleet, |sim| role(sim) == Role::RegionReader)[..1].to_vec();
     let broken: Vec<_> = relays.iter().map(|node| fleet.nodes[*node].cfg.vm.clone()).collect();
     fleet.filter = Box::new(move |from, _, msg| match msg {
         PeerMsg::Delta(delta) if broken.contains(&from.cfg.vm) => {
@@ -364,8 +366,8 @@
     fleet.publish(2, &preset(2));
     fleet.run(SECOND);
     assert_eq!(fleet.versions(), vec![2; 12]);
-    for slot in &fleet.nodes {
-        let snapshot = slot.in_force.last().unwrap();
+    for sim in &fleet.nodes {
+        let snapshot = sim.in_force.last().unwrap();
         assert!(snapshot.services().iter().all(|service| [3, 12].contains(&service.limits.slots)));
     }
     let reported = (0..12)
@@ -383,8 +385,8 @@
     fleet.input(leaving, Input::Stop);
     fleet.run(2 * SECOND);
     let vm = fleet.nodes[leaving].cfg.vm.clone();
-    for slot in fleet.nodes.iter().filter(|slot| slot.cfg.vm != vm) {
-        assert_eq!(slot.members.get(&vm), Some(&VmState::Leaving), "{}", slot.cfg.vm);
+    for sim in fleet.nodes.iter().filter(|sim| sim.cfg.vm != vm) {
+        assert_eq!(sim.members.get(&vm), Some(&VmState::Leaving), "{}", sim.cfg.vm);
     }
     // After a restart, the newer report must supersede the old one although the list has not
     // changed.
@@ -392,8 +394,8 @@
     fleet.run(SECOND);
     fleet.start(leaving);
     fleet.run(4 * SECOND);
-    for slot in &fleet.nodes {
-        assert_eq!(slot.members.get(&vm), None, "{}", slot.cfg.vm);
+    for sim in &fleet.nodes {
+        assert_eq!(sim.members.get(&vm), None, "{}", sim.cfg.vm);
     }
 }
 
@@ -402,9 +404,8 @@
     // All relays of a region with large zones fail. Nodes must share the body instead of each
     // reading it over a cross-region link billed by volume.
     let mut fleet = settled(4, 40);
-    let relays = nodes_with(&fleet, |slot| {
-        slot.cfg.place.region.as_str() == "r2" && role(slot) != Role::Leaf
-    });
+    let relays =
+        nodes_with(&fleet, |sim| sim.cfg.place.region.as_str() == "r2" && role(sim) != Role::Leaf);
     for node in &relays {
         fleet.kill(*node);
     }
--- a/core/tests/spread_random.rs
+++ b/core/tests/spread_random.rs
@@ -16,13 +16,13 @@
 #[derive(Clone, Debug)]
 enum Op {
     Publish,
-    PublishBad,
-    PublishTorn,
+    PublishInvalid,
+    PublishWithoutBody,
     PublishOlder,
     Kill(usize),
     Start(usize),
-    Freeze(usize),
-    Thaw(usize),
+    Pause(usize),
+    Resume(usize),
     CutZone(usize),
     CutPlatform(usize),
     PlatformDown,
@@ -34,13 +34,13 @@
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
         4 => Just(Op::Publish),
-        1 => Just(Op::PublishBad),
-        1 => Just(Op::PublishTorn),
+        1 => Just(Op::PublishInvalid),
+        1 => Just(Op::PublishWithoutBody),
         1 => Just(Op::PublishOlder),
         3 => (0..NODES).prop_map(Op::Kill),
         3 => (0..NODES).prop_map(Op::Start),
-        2 => (0..NODES).prop_map(Op::Freeze),
-        2 => (0..NODES).prop_map(Op::Thaw),
+        2 => (0..NODES).prop_map(Op::Pause),
+        2 => (0..NODES).prop_map(Op::Resume),
         2 => (0..ZONES).prop_map(Op::CutZone),
         1 => (0..ZONES).prop_map(Op::CutPlatform),
         1 => Just(Op::PlatformDown),
@@ -77,7 +77,7 @@
                 self.last_version += 1;
                 fleet.publish(self.last_version, &preset(self.last_version as u32));
             }
-            Op::PublishBad => {
+            Op::PublishInvalid => {
                 self.last_version += 1;
                 let body = preset(self.last_version as u32);
                 fleet.publish(
@@ -85,7 +85,7 @@
                     &body.replace(r#""service":"maps""#, r#""service":"x""#),
                 );
             }
-            Op::PublishTorn => {
+            Op::PublishWithoutBody => {
                 self.last_version += 1;
                 fleet.set_in_force(&fleet::publication(
                     self.last_version,
@@ -101,8 +101,8 @@
                 self.life_start[node] = fleet.nodes[node].in_force.len();
                 fleet.start(node);
             }
-            Op::Freeze(node) => fleet.freeze(node),
-            Op::Thaw(node) if fleet.nodes[node].frozen => fleet.thaw(node),
+            Op::Pause(node) => fleet.pause(node),
+            Op::Resume(node) if fleet.nodes[node].paused => fleet.resume(node),
             Op::CutZone(zone) => {
                 let zone = fleet.nodes[zone * PER_ZONE].cfg.place.zone.clone();
                 fleet.partition_zones(&[zone.as_str()]);
@@ -115,28 +115,36 @@
             Op::PlatformUp => fleet.platform_down(false),
             Op::Heal => fleet.heal(),
             Op::Run(ms) => fleet.run(Duration::from_millis(ms)),
-            Op::Start(_) | Op::Thaw(_) => {}
+            Op::Start(_) | Op::Resume(_) => {}
         }
         self.check();
     }
 
     /// Asserts the invariants that hold at all times.
     fn check(&mut self) {
-        for (node, slot) in self.fleet.nodes.iter().enumerate() {
-            let life: Vec<u64> =
-                slot.in_force[self.life_start[node]..].iter().map(|s| s.version()).collect();
-            assert!(life.is_sorted(), "{} went back to an older version: {life:?}", slot.cfg.vm);
-            for snapshot in &slot.in_force[self.checked[node]..] {
+        for (node, sim) in self.fleet.nodes.iter().enumerate() {
+            let versions: Vec<u64> =
+                sim.in_force[self.life_start[node]..].iter().map(|s| s.version()).collect();
+            assert!(
+                versions.is_sorted(),
+                "{} went back to an older version: {versions:?}",
+                sim.cfg.vm
+            );
+            for snapshot in &sim.in_force[self.checked[node]..] {
                 let slots = snapshot.services().iter().map(|service| service.limits.slots);
                 let version = snapshot.version() as u32;
                 let mut slots: Vec<u32> = slots.collect();
                 slots.sort();
                 let mut expected = [version % 100 + 1, 12];
                 expected.sort();
-                assert_eq!(slots, expected, "{} has mixed content in version {version}", slot.cfg.vm);
+                assert_eq!(
+                    slots, expected,
+                    "{} has mixed content in version {version}",
+                    sim.cfg.vm
+                );
                 assert_eq!(snapshot.routes().len(), 2);
             }
-            self.checked[node] = slot.in_force.len();
+            self.checked[node] = sim.in_force.len();
         }
     }
 
@@ -145,7 +153,7 @@
         self.fleet.heal();
         self.fleet.platform_down(false);
         for node in 0..NODES {
-            self.apply(&Op::Thaw(node));
+            self.apply(&Op::Resume(node));
             self.apply(&Op::Start(node));
         }
         self.apply(&Op::Run(12_000));
--- a/core/tests/spread_versions.rs
+++ b/core/tests/spread_versions.rs
@@ -74,14 +74,14 @@
     fleet.set("preset/ordinary", preset(2));
     fleet.run(30 * SECOND);
     assert_eq!(fleet.versions(), vec![2; 18]);
-    for slot in &fleet.nodes {
-        let slots: Vec<u32> = slot
+    for sim in &fleet.nodes {
+        let slots: Vec<u32> = sim
             .in_force
             .iter()
             .map(|s| s.services().iter().map(|e| e.limits.slots).max().unwrap_or(0))
             .collect();
         assert_eq!(slots, [12, 12], "the maps service must have the default of 12");
-        let versions: Vec<u64> = slot.in_force.iter().map(|s| s.version()).collect();
+        let versions: Vec<u64> = sim.in_force.iter().map(|s| s.version()).collect();
         assert_eq!(versions, [1, 2]);
     }
 }
@@ -93,8 +93,8 @@
     let mut fleet = settled();
     fleet.publish(1, &preset(9));
     fleet.run(10 * SECOND);
-    for slot in &fleet.nodes {
-        assert_eq!(slot.in_force.len(), 1);
+    for sim in &fleet.nodes {
+        assert_eq!(sim.in_force.len(), 1);
     }
     let reported = (0..18)
         .filter(|n| fleet.count(*n, EventKind::VersionRefused, Some(Code::VersionConflict)) > 0);
@@ -153,9 +153,12 @@
         assert_eq!(fleet.versions(), vec![2; 18]);
         fleet.heal();
         fleet.run(10 * SECOND);
-        let last = |slot: &fleet::SimNode| slot.in_force.last().unwrap().in_force.clone();
+        let last = |sim: &fleet::SimNode| sim.in_force.last().unwrap().in_force.clone();
         let one = last(&fleet.nodes[0]);
-        assert!(fleet.nodes.iter().all(|slot| last(slot) == one), "nodes still disagree after the partition");
+        assert!(
+            fleet.nodes.iter().all(|sim| last(sim) == one),
+            "nodes still disagree after the partition"
+        );
         let reported = (0..18).filter(|n| {
             fleet.count(*n, EventKind::VersionRefused, Some(Code::VersionConflict)) > 0
         });
@@ -214,8 +217,8 @@
     // A route moves to a service outside a leaf's content. The delta must include that service, not
     // only the route.
     let mut fleet = Fleet::new(2, 6);
-    for slot in &mut fleet.nodes {
-        slot.cfg.scope = Some(vec![fleet::name("maps")]);
+    for sim in &mut fleet.nodes {
+        sim.cfg.scope = Some(vec![fleet::name("maps")]);
     }
     fleet.publish(1, &preset(1));
     fleet.start_all();
@@ -229,13 +232,13 @@
     fleet.run(2 * SECOND);
     fleet.publish(3, &preset(3));
     fleet.run(2 * SECOND);
-    for slot in &fleet.nodes {
+    for sim in &fleet.nodes {
         let shapes: Vec<(usize, usize)> =
-            slot.in_force.iter().map(|s| (s.services().len(), s.routes().len())).collect();
-        assert_eq!(shapes, [(1, 1), (1, 2), (1, 1)], "{}", slot.cfg.vm);
-        let held = slot.spread.as_ref().unwrap().store().unwrap().content().len();
+            sim.in_force.iter().map(|s| (s.services().len(), s.routes().len())).collect();
+        assert_eq!(shapes, [(1, 1), (1, 2), (1, 1)], "{}", sim.cfg.vm);
+        let held = sim.spread.as_ref().unwrap().store().unwrap().content().len();
         let leaf =
-            slot.spread.as_ref().unwrap().topology().role == sycamore_core::status::Role::Leaf;
-        assert_eq!(held, if leaf { 3 } else { 6 }, "{}", slot.cfg.vm);
+            sim.spread.as_ref().unwrap().topology().role == sycamore_core::status::Role::Leaf;
+        assert_eq!(held, if leaf { 3 } else { 6 }, "{}", sim.cfg.vm);
     }
 }
--- a/core/tests/support/fleet.rs
+++ b/core/tests/support/fleet.rs
@@ -27,7 +27,7 @@
 pub struct SimNode {
     pub cfg: Config,
     pub spread: Option<Spread>,
-    pub frozen: bool,
+    pub paused: bool,
     pub in_force: Vec<Arc<Snapshot>>,
     pub events: Vec<Event>,
     pub members: IndexMap<Name, VmState>,
@@ -190,7 +190,7 @@
         self.nodes.push(SimNode {
             cfg,
             spread: None,
-            frozen: false,
+            paused: false,
             in_force: Vec::new(),
             events: Vec::new(),
             members: IndexMap::new(),
@@ -204,15 +204,15 @@
 
     /// Publishes the VM list of a zone with the given states; VMs without a state are omitted.
     pub fn publish_vm_list(&mut self, place: &Place, state: impl Fn(&Name) -> Option<VmState>) {
-        let members = self.nodes.iter().filter(|slot| slot.cfg.place == *place);
-        let member = |slot: &SimNode| {
+        let members = self.nodes.iter().filter(|sim| sim.cfg.place == *place);
+        let member = |sim: &SimNode| {
             Some(Member {
-                vm: slot.cfg.vm.clone(),
+                vm: sim.cfg.vm.clone(),
                 region: place.region.clone(),
                 zone: place.zone.clone(),
-                peers: slot.cfg.address,
-                admin: slot.cfg.address,
-                state: state(&slot.cfg.vm)?,
+                peers: sim.cfg.address,
+                admin: sim.cfg.address,
+                state: state(&sim.cfg.vm)?,
             })
         };
         let list = VmList { vms: members.filter_map(member).collect() };
@@ -243,16 +243,16 @@
     }
 
     pub fn index(&self, vm: &str) -> usize {
-        self.nodes.iter().position(|slot| slot.cfg.vm.as_str() == vm).unwrap()
+        self.nodes.iter().position(|sim| sim.cfg.vm.as_str() == vm).unwrap()
     }
 
     pub fn start(&mut self, node: usize) {
-        let slot = &mut self.nodes[node];
-        slot.generation += 1;
-        slot.frozen = false;
-        slot.queued_inputs.clear();
-        let seed = self.seed.wrapping_mul(1_000_003) ^ (node as u64) << 20 ^ slot.generation;
-        slot.spread = Some(Spread::new(slot.cfg.clone(), seed));
+        let sim = &mut self.nodes[node];
+        sim.generation += 1;
+        sim.paused = false;
+        sim.queued_inputs.clear();
+        let seed = self.seed.wrapping_mul(1_000_003) ^ (node as u64) << 20 ^ sim.generation;
+        sim.spread = Some(Spread::new(sim.cfg.clone(), seed));
         self.input(node, Input::Start);
     }
 
@@ -266,13 +266,13 @@
         self.nodes[node].spread = None;
     }
 
-    pub fn freeze(&mut self, node: usize) {
-        self.nodes[node].frozen = true;
+    pub fn pause(&mut self, node: usize) {
+        self.nodes[node].paused = true;
     }
 
     /// Resumes a frozen node: first its overdue timer, then the queued inputs.
-    pub fn thaw(&mut self, node: usize) {
-        self.nodes[node].frozen = false;
+    pub fn resume(&mut self, node: usize) {
+        self.nodes[node].paused = false;
         self.input(node, Input::Wake);
         for input in std::mem::take(&mut self.nodes[node].queued_inputs) {
             self.input(node, input);
@@ -294,20 +294,20 @@
     }
 
     fn act(&mut self, node: usize, action: Action) {
-        let slot = &self.nodes[node];
+        let sim = &self.nodes[node];
         match action {
             Action::Wake(generation) => {
-                let due = slot.wake == Some(self.now) && slot.generation == generation;
-                if due && !slot.frozen {
+                let due = sim.wake == Some(self.now) && sim.generation == generation;
+                if due && !sim.paused {
                     self.input(node, Input::Wake);
                 }
             }
             Action::Input(generation, input) => {
                 let reply = matches!(input, Input::Source(_) | Input::PeerFailed { .. });
-                if reply && slot.generation != generation {
+                if reply && sim.generation != generation {
                     return;
                 }
-                if slot.frozen {
+                if sim.paused {
                     self.nodes[node].queued_inputs.push(input);
                 } else {
                     self.input(node, input);
@@ -327,8 +327,8 @@
     /// Delivers an input to a node; ignored if it is not running.
     pub fn input(&mut self, node: usize, input: Input) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
-        let Some(spread) = &mut slot.spread else { return };
+        let sim = &mut self.nodes[node];
+        let Some(spread) = &mut sim.spread else { return };
         let mut out = Vec::new();
         spread.handle(now, input, &mut out);
         for output in out {
@@ -338,22 +338,22 @@
 
     fn output(&mut self, node: usize, output: Output) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
+        let sim = &mut self.nodes[node];
         match output {
             Output::Send { to, msg, .. } => self.send(node, to, msg),
             Output::ReadSource(call) => self.read(node, call),
             Output::DropSource(id) => self.drop_call(node, id),
-            Output::InForce(snapshot) => slot.in_force.push(snapshot),
-            Output::Event(event) => slot.events.push(event),
-            Output::Members(members) => slot.members = members,
-            Output::View(view) => slot.view = Some(view),
+            Output::InForce(snapshot) => sim.in_force.push(snapshot),
+            Output::Event(event) => sim.events.push(event),
+            Output::Members(members) => sim.members = members,
+            Output::View(view) => sim.view = Some(view),
             Output::Confirmed => {
                 let version = self.version(node);
                 self.nodes[node].confirmed.push(version);
             }
             Output::WakeAt(at) => {
-                slot.wake = Some(at);
-                let generation = slot.generation;
+                sim.wake = Some(at);
+                let generation = sim.generation;
                 self.push(at.max(now), node, Action::Wake(generation));
             }
             Output::Refused(_) | Output::Note { .. } => {}
@@ -381,13 +381,13 @@
     }
 
     fn read(&mut self, node: usize, call: SourceCall) {
-        let slot = &self.nodes[node];
-        let generation = slot.generation;
+        let sim = &self.nodes[node];
+        let generation = sim.generation;
         self.platform.calls.push((self.now, call.key.to_string()));
         if self.platform.silent {
             return;
         }
-        if self.platform.down || self.platform.unreachable_from.contains(&slot.cfg.place.zone) {
+        if self.platform.down || self.platform.unreachable_from.contains(&sim.cfg.place.zone) {
             let result = Err(Code::SourceUnreachable);
             let reply = Input::Source(SourceReply { id: call.id, result });
             return self.push(self.now + LATENCY, node, Action::Input(generation, reply));
@@ -466,9 +466,13 @@
 
     /// Panics if any VM went back to an older version, restarts included.
     pub fn assert_versions_never_decrease(&self) {
-        for slot in &self.nodes {
-            let versions: Vec<u64> = slot.in_force.iter().map(|s| s.version()).collect();
-            assert!(versions.is_sorted(), "{} went back to an older version: {versions:?}", slot.cfg.vm);
+        for sim in &self.nodes {
+            let versions: Vec<u64> = sim.in_force.iter().map(|s| s.version()).collect();
+            assert!(
+                versions.is_sorted(),
+                "{} went back to an older version: {versions:?}",
+                sim.cfg.vm
+            );
         }
     }
 
