--- a/core/tests/spread_faults.rs
+++ b/core/tests/spread_faults.rs
@@ -281,7 +281,7 @@
 
 #[test]
 fn pause_of_a_relay_loses_no_version() {
-    // Relays freeze just before a publish without closing connections. Their children must detect
+    // Relays pause just before a publish without closing connections. Their children must detect
     // this by missing answers.
     let mut fleet = settled(4, 4);
     for relay in nodes_with(&fleet, |sim| role(sim) == Role::ZoneRelay) {
--- a/core/tests/support/fleet.rs
+++ b/core/tests/support/fleet.rs
@@ -270,7 +270,7 @@
         self.nodes[node].paused = true;
     }
 
-    /// Resumes a frozen node: first its overdue timer, then the queued inputs.
+    /// Resumes a paused node: first its overdue timer, then the queued inputs.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].paused = false;
         self.input(node, Input::Wake);
