--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -269,7 +269,7 @@
         }
     }
 
-    fn lists_changed(&mut self) {
+    fn invalidate_topology(&mut self) {
         self.topology_at = Time::ZERO;
     }
 
--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -64,11 +64,11 @@
 impl Spread {
     /// Whether every candidate has been asked and none accepted this node.
     pub(super) fn is_orphan(&self) -> bool {
-        let parent_candidates = self.topology.parent_candidates.len();
-        if parent_candidates == 0 {
+        let candidate_count = self.topology.parent_candidates.len();
+        if candidate_count == 0 {
             return self.members.list(&self.cfg.place.zone).is_some();
         }
-        let rounds = 1 + parent_candidates.div_ceil(SEARCH_WIDTH);
+        let rounds = 1 + candidate_count.div_ceil(SEARCH_WIDTH);
         self.attach.parent.is_none() && self.attach.search_rounds > rounds.min(3)
     }
 
@@ -164,8 +164,8 @@
     /// Each ping times out after [`ANSWER_TIMEOUT`](super::limits::ANSWER_TIMEOUT), because a hung
     /// relay may accept connections without ever answering.
     fn search_parent(&mut self, now: Time, out: &mut Vec<Output>) {
-        let parent_candidates = self.topology.parent_candidates.len();
-        if parent_candidates == 0
+        let candidate_count = self.topology.parent_candidates.len();
+        if candidate_count == 0
             || now < self.attach.next_at
             || self.pending_pings.has_pending(PingKind::Attach)
         {
@@ -177,10 +177,10 @@
         self.attach.next_at = now + jitter(pause, &mut self.rng);
         let (first, count) = match round {
             0 => (0, 1),
-            _ => ((round - 1) * SEARCH_WIDTH, SEARCH_WIDTH.min(parent_candidates)),
+            _ => ((round - 1) * SEARCH_WIDTH, SEARCH_WIDTH.min(candidate_count)),
         };
         for index in first..first + count {
-            let candidate = self.topology.parent_candidates[index % parent_candidates].clone();
+            let candidate = self.topology.parent_candidates[index % candidate_count].clone();
             if self.attach.allows(now, &candidate) {
                 self.ping_peer(now, &candidate, PingKind::Attach, out);
             }
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -36,7 +36,7 @@
         out: &mut Vec<Output>,
     ) {
         self.observe_version(now, seen.in_force.version, Some(from), out);
-        self.compare_content(now, from, seen, out);
+        self.check_same_manifest(now, from, seen, out);
         if !self.needs_version(now, from, &seen.in_force, out) {
             return;
         }
@@ -82,7 +82,13 @@
 
     /// Reports a peer that holds the same publication with a different manifest: a relay has
     /// altered the content.
-    fn compare_content(&mut self, now: Time, from: &Peer, seen: &Summary, out: &mut Vec<Output>) {
+    fn check_same_manifest(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        seen: &Summary,
+        out: &mut Vec<Output>,
+    ) {
         let Some(held) = self.in_force.as_ref().map(|store| store.summary()) else { return };
         if held.in_force == seen.in_force && held.manifest_digest != seen.manifest_digest {
             let publication = seen.in_force.clone();
--- a/core/src/spread/join.rs
+++ b/core/src/spread/join.rs
@@ -166,7 +166,7 @@
     pub(super) fn join_answered(&mut self, from: &Peer, to: SocketAddr, pong: &Pong) {
         if self.join_contacts.len() < JOIN_SEEDS && !self.join_contacts.contains(from) {
             self.join_contacts.push(from.clone());
-            self.lists_changed();
+            self.invalidate_topology();
         }
         if let Some(floor) = &pong.floor {
             self.floor.accept(floor.clone());
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -309,7 +309,7 @@
         let Some(zones) = parsed else { return };
         let list = ZonesList { index: value.index, zones: zones.zones };
         if self.members.update_zones(Arc::new(list)) {
-            self.lists_changed();
+            self.invalidate_topology();
         }
     }
 
@@ -323,7 +323,7 @@
         let Some(list) = parsed else { return };
         let list = ZoneList { place, index: value.index, vms: list.vms };
         if self.members.update_list(now, Arc::new(list)) {
-            self.lists_changed();
+            self.invalidate_topology();
         }
     }
 }
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -117,14 +117,14 @@
             let held = self.members.list(&list.place.zone).is_some();
             let room = held || self.members.lists().count() < MAX_LISTS;
             if room && list.vms.len() <= MAX_LIST_VMS && self.members.update_list(now, list) {
-                self.lists_changed();
+                self.invalidate_topology();
             }
         }
     }
 
     fn handle_zones(&mut self, zones: Arc<ZonesList>) {
         if zones.zones.len() <= MAX_LISTS && self.members.update_zones(zones) {
-            self.lists_changed();
+            self.invalidate_topology();
         }
     }
 }
--- a/core/src/spread/state_reports.rs
+++ b/core/src/spread/state_reports.rs
@@ -36,7 +36,7 @@
             return;
         }
         if self.members.apply_report(now, word, direct) {
-            self.lists_changed();
+            self.invalidate_topology();
             self.pending_reports.push(now, word.clone());
         }
     }
