--- a/core/src/spread/attach.rs
+++ b/core/src/spread/attach.rs
@@ -62,7 +62,7 @@
 }
 
 impl Spread {
-    /// Whether every candidate has been asked and none accepted this node.
+    /// Whether the search has run for several rounds without finding a parent.
     pub(super) fn is_orphan(&self) -> bool {
         let candidate_count = self.topology.parent_candidates.len();
         if candidate_count == 0 {
