--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -101,10 +101,10 @@
             return;
         }
         let known = self.published.as_ref().map_or(0, |held| held.version);
-        let same = self.view.as_ref().is_some_and(|view| view.digest == summary.whole);
+        let same = self.view.as_ref().is_some_and(|view| view.digest == summary.manifest_digest);
         let should_pull = match summary.in_force.version.cmp(&known) {
-            Ordering::Greater => self.offers.may_pull(now, summary.whole),
-            Ordering::Equal => !same && self.offers.may_pull_same_version(now, summary.whole),
+            Ordering::Greater => self.offers.may_pull(now, summary.manifest_digest),
+            Ordering::Equal => !same && self.offers.may_pull_same_version(now, summary.manifest_digest),
             Ordering::Less => false,
         };
         if should_pull {
@@ -135,7 +135,7 @@
     /// Handles a notice from the reader or the candidate reader.
     fn handle_notice(&mut self, now: Time, from: &Peer, summary: &Summary, out: &mut Vec<Output>) {
         let msg = match &self.view {
-            Some(view) if view.digest == summary.whole => {
+            Some(view) if view.digest == summary.manifest_digest => {
                 return self.mark_in_sync(now, from, summary, out);
             }
             Some(view) => relay::delta_request(view),
--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -52,7 +52,7 @@
         let preset: Name = self.published.preset.name.clone();
         let in_force = InForce { version: self.published.version, preset, digest: Hash::of(b"") };
         let ms = |age: Duration| u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-        Summary { in_force, whole: self.digest, store_age_ms: store_age.map(ms) }
+        Summary { in_force, manifest_digest: self.digest, store_age_ms: store_age.map(ms) }
     }
 
     /// Returns the view that results from a delta. Fails if the delta has another base version, or
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -1,16 +1,18 @@
-//! Spread of versions and of the VM list over the fleet.
+//! Distribution of configuration versions and VM lists across the fleet.
 //!
-//! [`Spread`] is the decider of one node. It is told what happens as an [`Input`] and answers with
-//! [`Output`]s that an adapter, or a fleet in memory, carries out. It keeps every timer itself:
-//! the adapter hands it [`Input::Wake`] at the time of the last [`Output::WakeAt`].
+//! [`Spread`] is the sans-I/O state machine of one node. It receives [`Input`]s and returns
+//! [`Output`]s, which an adapter or an in-memory simulation executes. It manages its own timers:
+//! the adapter delivers [`Input::Wake`] at the time given by the latest [`Output::WakeAt`].
 //!
-//! - `topology`: who reads the platform, and who takes versions from whom
-//! - `budget`: which calls to the platform a node makes, and when; `reading`: what they bring
-//! - `attach`: finding a parent and keeping it; `children`: the nodes below
-//! - `pings`: what peers are asked, and what they answer
-//! - `fetch`: taking a version from a peer; `serve`: answering peers
-//! - `join`: what a node asks before it relies on what it holds
-//! - `state_reports`: passing on what VMs say of themselves
+//! - `topology`: which nodes read the platform, and who can be whose parent
+//! - `budget`: rate limiting and scheduling of platform calls; `source`: open calls and watches;
+//!   `reading`: processing of the replies
+//! - `attach`: choosing and monitoring the parent; `children`: nodes attached to this one
+//! - `questions`: outstanding pings and their answers
+//! - `fetch`: fetching versions from peers; `serve`: handling of peer messages
+//! - `join`: queries to peers after a start or a clock gap
+//! - `members`: known zones, VMs and VM states; `words`: propagation of VM state reports
+//! - `notes`: delivery of notes between call paths
 
 pub mod limits;
 pub mod message;
@@ -32,7 +34,7 @@
 mod source;
 mod state_reports;
 
-pub use message::{Delta, PeerMsg, Summary, Word};
+pub use message::{Delta, PeerMsg, StateReport, Summary};
 pub use port::{Config, Input, Output, Peer, SourceCall, SourceReply, SourceValue, View};
 
 use crate::config::{InForce, Scope, Snapshot, VersionFloor};
@@ -51,22 +53,22 @@
 use store::Store;
 use topology::Topology;
 
-/// A version that has been checked whole, and where it came from.
+/// A fully validated version and the peer it was received from.
 #[derive(Debug)]
-struct Checked {
+struct VerifiedVersion {
     store: Store,
     snapshot: Arc<Snapshot>,
-    /// The peer that sent it; `None` for the platform.
+    /// `None` if the version was read from the platform.
     from: Option<Peer>,
 }
 
-/// The decider of one node for the spread of versions.
+/// State machine that distributes versions on one node.
 #[derive(Debug)]
 pub struct Spread {
     cfg: Config,
     scope: Scope,
     rng: Pcg64Mcg,
-    word: Word,
+    own_report: StateReport,
     started: bool,
     wake_at: Option<Time>,
     members: Members,
@@ -75,19 +77,19 @@
     not_live: IndexMap<Name, VmState>,
     floor: VersionFloor,
     in_force: Option<Store>,
-    /// Checked, but held back until the node has asked its peers.
-    staged: Option<Checked>,
+    /// Validated, but not put into force until the join has finished.
+    staged: Option<VerifiedVersion>,
     snapshot: Option<Arc<Snapshot>>,
-    /// Not before this time is the rest of the version in force asked for.
-    scope_at: Time,
-    /// Peers that answered the first questions: parents for a node that has no list to take one
-    /// from, as when the platform is down at its start.
-    acquainted: Vec<Peer>,
+    /// Earliest time to retry fetching resources missing from the current scope.
+    scope_retry_at: Time,
+    /// Peers that answered join pings. They serve as parent candidates until the node has a VM
+    /// list, for example if the platform is down at startup.
+    join_contacts: Vec<Peer>,
     removed_targets: notes::RemovedTargets,
-    /// Zones whose lists are read because a target there was dropped and may have failed.
+    /// Zones whose VM lists are read because a removed target there may have failed.
     extra_zones: Vec<crate::place::Place>,
     newest_heard: u64,
-    came_from: Option<Name>,
+    version_origin: Option<Name>,
     confirmed: bool,
     join: Option<join::Join>,
     attach: attach::Attach,
@@ -96,21 +98,21 @@
     fetch: Option<fetch::Fetch>,
     source: source::Source,
     pending_reports: state_reports::PendingReports,
-    /// Not before this time is a peer asked because it was heard from.
-    meet_at: Time,
-    shown: Option<View>,
+    /// Earliest time to ping another unknown sender; see `contact_sender`.
+    contact_at: Time,
+    last_view: Option<View>,
 }
 
 impl Spread {
-    /// A node that has not started. `seed` feeds its random choices.
+    /// Creates a node that has not started. `seed` initializes its random number generator.
     pub fn new(cfg: Config, seed: u64) -> Spread {
         let scope = Scope::new(cfg.scope.as_deref());
-        let word = Word { vm: cfg.vm.clone(), incarnation: 0, state: VmState::Live };
+        let own_report = StateReport { vm: cfg.vm.clone(), incarnation: 0, state: VmState::Live };
         Spread {
             cfg,
             scope,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            word,
+            own_report,
             started: false,
             wake_at: None,
             members: Members::default(),
@@ -121,12 +123,12 @@
             in_force: None,
             staged: None,
             snapshot: None,
-            scope_at: Time::ZERO,
-            acquainted: Vec::new(),
+            scope_retry_at: Time::ZERO,
+            join_contacts: Vec::new(),
             removed_targets: notes::RemovedTargets::default(),
             extra_zones: Vec::new(),
             newest_heard: 0,
-            came_from: None,
+            version_origin: None,
             confirmed: false,
             join: None,
             attach: attach::Attach::default(),
@@ -135,21 +137,21 @@
             fetch: None,
             source: source::Source::default(),
             pending_reports: state_reports::PendingReports::default(),
-            meet_at: Time::ZERO,
-            shown: None,
+            contact_at: Time::ZERO,
+            last_view: None,
         }
     }
 
-    /// Takes one input at `now` and appends what is to be done.
+    /// Processes one input at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         if self.started {
-            self.notice_gap(now, out);
+            self.check_clock_gap(now, out);
         }
         match input {
             Input::Start => self.start(now),
             Input::Wake => {}
-            Input::Source(reply) => self.take_reply(now, reply, out),
-            Input::Peer { from, msg } => self.take_message(now, &from, msg, out),
+            Input::Source(reply) => self.handle_reply(now, reply, out),
+            Input::Peer { from, msg } => self.handle_message(now, &from, msg, out),
             Input::PeerFailed { to } => self.peer_failed(now, to, out),
             Input::Note(note) => self.send_note(note, out),
             Input::Stop => self.stop(now, out),
@@ -159,44 +161,44 @@
         }
     }
 
-    /// The version in force; `None` before the first.
+    /// The version in force; `None` before the first one.
     pub fn in_force(&self) -> Option<&InForce> {
         self.in_force.as_ref().map(|store| &store.summary().in_force)
     }
 
-    /// The resources held.
+    /// The store of the version in force.
     pub fn store(&self) -> Option<&Store> {
         self.in_force.as_ref()
     }
 
-    /// The node's place in the spread.
+    /// This node's position in the distribution topology.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// The parent that sends notices.
+    /// The current parent, which sends version notices.
     pub fn parent(&self) -> Option<&Peer> {
         self.attach.parent()
     }
 
     fn start(&mut self, now: Time) {
         self.started = true;
-        self.word.incarnation = now.0;
-        self.begin_join(now);
+        self.own_report.incarnation = now.0;
+        self.start_join(now);
     }
 
     fn stop(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.word.state != VmState::Live {
+        if self.own_report.state != VmState::Live {
             return;
         }
-        self.word.state = VmState::Leaving;
+        self.own_report.state = VmState::Leaving;
         self.announce(now, out);
         self.topology_at = Time::ZERO;
     }
 
-    /// After a pause the view may be stale: lets the children go and asks peers again before the
-    /// node relays anything.
-    fn notice_gap(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// After a pause of the process, local state may be stale. Drops all children and rejoins
+    /// before the node acts as a relay again.
+    fn check_clock_gap(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(expected) = self.wake_at else { return };
         if now.since(expected) < CLOCK_GAP {
             return;
@@ -208,10 +210,10 @@
         self.pending_pings.clear();
         self.attach.forget(now);
         self.confirmed = false;
-        self.begin_join(now);
+        self.start_join(now);
     }
 
-    /// Does whatever is due and asks to be woken for the rest.
+    /// Runs all due timers and schedules the next wake.
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.refresh_topology(now, out);
         self.expire_pings(now, out);
@@ -220,7 +222,7 @@
         self.tick_fetch(now, out);
         self.tick_source(now, out);
         self.tick_state_reports(now, out);
-        self.show(out);
+        self.emit_view(out);
         let wake = self.next_wake(now);
         self.wake_at = Some(wake);
         out.push(Output::WakeAt(wake));
@@ -232,34 +234,34 @@
             self.pending_pings.next_deadline(),
             self.join_wake(now),
             self.attach_wake(now),
-            self.fetch.as_ref().map(|fetch| fetch.until),
+            self.fetch.as_ref().map(|fetch| fetch.deadline),
             self.source_wake(),
             self.pending_reports.next_send(),
         ];
         let first = times.into_iter().flatten().min().unwrap_or(now);
-        first.max(now + limits::MIN_WAKE)
+        first.max(now + limits::MIN_WAKE_DELAY)
     }
 
-    /// Works out the node's place again after a change of lists or words.
+    /// Recomputes the topology when it is due or has been invalidated.
     fn refresh_topology(&mut self, now: Time, out: &mut Vec<Output>) {
         if now < self.topology_at {
             return;
         }
-        self.topology_at = now + limits::TOPOLOGY;
-        // A node that left out its own word would leave the first places of its zone to others that
-        // do the same.
-        self.members.apply_report(now, &self.word, true);
-        let staying = self.word.state == VmState::Live;
-        let mut topology = Topology::new(now, &self.cfg, &self.members, staying);
+        self.topology_at = now + limits::TOPOLOGY_REFRESH_INTERVAL;
+        // The VM list lags behind. Without its own report, a node listed as not live would not rank
+        // itself, and the first ranks of its zone could stay vacant.
+        self.members.apply_report(now, &self.own_report, true);
+        let in_service = self.own_report.state == VmState::Live;
+        let mut topology = Topology::new(now, &self.cfg, &self.members, in_service);
         if self.members.list(&self.cfg.place.zone).is_none() {
-            topology.uppers = self.acquainted.clone();
+            topology.parent_candidates = self.join_contacts.clone();
         }
-        if topology.uppers != self.topology.uppers {
-            self.attach.uppers_changed(now);
+        if topology.parent_candidates != self.topology.parent_candidates {
+            self.attach.candidates_changed(now);
         }
         self.topology = topology;
         let mut not_live = self.members.not_live(now);
-        // The call path knows by itself whether its own node is leaving.
+        // The call path tracks the state of the local node itself.
         not_live.shift_remove(&self.cfg.vm);
         if not_live != self.not_live {
             self.not_live = not_live.clone();
@@ -267,36 +269,36 @@
         }
     }
 
-    fn lists_changed(&mut self) {
+    fn invalidate_topology(&mut self) {
         self.topology_at = Time::ZERO;
     }
 
-    fn show(&mut self, out: &mut Vec<Output>) {
+    fn emit_view(&mut self, out: &mut Vec<Output>) {
         let view = View {
             newest_heard: self.newest_heard,
             role: self.topology.role,
-            parent: self.came_from.clone(),
-            platform_answers: self.source.answers,
+            parent: self.version_origin.clone(),
+            platform_answers: self.source.reachable,
             confirmed: self.confirmed,
         };
-        if self.shown.as_ref() != Some(&view) {
-            self.shown = Some(view.clone());
+        if self.last_view.as_ref() != Some(&view) {
+            self.last_view = Some(view.clone());
             out.push(Output::View(view));
         }
     }
 
-    /// The scope that the node holds. Relays hold everything, so that they can serve any child;
-    /// so does a leaf that stands in for one.
+    /// The scope this node should hold. Relays hold all resources so that they can serve any child;
+    /// so does a leaf that has children or watches the platform.
     fn wanted_scope(&self) -> Scope {
-        let stands_in = !self.children.is_empty() || self.source.is_watching();
+        let acts_as_relay = !self.children.is_empty() || self.source.is_watching();
         match self.topology.role {
-            Role::Leaf if stands_in => Scope::All,
+            Role::Leaf if acts_as_relay => Scope::All,
             Role::Leaf => self.scope.clone(),
             Role::Relay | Role::ZoneRelay | Role::RegionReader => Scope::All,
         }
     }
 
-    fn refuse(
+    fn report_refused(
         &self,
         now: Time,
         version: u64,
@@ -313,7 +315,13 @@
         out.push(Output::Refused(fault));
     }
 
-    fn hear_of(&mut self, now: Time, version: u64, from: Option<&Peer>, out: &mut Vec<Output>) {
+    fn observe_version(
+        &mut self,
+        now: Time,
+        version: u64,
+        from: Option<&Peer>,
+        out: &mut Vec<Output>,
+    ) {
         if version <= self.newest_heard {
             return;
         }
@@ -330,8 +338,8 @@
         out.push(Output::Send { to: to.address, link, msg });
     }
 
-    /// Sends to an address whose place is not known; counted as the dearest link.
-    fn send_unknown(&self, to: SocketAddr, msg: PeerMsg, out: &mut Vec<Output>) {
+    /// Sends to an address whose location is unknown. Metrics count it as a cross-region link.
+    fn send_to_address(&self, to: SocketAddr, msg: PeerMsg, out: &mut Vec<Output>) {
         out.push(Output::Send { to, link: Link::CrossRegion, msg });
     }
 }
--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -1,8 +1,10 @@
 //! A node's view of the fleet: the platform's VM lists, which may be stale, combined with the
 //! states that nodes report about themselves.
 
-use super::limits::{LIST_LAG, MAX_FLOORS, MAX_HEARD, MAX_WORDS, WORDS_REPEAT};
-use super::message::{ListMark, Summary, Word, ZoneList, ZonesList};
+use super::limits::{
+    LIST_LAG, MAX_FLOORS, MAX_REPORTED_VMS, MAX_REPORTS_PER_PONG, REPORT_REPEAT_PERIOD,
+};
+use super::message::{ListVersion, StateReport, Summary, ZoneList, ZonesList};
 use crate::config::InForce;
 use crate::member::{Member, VmState};
 use crate::place::Place;
@@ -16,7 +18,7 @@
 /// The latest state that a node reported about itself, received directly or through other nodes.
 #[derive(Debug)]
 struct ReportedState {
-    word: Word,
+    word: StateReport,
     at: Time,
     changed: Time,
 }
@@ -77,20 +79,20 @@
     }
 
     /// The index of each stored list, plus index zero for each list in `wanted` that is missing.
-    pub fn marks(&self, wanted: &[Place]) -> Vec<ListMark> {
+    pub fn marks(&self, wanted: &[Place]) -> Vec<ListVersion> {
         let mark =
-            |list: &Arc<ZoneList>| ListMark { zone: list.place.zone.clone(), index: list.index };
-        let mut marks: Vec<ListMark> = self.lists().map(mark).collect();
+            |list: &Arc<ZoneList>| ListVersion { zone: list.place.zone.clone(), index: list.index };
+        let mut marks: Vec<ListVersion> = self.lists().map(mark).collect();
         for place in wanted {
             if !self.lists.contains_key(&place.zone) {
-                marks.push(ListMark { zone: place.zone.clone(), index: 0 });
+                marks.push(ListVersion { zone: place.zone.clone(), index: 0 });
             }
         }
         marks
     }
 
     /// Lists that are newer than `marks`, or that belong to `region` and are missing from `marks`.
-    pub fn newer_lists(&self, marks: &[ListMark], region: &Name) -> Vec<Arc<ZoneList>> {
+    pub fn newer_lists(&self, marks: &[ListVersion], region: &Name) -> Vec<Arc<ZoneList>> {
         let lacks =
             |list: &&Arc<ZoneList>| match marks.iter().find(|mark| mark.zone == list.place.zone) {
                 Some(mark) => mark.index < list.index,
@@ -101,7 +103,7 @@
 
     /// Applies a state that a node reported about its own VM. `direct` means that the report was
     /// received from that node itself. Returns whether the change should be propagated.
-    pub fn apply_report(&mut self, now: Time, word: &Word, direct: bool) -> bool {
+    pub fn apply_report(&mut self, now: Time, word: &StateReport, direct: bool) -> bool {
         if let Some(reported) = self.reports.get_mut(&word.vm) {
             let newer =
                 (word.incarnation, word.state) > (reported.word.incarnation, reported.word.state);
@@ -123,7 +125,7 @@
         if !differs && !direct {
             return false;
         }
-        if self.reports.len() >= MAX_HEARD {
+        if self.reports.len() >= MAX_REPORTED_VMS {
             self.reports.swap_remove_index(0);
         }
         let changed = if differs { now } else { Time::ZERO };
@@ -133,11 +135,16 @@
     }
 
     /// Reports that changed recently, limited to the most that one message carries.
-    pub fn recent_reports(&self, now: Time) -> Vec<Word> {
+    pub fn recent_reports(&self, now: Time) -> Vec<StateReport> {
         let recent = |reported: &&ReportedState| {
-            reported.changed > Time::ZERO && now.since(reported.changed) < WORDS_REPEAT
+            { reported.changed > Time::ZERO && now.since(reported.changed) < REPORT_REPEAT_PERIOD }
         };
-        self.reports.values().filter(recent).take(MAX_WORDS).map(|h| h.word.clone()).collect()
+        self.reports
+            .values()
+            .filter(recent)
+            .take(MAX_REPORTS_PER_PONG)
+            .map(|h| h.word.clone())
+            .collect()
     }
 
     /// Effective state of a listed VM.
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -1,14 +1,15 @@
-//! Reading the platform: what its values say, and how a body is put together.
+//! Processing of platform replies, and assembly of preset bodies.
 
 use super::limits::{
-    BODY_PATIENCE, EXTRA_PAUSE, LIST_PAUSE, ORPHAN_BACKOFF, ORPHAN_BACKOFF_INTERVALS,
-    READER_BACKOFF, TORN_BACKOFF, TORN_REPORTED, WATCH_PAUSE,
+    BODY_READ_DELAY, DIGEST_FAILURE_BACKOFF, DIGEST_FAILURES_BEFORE_REPORT,
+    EXTRA_ZONE_LIST_INTERVAL, LIST_READ_INTERVAL, MIN_WATCH_INTERVAL, ORPHAN_BACKOFF,
+    ORPHAN_BACKOFF_INTERVALS, READER_BACKOFF,
 };
 use super::message::{Summary, ZoneList, ZonesList};
 use super::port::{Output, Peer, SourceReply, SourceValue};
-use super::source::{OpenCall, Purpose, Reading, Watch};
+use super::source::{BodyRead, CallPurpose, OpenCall, Watch};
 use super::store::Store;
-use super::{Checked, Spread};
+use super::{Spread, VerifiedVersion};
 use crate::config::{Decision, InForce, Preset, ResourceSet, Scope, Snapshot, resource, validate};
 use crate::event::{Event, EventKind};
 use crate::hash::Hash;
@@ -20,25 +21,25 @@
 use std::time::Duration;
 
 impl Spread {
-    pub(super) fn take_reply(&mut self, now: Time, reply: SourceReply, out: &mut Vec<Output>) {
+    pub(super) fn handle_reply(&mut self, now: Time, reply: SourceReply, out: &mut Vec<Output>) {
         let Some(call) = self.source.close(reply.id) else { return };
         match reply.result {
             Ok(value) => {
-                if self.source.answers.replace(true) == Some(false) {
+                if self.source.reachable.replace(true) == Some(false) {
                     out.push(Output::Event(Event::new(now, EventKind::SourceBack)));
-                    self.watch_lists_again(out);
+                    self.restart_list_watches(out);
                 }
-                self.take_value(now, &call, value, out);
+                self.handle_value(now, &call, value, out);
             }
             Err(code) => self.source_failed(now, &call, code, out),
         }
     }
 
-    /// Makes the watches on lists anew after an outage, which may have swallowed their answers
-    /// without a sign; they would otherwise be missed only after their long wait.
-    fn watch_lists_again(&mut self, out: &mut Vec<Output>) {
-        let is_list = |p: &Purpose| matches!(p, Purpose::List(_) | Purpose::Zones);
-        let dropped = self.source.drop_calls(is_list);
+    /// Restarts the watches on lists after an outage, which may have lost their answers unnoticed.
+    /// Otherwise a change would go unseen until the long wait ends.
+    fn restart_list_watches(&mut self, out: &mut Vec<Output>) {
+        let is_list = |p: &CallPurpose| matches!(p, CallPurpose::List(_) | CallPurpose::Zones);
+        let dropped = self.source.cancel_calls(is_list);
         out.extend(dropped.into_iter().map(Output::DropSource));
     }
 
@@ -49,7 +50,7 @@
         code: Code,
         out: &mut Vec<Output>,
     ) {
-        if self.source.answers.replace(false) != Some(false) {
+        if self.source.reachable.replace(false) != Some(false) {
             out.push(Output::Event(Event::new(now, EventKind::SourceLost).with_code(code)));
         }
         let (first, reader) = READER_BACKOFF;
@@ -57,21 +58,21 @@
         let longest = (interval * ORPHAN_BACKOFF_INTERVALS).clamp(reader, ORPHAN_BACKOFF);
         let rng = &mut self.rng;
         match &call.purpose {
-            Purpose::InForce => self.source.in_force.fail(now, first, longest, rng),
-            Purpose::Zones => self.source.zones.fail(now, first, longest, rng),
-            Purpose::List(place) => {
+            CallPurpose::InForce => self.source.in_force.fail(now, first, longest, rng),
+            CallPurpose::Zones => self.source.zones.fail(now, first, longest, rng),
+            CallPurpose::List(place) => {
                 let watch = self.source.lists.entry(place.zone.clone()).or_default();
                 watch.fail(now, first, longest, rng);
             }
-            Purpose::Body | Purpose::Part(_) => {
-                if let Some(reading) = &mut self.source.reading {
-                    reading.at = now + reading.backoff.fail(first, longest, rng);
+            CallPurpose::Body | CallPurpose::Part(_) => {
+                if let Some(body_read) = &mut self.source.body_read {
+                    body_read.next_at = now + body_read.backoff.fail(first, longest, rng);
                 }
             }
         }
     }
 
-    fn take_value(
+    fn handle_value(
         &mut self,
         now: Time,
         call: &OpenCall,
@@ -79,15 +80,15 @@
         out: &mut Vec<Output>,
     ) {
         match &call.purpose {
-            Purpose::InForce => self.take_in_force(now, call, value, out),
-            Purpose::Body => self.take_body(now, value.body, out),
-            Purpose::Part(digest) => self.take_part(now, *digest, value.body, out),
-            Purpose::Zones => self.take_source_zones(now, value),
-            Purpose::List(place) => self.take_source_list(now, place.clone(), value),
+            CallPurpose::InForce => self.handle_in_force(now, call, value, out),
+            CallPurpose::Body => self.handle_body(now, value.body, out),
+            CallPurpose::Part(digest) => self.handle_part(now, *digest, value.body, out),
+            CallPurpose::Zones => self.handle_source_zones(now, value),
+            CallPurpose::List(place) => self.handle_source_list(now, place.clone(), value),
         }
     }
 
-    fn take_in_force(
+    fn handle_in_force(
         &mut self,
         now: Time,
         call: &OpenCall,
@@ -95,22 +96,22 @@
         out: &mut Vec<Output>,
     ) {
         let watch = &mut self.source.in_force;
-        let went_back = value.index < watch.index;
-        let changed = watch.answered(now, call, value.index, &mut self.rng);
+        let index_regressed = value.index < watch.index;
+        let changed = watch.record_answer(now, call, value.index, &mut self.rng);
         let Some(body) = value.body else { return };
         if !changed && self.newest_checked().is_some() {
             return;
         }
         match validate::parse_in_force(&body) {
-            Ok(seen) => self.take_publication(now, seen, went_back, out),
-            Err(fault) => self.report_rubbish(now, &body, fault, out),
+            Ok(seen) => self.handle_publication(now, seen, index_regressed, out),
+            Err(fault) => self.report_unparsable(now, &body, fault, out),
         }
     }
 
-    /// Reports a value that is not understood, once. What is in force stays.
-    fn report_rubbish(&mut self, now: Time, body: &Bytes, fault: Fault, out: &mut Vec<Output>) {
+    /// Reports a value that cannot be parsed, once. The version in force stays unchanged.
+    fn report_unparsable(&mut self, now: Time, body: &Bytes, fault: Fault, out: &mut Vec<Output>) {
         let hash = Hash::of(body);
-        if self.source.rubbish.replace(hash) != Some(hash) {
+        if self.source.last_unparsable.replace(hash) != Some(hash) {
             let event = Event::new(now, EventKind::VersionRefused).with_code(Code::SourceInvalid);
             out.push(Output::Event(event));
             out.push(Output::Refused(
@@ -119,19 +120,19 @@
         }
     }
 
-    /// Judges a publication read from the platform.
-    fn take_publication(
+    /// Decides whether to take a publication read from the platform.
+    fn handle_publication(
         &mut self,
         now: Time,
         seen: InForce,
-        went_back: bool,
+        index_regressed: bool,
         out: &mut Vec<Output>,
     ) {
-        let pending = self.source.reading.as_ref().map(|reading| reading.publication.clone());
-        if self.newest_checked() == Some(&seen) || self.source.is_bad(&seen) {
+        let pending = self.source.body_read.as_ref().map(|body_read| body_read.publication.clone());
+        if self.newest_checked() == Some(&seen) || self.source.is_invalid(&seen) {
             return;
         }
-        // The floor may be a version that this VM had before a restart and does not hold now.
+        // The floor may be a version that this VM confirmed before a restart but does not hold now.
         let verdict = match self.floor.newest() {
             Some(floor) if *floor == seen && pending.as_ref() != Some(&seen) => Decision::Fetch,
             _ => self.floor.evaluate(&seen, pending.as_ref()),
@@ -139,24 +140,24 @@
         match verdict {
             Decision::AlreadyKnown => {}
             Decision::Fetch => {
-                self.hear_of(now, seen.version, None, out);
-                self.begin_reading(now, seen);
+                self.observe_version(now, seen.version, None, out);
+                self.start_body_read(now, seen);
             }
             Decision::Reject(code) => {
                 if code == Code::VersionConflict
                     && pending.is_some_and(|pending| pending.version == seen.version)
                 {
-                    self.source.reading = None;
+                    self.source.body_read = None;
                 }
-                let older = code == Code::VersionOlder && went_back;
+                let older = code == Code::VersionOlder && index_regressed;
                 let code = if older { Code::SourceWentBack } else { code };
-                self.refuse_once(now, &seen, None, Fault::new(code), out);
+                self.report_refused_once(now, &seen, None, Fault::new(code), out);
             }
         }
     }
 
-    /// Reports that a publication is refused, once.
-    pub(super) fn refuse_once(
+    /// Reports a refused publication, once.
+    pub(super) fn report_refused_once(
         &mut self,
         now: Time,
         seen: &InForce,
@@ -164,112 +165,117 @@
         fault: Fault,
         out: &mut Vec<Output>,
     ) {
-        if self.source.refused.as_ref() == Some(seen) {
+        if self.source.last_refused.as_ref() == Some(seen) {
             return;
         }
-        self.source.refused = Some(seen.clone());
+        self.source.last_refused = Some(seen.clone());
         let place = format!("version {} {}", seen.version, seen.digest);
-        self.refuse(now, seen.version, from, fault.with_place(place), out);
+        self.report_refused(now, seen.version, from, fault.with_place(place), out);
     }
 
-    /// Starts to read a body. Readers outside the platform's region first leave those inside it
-    /// time to send the difference, which spares a whole body over a link that is paid by volume.
-    fn begin_reading(&mut self, now: Time, publication: InForce) {
-        let patience = match self.topology.reader {
+    /// Starts to read a body. Readers outside the platform's region first wait for a delta from the
+    /// readers inside it, which avoids transferring the full body over a link billed by volume.
+    fn start_body_read(&mut self, now: Time, publication: InForce) {
+        let delay = match self.topology.reader {
             Some(number) if !self.topology.home && self.attach.parent().is_some() => {
-                BODY_PATIENCE * (number as u32 + 1)
+                BODY_READ_DELAY * (number as u32 + 1)
             }
             _ => Duration::ZERO,
         };
-        self.source.reading = Some(Reading::new(publication, now + patience));
+        self.source.body_read = Some(BodyRead::new(publication, now + delay));
     }
 
-    /// Reads the body of the version in force again, for the part outside the scope held so far.
-    pub(super) fn read_again(&mut self, now: Time, publication: InForce) {
-        if self.source.reading.is_none() {
-            self.source.reading = Some(Reading::new(publication, now));
+    /// Reads the body of the version in force again to obtain resources outside the held scope.
+    pub(super) fn reread_body(&mut self, now: Time, publication: InForce) {
+        if self.source.body_read.is_none() {
+            self.source.body_read = Some(BodyRead::new(publication, now));
         }
     }
 
-    /// Stops reading a body that is no longer needed.
-    pub(super) fn stop_reading(&mut self, checked: InForce, out: &mut Vec<Output>) {
-        let reading = self.source.reading.as_ref();
-        if reading.is_some_and(|reading| !reading.publication.replaces(&checked)) {
-            self.source.reading = None;
-            let dropped = self.source.drop_calls(|p| matches!(p, Purpose::Body | Purpose::Part(_)));
+    /// Cancels the read of a body that is no longer needed.
+    pub(super) fn cancel_body_read(&mut self, checked: InForce, out: &mut Vec<Output>) {
+        let body_read = self.source.body_read.as_ref();
+        if body_read.is_some_and(|body_read| !body_read.publication.replaces(&checked)) {
+            self.source.body_read = None;
+            let dropped =
+                self.source.cancel_calls(|p| matches!(p, CallPurpose::Body | CallPurpose::Part(_)));
             out.extend(dropped.into_iter().map(Output::DropSource));
         }
     }
 
-    fn take_body(&mut self, now: Time, body: Option<Bytes>, out: &mut Vec<Output>) {
-        let Some(reading) = &mut self.source.reading else { return };
-        let publication = reading.publication.clone();
+    fn handle_body(&mut self, now: Time, body: Option<Bytes>, out: &mut Vec<Output>) {
+        let Some(body_read) = &mut self.source.body_read else { return };
+        let publication = body_read.publication.clone();
         let parsed = match &body {
             Some(body) => validate::parse_preset(body, &publication),
-            None => Err(Fault::new(Code::DigestMismatch).with_detail("no value")),
+            None => Err(Fault::new(Code::DigestMismatch).with_detail("key has no value")),
         };
         match parsed {
             Ok(preset) => {
-                reading.preset = Some(preset);
-                reading.backoff.reset();
-                reading.at = now;
-                self.finish_reading(now, out);
+                body_read.preset = Some(preset);
+                body_read.backoff.reset();
+                body_read.next_at = now;
+                self.finish_body_read(now, out);
             }
-            Err(fault) => self.body_refused(now, fault, out),
+            Err(fault) => self.handle_invalid_body(now, fault, out),
         }
     }
 
-    fn take_part(&mut self, now: Time, digest: Hash, body: Option<Bytes>, out: &mut Vec<Output>) {
+    fn handle_part(&mut self, now: Time, digest: Hash, body: Option<Bytes>, out: &mut Vec<Output>) {
         let parsed = match body {
             Some(body) => validate::parse_part(&body, &digest).map(|_| body),
-            None => Err(Fault::new(Code::DigestMismatch).with_detail("no value")),
+            None => Err(Fault::new(Code::DigestMismatch).with_detail("key has no value")),
         };
         match parsed {
             Ok(body) => {
                 self.source.parts.insert(digest, body);
-                self.finish_reading(now, out);
+                self.finish_body_read(now, out);
             }
-            Err(fault) => self.body_refused(now, fault, out),
+            Err(fault) => self.handle_invalid_body(now, fault, out),
         }
     }
 
-    /// A body that fails its digest was read across a publish: it is read again, and never used
-    /// beside another. Any other fault is in what was published.
-    fn body_refused(&mut self, now: Time, fault: Fault, out: &mut Vec<Output>) {
-        let Some(reading) = &mut self.source.reading else { return };
-        let publication = reading.publication.clone();
+    /// A digest mismatch means that the body was replaced during the read, so it is read again. Any
+    /// other fault marks the publication as invalid.
+    fn handle_invalid_body(&mut self, now: Time, fault: Fault, out: &mut Vec<Output>) {
+        let Some(body_read) = &mut self.source.body_read else { return };
+        let publication = body_read.publication.clone();
         if fault.code != Code::DigestMismatch {
-            self.source.reading = None;
-            self.source.mark_bad(publication.clone());
-            self.refuse(now, publication.version, None, fault, out);
+            self.source.body_read = None;
+            self.source.mark_invalid(publication.clone());
+            self.report_refused(now, publication.version, None, fault, out);
             return;
         }
-        let (first, longest) = TORN_BACKOFF;
-        reading.at = now + reading.backoff.fail(first, longest, &mut self.rng);
-        if reading.backoff.failures() == TORN_REPORTED {
-            self.refuse(now, publication.version, None, fault, out);
+        let (first, longest) = DIGEST_FAILURE_BACKOFF;
+        body_read.next_at = now + body_read.backoff.fail(first, longest, &mut self.rng);
+        if body_read.backoff.failures() == DIGEST_FAILURES_BEFORE_REPORT {
+            self.report_refused(now, publication.version, None, fault, out);
         }
     }
 
-    /// Puts the preset together once all of its parts have come.
-    fn finish_reading(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(reading) = &self.source.reading else { return };
-        let Some(preset) = &reading.preset else { return };
+    /// Assembles the preset once all parts have been read.
+    fn finish_body_read(&mut self, now: Time, out: &mut Vec<Output>) {
+        let Some(body_read) = &self.source.body_read else { return };
+        let Some(preset) = &body_read.preset else { return };
         if self.source.missing_part().is_some() {
             return;
         }
-        let publication = reading.publication.clone();
+        let publication = body_read.publication.clone();
         let preset = preset.clone();
         match self.check_preset(&publication, preset) {
             Ok(checked) => {
-                self.source.reading = None;
-                self.offer(now, checked, out);
+                self.source.body_read = None;
+                self.accept_version(now, checked, out);
             }
-            Err(fault) => self.body_refused(now, fault, out),
+            Err(fault) => self.handle_invalid_body(now, fault, out),
         }
     }
 
-    fn check_preset(&mut self, publication: &InForce, mut preset: Preset) -> Result<Checked> {
+    fn check_preset(
+        &mut self,
+        publication: &InForce,
+        mut preset: Preset,
+    ) -> Result<VerifiedVersion> {
         let refs = std::mem::take(&mut preset.parts);
         for part in &refs {
             if let Some(body) = self.source.parts.get(&part.digest) {
@@ -279,44 +285,45 @@
         validate::preset(&preset)?;
         self.source.parts.retain(|digest, _| refs.iter().any(|part| part.digest == *digest));
         let mut content = ResourceSet::new(resource::split_preset(&preset))?;
-        // The documents take several times the memory of what is kept of them.
+        // Parsed documents take several times the memory of the retained resources.
         drop(preset);
         if let Some(held) = &self.in_force {
             content.share_bodies(held.content());
         }
-        let whole = content.manifest(&Scope::All).digest();
+        let manifest_digest = content.manifest(&Scope::All).digest();
         let scope = self.wanted_scope();
         content.retain_scope(&scope);
         let snapshot =
             Snapshot::from_resources(publication.clone(), &content.in_scope(&self.scope))?;
-        let summary = Summary { in_force: publication.clone(), whole, store_age_ms: None };
-        Ok(Checked { store: Store::new(summary, scope, content), snapshot, from: None })
+        let summary =
+            Summary { in_force: publication.clone(), manifest_digest, store_age_ms: None };
+        Ok(VerifiedVersion { store: Store::new(summary, scope, content), snapshot, from: None })
     }
 
-    fn take_source_zones(&mut self, now: Time, value: SourceValue) {
+    fn handle_source_zones(&mut self, now: Time, value: SourceValue) {
         let watch = &mut self.source.zones;
         watch.index = value.index;
-        watch.at = now + LIST_PAUSE;
+        watch.next_at = now + LIST_READ_INTERVAL;
         watch.backoff.reset();
         let parsed = value.body.and_then(|body| serde_json::from_slice::<Zones>(&body).ok());
         let Some(zones) = parsed else { return };
         let list = ZonesList { index: value.index, zones: zones.zones };
         if self.members.update_zones(Arc::new(list)) {
-            self.lists_changed();
+            self.invalidate_topology();
         }
     }
 
-    fn take_source_list(&mut self, now: Time, place: Place, value: SourceValue) {
+    fn handle_source_list(&mut self, now: Time, place: Place, value: SourceValue) {
         let extra = self.extra_zones.contains(&place);
         let watch = self.source.lists.entry(place.zone.clone()).or_default();
         watch.index = value.index;
-        watch.at = now + if extra { EXTRA_PAUSE } else { LIST_PAUSE };
+        watch.next_at = now + if extra { EXTRA_ZONE_LIST_INTERVAL } else { LIST_READ_INTERVAL };
         watch.backoff.reset();
         let parsed = value.body.and_then(|body| serde_json::from_slice::<VmList>(&body).ok());
         let Some(list) = parsed else { return };
         let list = ZoneList { place, index: value.index, vms: list.vms };
         if self.members.update_list(now, Arc::new(list)) {
-            self.lists_changed();
+            self.invalidate_topology();
         }
     }
 }
@@ -329,13 +336,13 @@
         longest: Duration,
         rng: &mut rand_pcg::Pcg64Mcg,
     ) {
-        self.at = now + self.backoff.fail(first, longest, rng);
+        self.next_at = now + self.backoff.fail(first, longest, rng);
     }
 
-    /// Takes note of an answer. Returns whether the index changed.
+    /// Records an answer and schedules the next call. Returns whether the index changed.
     ///
-    /// Pauses between watches that bring nothing: the platform may answer each at once.
-    fn answered(
+    /// Backs off if an unchanged value is returned early, in case the platform does not block.
+    fn record_answer(
         &mut self,
         now: Time,
         call: &OpenCall,
@@ -344,11 +351,11 @@
     ) -> bool {
         let changed = index != self.index;
         self.index = index;
-        if !changed && now.since(call.began) < call.wait / 2 || index == 0 {
+        if !changed && now.since(call.started_at) < call.wait / 2 || index == 0 {
             self.fail(now, READER_BACKOFF.0, READER_BACKOFF.1, rng);
         } else {
             self.backoff.reset();
-            self.at = now + WATCH_PAUSE;
+            self.next_at = now + MIN_WATCH_INTERVAL;
         }
         changed
     }
--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -1,7 +1,7 @@
-//! Calls to the platform that a node has open, and what it has read so far.
+//! Open calls to the platform and the state of its watches.
 
 use super::backoff::Backoff;
-use super::limits::{MAX_BAD, SOURCE_ANSWER, SOURCE_ANSWER_LARGE};
+use super::limits::{MAX_INVALID_PUBLICATIONS, SOURCE_ANSWER_GRACE, SOURCE_ANSWER_GRACE_LARGE};
 use super::port::{CallId, SourceCall};
 use crate::config::document::PartRef;
 use crate::config::{InForce, Preset};
@@ -14,148 +14,141 @@
 use std::time::Duration;
 
 data! {
-    /// What a call to the platform is for.
-    pub enum Purpose {
+    /// The purpose of a call to the platform.
+    pub enum CallPurpose {
         /// The key `in-force`.
         InForce,
-        /// The body of the preset being read.
+        /// The preset body being read.
         Body,
-        /// A part of the preset being read.
+        /// A part of the preset being read, by digest.
         Part(Hash),
         /// The key `zones`.
         Zones,
-        /// The VMs of a zone.
+        /// The VM list of a zone.
         List(Place),
     }
 
-    /// A call that has not ended.
+    /// A call without a reply yet.
     pub struct OpenCall {
-        /// What it is for.
-        pub purpose: Purpose,
-        /// When it was made.
-        pub began: Time,
-        /// How long the platform may wait for a change.
+        pub purpose: CallPurpose,
+        pub started_at: Time,
+        /// Maximum time for the platform to block.
         pub wait: Duration,
     }
 }
 
-impl Purpose {
-    /// Whether a body may be read after it.
-    pub fn begins_reading(&self) -> bool {
-        matches!(self, Purpose::InForce | Purpose::Body)
+impl CallPurpose {
+    /// Whether the read of a body or of its parts may follow this call.
+    pub fn precedes_body_read(&self) -> bool {
+        matches!(self, CallPurpose::InForce | CallPurpose::Body)
     }
 
-    /// Whether it is for the body of a preset.
-    pub fn is_reading(&self) -> bool {
-        matches!(self, Purpose::Body | Purpose::Part(_))
+    /// Whether the call reads a preset body or a part.
+    pub fn reads_body(&self) -> bool {
+        matches!(self, CallPurpose::Body | CallPurpose::Part(_))
     }
 }
 
-/// A key that is read again and again.
+/// State of a key that is read repeatedly.
 #[derive(Debug, Default)]
 pub struct Watch {
     /// Index of the last value.
     pub index: u64,
-    /// Not before this time.
-    pub at: Time,
-    /// Pause after failures.
+    /// Earliest time of the next call.
+    pub next_at: Time,
     pub backoff: Backoff,
 }
 
-/// The body of a publication, on its way.
+/// The read of a publication's body.
 #[derive(Debug)]
-pub struct Reading {
-    /// What was published.
+pub struct BodyRead {
     pub publication: InForce,
-    /// The body, once it has come; its parts may be missing.
+    /// The body once it has been read; parts may still be missing.
     pub preset: Option<Preset>,
-    /// Next call not before this time.
-    pub at: Time,
-    /// Pause after failures.
+    /// Earliest time of the next call.
+    pub next_at: Time,
     pub backoff: Backoff,
 }
 
-/// What a node has open at the platform and knows from it.
+/// State of the platform client.
 #[derive(Debug, Default)]
 pub struct Source {
     next_id: u64,
     calls: IndexMap<CallId, OpenCall>,
-    /// Whether the last call was answered.
-    pub answers: Option<bool>,
-    /// The key `in-force`.
+    /// Whether the last call was answered; `None` before the first.
+    pub reachable: Option<bool>,
+    /// Watch on the key `in-force`.
     pub in_force: Watch,
-    /// The key `zones`.
+    /// Watch on the key `zones`.
     pub zones: Watch,
-    /// The lists of VMs, by zone.
+    /// Watches on VM lists, by zone.
     pub lists: IndexMap<Name, Watch>,
-    /// The body being read.
-    pub reading: Option<Reading>,
-    /// The parts of the last preset read, by digest: their JSON as read, which takes a fraction of
-    /// the memory of the documents.
+    /// The body read in progress.
+    pub body_read: Option<BodyRead>,
+    /// Parts of the last preset read, by digest. Kept as raw JSON, which takes a fraction of the
+    /// memory of parsed documents.
     pub parts: IndexMap<Hash, Bytes>,
-    /// The last publication refused, so that it is reported once.
-    pub refused: Option<InForce>,
-    /// Hash of the last value that was not understood, so that it is reported once.
-    pub rubbish: Option<Hash>,
-    /// For nodes that are not readers: no call before this time; `None` while none is needed.
-    pub budget_at: Option<Time>,
-    /// Whether the last call within the budget was one that a body or a part may follow.
-    pub follows: bool,
-    /// When the next call may be due.
+    /// The last refused publication, reported only once.
+    pub last_refused: Option<InForce>,
+    /// Hash of the last value that could not be parsed, reported only once.
+    pub last_unparsable: Option<Hash>,
+    /// Earliest time of the next call of a node that is not a reader; `None` if no call is needed.
+    pub next_budgeted_at: Option<Time>,
+    /// Whether the next body or part may be read without waiting for the budget.
+    pub may_follow_up: bool,
+    /// Time at which the next call may be due.
     pub wake_at: Option<Time>,
-    bad: VecDeque<InForce>,
+    invalid: VecDeque<InForce>,
 }
 
 impl Source {
-    /// Opens a call.
+    /// Registers a call and returns it.
     pub fn open(
         &mut self,
         now: Time,
-        purpose: Purpose,
+        purpose: CallPurpose,
         key: Name,
         watch: (u64, Duration),
     ) -> SourceCall {
         let id = CallId(self.next_id);
         self.next_id += 1;
         let (index, wait) = watch;
-        self.calls.insert(id, OpenCall { purpose, began: now, wait });
+        self.calls.insert(id, OpenCall { purpose, started_at: now, wait });
         SourceCall { id, key, index, wait }
     }
 
-    /// Ends a call. `None` if it had been given up.
+    /// Removes a finished call. Returns `None` if it has been cancelled.
     pub fn close(&mut self, id: CallId) -> Option<OpenCall> {
         self.calls.swap_remove(&id)
     }
 
     /// Whether a call for this purpose is open.
-    pub fn is_open(&self, purpose: &Purpose) -> bool {
+    pub fn is_open(&self, purpose: &CallPurpose) -> bool {
         self.calls.values().any(|call| call.purpose == *purpose)
     }
 
-    /// Whether the key `in-force` is read again and again, and was answered the last time.
+    /// Whether the key `in-force` is being watched and the platform answered the last call.
     pub fn is_watching(&self) -> bool {
-        self.answers == Some(true) && self.in_force.index > 0
+        self.reachable == Some(true) && self.in_force.index > 0
     }
 
     /// Whether a call for the body or a part is open.
-    pub fn is_reading(&self) -> bool {
-        self.calls.values().any(|call| call.purpose.is_reading())
+    pub fn reads_body(&self) -> bool {
+        self.calls.values().any(|call| call.purpose.reads_body())
     }
 
-    /// A call whose answer is overdue.
-    ///
-    /// A call that the platform has taken and not answered in time.
+    /// Returns a call whose deadline has passed.
     pub fn overdue(&self, now: Time) -> Option<CallId> {
-        self.calls.iter().find(|(_, call)| call.give_up() <= now).map(|(id, _)| *id)
+        self.calls.iter().find(|(_, call)| call.deadline() <= now).map(|(id, _)| *id)
     }
 
-    /// When the first open call is overdue.
+    /// The earliest deadline of all open calls.
     pub fn next_overdue(&self) -> Option<Time> {
-        self.calls.values().map(OpenCall::give_up).min()
+        self.calls.values().map(OpenCall::deadline).min()
     }
 
-    /// Gives up every call that `unwanted` picks.
-    pub fn drop_calls(&mut self, unwanted: impl Fn(&Purpose) -> bool) -> Vec<CallId> {
+    /// Cancels all calls that match `unwanted` and returns their ids.
+    pub fn cancel_calls(&mut self, unwanted: impl Fn(&CallPurpose) -> bool) -> Vec<CallId> {
         let picked = self.calls.iter().filter(|(_, call)| unwanted(&call.purpose));
         let ids: Vec<CallId> = picked.map(|(id, _)| *id).collect();
         for id in &ids {
@@ -164,39 +157,41 @@
         ids
     }
 
-    /// Whether a publication was read whole and found bad.
-    pub fn is_bad(&self, publication: &InForce) -> bool {
-        self.bad.contains(publication)
+    /// Whether a publication was read and found invalid.
+    pub fn is_invalid(&self, publication: &InForce) -> bool {
+        self.invalid.contains(publication)
     }
 
-    /// Remembers a publication as bad.
-    pub fn mark_bad(&mut self, publication: InForce) {
-        if self.bad.len() == MAX_BAD {
-            self.bad.pop_front();
+    /// Remembers an invalid publication so that it is not read again.
+    pub fn mark_invalid(&mut self, publication: InForce) {
+        if self.invalid.len() == MAX_INVALID_PUBLICATIONS {
+            self.invalid.pop_front();
         }
-        self.bad.push_back(publication);
+        self.invalid.push_back(publication);
     }
 
-    /// The first part of the preset being read that has not come yet.
+    /// The first part of the preset being read that is still missing.
     pub fn missing_part(&self) -> Option<&PartRef> {
-        let preset = self.reading.as_ref()?.preset.as_ref()?;
+        let preset = self.body_read.as_ref()?.preset.as_ref()?;
         preset.parts.iter().find(|part| !self.parts.contains_key(&part.digest))
     }
 }
 
-impl Reading {
-    /// A body that is to be read from `at` on.
-    pub fn new(publication: InForce, at: Time) -> Reading {
-        Reading { publication, preset: None, at, backoff: Backoff::default() }
+impl BodyRead {
+    /// Creates a read whose first call is made no earlier than `next_at`.
+    pub fn new(publication: InForce, next_at: Time) -> BodyRead {
+        BodyRead { publication, preset: None, next_at, backoff: Backoff::default() }
     }
 }
 
 impl OpenCall {
-    fn give_up(&self) -> Time {
+    fn deadline(&self) -> Time {
         let answer = match self.purpose {
-            Purpose::InForce | Purpose::Zones => SOURCE_ANSWER,
-            Purpose::Body | Purpose::Part(_) | Purpose::List(_) => SOURCE_ANSWER_LARGE,
+            CallPurpose::InForce | CallPurpose::Zones => SOURCE_ANSWER_GRACE,
+            CallPurpose::Body | CallPurpose::Part(_) | CallPurpose::List(_) => {
+                SOURCE_ANSWER_GRACE_LARGE
+            }
         };
-        self.began + self.wait + answer
+        self.started_at + self.wait + answer
     }
 }
--- a/core/src/spread/store.rs
+++ b/core/src/spread/store.rs
@@ -1,4 +1,4 @@
-//! The version that a node holds, and the differences that it makes for others.
+//! The configuration version held by a node, and computation of deltas for peers.
 
 use super::message::{Base, Delta, Summary};
 use crate::config::resource_set::{ResourceDigest, ResourceSet};
@@ -8,107 +8,103 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Versions back for which a difference can be made; a node further behind gets its whole scope.
-const MAX_STEPS: usize = 64;
+/// Maximum number of past versions from which a delta can be made. Peers further behind get their
+/// full scope.
+const MAX_HISTORY_STEPS: usize = 64;
 
-/// Changes kept over all steps; bounds the memory of a history of large changes.
-const MAX_STEP_CHANGES: usize = 20_000;
+/// Maximum number of changes in the history; bounds its memory.
+const MAX_HISTORY_CHANGES: usize = 20_000;
 
-/// Differences kept to be sent to several nodes.
-const MAX_CACHED: usize = 32;
+/// Maximum number of cached deltas.
+const MAX_CACHED_DELTAS: usize = 32;
 
-/// Resources over all differences kept; bounds the memory of those that hold a whole scope.
+/// Maximum number of resources in all cached deltas; bounds their memory.
 const MAX_CACHED_RESOURCES: usize = 15_000;
 
-/// Largest number of resources in a difference that is taken from a peer.
+/// Maximum number of resources in a delta accepted from a peer.
 pub const MAX_DELTA_RESOURCES: usize = 100_000;
 
 type Changes = BTreeMap<ResourceId, Option<ResourceDigest>>;
 
-/// What changed from one held version to the next.
+/// The changes from one held version to the next.
 #[derive(Debug)]
-struct Step {
+struct HistoryStep {
     from: u64,
-    /// By resource, what was there in the older version.
+    /// The previous values, by resource.
     changes: Changes,
 }
 
-/// A difference kept for the next node that asks for the same.
+/// A delta cached for other peers with the same base and scope.
 #[derive(Debug)]
-struct Cached {
+struct CachedDelta {
     base: Option<Base>,
     scope: Scope,
     delta: Arc<Delta>,
 }
 
-/// One version within a scope, with the steps that led to it.
+/// One version within a scope, with the history of earlier versions.
 #[derive(Debug)]
 pub struct Store {
     summary: Summary,
     scope: Scope,
     content: ResourceSet,
     digest: Hash,
-    steps: VecDeque<Step>,
-    cached: VecDeque<Cached>,
+    history: VecDeque<HistoryStep>,
+    cached: VecDeque<CachedDelta>,
 }
 
 impl Store {
-    /// Holds a version.
+    /// Creates a store without history.
     pub fn new(summary: Summary, scope: Scope, content: ResourceSet) -> Store {
         let digest = content.manifest(&scope).digest();
-        Store { summary, scope, content, digest, steps: VecDeque::new(), cached: VecDeque::new() }
+        Store { summary, scope, content, digest, history: VecDeque::new(), cached: VecDeque::new() }
     }
-
-    /// The version held.
     pub fn summary(&self) -> &Summary {
         &self.summary
     }
 
-    /// The version number held.
+    /// The held version number.
     pub fn version(&self) -> u64 {
         self.summary.in_force.version
     }
-
-    /// The scope held.
     pub fn scope(&self) -> &Scope {
         &self.scope
     }
-
-    /// The resources held.
     pub fn content(&self) -> &ResourceSet {
         &self.content
     }
 
-    /// What a peer is told to make a difference from.
+    /// The version and digest that identify the held content as the base of a delta.
     pub fn base(&self) -> Base {
         Base { version: self.version(), digest: self.digest }
     }
 
-    /// Replaces an older store by this one and keeps its history.
-    pub fn after(mut self, older: Option<Store>) -> Store {
+    /// Takes over the history of the store that this one replaces.
+    pub fn with_history_of(mut self, older: Option<Store>) -> Store {
         let Some(older) = older else { return self };
-        // A history over a change of scope would miss what lay outside of it.
+        // The history does not cover resources outside the older scope.
         if older.scope != self.scope || older.version() == self.version() {
             return self;
         }
         let changes = self.content.changes_since(&older.content);
-        self.steps = older.steps;
-        self.steps.push_back(Step { from: older.summary.in_force.version, changes });
-        self.trim();
+        self.history = older.history;
+        self.history.push_back(HistoryStep { from: older.summary.in_force.version, changes });
+        self.trim_history();
         self
     }
 
-    fn trim(&mut self) {
-        let count = |steps: &VecDeque<Step>| steps.iter().map(|step| step.changes.len()).sum();
-        let mut changes: usize = count(&self.steps);
-        while self.steps.len() > MAX_STEPS || changes > MAX_STEP_CHANGES {
-            let Some(step) = self.steps.pop_front() else { return };
+    fn trim_history(&mut self) {
+        let count =
+            |history: &VecDeque<HistoryStep>| history.iter().map(|step| step.changes.len()).sum();
+        let mut changes: usize = count(&self.history);
+        while self.history.len() > MAX_HISTORY_STEPS || changes > MAX_HISTORY_CHANGES {
+            let Some(step) = self.history.pop_front() else { return };
             changes -= step.changes.len();
         }
     }
 
-    /// The difference from `base` within `scope`, or everything in scope if the base is not known.
-    /// `None` if this node does not hold all of the scope.
+    /// Returns the delta from `base` within `scope`, or the full scope if the base is unknown.
+    /// Returns `None` if this store does not cover the scope.
     pub fn delta(&mut self, base: Option<&Base>, scope: &Scope) -> Option<Arc<Delta>> {
         if !self.scope.includes(scope) {
             return None;
@@ -117,23 +113,23 @@
         if let Some(hit) = hit {
             return Some(hit.delta.clone());
         }
-        let delta = base.and_then(|base| self.difference(base, scope));
-        let delta = Arc::new(delta.unwrap_or_else(|| self.everything(scope)));
+        let delta = base.and_then(|base| self.delta_since(base, scope));
+        let delta = Arc::new(delta.unwrap_or_else(|| self.full_delta(scope)));
         let base = base.cloned();
-        self.cached.push_back(Cached { base, scope: scope.clone(), delta: delta.clone() });
-        self.trim_cached();
+        self.cached.push_back(CachedDelta { base, scope: scope.clone(), delta: delta.clone() });
+        self.trim_cache();
         Some(delta)
     }
 
-    fn trim_cached(&mut self) {
+    fn trim_cache(&mut self) {
         let mut resources: usize = self.cached.iter().map(|c| c.delta.changed.len()).sum();
-        while self.cached.len() > MAX_CACHED || resources > MAX_CACHED_RESOURCES {
+        while self.cached.len() > MAX_CACHED_DELTAS || resources > MAX_CACHED_RESOURCES {
             let Some(oldest) = self.cached.pop_front() else { return };
             resources -= oldest.delta.changed.len();
         }
     }
 
-    fn everything(&self, scope: &Scope) -> Delta {
+    fn full_delta(&self, scope: &Scope) -> Delta {
         let resources = self.content.in_scope(scope);
         Delta {
             summary: self.summary.clone(),
@@ -144,8 +140,8 @@
         }
     }
 
-    fn difference(&self, base: &Base, scope: &Scope) -> Option<Delta> {
-        let before = self.before(base.version)?;
+    fn delta_since(&self, base: &Base, scope: &Scope) -> Option<Delta> {
+        let before = self.values_at(base.version)?;
         let mut manifest = self.content.manifest(scope);
         let digest = manifest.digest();
         let covers = |digest: &&ResourceDigest| scope.covers(&digest.service);
@@ -171,8 +167,8 @@
                 }
             }
         }
-        // After a conflict the base may have the same number and other content: with the changes
-        // undone the manifest must be the asking node's.
+        // After a conflict, a base with the same version number may have different content. Undoing
+        // the changes must yield the manifest of the peer's base.
         if manifest.digest() != base.digest {
             return None;
         }
@@ -180,15 +176,15 @@
         Some(Delta { summary, base: Some(base.clone()), changed, removed, digest })
     }
 
-    /// Every resource that changed since `version`, with what it was then. `None` if the history
-    /// does not go back that far.
-    fn before(&self, version: u64) -> Option<BTreeMap<&ResourceId, Option<&ResourceDigest>>> {
+    /// Returns each resource that has changed since `version` with its value at that version, or
+    /// `None` if the history does not reach back that far.
+    fn values_at(&self, version: u64) -> Option<BTreeMap<&ResourceId, Option<&ResourceDigest>>> {
         if version == self.version() {
             return Some(BTreeMap::new());
         }
-        let start = self.steps.iter().position(|step| step.from == version)?;
+        let start = self.history.iter().position(|step| step.from == version)?;
         let mut before = BTreeMap::new();
-        for step in self.steps.iter().skip(start) {
+        for step in self.history.iter().skip(start) {
             for (id, old) in &step.changes {
                 before.entry(id).or_insert(old.as_ref());
             }
@@ -197,21 +193,27 @@
     }
 }
 
-/// The content that a difference leads to, checked against its digest.
+/// Applies a delta and verifies the resulting manifest.
 ///
-/// Every hash is computed from the received body, so that nothing of a wrong or incomplete
-/// difference is used.
+/// All hashes are computed from the received bodies, so a corrupted or incomplete delta is
+/// rejected.
 pub fn apply(delta: &Delta, held: Option<&Store>, scope: &Scope) -> Result<ResourceSet> {
     let fault = |code: Code| Fault::new(code).with_place(delta.summary.in_force.version);
-    if delta.changed.len() + delta.removed.len() > MAX_DELTA_RESOURCES {
-        return Err(fault(Code::PeerInvalid).with_detail("too many resources"));
+    let resources = delta.changed.len() + delta.removed.len();
+    if resources > MAX_DELTA_RESOURCES {
+        let detail = format!("delta has {resources} resources, limit is {MAX_DELTA_RESOURCES}");
+        return Err(fault(Code::PeerInvalid).with_detail(detail));
     }
     let mut content = match (&delta.base, held) {
         (None, _) => ResourceSet::default(),
         (Some(base), Some(held)) if *base == held.base() && held.scope == *scope => {
             held.content.clone()
         }
-        (Some(_), _) => return Err(fault(Code::PeerInvalid).with_detail("base is not held")),
+        (Some(_), _) => {
+            return Err(
+                fault(Code::PeerInvalid).with_detail("delta base does not match the held content")
+            );
+        }
     };
     for id in &delta.removed {
         content.remove(id);
--- a/core/src/spread/topology.rs
+++ b/core/src/spread/topology.rs
@@ -1,11 +1,12 @@
-//! Who reads the platform and who takes versions from whom, worked out by every node alone from
-//! the same lists and the same hash, so that no one appoints anyone.
+//! Assignment of readers, relays and parent candidates. Every node computes the same assignment
+//! from the VM lists and a hash, without coordination.
 //!
-//! In each zone the VMs are ranked by rendezvous hash. The first [`TOP`] are the zone's relays;
-//! the others hang below them in a tree with [`FAN_OUT`] children each. The zones of a region are
-//! ranked the same way; the first VM of each of the first two zones is a reader of the region.
+//! Rendezvous hashing ranks the VMs of each zone. The first [`RELAYS_PER_ZONE`] are the zone's
+//! relays; the others form a tree below them with [`FAN_OUT`] children per node. The zones of a
+//! region are ranked the same way; the first VM of each of the first two zones is a reader of the
+//! region.
 
-use super::limits::{ASSUMED_ZONES, FAN_OUT, TOP};
+use super::limits::{ASSUMED_ZONES, FAN_OUT, RELAYS_PER_ZONE};
 use super::members::Members;
 use super::port::{Config, Peer};
 use crate::hash::rendezvous_score;
@@ -16,74 +17,77 @@
 use std::cmp::Reverse;
 
 data! {
-    /// A node's place in the spread.
+    /// A node's position in the distribution topology.
     pub struct Topology {
-        /// What the node does.
         pub role: Role,
-        /// Its number among its region's readers, from zero; `None` if it is none.
+        /// Index among the region's readers; `None` if the node is not a reader.
         pub reader: Option<usize>,
-        /// Whether its region is the one whose readers read bodies for all.
+        /// Whether the node is in the region whose readers fetch bodies for all regions.
         pub home: bool,
-        /// Its rank in its zone, from zero.
+        /// Rank in the zone, from zero.
         pub rank: usize,
-        /// VMs in its zone.
+        /// Number of live VMs in the zone.
         pub zone_vms: usize,
         /// Number of zones.
         pub zones: usize,
-        /// Possible parents, best first.
-        pub uppers: Vec<Peer>,
+        /// Possible parents, in order of preference.
+        pub parent_candidates: Vec<Peer>,
     }
 }
 
 impl Topology {
-    /// The place of a node that holds no lists.
+    /// The position of a node without VM lists.
     pub fn unknown() -> Topology {
         Topology {
             role: Role::Leaf,
             reader: None,
             home: false,
-            rank: TOP,
+            rank: RELAYS_PER_ZONE,
             zone_vms: 0,
             zones: ASSUMED_ZONES,
-            uppers: Vec::new(),
+            parent_candidates: Vec::new(),
         }
     }
 
-    /// Works out the place of a node. `staying` is false once it is leaving.
-    pub fn new(now: Time, cfg: &Config, members: &Members, staying: bool) -> Topology {
-        let view = View { now, members };
-        let order = view.ranked(&cfg.place.zone);
+    /// Computes the position of a node. `in_service` is false once the node is leaving.
+    pub fn new(now: Time, cfg: &Config, members: &Members, in_service: bool) -> Topology {
+        let ranking = Ranking { now, members };
+        let order = ranking.ranked(&cfg.place.zone);
         let position = order.iter().position(|member| member.vm == cfg.vm);
         let own_score = rendezvous_score(cfg.place.zone.as_bytes(), cfg.vm.as_bytes());
-        // A VM that the list does not name yet, or that leaves, takes a place that no one relies
-        // on: nobody else would look for it at the top.
+        // A VM that is leaving or not listed yet gets a rank below the relays, since its peers do
+        // not consider it as one.
         let rank = match position {
-            Some(rank) if staying => rank,
+            Some(rank) if in_service => rank,
             _ => {
-                let better = order.iter().filter(|m| view.score(m) > own_score).count();
-                better.max(TOP)
+                let better = order.iter().filter(|m| ranking.score(m) > own_score).count();
+                better.max(RELAYS_PER_ZONE)
             }
         };
         let home = home_region(cfg, members);
-        let readers = view.readers(&cfg.place.region);
-        let is_reader = |member: &&Member| member.vm == cfg.vm && staying;
+        let readers = ranking.readers(&cfg.place.region);
+        let is_reader = |member: &&Member| member.vm == cfg.vm && in_service;
         let reader = readers.iter().position(is_reader);
-        let home_readers = view.readers(&home);
+        let home_readers = ranking.readers(&home);
         let is_home = home == cfg.place.region;
-        let mut uppers = match reader {
-            Some(number) => reader_uppers(number, is_home, &readers, &home_readers),
-            None if rank < TOP => relay_uppers(rank, &order, &readers, &home_readers),
-            None => tree_uppers(rank, &order),
+        let mut parent_candidates = match reader {
+            Some(number) => reader_candidates(number, is_home, &readers, &home_readers),
+            None if rank < RELAYS_PER_ZONE => {
+                relay_candidates(rank, &order, &readers, &home_readers)
+            }
+            None => tree_candidates(rank, &order),
         };
         match reader {
-            Some(_) => uppers.extend(view.other_readers(&home, &cfg.place.region)),
-            // The last resort before the platform: the tops of the region's other zones.
-            None => uppers.extend(view.tops(&cfg.place.region)),
+            Some(_) => parent_candidates.extend(ranking.other_readers(&home, &cfg.place.region)),
+            // Last resort before the platform: the highest-ranked VM of each zone in the region.
+            None => parent_candidates.extend(ranking.best_of_each_zone(&cfg.place.region)),
         }
         let role = match reader {
             Some(_) => Role::RegionReader,
-            None if rank < TOP => Role::ZoneRelay,
-            None if TOP + rank * FAN_OUT < order.len() && position.is_some() => Role::Relay,
+            None if rank < RELAYS_PER_ZONE => Role::ZoneRelay,
+            None if RELAYS_PER_ZONE + rank * FAN_OUT < order.len() && position.is_some() => {
+                Role::Relay
+            }
             None => Role::Leaf,
         };
         Topology {
@@ -93,12 +97,12 @@
             rank,
             zone_vms: order.len(),
             zones: members.zones().map_or(ASSUMED_ZONES, |zones| zones.zones.len().max(1)),
-            uppers: distinct(uppers, &cfg.vm),
+            parent_candidates: deduplicated(parent_candidates, &cfg.vm),
         }
     }
 }
 
-/// The region whose readers read bodies from the platform for all others.
+/// The region whose readers fetch bodies from the platform for all other regions.
 pub fn home_region(cfg: &Config, members: &Members) -> Name {
     if let Some(region) = &cfg.platform_region {
         return region.clone();
@@ -109,7 +113,7 @@
     best.unwrap_or(&cfg.place.region).clone()
 }
 
-/// The zones of a region, best first.
+/// The zones of a region in rank order.
 pub fn zones_of(members: &Members, region: &Name) -> Vec<Place> {
     let zones = members.zones().map(|zones| zones.zones.as_slice()).unwrap_or_default();
     let mut places: Vec<Place> =
@@ -118,12 +122,12 @@
     places
 }
 
-struct View<'a> {
+struct Ranking<'a> {
     now: Time,
     members: &'a Members,
 }
 
-impl<'a> View<'a> {
+impl<'a> Ranking<'a> {
     fn score(&self, member: &Member) -> u64 {
         rendezvous_score(member.zone.as_bytes(), member.vm.as_bytes())
     }
@@ -134,16 +138,16 @@
         vms.iter().filter(move |member| members.state(now, member) == VmState::Live)
     }
 
-    /// The live VMs of a zone, best first.
+    /// The live VMs of a zone in rank order.
     fn ranked(&self, zone: &Name) -> Vec<&'a Member> {
         let mut vms: Vec<&Member> = self.live(zone).collect();
         vms.sort_by_cached_key(|member| (Reverse(self.score(member)), member.vm.clone()));
         vms
     }
 
-    /// The best live VM of a zone other than `not`.
-    fn top(&self, zone: &Name, not: Option<&Name>) -> Option<&'a Member> {
-        let fits = |member: &&Member| Some(&member.vm) != not;
+    /// The highest-ranked live VM of a zone other than `excluded`.
+    fn best_in_zone(&self, zone: &Name, excluded: Option<&Name>) -> Option<&'a Member> {
+        let fits = |member: &&Member| Some(&member.vm) != excluded;
         self.live(zone)
             .filter(fits)
             .max_by_key(|member| (self.score(member), Reverse(member.vm.clone())))
@@ -151,10 +155,10 @@
 
     fn readers(&self, region: &Name) -> Vec<&'a Member> {
         let zones = zones_of(self.members, region);
-        let tops = zones.iter().filter_map(|place| self.top(&place.zone, None));
-        let mut readers: Vec<&Member> = tops.take(TOP).collect();
+        let tops = zones.iter().filter_map(|place| self.best_in_zone(&place.zone, None));
+        let mut readers: Vec<&Member> = tops.take(RELAYS_PER_ZONE).collect();
         if let [only] = readers[..] {
-            readers.extend(self.top(&only.zone, Some(&only.vm)));
+            readers.extend(self.best_in_zone(&only.zone, Some(&only.vm)));
         }
         readers
     }
@@ -168,53 +172,53 @@
         regions.iter().filter_map(|region| self.readers(region).first().map(|m| peer(m))).collect()
     }
 
-    fn tops(&self, region: &Name) -> Vec<Peer> {
+    fn best_of_each_zone(&self, region: &Name) -> Vec<Peer> {
         let zones = zones_of(self.members, region);
-        zones.iter().filter_map(|place| self.top(&place.zone, None)).map(peer).collect()
+        zones.iter().filter_map(|place| self.best_in_zone(&place.zone, None)).map(peer).collect()
     }
 }
 
-fn reader_uppers(
+fn reader_candidates(
     number: usize,
     home: bool,
     own: &[&Member],
     home_readers: &[&Member],
 ) -> Vec<Peer> {
     let (first, rest) = own.split_at(number);
-    // Only the first reader of a region takes bodies across; the second takes them from it.
+    // Only the first reader of a region fetches bodies across regions; the second fetches from it.
     let others: &[&Member] = if home { rest } else { home_readers };
     first.iter().chain(others).map(|member| peer(member)).collect()
 }
 
-fn relay_uppers(
+fn relay_candidates(
     rank: usize,
     order: &[&Member],
     readers: &[&Member],
     home_readers: &[&Member],
 ) -> Vec<Peer> {
-    // The two relays of a zone prefer different readers, so that one dead reader or one cut
-    // between two zones leaves the zone a fresh relay.
+    // The two relays of a zone prefer different readers, so that a single failed reader or network
+    // partition leaves the zone one up-to-date relay.
     let (left, right) = readers.split_at(rank.min(readers.len()));
     let above = order.iter().take(rank);
     let all = right.iter().chain(left).chain(above).chain(home_readers);
     all.map(|member| peer(member)).collect()
 }
 
-fn tree_uppers(rank: usize, order: &[&Member]) -> Vec<Peer> {
-    let parent = (rank - TOP) / FAN_OUT;
-    let beside = parent ^ 1;
-    let above = parent.saturating_sub(TOP) / FAN_OUT;
-    let ranks = [parent, beside, above, 0, 1];
-    let lower = ranks.into_iter().filter(|upper| *upper < rank);
-    lower.filter_map(|upper| order.get(upper)).map(|member| peer(member)).collect()
+fn tree_candidates(rank: usize, order: &[&Member]) -> Vec<Peer> {
+    let parent = (rank - RELAYS_PER_ZONE) / FAN_OUT;
+    let sibling = parent ^ 1;
+    let grandparent = parent.saturating_sub(RELAYS_PER_ZONE) / FAN_OUT;
+    let ranks = [parent, sibling, grandparent, 0, 1];
+    let lower = ranks.into_iter().filter(|candidate| *candidate < rank);
+    lower.filter_map(|candidate| order.get(candidate)).map(|member| peer(member)).collect()
 }
 
-/// The peer that a member runs.
+/// Converts a listed member to a messaging endpoint.
 pub fn peer(member: &Member) -> Peer {
     Peer { vm: member.vm.clone(), place: member.place(), address: member.peers }
 }
 
-fn distinct(peers: Vec<Peer>, own: &Name) -> Vec<Peer> {
+fn deduplicated(peers: Vec<Peer>, own: &Name) -> Vec<Peer> {
     let mut kept: Vec<Peer> = Vec::with_capacity(peers.len());
     for peer in peers {
         if peer.vm != *own && !kept.contains(&peer) {
--- a/core/tests/spread_delta.rs
+++ b/core/tests/spread_delta.rs
@@ -1,4 +1,4 @@
-//! Differences between versions against a naive version: the whole scope, copied.
+//! Deltas between versions, checked against a model that copies the full scope.
 
 use bytes::Bytes;
 use indexmap::IndexMap;
@@ -17,7 +17,7 @@
     Name::new(text).unwrap()
 }
 
-/// One version: for each service its content, if it exists, and the service each route leads to.
+/// One version: the content of each existing service, and the service of each route.
 #[derive(Clone, Debug)]
 struct Version {
     services: BTreeMap<u8, (u8, u8)>,
@@ -63,8 +63,8 @@
     resources
 }
 
-/// The naive version: everything of the version that belongs to a service in scope.
-fn naive(version: &Version, scope: &Scope) -> BTreeMap<ResourceId, Hash> {
+/// All resources of the version that belong to a service in scope.
+fn expected_resources(version: &Version, scope: &Scope) -> BTreeMap<ResourceId, Hash> {
     let belongs = |id: &ResourceId| match id.kind {
         ResourceKind::Service | ResourceKind::Targets => scope.covers(&id.name),
         ResourceKind::Route => {
@@ -82,7 +82,7 @@
         preset: name("p".into()),
         digest: Hash::of(&number.to_le_bytes()),
     };
-    Summary { in_force, whole: Hash::of(b""), store_age_ms: None }
+    Summary { in_force, manifest_digest: Hash::of(b""), store_age_ms: None }
 }
 
 fn held(content: &ResourceSet) -> BTreeMap<ResourceId, Hash> {
@@ -98,28 +98,28 @@
         scope in scope(),
         skips in prop::collection::vec(any::<bool>(), 8),
     ) {
-        // A relay takes every version; a child in some scope pulls after some of them only.
+        // The relay takes every version; a child with a smaller scope skips some.
         let mut relay: Option<Store> = None;
         let mut child: Option<Store> = None;
         for (index, version) in versions.iter().enumerate() {
             let number = index as u64 + 1;
             let content = ResourceSet::new(resources(version)).unwrap();
-            relay = Some(Store::new(summary(number), Scope::All, content).after(relay.take()));
+            relay = Some(Store::new(summary(number), Scope::All, content).with_history_of(relay.take()));
             if skips[index] {
                 continue;
             }
             let base = child.as_ref().map(Store::base);
             let delta = relay.as_mut().unwrap().delta(base.as_ref(), &scope).unwrap();
             let content = store::apply(&delta, child.as_ref(), &scope).unwrap();
-            prop_assert_eq!(held(&content), naive(version, &scope));
+            prop_assert_eq!(held(&content), expected_resources(version, &scope));
             if let Some(before) = base.as_ref().filter(|_| delta.base.is_some()) {
-                // Nothing is sent that the child holds already.
-                let before = naive(&versions[before.version as usize - 1], &scope);
+                // Resources that the child already holds are not sent again.
+                let before = expected_resources(&versions[before.version as usize - 1], &scope);
                 for (id, body) in &delta.changed {
                     prop_assert_ne!(before.get(id), Some(&Hash::of(body)));
                 }
             }
-            child = Some(Store::new(summary(number), scope.clone(), content).after(child.take()));
+            child = Some(Store::new(summary(number), scope.clone(), content).with_history_of(child.take()));
         }
     }
 
@@ -133,7 +133,7 @@
         let mut relay = Store::new(summary(1), Scope::All, ResourceSet::new(resources(&first)).unwrap());
         let child = Store::new(summary(1), Scope::All, ResourceSet::new(resources(&first)).unwrap());
         relay = Store::new(summary(2), Scope::All, ResourceSet::new(resources(&second)).unwrap())
-            .after(Some(relay));
+            .with_history_of(Some(relay));
         let mut delta =
             relay.delta(Some(&child.base()), &Scope::All).unwrap().as_ref().clone();
         let changed = delta.changed.len();
@@ -159,9 +159,8 @@
 
 #[test]
 fn delta_of_endpoint_churn() {
-    // Story: one target of a service is replaced, as happens 5,500 times a day. Were the limits
-    // and routes of the service, or other services, sent again, control traffic would follow the
-    // size of the fleet's configuration and not that of the change.
+    // Replacing one target must send only the targets of that service. Otherwise traffic grows with
+    // the size of the configuration instead of the change.
     let version = |targets| Version {
         services: (0..SERVICES).map(|s| (s, (1, if s == 2 { targets } else { 0 }))).collect(),
         routes: (0..8).map(|route| (route, route % SERVICES)).collect(),
@@ -169,7 +168,7 @@
     let content = |targets| ResourceSet::new(resources(&version(targets))).unwrap();
     let old = Store::new(summary(1), Scope::All, content(1));
     let base = old.base();
-    let mut new = Store::new(summary(2), Scope::All, content(2)).after(Some(old));
+    let mut new = Store::new(summary(2), Scope::All, content(2)).with_history_of(Some(old));
     let delta = new.delta(Some(&base), &Scope::All).unwrap();
     let sent: Vec<&ResourceId> = delta.changed.iter().map(|(id, _)| id).collect();
     assert_eq!(sent, [&ResourceId::new(ResourceKind::Targets, &service_name(2))]);
@@ -178,13 +177,13 @@
     let digest = content(1).manifest(&elsewhere).digest();
     let base = sycamore_core::spread::message::Base { version: 1, digest };
     let delta = new.delta(Some(&base), &elsewhere).unwrap();
-    assert!(delta.changed.is_empty(), "a scope that the change does not touch is sent nothing");
+    assert!(delta.changed.is_empty(), "a scope without changes must get an empty delta");
 }
 
 #[test]
 fn delta_from_base_under_one_number() {
-    // Story: after a conflict a child holds another content under version 1 than the relay did. A
-    // difference made from the relay's version 1 would leave the child with a mixture.
+    // After a conflict, the child's version 1 differs from the relay's. A delta from the relay's
+    // version 1 would leave the child with mixed content.
     let version = |limits| Version {
         services: (0..SERVICES).map(|s| (s, (limits, 0))).collect(),
         routes: BTreeMap::new(),
@@ -192,9 +191,9 @@
     let content = |limits| ResourceSet::new(resources(&version(limits))).unwrap();
     let child = Store::new(summary(1), Scope::All, content(7));
     let relay = Store::new(summary(1), Scope::All, content(1));
-    let mut relay = Store::new(summary(2), Scope::All, content(1)).after(Some(relay));
+    let mut relay = Store::new(summary(2), Scope::All, content(1)).with_history_of(Some(relay));
     let delta = relay.delta(Some(&child.base()), &Scope::All).unwrap();
-    assert_eq!(delta.base, None, "the whole scope is sent");
+    assert_eq!(delta.base, None, "the full scope must be sent");
     let content = store::apply(&delta, Some(&child), &Scope::All).unwrap();
-    assert_eq!(held(&content), naive(&version(1), &Scope::All));
+    assert_eq!(held(&content), expected_resources(&version(1), &Scope::All));
 }
--- a/core/tests/support/fleet.rs
+++ b/core/tests/support/fleet.rs
@@ -1,7 +1,7 @@
-//! A few nodes in one thread, joined by one time-ordered queue with latency and cuts, and a
-//! platform that counts its calls.
+//! Simulation of a small fleet: nodes in one thread with a time-ordered event queue, network
+//! latency and partitions, and a platform that records its calls.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use bytes::Bytes;
 use indexmap::IndexMap;
@@ -20,23 +20,23 @@
 };
 use sycamore_core::{Code, Name, Time};
 
-/// Latency of the platform, and of links unless a test sets another.
+/// Latency of the platform; default latency of links.
 const LATENCY: Duration = Duration::from_millis(2);
 
-/// A node and what it did since its VM first started.
-pub struct Slot {
+/// A node with its recorded outputs, kept across restarts.
+pub struct SimNode {
     pub cfg: Config,
     pub spread: Option<Spread>,
-    pub frozen: bool,
+    pub paused: bool,
     pub in_force: Vec<Arc<Snapshot>>,
     pub events: Vec<Event>,
     pub members: IndexMap<Name, VmState>,
     pub view: Option<View>,
-    /// The version in force at each confirmation.
+    /// The version in force at each [`Output::Confirmed`].
     pub confirmed: Vec<u64>,
-    starts: u64,
+    generation: u64,
     wake: Option<Time>,
-    held: Vec<Input>,
+    queued_inputs: Vec<Input>,
 }
 
 enum Action {
@@ -45,38 +45,38 @@
     Timeout(u64, SourceCall),
 }
 
-/// What a test does to a message on its way.
-pub type Filter = Box<dyn Fn(&Slot, &Slot, &PeerMsg) -> Option<PeerMsg>>;
+/// Passes, alters or drops a message from the first node to the second.
+pub type Filter = Box<dyn Fn(&SimNode, &SimNode, &PeerMsg) -> Option<PeerMsg>>;
 
-/// The platform, its values by key with the index of their last change.
+/// A simulated platform. Each value is stored with the index of its last change.
 #[derive(Default)]
 pub struct Platform {
     pub values: BTreeMap<String, (u64, Bytes)>,
     pub index: u64,
-    /// Zones that can't reach it.
-    pub cut: Vec<Name>,
+    /// Zones that cannot reach the platform.
+    pub unreachable_from: Vec<Name>,
     pub down: bool,
-    /// Takes calls and never answers.
+    /// Accepts calls but never answers.
     pub silent: bool,
-    /// Answers every watch at once.
-    pub never_blocks: bool,
-    /// Answers every call with 429.
+    /// Answers blocking reads immediately.
+    pub answers_watches_at_once: bool,
+    /// Answers every call with status 429.
     pub over_limit: bool,
-    /// Times of all calls.
+    /// Time and key of every call.
     pub calls: Vec<(Time, String)>,
-    waiting: Vec<(usize, u64, SourceCall)>,
+    blocked_calls: Vec<(usize, u64, SourceCall)>,
 }
 
 pub struct Fleet {
     pub now: Time,
-    pub nodes: Vec<Slot>,
+    pub nodes: Vec<SimNode>,
     pub platform: Platform,
     pub filter: Filter,
     /// Latency of messages between nodes.
     pub latency: Duration,
     queue: BTreeMap<(Time, u64), (usize, Action)>,
     by_address: IndexMap<SocketAddr, usize>,
-    number: u64,
+    event_seq: u64,
     seed: u64,
 }
 
@@ -84,7 +84,7 @@
     Name::new(text.into()).unwrap()
 }
 
-/// The seed of a run, settable as `SYCAMORE_SEED` and printed with a failure.
+/// Returns the seed from `SYCAMORE_SEED`, by default 1, and prints it.
 pub fn seed() -> u64 {
     let seed = std::env::var("SYCAMORE_SEED").ok().and_then(|text| text.parse().ok());
     let seed = seed.unwrap_or(1);
@@ -92,7 +92,7 @@
     seed
 }
 
-/// A preset with one service a VM of `vms`, marked so that bodies differ.
+/// Returns a preset with two services; `mark` makes bodies differ.
 pub fn preset(mark: u32) -> String {
     format!(
         r#"{{"name":"ordinary","services":{{
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Most calls in any one second.
-    pub fn peak(&self) -> usize {
+    /// Maximum number of calls within any second.
+    pub fn peak_calls_per_second(&self) -> usize {
         let mut start = 0;
         let mut peak = 0;
         for (end, (at, _)) in self.calls.iter().enumerate() {
@@ -136,13 +136,13 @@
 }
 
 impl Fleet {
-    /// A fleet of `per_zone` VMs in each of the zones a and b of region r1, c and d of r2, and so
-    /// on; nothing is started.
+    /// Creates a fleet of `per_zone` VMs in each zone: a and b in region r1, c and d in r2, and so
+    /// on. No node is started.
     pub fn new(zones: usize, per_zone: usize) -> Fleet {
         Fleet::with_regions(zones, per_zone, 2)
     }
 
-    /// The same with another number of zones a region.
+    /// [`Fleet::new`] with `per_region` zones in each region.
     pub fn with_regions(zones: usize, per_zone: usize, per_region: usize) -> Fleet {
         let seed = seed();
         let mut fleet = Fleet {
@@ -153,7 +153,7 @@
             latency: LATENCY,
             queue: BTreeMap::new(),
             by_address: IndexMap::new(),
-            number: 0,
+            event_seq: 0,
             seed,
         };
         let letters = "abcdefghij";
@@ -167,7 +167,7 @@
             places.push(place);
         }
         for place in &places {
-            fleet.list(place, |_| Some(VmState::Live));
+            fleet.publish_vm_list(place, |_| Some(VmState::Live));
         }
         let zones = serde_json::to_vec(&Zones { zones: places }).unwrap();
         fleet.platform.set("zones", zones);
@@ -187,32 +187,32 @@
             first_configuration: Duration::from_secs(5),
         };
         self.by_address.insert(address, self.nodes.len());
-        self.nodes.push(Slot {
+        self.nodes.push(SimNode {
             cfg,
             spread: None,
-            frozen: false,
+            paused: false,
             in_force: Vec::new(),
             events: Vec::new(),
             members: IndexMap::new(),
             view: None,
             confirmed: Vec::new(),
-            starts: 0,
+            generation: 0,
             wake: None,
-            held: Vec::new(),
+            queued_inputs: Vec::new(),
         });
     }
 
-    /// Publishes the list of a zone; `state` gives the state of each VM, or leaves it out.
-    pub fn list(&mut self, place: &Place, state: impl Fn(&Name) -> Option<VmState>) {
-        let members = self.nodes.iter().filter(|slot| slot.cfg.place == *place);
-        let member = |slot: &Slot| {
+    /// Publishes the VM list of a zone with the given states; VMs without a state are omitted.
+    pub fn publish_vm_list(&mut self, place: &Place, state: impl Fn(&Name) -> Option<VmState>) {
+        let members = self.nodes.iter().filter(|sim| sim.cfg.place == *place);
+        let member = |sim: &SimNode| {
             Some(Member {
-                vm: slot.cfg.vm.clone(),
+                vm: sim.cfg.vm.clone(),
                 region: place.region.clone(),
                 zone: place.zone.clone(),
-                peers: slot.cfg.address,
-                admin: slot.cfg.address,
-                state: state(&slot.cfg.vm)?,
+                peers: sim.cfg.address,
+                admin: sim.cfg.address,
+                state: state(&sim.cfg.vm)?,
             })
         };
         let list = VmList { vms: members.filter_map(member).collect() };
@@ -220,39 +220,39 @@
         self.set(&format!("vms/{}", place.zone), body);
     }
 
-    /// Writes a key of the platform and wakes whoever watches it.
+    /// Writes a key and answers the calls that block on it.
     pub fn set(&mut self, key: &str, value: impl Into<Bytes>) {
         self.platform.set(key, value);
-        let (wake, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.platform.waiting)
+        let (wake, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.platform.blocked_calls)
             .into_iter()
             .partition(|(_, _, call)| call.key.as_str() == key);
-        self.platform.waiting = wait;
-        for (node, starts, call) in wake {
-            self.reply(node, starts, &call);
+        self.platform.blocked_calls = wait;
+        for (node, generation, call) in wake {
+            self.reply(node, generation, &call);
         }
     }
 
-    /// Publishes a body under a version.
+    /// Publishes a body as the given version.
     pub fn publish(&mut self, version: u64, body: &str) {
         self.set("preset/ordinary", body.to_owned());
-        self.choose(&publication(version, body));
+        self.set_in_force(&publication(version, body));
     }
 
-    pub fn choose(&mut self, in_force: &InForce) {
+    pub fn set_in_force(&mut self, in_force: &InForce) {
         self.set("in-force", serde_json::to_vec(in_force).unwrap());
     }
 
     pub fn index(&self, vm: &str) -> usize {
-        self.nodes.iter().position(|slot| slot.cfg.vm.as_str() == vm).unwrap()
+        self.nodes.iter().position(|sim| sim.cfg.vm.as_str() == vm).unwrap()
     }
 
     pub fn start(&mut self, node: usize) {
-        let slot = &mut self.nodes[node];
-        slot.starts += 1;
-        slot.frozen = false;
-        slot.held.clear();
-        let seed = self.seed.wrapping_mul(1_000_003) ^ (node as u64) << 20 ^ slot.starts;
-        slot.spread = Some(Spread::new(slot.cfg.clone(), seed));
+        let sim = &mut self.nodes[node];
+        sim.generation += 1;
+        sim.paused = false;
+        sim.queued_inputs.clear();
+        let seed = self.seed.wrapping_mul(1_000_003) ^ (node as u64) << 20 ^ sim.generation;
+        sim.spread = Some(Spread::new(sim.cfg.clone(), seed));
         self.input(node, Input::Start);
     }
 
@@ -266,15 +266,15 @@
         self.nodes[node].spread = None;
     }
 
-    pub fn freeze(&mut self, node: usize) {
-        self.nodes[node].frozen = true;
+    pub fn pause(&mut self, node: usize) {
+        self.nodes[node].paused = true;
     }
 
-    /// Lets a frozen process run again: first its overdue timer, then what came in meanwhile.
-    pub fn thaw(&mut self, node: usize) {
-        self.nodes[node].frozen = false;
+    /// Resumes a paused node: first its overdue timer, then the queued inputs.
+    pub fn resume(&mut self, node: usize) {
+        self.nodes[node].paused = false;
         self.input(node, Input::Wake);
-        for input in std::mem::take(&mut self.nodes[node].held) {
+        for input in std::mem::take(&mut self.nodes[node].queued_inputs) {
             self.input(node, input);
         }
     }
@@ -294,41 +294,41 @@
     }
 
     fn act(&mut self, node: usize, action: Action) {
-        let slot = &self.nodes[node];
+        let sim = &self.nodes[node];
         match action {
-            Action::Wake(starts) => {
-                let due = slot.wake == Some(self.now) && slot.starts == starts;
-                if due && !slot.frozen {
+            Action::Wake(generation) => {
+                let due = sim.wake == Some(self.now) && sim.generation == generation;
+                if due && !sim.paused {
                     self.input(node, Input::Wake);
                 }
             }
-            Action::Input(starts, input) => {
+            Action::Input(generation, input) => {
                 let reply = matches!(input, Input::Source(_) | Input::PeerFailed { .. });
-                if reply && slot.starts != starts {
+                if reply && sim.generation != generation {
                     return;
                 }
-                if slot.frozen {
-                    self.nodes[node].held.push(input);
+                if sim.paused {
+                    self.nodes[node].queued_inputs.push(input);
                 } else {
                     self.input(node, input);
                 }
             }
-            Action::Timeout(starts, call) => {
-                let waiting = &mut self.platform.waiting;
+            Action::Timeout(generation, call) => {
+                let waiting = &mut self.platform.blocked_calls;
                 let before = waiting.len();
-                waiting.retain(|(n, s, c)| (*n, *s, c.id) != (node, starts, call.id));
+                waiting.retain(|(n, s, c)| (*n, *s, c.id) != (node, generation, call.id));
                 if waiting.len() < before {
-                    self.reply(node, starts, &call);
+                    self.reply(node, generation, &call);
                 }
             }
         }
     }
 
-    /// Hands an input to a node that runs.
+    /// Delivers an input to a node; ignored if it is not running.
     pub fn input(&mut self, node: usize, input: Input) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
-        let Some(spread) = &mut slot.spread else { return };
+        let sim = &mut self.nodes[node];
+        let Some(spread) = &mut sim.spread else { return };
         let mut out = Vec::new();
         spread.handle(now, input, &mut out);
         for output in out {
@@ -338,41 +338,41 @@
 
     fn output(&mut self, node: usize, output: Output) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
+        let sim = &mut self.nodes[node];
         match output {
             Output::Send { to, msg, .. } => self.send(node, to, msg),
             Output::ReadSource(call) => self.read(node, call),
             Output::DropSource(id) => self.drop_call(node, id),
-            Output::InForce(snapshot) => slot.in_force.push(snapshot),
-            Output::Event(event) => slot.events.push(event),
-            Output::Members(members) => slot.members = members,
-            Output::View(view) => slot.view = Some(view),
+            Output::InForce(snapshot) => sim.in_force.push(snapshot),
+            Output::Event(event) => sim.events.push(event),
+            Output::Members(members) => sim.members = members,
+            Output::View(view) => sim.view = Some(view),
             Output::Confirmed => {
                 let version = self.version(node);
                 self.nodes[node].confirmed.push(version);
             }
             Output::WakeAt(at) => {
-                slot.wake = Some(at);
-                let starts = slot.starts;
-                self.push(at.max(now), node, Action::Wake(starts));
+                sim.wake = Some(at);
+                let generation = sim.generation;
+                self.push(at.max(now), node, Action::Wake(generation));
             }
             Output::Refused(_) | Output::Note { .. } => {}
         }
     }
 
     fn push(&mut self, at: Time, node: usize, action: Action) {
-        self.number += 1;
-        self.queue.insert((at, self.number), (node, action));
+        self.event_seq += 1;
+        self.queue.insert((at, self.event_seq), (node, action));
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, msg: PeerMsg) {
         let Some(node) = self.by_address.get(&to).copied() else { return };
         let sender = &self.nodes[from];
         let Some(msg) = (self.filter)(sender, &self.nodes[node], &msg) else { return };
-        let starts = sender.starts;
+        let generation = sender.generation;
         if self.nodes[node].spread.is_none() {
             let failed = Input::PeerFailed { to };
-            return self.push(self.now + LATENCY, from, Action::Input(starts, failed));
+            return self.push(self.now + LATENCY, from, Action::Input(generation, failed));
         }
         let cfg = &sender.cfg;
         let peer = Peer { vm: cfg.vm.clone(), place: cfg.place.clone(), address: cfg.address };
@@ -381,99 +381,103 @@
     }
 
     fn read(&mut self, node: usize, call: SourceCall) {
-        let slot = &self.nodes[node];
-        let starts = slot.starts;
+        let sim = &self.nodes[node];
+        let generation = sim.generation;
         self.platform.calls.push((self.now, call.key.to_string()));
         if self.platform.silent {
             return;
         }
-        if self.platform.down || self.platform.cut.contains(&slot.cfg.place.zone) {
+        if self.platform.down || self.platform.unreachable_from.contains(&sim.cfg.place.zone) {
             let result = Err(Code::SourceUnreachable);
             let reply = Input::Source(SourceReply { id: call.id, result });
-            return self.push(self.now + LATENCY, node, Action::Input(starts, reply));
+            return self.push(self.now + LATENCY, node, Action::Input(generation, reply));
         }
         if self.platform.over_limit {
             let reply = SourceReply { id: call.id, result: Err(Code::SourceOverLimit) };
             return self.push(
                 self.now + LATENCY,
                 node,
-                Action::Input(starts, Input::Source(reply)),
+                Action::Input(generation, Input::Source(reply)),
             );
         }
         let index = self.platform.read(&call).index;
-        if call.index > 0 && index == call.index && !self.platform.never_blocks {
-            self.push(self.now + call.wait, node, Action::Timeout(starts, call.clone()));
-            self.platform.waiting.push((node, starts, call));
+        if call.index > 0 && index == call.index && !self.platform.answers_watches_at_once {
+            self.push(self.now + call.wait, node, Action::Timeout(generation, call.clone()));
+            self.platform.blocked_calls.push((node, generation, call));
         } else {
-            self.reply(node, starts, &call);
+            self.reply(node, generation, &call);
         }
     }
 
     fn drop_call(&mut self, node: usize, id: CallId) {
-        let starts = self.nodes[node].starts;
-        self.platform.waiting.retain(|(n, s, c)| (*n, *s, c.id) != (node, starts, id));
+        let generation = self.nodes[node].generation;
+        self.platform.blocked_calls.retain(|(n, s, c)| (*n, *s, c.id) != (node, generation, id));
     }
 
-    fn reply(&mut self, node: usize, starts: u64, call: &SourceCall) {
+    fn reply(&mut self, node: usize, generation: u64, call: &SourceCall) {
         let result = Ok(self.platform.read(call));
         let reply = Input::Source(SourceReply { id: call.id, result });
-        self.push(self.now + LATENCY, node, Action::Input(starts, reply));
+        self.push(self.now + LATENCY, node, Action::Input(generation, reply));
     }
 
-    /// Answers every watch that waits, though nothing has changed.
+    /// Answers all blocked calls although no value has changed.
     pub fn platform_wake_all(&mut self) {
-        for (node, starts, call) in std::mem::take(&mut self.platform.waiting) {
-            self.reply(node, starts, &call);
+        for (node, generation, call) in std::mem::take(&mut self.platform.blocked_calls) {
+            self.reply(node, generation, &call);
         }
     }
 
-    /// Makes the platform swallow every open call and all that follow, or answer new ones again.
+    /// Sets whether the platform leaves all open and new calls unanswered.
     pub fn platform_silent(&mut self, silent: bool) {
         self.platform.silent = silent;
-        self.platform.waiting.clear();
+        self.platform.blocked_calls.clear();
     }
 
-    /// Breaks off every open call to the platform, as an outage does.
+    /// Starts or ends an outage; an outage fails all open calls.
     pub fn platform_down(&mut self, down: bool) {
         self.platform.down = down;
         if down {
-            for (node, starts, call) in std::mem::take(&mut self.platform.waiting) {
+            for (node, generation, call) in std::mem::take(&mut self.platform.blocked_calls) {
                 let result = Err(Code::SourceUnreachable);
                 let reply = Input::Source(SourceReply { id: call.id, result });
-                self.push(self.now + LATENCY, node, Action::Input(starts, reply));
+                self.push(self.now + LATENCY, node, Action::Input(generation, reply));
             }
         }
     }
 
-    /// Version in force on a node that runs; zero before the first.
+    /// The version in force on a running node; zero if there is none.
     pub fn version(&self, node: usize) -> u64 {
         let spread = self.nodes[node].spread.as_ref();
         spread.and_then(|spread| spread.in_force()).map_or(0, |in_force| in_force.version)
     }
 
-    /// Versions in force on all nodes that run.
+    /// The versions in force on all running nodes.
     pub fn versions(&self) -> Vec<u64> {
         let running = (0..self.nodes.len()).filter(|node| self.nodes[*node].spread.is_some());
         running.map(|node| self.version(node)).collect()
     }
 
-    /// How often an event of a kind was recorded by a node.
+    /// Number of events of a kind recorded by a node.
     pub fn count(&self, node: usize, kind: EventKind, code: Option<Code>) -> usize {
         let code = code.map(Code::number);
         let fits = |event: &&Event| event.kind == kind && (code.is_none() || event.code == code);
         self.nodes[node].events.iter().filter(fits).count()
     }
 
-    /// Panics if any VM ever went back to an older version, restarts included.
-    pub fn check_never_back(&self) {
-        for slot in &self.nodes {
-            let versions: Vec<u64> = slot.in_force.iter().map(|s| s.version()).collect();
-            assert!(versions.is_sorted(), "{} went back: {versions:?}", slot.cfg.vm);
+    /// Panics if any VM went back to an older version, restarts included.
+    pub fn assert_versions_never_decrease(&self) {
+        for sim in &self.nodes {
+            let versions: Vec<u64> = sim.in_force.iter().map(|s| s.version()).collect();
+            assert!(
+                versions.is_sorted(),
+                "{} went back to an older version: {versions:?}",
+                sim.cfg.vm
+            );
         }
     }
 
-    /// A filter that loses every message between the zones of `cut` and all others.
-    pub fn cut_zones(&mut self, cut: &[&str]) {
+    /// Drops all messages between the zones in `cut` and any other zone.
+    pub fn partition_zones(&mut self, cut: &[&str]) {
         let cut: Vec<Name> = cut.iter().map(|zone| name(*zone)).collect();
         self.filter = Box::new(move |from, to, msg| {
             let (from, to) = (&from.cfg.place.zone, &to.cfg.place.zone);
@@ -484,6 +488,6 @@
 
     pub fn heal(&mut self) {
         self.filter = Box::new(|_, _, msg| Some(msg.clone()));
-        self.platform.cut.clear();
+        self.platform.unreachable_from.clear();
     }
 }
