--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -104,7 +104,9 @@
         let same = self.view.as_ref().is_some_and(|view| view.digest == summary.manifest_digest);
         let should_pull = match summary.in_force.version.cmp(&known) {
             Ordering::Greater => self.offers.may_pull(now, summary.manifest_digest),
-            Ordering::Equal => !same && self.offers.may_pull_same_version(now, summary.manifest_digest),
+            Ordering::Equal => {
+                !same && self.offers.may_pull_same_version(now, summary.manifest_digest)
+            }
             Ordering::Less => false,
         };
         if should_pull {
--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -137,7 +137,7 @@
     /// Reports that changed recently, limited to the most that one message carries.
     pub fn recent_reports(&self, now: Time) -> Vec<StateReport> {
         let recent = |reported: &&ReportedState| {
-            { reported.changed > Time::ZERO && now.since(reported.changed) < REPORT_REPEAT_PERIOD }
+            reported.changed > Time::ZERO && now.since(reported.changed) < REPORT_REPEAT_PERIOD
         };
         self.reports
             .values()
