--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -101,7 +101,7 @@
             report: self.own_report.clone(),
             have: self.held_summary(),
             zones: self.members.zones().map_or(0, |zones| zones.index),
-            lists: with_lists.then(|| self.members.marks(&self.wanted_list_zones())),
+            lists: with_lists.then(|| self.members.list_versions(&self.wanted_list_zones())),
         })))
     }
 
@@ -171,8 +171,8 @@
             return self.ping_failed(now, &ping, out);
         }
         self.handle_state_report(now, &pong.report, true);
-        for word in &pong.reports {
-            self.handle_state_report(now, word, false);
+        for report in &pong.reports {
+            self.handle_state_report(now, report, false);
         }
         self.confirmed = true;
         match ping.kind {
--- a/core/src/spread/serve.rs
+++ b/core/src/spread/serve.rs
@@ -81,18 +81,18 @@
 
     /// Sends lists that are newer than the peer's, and requests those that are newer on the peer.
     fn send_lists(&mut self, now: Time, from: &Peer, ping: &Ping, out: &mut Vec<Output>) {
-        let Some(marks) = &ping.lists else { return };
+        let Some(held) = &ping.lists else { return };
         if let Some(zones) = self.members.zones().filter(|zones| zones.index > ping.zones) {
             self.send(from, PeerMsg::Zones(zones.clone()), out);
         }
-        let lists = self.members.newer_lists(marks, &from.place.region);
+        let lists = self.members.newer_lists(held, &from.place.region);
         if !lists.is_empty() {
             self.send(from, PeerMsg::Lists(lists), out);
         }
-        let newer = |mark: &super::message::ListVersion| {
-            self.members.list(&mark.zone).is_some_and(|list| list.index < mark.index)
+        let newer = |version: &super::message::ListVersion| {
+            self.members.list(&version.zone).is_some_and(|list| list.index < version.index)
         };
-        if ping.kind != PingKind::Compare && marks.iter().any(newer) {
+        if ping.kind != PingKind::Compare && held.iter().any(newer) {
             self.ping_peer(now, from, PingKind::Compare, out);
         }
     }
