--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -126,7 +126,7 @@
     }
     if let Some(path) = matches.opt_str("out") {
         std::fs::write(&path, text)
-            .map_err(|e| Fault::new(Code::OutputFailed).with_place(path).with_detail(e))?;
+            .map_err(|e| Fault::new(Code::OutputFailed).with_location(path).with_detail(e))?;
     }
     println!("{}", serde_json::json!({ "slopes": all }));
     Ok(ExitCode::SUCCESS)
--- a/bench/src/bin/sycamore-lab.rs
+++ b/bench/src/bin/sycamore-lab.rs
@@ -158,8 +158,9 @@
 }
 
 fn print_json(report: &Report<'_>) -> Result<()> {
-    let text = serde_json::to_string(report)
-        .map_err(|e| Fault::new(Code::OutputFailed).with_place("standard output").with_detail(e))?;
+    let text = serde_json::to_string(report).map_err(|e| {
+        Fault::new(Code::OutputFailed).with_location("standard output").with_detail(e)
+    })?;
     println!("{text}");
     Ok(())
 }
@@ -187,5 +188,5 @@
 }
 
 fn usage(detail: impl std::fmt::Display) -> Fault {
-    Fault::new(Code::UsageInvalid).with_place("command line").with_detail(detail)
+    Fault::new(Code::UsageInvalid).with_location("command line").with_detail(detail)
 }
--- a/bench/src/lab/plot.rs
+++ b/bench/src/lab/plot.rs
@@ -25,7 +25,7 @@
 /// Draws the run of one seed.
 pub fn draw(scenario: &Scenario, run: &Tally, path: &Path) -> Result<()> {
     let failed = |e: &dyn std::fmt::Display| {
-        Fault::new(Code::OutputFailed).with_place(path.display()).with_detail(e)
+        Fault::new(Code::OutputFailed).with_location(path.display()).with_detail(e)
     };
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(|e| failed(&e))?;
--- a/bench/src/lab/scenario.rs
+++ b/bench/src/lab/scenario.rs
@@ -417,5 +417,5 @@
 
 fn wrong(place: &str, found: impl std::fmt::Display, allowed: &str) -> Fault {
     let detail = format!("found {found}; allowed: {allowed}");
-    Fault::new(Code::InputInvalid).with_place(place).with_detail(detail)
+    Fault::new(Code::InputInvalid).with_location(place).with_detail(detail)
 }
--- a/bench/tests/lab.rs
+++ b/bench/tests/lab.rs
@@ -231,7 +231,7 @@
         assert!(EVEN.contains(from), "{from}");
         let fault = Scenario::parse(EVEN.replace(from, to).as_bytes()).unwrap_err();
         assert_eq!(fault.code, Code::InputInvalid);
-        assert!(fault.place.starts_with(place), "{fault}");
+        assert!(fault.location.starts_with(place), "{fault}");
     }
 }
 
--- a/core/src/code.rs
+++ b/core/src/code.rs
@@ -160,18 +160,18 @@
 pub struct Fault {
     pub code: Code,
     /// Where the error occurred: a file, JSON path, address or name. May be empty.
-    pub place: String,
+    pub location: String,
     /// The value found and the values allowed. May be empty.
     pub detail: String,
 }
 
 impl Fault {
     pub fn new(code: Code) -> Fault {
-        Fault { code, place: String::new(), detail: String::new() }
+        Fault { code, location: String::new(), detail: String::new() }
     }
 
-    pub fn with_place(mut self, place: impl fmt::Display) -> Fault {
-        self.place = place.to_string();
+    pub fn with_location(mut self, location: impl fmt::Display) -> Fault {
+        self.location = location.to_string();
         self
     }
 
@@ -184,8 +184,8 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "E{}: {}", self.code.number(), self.code)?;
-        if !self.place.is_empty() {
-            write!(f, " at {}", self.place)?;
+        if !self.location.is_empty() {
+            write!(f, " at {}", self.location)?;
         }
         if !self.detail.is_empty() {
             write!(f, ": {}", self.detail)?;
--- a/core/src/config/resource.rs
+++ b/core/src/config/resource.rs
@@ -61,7 +61,7 @@
     /// Deserializes the body. `T` must be the type that corresponds to the kind of `id`.
     pub fn parse<T: serde::de::DeserializeOwned>(&self, id: &ResourceId) -> Result<T> {
         serde_json::from_slice(&self.body)
-            .map_err(|e| Fault::new(Code::PeerInvalid).with_place(&id.name).with_detail(e))
+            .map_err(|e| Fault::new(Code::PeerInvalid).with_location(&id.name).with_detail(e))
     }
 
     fn from_content<T: serde::Serialize>(content: &T) -> Resource {
--- a/core/src/config/resource_set.rs
+++ b/core/src/config/resource_set.rs
@@ -173,8 +173,9 @@
     match id.kind {
         ResourceKind::Service | ResourceKind::Targets => Ok(id.name.clone()),
         ResourceKind::Route => {
-            let route: Route = serde_json::from_slice(&resource.body)
-                .map_err(|e| Fault::new(Code::PeerInvalid).with_place(&id.name).with_detail(e))?;
+            let route: Route = serde_json::from_slice(&resource.body).map_err(|e| {
+                Fault::new(Code::PeerInvalid).with_location(&id.name).with_detail(e)
+            })?;
             Ok(route.service)
         }
     }
--- a/core/src/config/snapshot.rs
+++ b/core/src/config/snapshot.rs
@@ -158,7 +158,7 @@
     fn add_route(&mut self, name: &Name, route: &Route, preset: &Preset) -> Result<()> {
         let find = |service: &Name| match preset.services.get_index_of(service) {
             Some(index) => Ok(ServiceKey(index as u32)),
-            None => Err(Fault::new(Code::RouteDangling).with_place(name).with_detail(service)),
+            None => Err(Fault::new(Code::RouteDangling).with_location(name).with_detail(service)),
         };
         let part = |share: &Share| Ok((find(&share.service)?, share.weight));
         let split = route.split.iter().map(part).collect::<Result<Vec<_>>>()?;
--- a/core/src/config/validate.rs
+++ b/core/src/config/validate.rs
@@ -12,7 +12,7 @@
     let in_force: InForce = parse(buf)?;
     // Version 0 is reserved for "no version".
     if in_force.version == 0 {
-        let fault = Fault::new(Code::LimitOutOfRange).with_place("version");
+        let fault = Fault::new(Code::LimitOutOfRange).with_location("version");
         return Err(fault.with_detail("found 0, must be at least 1"));
     }
     Ok(in_force)
@@ -25,7 +25,7 @@
     let preset = parse_body(buf)?;
     if preset.name != publication.preset {
         let detail = format!("found {}, expected {}", preset.name, publication.preset);
-        return Err(Fault::new(Code::PresetMismatch).with_place("name").with_detail(detail));
+        return Err(Fault::new(Code::PresetMismatch).with_location("name").with_detail(detail));
     }
     Ok(preset)
 }
@@ -79,8 +79,8 @@
     for (name, route) in &preset.routes {
         check_route(name, route, preset, &mut faults);
         if !prefixes.insert((route.host.as_deref(), route.path_prefix.as_str())) {
-            let place = format!("routes.{name}.path_prefix");
-            let fault = Fault::new(Code::RouteAmbiguous).with_place(place);
+            let location = format!("routes.{name}.path_prefix");
+            let fault = Fault::new(Code::RouteAmbiguous).with_location(location);
             faults.push(fault.with_detail(&route.path_prefix));
         }
     }
@@ -94,8 +94,8 @@
     }
     let deserializer = &mut serde_json::Deserializer::from_slice(buf);
     let value = serde_path_to_error::deserialize(&mut *deserializer).map_err(|e| {
-        let place = e.path().to_string();
-        Fault::new(Code::DocumentInvalid).with_place(place).with_detail(e.into_inner())
+        let location = e.path().to_string();
+        Fault::new(Code::DocumentInvalid).with_location(location).with_detail(e.into_inner())
     })?;
     // Reject trailing data, such as a second concatenated document that would be ignored.
     deserializer.end().map_err(|e| Fault::new(Code::DocumentInvalid).with_detail(e))?;
@@ -110,9 +110,9 @@
     Err(Fault::new(Code::DigestMismatch).with_detail(format!("found {found}, expected {digest}")))
 }
 
-fn duplicate_name(place: &str, name: &Name) -> Fault {
+fn duplicate_name(location: &str, name: &Name) -> Fault {
     Fault::new(Code::DocumentInvalid)
-        .with_place(format!("{place}.{name}"))
+        .with_location(format!("{location}.{name}"))
         .with_detail("defined more than once across the preset and its parts")
 }
 
@@ -122,21 +122,21 @@
     vms: &mut HashSet<&'a Name>,
     faults: &mut Vec<Fault>,
 ) {
-    let place = format!("services.{name}");
-    check_limits(&place, &service.limits, faults);
+    let location = format!("services.{name}");
+    check_limits(&location, &service.limits, faults);
     if service.targets.is_empty() {
-        faults.push(Fault::new(Code::ServiceEmpty).with_place(format!("{place}.targets")));
+        faults.push(Fault::new(Code::ServiceEmpty).with_location(format!("{location}.targets")));
     }
     for (index, target) in service.targets.iter().enumerate() {
         if !vms.insert(&target.vm) {
-            let place = format!("{place}.targets[{index}].vm");
-            let fault = Fault::new(Code::TargetRepeated).with_place(place);
+            let location = format!("{location}.targets[{index}].vm");
+            let fault = Fault::new(Code::TargetRepeated).with_location(location);
             faults.push(fault.with_detail(&target.vm));
         }
     }
 }
 
-fn check_limits(place: &str, limits: &ServiceLimits, faults: &mut Vec<Fault>) {
+fn check_limits(location: &str, limits: &ServiceLimits, faults: &mut Vec<Fault>) {
     let ranges = [
         ("slots", limits.slots, 1..=10_000),
         ("connections", limits.connections, limits.slots..=10_000),
@@ -149,56 +149,56 @@
         ("drain_ms", limits.drain_ms, 1_000..=3_600_000),
     ];
     for (field, found, allowed) in ranges {
-        check_range(&format!("{place}.limits.{field}"), found, allowed, faults);
+        check_range(&format!("{location}.limits.{field}"), found, allowed, faults);
     }
 }
 
 fn check_route(name: &Name, route: &Route, preset: &Preset, faults: &mut Vec<Fault>) {
-    let place = format!("routes.{name}");
+    let location = format!("routes.{name}");
     if !route.path_prefix.starts_with('/') {
         let detail = format!("found {:?}, must start with /", route.path_prefix);
         let fault = Fault::new(Code::DocumentInvalid).with_detail(detail);
-        faults.push(fault.with_place(format!("{place}.path_prefix")));
+        faults.push(fault.with_location(format!("{location}.path_prefix")));
     }
     if !preset.services.contains_key(&route.service) {
         let fault = Fault::new(Code::RouteDangling).with_detail(&route.service);
-        faults.push(fault.with_place(format!("{place}.service")));
+        faults.push(fault.with_location(format!("{location}.service")));
     }
-    check_split(&place, route, preset, faults);
+    check_split(&location, route, preset, faults);
     let objective = route.objective_ms;
-    check_range(&format!("{place}.objective_ms"), objective, 1..=600_000, faults);
-    check_range(&format!("{place}.deadline_ms"), route.deadline_ms, 1..=600_000, faults);
-    check_range(&format!("{place}.max_attempts"), route.max_attempts, 1..=10, faults);
-    check_range(&format!("{place}.spare_forwards"), route.spare_forwards, 0..=10, faults);
+    check_range(&format!("{location}.objective_ms"), objective, 1..=600_000, faults);
+    check_range(&format!("{location}.deadline_ms"), route.deadline_ms, 1..=600_000, faults);
+    check_range(&format!("{location}.max_attempts"), route.max_attempts, 1..=10, faults);
+    check_range(&format!("{location}.spare_forwards"), route.spare_forwards, 0..=10, faults);
     let body = route.max_body_bytes;
-    check_range(&format!("{place}.max_body_bytes"), body, 0..=1_073_741_824, faults);
+    check_range(&format!("{location}.max_body_bytes"), body, 0..=1_073_741_824, faults);
 }
 
-fn check_split(place: &str, route: &Route, preset: &Preset, faults: &mut Vec<Fault>) {
+fn check_split(location: &str, route: &Route, preset: &Preset, faults: &mut Vec<Fault>) {
     for (index, share) in route.split.iter().enumerate() {
-        let place = format!("{place}.split[{index}]");
+        let location = format!("{location}.split[{index}]");
         if !preset.services.contains_key(&share.service) {
             let fault = Fault::new(Code::RouteDangling).with_detail(&share.service);
-            faults.push(fault.with_place(format!("{place}.service")));
+            faults.push(fault.with_location(format!("{location}.service")));
         }
-        check_range(&format!("{place}.weight"), share.weight, 1..=1_000_000, faults);
+        check_range(&format!("{location}.weight"), share.weight, 1..=1_000_000, faults);
     }
     let listed = route.split.iter().any(|share| share.service == route.service);
     if !route.split.is_empty() && !listed {
         let detail = format!("service {} is missing from the split", route.service);
         let fault = Fault::new(Code::DocumentInvalid).with_detail(detail);
-        faults.push(fault.with_place(format!("{place}.split")));
+        faults.push(fault.with_location(format!("{location}.split")));
     }
 }
 
 fn check_range<T: PartialOrd + std::fmt::Display>(
-    place: &str,
+    location: &str,
     found: T,
     allowed: RangeInclusive<T>,
     faults: &mut Vec<Fault>,
 ) {
     if !allowed.contains(&found) {
         let detail = format!("found {found}, allowed {} to {}", allowed.start(), allowed.end());
-        faults.push(Fault::new(Code::LimitOutOfRange).with_place(place).with_detail(detail));
+        faults.push(Fault::new(Code::LimitOutOfRange).with_location(location).with_detail(detail));
     }
 }
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -92,7 +92,7 @@
         let Some(held) = self.in_force.as_ref().map(|store| store.summary()) else { return };
         if held.in_force == seen.in_force && held.manifest_digest != seen.manifest_digest {
             let publication = seen.in_force.clone();
-            let fault = Fault::new(Code::PeerHashMismatch).with_place(&from.vm);
+            let fault = Fault::new(Code::PeerHashMismatch).with_location(&from.vm);
             self.report_refused_once(now, &publication, Some(from), fault, out);
         }
     }
@@ -178,7 +178,7 @@
         let older = *seen != fetch.wanted && !seen.replaces(&fetch.wanted);
         let scope = fetch.scope.clone();
         let result = if older {
-            Err(Fault::new(Code::VersionOlder).with_place(&from.vm))
+            Err(Fault::new(Code::VersionOlder).with_location(&from.vm))
         } else {
             self.check(delta, scope, from)
         };
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -115,7 +115,7 @@
             let event = Event::new(now, EventKind::VersionRefused).with_code(Code::SourceInvalid);
             out.push(Output::Event(event));
             out.push(Output::Refused(
-                Fault::new(Code::SourceInvalid).with_place("in-force").with_detail(fault),
+                Fault::new(Code::SourceInvalid).with_location("in-force").with_detail(fault),
             ));
         }
     }
@@ -170,7 +170,7 @@
         }
         self.source.last_refused = Some(seen.clone());
         let place = format!("version {} {}", seen.version, seen.digest);
-        self.report_refused(now, seen.version, from, fault.with_place(place), out);
+        self.report_refused(now, seen.version, from, fault.with_location(place), out);
     }
 
     /// Starts to read a body. Readers outside the platform's region first wait for a delta from the
--- a/core/src/spread/store.rs
+++ b/core/src/spread/store.rs
@@ -198,7 +198,7 @@
 /// All hashes are computed from the received bodies, so a corrupted or incomplete delta is
 /// rejected.
 pub fn apply(delta: &Delta, held: Option<&Store>, scope: &Scope) -> Result<ResourceSet> {
-    let fault = |code: Code| Fault::new(code).with_place(delta.summary.in_force.version);
+    let fault = |code: Code| Fault::new(code).with_location(delta.summary.in_force.version);
     let resources = delta.changed.len() + delta.removed.len();
     if resources > MAX_DELTA_RESOURCES {
         let detail = format!("delta has {resources} resources, limit is {MAX_DELTA_RESOURCES}");
--- a/core/tests/config.rs
+++ b/core/tests/config.rs
@@ -59,7 +59,8 @@
         .replace(r#""service":"roster""#, r#""service":"maps","deadline_ms":0"#)
         .replace(r#""targets":["#, r#""limits":{"slots":0},"targets":["#);
     let preset = validate::parse_body(body.as_bytes()).unwrap();
-    let found: Vec<_> = validate::faults(&preset).into_iter().map(|f| (f.code, f.place)).collect();
+    let found: Vec<_> =
+        validate::faults(&preset).into_iter().map(|f| (f.code, f.location)).collect();
     let expected = [
         (Code::LimitOutOfRange, "services.roster.limits.slots"),
         (Code::RouteDangling, "routes.rosters.service"),
--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -83,7 +83,7 @@
     pub fn run(self) -> Result<()> {
         // Before any call is taken: until then a signal ends the process at once.
         let signals = Signals::new([Signal::Term, Signal::Int])
-            .map_err(|e| Fault::new(Code::ListenFailed).with_place("signals").with_detail(e))?;
+            .map_err(|e| Fault::new(Code::ListenFailed).with_location("signals").with_detail(e))?;
         let reload = self.settings_file.as_deref().map(Reload::new).transpose()?;
         let shared = Shared::with_dialect(self.settings, self.clock, self.dialect);
         let executor = Arc::new(Executor::new());
--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -61,7 +61,7 @@
         rustix::net::listen(&listener, BACKLOG)?;
         Ok(listener)
     });
-    listening.map_err(|e| Fault::new(Code::ListenFailed).with_place(address).with_detail(e))
+    listening.map_err(|e| Fault::new(Code::ListenFailed).with_location(address).with_detail(e))
 }
 
 /// A handle on the call path of this node.
--- a/node/src/output.rs
+++ b/node/src/output.rs
@@ -27,7 +27,7 @@
     };
     Logger::try_with_str(level)
         .and_then(|logger| logger.log_to_writer(Box::new(Lines::new(format))).start())
-        .map_err(|e| Fault::new(Code::OutputFailed).with_place("log").with_detail(e))
+        .map_err(|e| Fault::new(Code::OutputFailed).with_location("log").with_detail(e))
 }
 
 /// Writes the line of a change of state. Failures are warnings.
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -26,7 +26,7 @@
     /// Follows the file at `path`. From here on the signal no longer ends the process.
     pub fn new(path: &Path) -> Result<Reload> {
         let signals = Signals::new([Signal::Hup])
-            .map_err(|e| Fault::new(Code::ListenFailed).with_place("signals").with_detail(e))?;
+            .map_err(|e| Fault::new(Code::ListenFailed).with_location("signals").with_detail(e))?;
         Ok(Reload { path: path.to_owned(), signals, last: Vec::new() })
     }
 
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -260,11 +260,12 @@
     /// Reads and checks a settings file.
     pub fn read(path: &Path) -> Result<Settings> {
         let place = path.display();
-        let buf = std::fs::read(path)
-            .map_err(|e| Fault::new(Code::SettingsUnreadable).with_place(&place).with_detail(e))?;
+        let buf = std::fs::read(path).map_err(|e| {
+            Fault::new(Code::SettingsUnreadable).with_location(&place).with_detail(e)
+        })?;
         Settings::parse(&buf).map_err(|fault| {
-            let inner = format!("{place}: {}", fault.place);
-            fault.with_place(inner)
+            let inner = format!("{place}: {}", fault.location);
+            fault.with_location(inner)
         })
     }
 
@@ -274,7 +275,7 @@
         let settings: Settings =
             serde_path_to_error::deserialize(&mut *deserializer).map_err(|e| {
                 let place = e.path().to_string();
-                Fault::new(Code::SettingsInvalid).with_place(place).with_detail(e.into_inner())
+                Fault::new(Code::SettingsInvalid).with_location(place).with_detail(e.into_inner())
             })?;
         deserializer.end().map_err(|e| Fault::new(Code::SettingsInvalid).with_detail(e))?;
         settings.listen.check()?;
@@ -299,7 +300,7 @@
             Some((name, own)) => {
                 let detail = format!("found {own}, which is listen.{name}");
                 Err(Fault::new(Code::SettingsInvalid)
-                    .with_place("target_address")
+                    .with_location("target_address")
                     .with_detail(detail))
             }
             None => Ok(()),
@@ -327,7 +328,7 @@
             if let Some((other, _)) = earlier.filter(|_| address.port() != 0) {
                 let detail = format!("found {address}, which is listen.{other}");
                 return Err(Fault::new(Code::SettingsInvalid)
-                    .with_place(format!("listen.{name}"))
+                    .with_location(format!("listen.{name}"))
                     .with_detail(detail));
             }
         }
@@ -361,5 +362,5 @@
         return Ok(());
     }
     let detail = format!("found {found}, allowed {} to {}", allowed.start(), allowed.end());
-    Err(Fault::new(Code::SettingsInvalid).with_place(place).with_detail(detail))
+    Err(Fault::new(Code::SettingsInvalid).with_location(place).with_detail(detail))
 }
--- a/node/tests/settings.rs
+++ b/node/tests/settings.rs
@@ -43,7 +43,7 @@
             _ => settings["colour"] = 1.into(),
         }
         let fault = refused(&settings);
-        assert_eq!(fault.place, place);
+        assert_eq!(fault.location, place);
         assert!(fault.detail.contains("unknown field `colour`, expected"), "{fault}");
     }
 }
@@ -60,7 +60,7 @@
     let mut settings = valid();
     settings["listen"]["gate"] = 7001.into();
     let fault = refused(&settings);
-    assert_eq!(fault.place, "listen.gate");
+    assert_eq!(fault.location, "listen.gate");
     assert!(fault.detail.contains("7001"), "{fault}");
 }
 
@@ -69,7 +69,7 @@
     for name in ["", "two words", "Prärie", &"x".repeat(129)] {
         let mut settings = valid();
         settings["vm"] = name.into();
-        assert_eq!(refused(&settings).place, "vm", "{name:?}");
+        assert_eq!(refused(&settings).location, "vm", "{name:?}");
     }
 }
 
@@ -87,7 +87,7 @@
     let mut settings = valid();
     settings["listen"]["peers"] = "127.0.0.1:7001".into();
     let fault = refused(&settings);
-    assert_eq!(fault.place, "listen.peers");
+    assert_eq!(fault.location, "listen.peers");
     assert!(fault.detail.contains("127.0.0.1:7001"), "{fault}");
 }
 
@@ -97,5 +97,5 @@
     // call to itself until its connections run out.
     let mut settings = valid();
     settings["target_address"] = "127.0.0.1:7001".into();
-    assert_eq!(refused(&settings).place, "target_address");
+    assert_eq!(refused(&settings).location, "target_address");
 }
--- a/tools/src/check/publication.rs
+++ b/tools/src/check/publication.rs
@@ -82,7 +82,7 @@
                 Some(file) => self.take_part(part, file)?,
                 None => {
                     let fault = Fault::new(Code::PartMissing).with_detail(&part.key);
-                    self.find(path, fault.with_place(format!("parts[{index}].key")));
+                    self.find(path, fault.with_location(format!("parts[{index}].key")));
                 }
             }
         }
--- a/tools/src/check/report.rs
+++ b/tools/src/check/report.rs
@@ -111,7 +111,7 @@
             }
             _ => format!("found {}, allowed from {}", new.version, now.version.saturating_add(1)),
         };
-        let fault = Fault::new(code).with_place("version").with_detail(detail);
+        let fault = Fault::new(code).with_location("version").with_detail(detail);
         self.findings.push(Finding::new(Path::new("in-force"), &fault));
         self.accepted = false;
     }
@@ -124,7 +124,7 @@
             code: fault.code.number(),
             message: fault.code.to_string(),
             file: file.display().to_string(),
-            path: fault.place.clone(),
+            path: fault.location.clone(),
             detail: fault.detail.clone(),
         }
     }
--- a/tools/src/client.rs
+++ b/tools/src/client.rs
@@ -60,10 +60,10 @@
             Err(Fault::new(Code::NodeUnreachable).with_detail(detail))
         };
         let reply = future::or(self.exchange(address, path), timed_out).await;
-        let reply = reply.map_err(|fault| fault.with_place(&place))?;
+        let reply = reply.map_err(|fault| fault.with_location(&place))?;
         let body = input::parse_json(&reply.body, Code::NodeInvalid).map_err(|fault| {
-            let inner = format!("{place}: {}", fault.place);
-            fault.with_place(inner)
+            let inner = format!("{place}: {}", fault.location);
+            fault.with_location(inner)
         })?;
         Ok(Reply { body, at: reply.at, round_trip: reply.round_trip })
     }
--- a/tools/src/input.rs
+++ b/tools/src/input.rs
@@ -9,7 +9,7 @@
 pub fn read(path: &Path) -> Result<Bytes> {
     std::fs::read(path)
         .map(Bytes::from)
-        .map_err(|e| Fault::new(Code::InputUnreadable).with_place(path.display()).with_detail(e))
+        .map_err(|e| Fault::new(Code::InputUnreadable).with_location(path.display()).with_detail(e))
 }
 
 /// Reads a JSON file. The place of a failure is the file and the JSON path in it.
@@ -22,7 +22,7 @@
     let deserializer = &mut serde_json::Deserializer::from_slice(buf);
     let value = serde_path_to_error::deserialize(&mut *deserializer).map_err(|e| {
         let place = e.path().to_string();
-        Fault::new(code).with_place(place).with_detail(e.into_inner())
+        Fault::new(code).with_location(place).with_detail(e.into_inner())
     })?;
     deserializer.end().map_err(|e| Fault::new(code).with_detail(e))?;
     Ok(value)
@@ -30,9 +30,9 @@
 
 /// The same failure with the file in front of its place.
 pub fn in_file(path: &Path, fault: Fault) -> Fault {
-    let place = match fault.place.is_empty() {
+    let place = match fault.location.is_empty() {
         true => path.display().to_string(),
-        false => format!("{}: {}", path.display(), fault.place),
+        false => format!("{}: {}", path.display(), fault.location),
     };
-    fault.with_place(place)
+    fault.with_location(place)
 }
--- a/tools/src/load/mix.rs
+++ b/tools/src/load/mix.rs
@@ -45,8 +45,8 @@
     pub fn read(path: &Path) -> Result<Mix> {
         let mix: Mix = input::read_json(path)?;
         if mix.shares() == 0 {
-            let fault =
-                Fault::new(Code::InputInvalid).with_place(format!("{}: classes", path.display()));
+            let fault = Fault::new(Code::InputInvalid)
+                .with_location(format!("{}: classes", path.display()));
             return Err(fault.with_detail("the shares add up to 0, at least 1 is needed"));
         }
         Ok(mix)
--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -57,7 +57,7 @@
     }
     let end = client.now() + cfg.follow;
     let mut signals = Signals::new([Signal::Term, Signal::Int])
-        .map_err(|e| Fault::new(Code::OutputFailed).with_place("signals").with_detail(e))?;
+        .map_err(|e| Fault::new(Code::OutputFailed).with_location("signals").with_detail(e))?;
     let stopped = async {
         signals.next().await;
         Ok(())
--- a/tools/src/timeline/output.rs
+++ b/tools/src/timeline/output.rs
@@ -21,7 +21,7 @@
     };
     match &cfg.output {
         Some(path) => {
-            std::fs::write(path, text).map_err(|e| output_failed(e).with_place(path.display()))
+            std::fs::write(path, text).map_err(|e| output_failed(e).with_location(path.display()))
         }
         None => out.write_all(text.as_bytes()).map_err(output_failed),
     }
--- a/tools/src/timeline/request.rs
+++ b/tools/src/timeline/request.rs
@@ -70,7 +70,7 @@
 /// Writes the story of a request and its cause. Returns whether any line told of it.
 pub fn run(request: &str, files: &[PathBuf], out: &mut dyn Write) -> Result<bool> {
     let lines = read(request, files)?;
-    let failed = |e| output_failed(e).with_place("standard output");
+    let failed = |e| output_failed(e).with_location("standard output");
     if lines.is_empty() {
         writeln!(out, "no line about {request}").map_err(failed)?;
         return Ok(false);
--- a/tools/src/timeline/store.rs
+++ b/tools/src/timeline/store.rs
@@ -74,14 +74,14 @@
     /// Writes the records that have changed since the last save, one file each. A file is
     /// replaced whole, so that a reader or a kill never leaves half of one.
     pub fn save(&mut self, dir: &Path) -> Result<()> {
-        fs::create_dir_all(dir).map_err(|e| output_failed(e).with_place(dir.display()))?;
+        fs::create_dir_all(dir).map_err(|e| output_failed(e).with_location(dir.display()))?;
         for id in std::mem::take(&mut self.unsaved) {
             let json = serde_json::to_vec(&self.records[&id]).map_err(output_failed)?;
             let path = dir.join(format!("{}-{}.json", file_name(&id), id.started.0));
             let partial = path.with_extension("partial");
             fs::write(&partial, json)
                 .and_then(|()| fs::rename(&partial, &path))
-                .map_err(|e| output_failed(e).with_place(path.display()))?;
+                .map_err(|e| output_failed(e).with_location(path.display()))?;
         }
         Ok(())
     }
@@ -103,5 +103,5 @@
 }
 
 fn unreadable(place: &Path, cause: impl std::fmt::Display) -> Fault {
-    Fault::new(Code::InputUnreadable).with_place(place.display()).with_detail(cause)
+    Fault::new(Code::InputUnreadable).with_location(place.display()).with_detail(cause)
 }
