--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -8,7 +8,7 @@
 pub mod snapshot;
 pub mod validate;
 
-pub use document::{Class, OnceBy, Preset, Route, Service, ServiceLimits, Share, Target};
+pub use document::{Class, OnceBy, Preset, Route, Service, ServiceLimits, Target, WeightedService};
 pub use in_force::{Decision, InForce, VersionFloor};
 pub use resource::{Manifest, Resource, ResourceId, ResourceKind};
 pub use resource_set::ResourceSet;
--- a/core/src/config/document.rs
+++ b/core/src/config/document.rs
@@ -115,7 +115,7 @@
         /// Weighted traffic split. If not empty, it must include `service`; if empty, `service`
         /// receives all requests.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        pub split: Vec<Share>,
+        pub split: Vec<WeightedService>,
         /// Whether a request may be executed more than once. If false, it is executed at most once.
         pub idempotent: bool,
         /// How duplicates of non-idempotent requests are detected.
@@ -149,7 +149,7 @@
 
 json! {
     /// Weight of a service in the traffic split of a route.
-    pub struct Share {
+    pub struct WeightedService {
         pub service: Name,
         /// Weight relative to the sum of all weights of the route; 1 to 1,000,000.
         pub weight: u32,
--- a/core/src/config/snapshot.rs
+++ b/core/src/config/snapshot.rs
@@ -1,6 +1,6 @@
 //! Immutable, validated configuration snapshots.
 
-use super::document::{Preset, Route, Service, ServiceLimits, Share, Target};
+use super::document::{Preset, Route, Service, ServiceLimits, Target, WeightedService};
 use super::in_force::InForce;
 use super::resource::{Resource, ResourceId, ResourceKind};
 use super::validate;
@@ -160,7 +160,7 @@
             Some(index) => Ok(ServiceKey(index as u32)),
             None => Err(Fault::new(Code::RouteDangling).with_location(name).with_detail(service)),
         };
-        let part = |share: &Share| Ok((find(&share.service)?, share.weight));
+        let part = |weighted: &WeightedService| Ok((find(&weighted.service)?, weighted.weight));
         let split = route.split.iter().map(part).collect::<Result<Vec<_>>>()?;
         let service = find(&route.service)?;
         self.routes.push(RouteEntry { name: name.clone(), route: route.clone(), service, split });
