--- a/bench/src/fleet/workload.rs
+++ b/bench/src/fleet/workload.rs
@@ -8,7 +8,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use sycamore_core::Name;
 use sycamore_core::config::document::{
-    Class, OnceBy, Preset, Route, Service, ServiceLimits, Target,
+    AtMostOnceMode, Class, Preset, Route, Service, ServiceLimits, Target,
 };
 use sycamore_core::member::{Member, VmState};
 use sycamore_core::place::Place;
@@ -273,7 +273,7 @@
         host: None,
         spare_forwards: 0,
         split: Vec::new(),
-        once: OnceBy::Key,
+        once: AtMostOnceMode::Key,
         rank: 0,
         objective_ms: 1_000,
     }
--- a/bench/src/lab/mesh.rs
+++ b/bench/src/lab/mesh.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use sycamore_core::config::{InForce, OnceBy, Preset, Route, Service, Snapshot, Target};
+use sycamore_core::config::{AtMostOnceMode, InForce, Preset, Route, Service, Snapshot, Target};
 use sycamore_core::discovery::policy;
 use sycamore_core::hash::Hash;
 use sycamore_core::place::Place;
@@ -147,7 +147,7 @@
         service: kind.service.clone(),
         split: Vec::new(),
         idempotent: kind.idempotent,
-        once: OnceBy::Attempt,
+        once: AtMostOnceMode::Attempt,
         class: kind.class,
         rank: kind.rank,
         objective_ms: kind.objective_ms,
--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -26,7 +26,7 @@
 pub use runs::Runs;
 
 use crate::Code;
-use crate::config::{Class, OnceBy};
+use crate::config::{AtMostOnceMode, Class};
 use crate::member::VmState;
 use crate::{Name, Time};
 use indexmap::IndexMap;
@@ -111,7 +111,7 @@
         /// Whether the request may run more than once.
         pub idempotent: bool,
         /// How duplicates are detected if the request is not idempotent.
-        pub once: OnceBy,
+        pub once: AtMostOnceMode,
         /// Priority class for admission.
         pub class: Class,
         /// Priority within the class.
@@ -128,7 +128,7 @@
 impl Terms {
     /// Whether the request is deduplicated by its key, so that only the key's home may run it.
     pub fn is_keyed(&self) -> bool {
-        !self.idempotent && self.once == OnceBy::Key
+        !self.idempotent && self.once == AtMostOnceMode::Key
     }
 }
 
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -14,7 +14,7 @@
 use super::split::TrafficSplits;
 use super::{CallKey, Load, MAX_DEPTH, Members, Outcome, RequestKey, Terms};
 use crate::config::snapshot::RouteEntry;
-use crate::config::{OnceBy, RouteKey, ServiceKey, Snapshot};
+use crate::config::{AtMostOnceMode, RouteKey, ServiceKey, Snapshot};
 use crate::place::Place;
 use crate::{Code, Name, Time};
 use hedge::HedgeBudget;
@@ -159,7 +159,7 @@
             return refuse(Code::NoRoute);
         };
         let route = &snapshot.route(key).route;
-        let keyed = !route.idempotent && route.once == OnceBy::Key;
+        let keyed = !route.idempotent && route.once == AtMostOnceMode::Key;
         if keyed && arrival.key.is_none() {
             return refuse(Code::KeyMissing);
         }
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -17,7 +17,7 @@
 use super::runs::{RunCounts, RunKind, Runs};
 use super::{CallKey, Fingerprint, Load, Members, Outcome, RequestKey, Terms};
 use crate::config::snapshot::RouteEntry;
-use crate::config::{Class, OnceBy, ServiceKey, ServiceLimits, Snapshot, TargetKey};
+use crate::config::{AtMostOnceMode, Class, ServiceKey, ServiceLimits, Snapshot, TargetKey};
 use crate::event::EventKind;
 use crate::{Code, Name, Time};
 use check::CheckResult;
@@ -213,7 +213,8 @@
     /// Whether keys need homes: a route to this service identifies requests by key, or did so
     /// before.
     fn has_keyed_routes(&self, snapshot: &Snapshot) -> bool {
-        let keyed = |entry: &RouteEntry| !entry.route.idempotent && entry.route.once == OnceBy::Key;
+        let keyed =
+            |entry: &RouteEntry| !entry.route.idempotent && entry.route.once == AtMostOnceMode::Key;
         let own = |entry: &RouteEntry| Some(entry.service) == self.service;
         let routes = snapshot.routes().iter();
         self.homes.is_some() || routes.into_iter().any(|entry| own(entry) && keyed(entry))
--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -8,7 +8,9 @@
 pub mod snapshot;
 pub mod validate;
 
-pub use document::{Class, OnceBy, Preset, Route, Service, ServiceLimits, Target, WeightedService};
+pub use document::{
+    AtMostOnceMode, Class, Preset, Route, Service, ServiceLimits, Target, WeightedService,
+};
 pub use in_force::{Decision, InForce, VersionFloor};
 pub use resource::{Manifest, Resource, ResourceId, ResourceKind};
 pub use resource_set::ResourceSet;
--- a/core/src/config/document.rs
+++ b/core/src/config/document.rs
@@ -120,7 +120,7 @@
         pub idempotent: bool,
         /// How duplicates of non-idempotent requests are detected.
         #[serde(default)]
-        pub once: OnceBy,
+        pub once: AtMostOnceMode,
         /// Priority class for admission of queued requests.
         #[serde(default)]
         pub class: Class,
@@ -190,7 +190,7 @@
 kebab_enum! {
     /// How duplicates of a non-idempotent request are detected.
     #[derive(Default)]
-    pub enum OnceBy {
+    pub enum AtMostOnceMode {
         /// By `Idempotency-Key`: the request can be retried with the same key and is executed at
         /// most once.
         #[default]
--- a/core/tests/call_balance.rs
+++ b/core/tests/call_balance.rs
@@ -9,7 +9,7 @@
 use sycamore_core::Time;
 use sycamore_core::call::balance::{Balancer, PickRequest};
 use sycamore_core::call::{Load, Members, Terms};
-use sycamore_core::config::{Class, OnceBy, ServiceKey, Snapshot};
+use sycamore_core::config::{AtMostOnceMode, Class, ServiceKey, Snapshot};
 use sycamore_core::place::Place;
 
 const START: Time = Time(1_700_000_000_000_000);
@@ -31,7 +31,7 @@
     Terms {
         service: name("s"),
         idempotent: true,
-        once: OnceBy::Attempt,
+        once: AtMostOnceMode::Attempt,
         class,
         rank: 0,
         objective: START + Duration::from_millis(600),
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -11,7 +11,7 @@
 use sycamore_core::call::entry::{Arrival, AttemptEnd, Forward, Input, Output};
 use sycamore_core::call::runs::{RunCounts, RunKind};
 use sycamore_core::call::{CallKey, Entry, Runs, Terms};
-use sycamore_core::config::{Class, OnceBy, Snapshot};
+use sycamore_core::config::{AtMostOnceMode, Class, Snapshot};
 use sycamore_core::place::Place;
 use sycamore_core::{Code, Time};
 
@@ -217,7 +217,7 @@
     let terms = |idempotent| Terms {
         service: name("desk"),
         idempotent,
-        once: OnceBy::Attempt,
+        once: AtMostOnceMode::Attempt,
         class: Class::Interactive,
         rank: 0,
         objective: START,
--- a/node/src/calls/headers.rs
+++ b/node/src/calls/headers.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response, StatusCode};
 use std::time::Duration;
 use sycamore_core::call::{Load, Outcome, RequestKey, Terms};
-use sycamore_core::config::{Class, OnceBy};
+use sycamore_core::config::{AtMostOnceMode, Class};
 use sycamore_core::{Code, Name, Time};
 
 /// Time left for the call in ms.
@@ -224,8 +224,8 @@
     let service = Name::new(parts.next()?.to_owned())?;
     let idempotent = parts.next()? == "1";
     let once = match parts.next()? {
-        "0" => OnceBy::Key,
-        "1" => OnceBy::Attempt,
+        "0" => AtMostOnceMode::Key,
+        "1" => AtMostOnceMode::Attempt,
         _ => return None,
     };
     let class = match parts.next()? {
--- a/standins/src/example/presets.rs
+++ b/standins/src/example/presets.rs
@@ -3,7 +3,7 @@
 use super::deployment::{Deployment, GATE_PORT, PEERS_PORT, RouteRow};
 use indexmap::IndexMap;
 use sycamore_core::Name;
-use sycamore_core::config::{Class, OnceBy, Preset, Route, Service, ServiceLimits, Target};
+use sycamore_core::config::{AtMostOnceMode, Class, Preset, Route, Service, ServiceLimits, Target};
 
 /// Names of the presets; the first is in force at the start.
 pub const NAMES: [&str; 3] = ["ordinary", "peak", "maintenance"];
@@ -83,7 +83,7 @@
         host: None,
         spare_forwards: 0,
         split: Vec::new(),
-        once: OnceBy::Key,
+        once: AtMostOnceMode::Key,
         rank: 0,
         objective_ms: 1_000,
     }
