--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -18,7 +18,7 @@
 /// The latest state that a node reported about itself, received directly or through other nodes.
 #[derive(Debug)]
 struct ReportedState {
-    word: StateReport,
+    report: StateReport,
     at: Time,
     changed: Time,
 }
@@ -103,25 +103,25 @@
 
     /// Applies a state that a node reported about its own VM. `direct` means that the report was
     /// received from that node itself. Returns whether the change should be propagated.
-    pub fn apply_report(&mut self, now: Time, word: &StateReport, direct: bool) -> bool {
-        if let Some(reported) = self.reports.get_mut(&word.vm) {
-            let newer =
-                (word.incarnation, word.state) > (reported.word.incarnation, reported.word.state);
-            let same = *word == reported.word;
+    pub fn apply_report(&mut self, now: Time, report: &StateReport, direct: bool) -> bool {
+        if let Some(reported) = self.reports.get_mut(&report.vm) {
+            let newer = (report.incarnation, report.state)
+                > (reported.report.incarnation, reported.report.state);
+            let same = *report == reported.report;
             if newer || (same && direct) {
                 reported.at = now;
             }
-            let changed = newer && word.state != reported.word.state;
+            let changed = newer && report.state != reported.report.state;
             if newer {
-                reported.word = word.clone();
+                reported.report = report.clone();
             }
             if changed {
                 reported.changed = now;
             }
             return changed;
         }
-        let listed = self.find(&word.vm).map_or(VmState::Live, |member| member.state);
-        let differs = word.state != listed;
+        let listed = self.find(&report.vm).map_or(VmState::Live, |member| member.state);
+        let differs = report.state != listed;
         if !differs && !direct {
             return false;
         }
@@ -130,7 +130,7 @@
         }
         let changed = if differs { now } else { Time::ZERO };
         self.reports
-            .insert(word.vm.clone(), ReportedState { word: word.clone(), at: now, changed });
+            .insert(report.vm.clone(), ReportedState { report: report.clone(), at: now, changed });
         differs
     }
 
@@ -143,7 +143,7 @@
             .values()
             .filter(recent)
             .take(MAX_REPORTS_PER_PONG)
-            .map(|h| h.word.clone())
+            .map(|reported| reported.report.clone())
             .collect()
     }
 
@@ -158,15 +158,15 @@
         if listed > reported.at && now.since(reported.at) > LIST_LAG {
             return member.state;
         }
-        reported.word.state
+        reported.report.state
     }
 
     /// All VMs that are known not to be live.
     pub fn not_live(&self, now: Time) -> IndexMap<Name, VmState> {
         let mut states = IndexMap::new();
         for reported in self.reports.values() {
-            if reported.word.state != VmState::Live {
-                states.insert(reported.word.vm.clone(), reported.word.state);
+            if reported.report.state != VmState::Live {
+                states.insert(reported.report.vm.clone(), reported.report.state);
             }
         }
         for member in self.lists().flat_map(|list| &list.vms) {
--- a/core/src/spread/pings.rs
+++ b/core/src/spread/pings.rs
@@ -171,8 +171,8 @@
             return self.ping_failed(now, &ping, out);
         }
         self.handle_state_report(now, &pong.report, true);
-        for word in &pong.reports {
-            self.handle_state_report(now, word, false);
+        for report in &pong.reports {
+            self.handle_state_report(now, report, false);
         }
         self.confirmed = true;
         match ping.kind {
--- a/core/src/spread/state_reports.rs
+++ b/core/src/spread/state_reports.rs
@@ -20,9 +20,9 @@
         self.send_at
     }
 
-    fn push(&mut self, now: Time, word: StateReport) {
-        self.reports.retain(|report| report.vm != word.vm);
-        self.reports.push(word);
+    fn push(&mut self, now: Time, report: StateReport) {
+        self.reports.retain(|pending| pending.vm != report.vm);
+        self.reports.push(report);
         self.send_at.get_or_insert(now + REPORT_BATCH_DELAY);
     }
 }
@@ -31,33 +31,33 @@
     /// Handles a state report. `direct` means that it was received from the node that it describes.
     /// Only reports that change the known state are forwarded, so that a report crosses each link
     /// at most once.
-    pub(super) fn handle_state_report(&mut self, now: Time, word: &StateReport, direct: bool) {
-        if word.vm == self.cfg.vm {
+    pub(super) fn handle_state_report(&mut self, now: Time, report: &StateReport, direct: bool) {
+        if report.vm == self.cfg.vm {
             return;
         }
-        if self.members.apply_report(now, word, direct) {
+        if self.members.apply_report(now, report, direct) {
             self.invalidate_topology();
-            self.pending_reports.push(now, word.clone());
+            self.pending_reports.push(now, report.clone());
         }
     }
 
-    pub(super) fn handle_state_reports(&mut self, now: Time, words: &[StateReport]) {
-        for word in words.iter().take(MAX_REPORTS_ACCEPTED) {
-            self.handle_state_report(now, word, false);
+    pub(super) fn handle_state_reports(&mut self, now: Time, reports: &[StateReport]) {
+        for report in reports.iter().take(MAX_REPORTS_ACCEPTED) {
+            self.handle_state_report(now, report, false);
         }
     }
 
     /// Announces the node's own state to its neighbors and to random members of its zone.
     pub(super) fn announce(&mut self, now: Time, out: &mut Vec<Output>) {
         let (own, zone) = (self.cfg.vm.clone(), self.cfg.place.zone.clone());
-        let word = self.own_report.clone();
+        let report = self.own_report.clone();
         for _ in 0..ANNOUNCE_RANDOM_PEERS {
             let member = self.members.random_live(now, &zone, &own, &mut self.rng);
             if let Some(peer) = member.map(topology::peer) {
-                self.send(&peer, PeerMsg::StateReports(vec![word.clone()]), out);
+                self.send(&peer, PeerMsg::StateReports(vec![report.clone()]), out);
             }
         }
-        self.pending_reports.push(now, word);
+        self.pending_reports.push(now, report);
         self.pending_reports.send_at = Some(now);
     }
 
@@ -66,11 +66,11 @@
             return;
         }
         self.pending_reports.send_at = None;
-        let words = std::mem::take(&mut self.pending_reports.reports);
+        let reports = std::mem::take(&mut self.pending_reports.reports);
         let mut recipients: Vec<Peer> = self.children.live(now).cloned().collect();
         recipients.extend(self.attach.parent().cloned());
         for peer in recipients {
-            self.send(&peer, PeerMsg::StateReports(words.clone()), out);
+            self.send(&peer, PeerMsg::StateReports(reports.clone()), out);
         }
     }
 }
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -104,7 +104,7 @@
         Summary { in_force: self.in_force(), manifest_digest: self.hash(), store_age_ms: None }
     }
 
-    fn word(&mut self) -> StateReport {
+    fn state_report(&mut self) -> StateReport {
         StateReport {
             vm: self.vm(),
             incarnation: START.0.saturating_add(self.number()),
@@ -175,7 +175,7 @@
             0 => PeerMsg::Ping(Box::new(Ping {
                 seq: self.number() as u32,
                 kind: self.choose(&[PingKind::Join, PingKind::Attach, PingKind::Compare]),
-                report: self.word(),
+                report: self.state_report(),
                 have: self.option_of(InputGenerator::summary),
                 zones: self.number(),
                 lists: self.option_of(|generator| {
@@ -189,10 +189,10 @@
                 seq: self.number() as u32,
                 attached: self.flag(),
                 hops: self.number() as u8,
-                report: self.word(),
+                report: self.state_report(),
                 have: self.option_of(InputGenerator::summary),
                 floor: self.option_of(InputGenerator::in_force),
-                reports: self.vec_of(InputGenerator::word),
+                reports: self.vec_of(InputGenerator::state_report),
             })),
             3 => PeerMsg::Notice(Box::new(self.summary())),
             4 => PeerMsg::Pull(Box::new(Pull {
@@ -208,7 +208,7 @@
                 digest: self.hash(),
             })),
             6 => PeerMsg::Missing(self.number()),
-            7 => PeerMsg::StateReports(self.vec_of(InputGenerator::word)),
+            7 => PeerMsg::StateReports(self.vec_of(InputGenerator::state_report)),
             8 => PeerMsg::Lists(self.vec_of(|generator| {
                 let vms = generator.vec_of(InputGenerator::member);
                 Arc::new(ZoneList { place: generator.place(), index: generator.number(), vms })
--- a/node/src/spread/codec.rs
+++ b/node/src/spread/codec.rs
@@ -64,7 +64,9 @@
         PeerMsg::Pull(pull) => write_pull(pull, to.init_pull()),
         PeerMsg::Delta(delta) => write_delta(delta, payloads, to.init_delta())?,
         PeerMsg::Missing(version) => to.set_missing(*version),
-        PeerMsg::StateReports(words) => write_words(words, to.init_words(words.len() as u32)),
+        PeerMsg::StateReports(reports) => {
+            write_reports(reports, to.init_words(reports.len() as u32))
+        }
         PeerMsg::Lists(lists) => {
             let mut to = to.init_lists(lists.len() as u32);
             for (index, list) in lists.iter().enumerate() {
@@ -106,7 +108,7 @@
         Which::Pull(pull) => PeerMsg::Pull(Box::new(read_pull(pull?)?)),
         Which::Delta(delta) => PeerMsg::Delta(Arc::new(read_delta(delta?)?)),
         Which::Missing(version) => PeerMsg::Missing(version),
-        Which::Words(words) => PeerMsg::StateReports(read_words(words?)?),
+        Which::Words(reports) => PeerMsg::StateReports(read_reports(reports?)?),
         Which::Lists(lists) => {
             let lists = lists?.iter().map(read_list).collect::<Result<Vec<_>>>()?;
             PeerMsg::Lists(lists)
@@ -158,17 +160,17 @@
     })
 }
 
-fn write_word(word: &StateReport, mut to: wire::word::Builder<'_>) {
-    to.set_vm(word.vm.as_bytes());
-    to.set_incarnation(word.incarnation);
-    to.set_state(match word.state {
+fn write_report(report: &StateReport, mut to: wire::word::Builder<'_>) {
+    to.set_vm(report.vm.as_bytes());
+    to.set_incarnation(report.incarnation);
+    to.set_state(match report.state {
         VmState::Live => wire::State::Live,
         VmState::Leaving => wire::State::Leaving,
         VmState::Gone => wire::State::Gone,
     });
 }
 
-fn read_word(from: wire::word::Reader<'_>) -> Result<StateReport> {
+fn read_report(from: wire::word::Reader<'_>) -> Result<StateReport> {
     let state = match from.get_state()? {
         wire::State::Live => VmState::Live,
         wire::State::Leaving => VmState::Leaving,
@@ -177,14 +179,19 @@
     Ok(StateReport { vm: read_name(from.get_vm()?)?, incarnation: from.get_incarnation(), state })
 }
 
-fn write_words(words: &[StateReport], mut to: capnp::struct_list::Builder<'_, wire::word::Owned>) {
-    for (index, word) in words.iter().enumerate() {
-        write_word(word, to.reborrow().get(index as u32));
+fn write_reports(
+    reports: &[StateReport],
+    mut to: capnp::struct_list::Builder<'_, wire::word::Owned>,
+) {
+    for (index, report) in reports.iter().enumerate() {
+        write_report(report, to.reborrow().get(index as u32));
     }
 }
 
-fn read_words(from: capnp::struct_list::Reader<'_, wire::word::Owned>) -> Result<Vec<StateReport>> {
-    from.iter().map(read_word).collect()
+fn read_reports(
+    from: capnp::struct_list::Reader<'_, wire::word::Owned>,
+) -> Result<Vec<StateReport>> {
+    from.iter().map(read_report).collect()
 }
 
 fn write_ping(ping: &Ping, mut to: wire::ping::Builder<'_>) {
@@ -195,7 +202,7 @@
         PingKind::Attach => wire::Ask::Attach,
         PingKind::Compare => wire::Ask::Compare,
     });
-    write_word(&ping.report, to.reborrow().init_word());
+    write_report(&ping.report, to.reborrow().init_word());
     if let Some(have) = &ping.have {
         write_summary(have, to.reborrow().init_have());
     }
@@ -227,7 +234,7 @@
     Ok(Ping {
         seq: from.get_seq(),
         kind,
-        report: read_word(from.get_word()?)?,
+        report: read_report(from.get_word()?)?,
         have,
         zones: from.get_zones(),
         lists,
@@ -238,14 +245,14 @@
     to.set_seq(pong.seq);
     to.set_attached(pong.attached);
     to.set_hops(pong.hops);
-    write_word(&pong.report, to.reborrow().init_word());
+    write_report(&pong.report, to.reborrow().init_word());
     if let Some(have) = &pong.have {
         write_summary(have, to.reborrow().init_have());
     }
     if let Some(floor) = &pong.floor {
         write_in_force(floor, to.reborrow().init_floor());
     }
-    write_words(&pong.reports, to.init_words(pong.reports.len() as u32));
+    write_reports(&pong.reports, to.init_words(pong.reports.len() as u32));
 }
 
 fn read_pong(from: wire::pong::Reader<'_>) -> Result<Pong> {
@@ -255,10 +262,10 @@
         seq: from.get_seq(),
         attached: from.get_attached(),
         hops: from.get_hops(),
-        report: read_word(from.get_word()?)?,
+        report: read_report(from.get_word()?)?,
         have,
         floor,
-        reports: read_words(from.get_words()?)?,
+        reports: read_reports(from.get_words()?)?,
     })
 }
 
--- a/node/tests/spread_codec.rs
+++ b/node/tests/spread_codec.rs
@@ -57,7 +57,7 @@
     )
 }
 
-fn word() -> impl Strategy<Value = StateReport> {
+fn report() -> impl Strategy<Value = StateReport> {
     (name(), any::<u64>(), state()).prop_map(|(vm, incarnation, state)| StateReport {
         vm,
         incarnation,
@@ -89,7 +89,7 @@
     let kind = prop::sample::select(vec![PingKind::Join, PingKind::Attach, PingKind::Compare]);
     let mark = (name(), any::<u64>()).prop_map(|(zone, index)| ListVersion { zone, index });
     let lists = option::of(vec(mark, 0..4));
-    (any::<u32>(), kind, word(), option::of(summary()), any::<u64>(), lists).prop_map(
+    (any::<u32>(), kind, report(), option::of(summary()), any::<u64>(), lists).prop_map(
         |(seq, kind, report, have, zones, lists)| {
             PeerMsg::Ping(Box::new(Ping { seq, kind, report, have, zones, lists }))
         },
@@ -97,8 +97,8 @@
 }
 
 fn pong() -> impl Strategy<Value = PeerMsg> {
-    let head = (any::<u32>(), any::<bool>(), any::<u8>(), word());
-    (head, option::of(summary()), option::of(in_force()), vec(word(), 0..4)).prop_map(
+    let head = (any::<u32>(), any::<bool>(), any::<u8>(), report());
+    (head, option::of(summary()), option::of(in_force()), vec(report(), 0..4)).prop_map(
         |((seq, attached, hops, report), have, floor, reports)| {
             PeerMsg::Pong(Box::new(Pong { seq, attached, hops, report, have, floor, reports }))
         },
@@ -133,7 +133,7 @@
         note,
         summary().prop_map(|summary| PeerMsg::Notice(Box::new(summary))),
         any::<u64>().prop_map(PeerMsg::Missing),
-        vec(word(), 0..4).prop_map(PeerMsg::StateReports),
+        vec(report(), 0..4).prop_map(PeerMsg::StateReports),
         vec(list, 0..3).prop_map(PeerMsg::Lists),
     ]
 }
