--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -8,10 +8,10 @@
 //! - `budget`: rate limiting and scheduling of platform calls; `source`: open calls and watches;
 //!   `reading`: processing of the replies
 //! - `attach`: choosing and monitoring the parent; `children`: nodes attached to this one
-//! - `questions`: outstanding pings and their answers
+//! - `pings`: outstanding pings and their answers
 //! - `fetch`: fetching versions from peers; `serve`: handling of peer messages
 //! - `join`: queries to peers after a start or a clock gap
-//! - `members`: known zones, VMs and VM states; `words`: propagation of VM state reports
+//! - `members`: known zones, VMs and VM states; `state_reports`: propagation of VM state reports
 //! - `notes`: delivery of notes between call paths
 
 pub mod limits;
