--- a/core/src/spread/members.rs
+++ b/core/src/spread/members.rs
@@ -145,7 +145,7 @@
             .values()
             .filter(recent)
             .take(MAX_REPORTS_PER_PONG)
-            .map(|h| h.report.clone())
+            .map(|reported| reported.report.clone())
             .collect()
     }
 
