--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -10,31 +10,31 @@
 use sycamore_node::settings::Settings;
 
 /// Exit code of a run that failed.
-const FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 /// Exit code of a command line or settings file that is not valid.
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 /// The command line, parsed.
 #[derive(Debug)]
-struct Config {
+struct Args {
     settings: PathBuf,
     check_only: bool,
 }
 
 enum Command {
-    Run(Config),
+    Run(Args),
     Print(String),
 }
 
 fn main() -> ExitCode {
     match parse(std::env::args().skip(1)) {
         Ok(Command::Print(text)) => print(&text),
-        Ok(Command::Run(cfg)) => match Settings::read(&cfg.settings) {
-            Ok(_) if cfg.check_only => print("settings are valid\n"),
+        Ok(Command::Run(args)) => match Settings::read(&args.settings) {
+            Ok(_) if args.check_only => print("settings are valid\n"),
             Ok(settings) => run(settings),
-            Err(fault) => fail(&fault, USAGE),
+            Err(fault) => fail(&fault, EXIT_USAGE),
         },
-        Err(fault) => fail(&fault, USAGE),
+        Err(fault) => fail(&fault, EXIT_USAGE),
     }
 }
 
@@ -42,7 +42,7 @@
     let result = output::start(&settings.log).and_then(|_log| App::new(settings).run());
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => fail(&fault, FAILED),
+        Err(fault) => fail(&fault, EXIT_FAILURE),
     }
 }
 
@@ -52,7 +52,7 @@
     options.optflag("", "check-settings", "check the settings file and exit");
     options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
-    let matches = options.parse(args).map_err(usage)?;
+    let matches = options.parse(args).map_err(usage_error)?;
     if matches.opt_present("help") {
         return Ok(Command::Print(options.usage("Usage: sycamore-node --settings FILE")));
     }
@@ -60,21 +60,21 @@
         return Ok(Command::Print(format!("sycamore-node {}\n", env!("CARGO_PKG_VERSION"))));
     }
     if let Some(extra) = matches.free.first() {
-        return Err(usage(format!("unexpected argument {extra:?}")));
+        return Err(usage_error(format!("unexpected argument {extra:?}")));
     }
     let settings =
-        matches.opt_str("settings").ok_or_else(|| usage("--settings FILE is required"))?;
+        matches.opt_str("settings").ok_or_else(|| usage_error("--settings FILE is required"))?;
     let check_only = matches.opt_present("check-settings");
-    Ok(Command::Run(Config { settings: settings.into(), check_only }))
+    Ok(Command::Run(Args { settings: settings.into(), check_only }))
 }
 
-fn usage(detail: impl std::fmt::Display) -> Fault {
+fn usage_error(detail: impl std::fmt::Display) -> Fault {
     Fault::new(Code::UsageInvalid).with_detail(detail)
 }
 
 fn print(text: &str) -> ExitCode {
     let written = std::io::stdout().write_all(text.as_bytes());
-    if written.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(FAILED) }
+    if written.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILURE) }
 }
 
 fn fail(fault: &Fault, code: u8) -> ExitCode {
