--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -132,49 +132,49 @@
         local: Rc<LocalExecutor<'static>>,
     ) {
         let calls = calls::start(shared.clone(), self.listeners, executor);
-        let control = match self.store {
+        let handle = match self.store {
             None => {
-                let control = spread::start(shared.clone(), self.peers, calls.clone(), &local);
-                Control::Spread(control)
+                let handle = spread::start(shared.clone(), self.peers, calls.clone(), &local);
+                ConfigHandle::Spread(handle)
             }
             Some(store) => {
                 let (shared, calls) = (shared.clone(), calls.clone());
-                let control = discovery::start(shared, self.peers, store, calls, &local);
-                Control::Discovery(control)
+                let handle = discovery::start(shared, self.peers, store, calls, &local);
+                ConfigHandle::Discovery(handle)
             }
         };
         if let Some(reload) = self.reload {
-            let control = control.clone();
-            let changed = move || control.settings_changed();
+            let handle = handle.clone();
+            let changed = move || handle.settings_changed();
             local.spawn(reload.run(shared.clone(), changed)).detach();
         }
         local.spawn(admin::serve(shared.clone(), self.operators)).detach();
         wait_for_stop(&shared, self.signals).await;
-        control.announce_leaving();
+        handle.announce_leaving();
         drain(&shared, &calls).await;
     }
 }
 
 /// Where the configuration comes from.
 #[derive(Clone, Debug)]
-enum Control {
-    Spread(spread::Control),
-    Discovery(discovery::Control),
+enum ConfigHandle {
+    Spread(spread::Handle),
+    Discovery(discovery::Handle),
 }
 
-impl Control {
+impl ConfigHandle {
     fn announce_leaving(&self) {
         match self {
-            Control::Spread(control) => control.announce_leaving(),
-            Control::Discovery(control) => control.announce_leaving(),
+            ConfigHandle::Spread(handle) => handle.announce_leaving(),
+            ConfigHandle::Discovery(handle) => handle.announce_leaving(),
         }
     }
 
     fn settings_changed(&self) {
         match self {
             // The spread takes its settings up at the next start.
-            Control::Spread(_) => {}
-            Control::Discovery(control) => control.settings_changed(),
+            ConfigHandle::Spread(_) => {}
+            ConfigHandle::Discovery(handle) => handle.settings_changed(),
         }
     }
 }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -27,12 +27,12 @@
 
 /// A handle on the decider of this node.
 #[derive(Clone, Debug)]
-pub struct Control {
+pub struct Handle {
     changed: Sender<()>,
     leaving: Sender<()>,
 }
 
-impl Control {
+impl Handle {
     /// Has the decider take up the settings that hold now.
     pub fn settings_changed(&self) {
         // One that waits already brings the newest settings too.
@@ -53,7 +53,7 @@
     store: Box<dyn Store>,
     calls: Calls,
     local: &LocalExecutor<'_>,
-) -> Control {
+) -> Handle {
     let (changed, changes) = async_channel::bounded(1);
     let (leaving, leave) = async_channel::bounded(1);
     let orders = Orders { changes, leave };
@@ -77,7 +77,7 @@
         executor.run(driver.run(received, replied, orders)).await;
     };
     local.spawn(task).detach();
-    Control { changed, leaving }
+    Handle { changed, leaving }
 }
 
 fn config(settings: &Settings) -> Config {
--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -49,11 +49,11 @@
 
 /// A handle on the spread of this node.
 #[derive(Clone, Debug)]
-pub struct Control {
+pub struct Handle {
     inputs: Sender<Input>,
 }
 
-impl Control {
+impl Handle {
     /// Tells peers that this node is leaving.
     pub fn announce_leaving(&self) {
         // If the decider is this far behind, it can't tell anyone either.
@@ -75,9 +75,9 @@
     listener: Listener,
     calls: Calls,
     local: &LocalExecutor<'_>,
-) -> Control {
+) -> Handle {
     let (inputs, received) = async_channel::bounded(MAX_INPUTS);
-    let control = Control { inputs: inputs.clone() };
+    let handle = Handle { inputs: inputs.clone() };
     let task = async move {
         let executor = Rc::new(LocalExecutor::new());
         let cx = Context { shared: shared.clone(), executor: executor.clone(), inputs };
@@ -95,7 +95,7 @@
         executor.run(driver.run(received)).await;
     };
     local.spawn(task).detach();
-    control
+    handle
 }
 
 /// How this node introduces itself to peers.
