--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -22,11 +22,11 @@
 
 /// How long a stopping node goes on telling peers and refusing work before it may end, so that
 /// callers and other nodes learn of it from refusals rather than from broken connections.
-const DRAIN_NOTICE: Duration = Duration::from_secs(2);
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(2);
 
 /// How much longer it waits for connections on which nothing runs. They close by themselves soon
 /// after the notice; one that a request is on its way on is not met by the end of the process.
-const LAST_CONNECTIONS: Duration = Duration::from_secs(2);
+const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A node that has not started yet.
 #[derive(Debug)]
@@ -87,26 +87,26 @@
         let reload = self.settings_file.as_deref().map(Reload::new).transpose()?;
         let shared = Shared::with_dialect(self.settings, self.clock, self.dialect);
         let executor = Arc::new(Executor::new());
-        let (stop, stopped) = async_channel::bounded::<()>(1);
+        let (shutdown_tx, shutdown_rx) = async_channel::bounded::<()>(1);
         let listeners = calls::Listeners::bind(&shared.settings.listen)?;
         let peers = spread::Listener::bind(&shared.settings.listen)?;
-        let operators = admin::Listener::bind(&shared.settings.listen)?;
+        let admin = admin::Listener::bind(&shared.settings.listen)?;
         std::thread::scope(|scope| {
             // One thread alone serves everything: two would hand each event over to each other.
-            let alone = shared.settings.limits.threads == 1;
-            for _ in 0..if alone { 0 } else { shared.settings.limits.threads } {
-                scope.spawn(|| async_io::block_on(executor.run(stopped.recv())));
+            let single_threaded = shared.settings.limits.threads == 1;
+            for _ in 0..if single_threaded { 0 } else { shared.settings.limits.threads } {
+                scope.spawn(|| async_io::block_on(executor.run(shutdown_rx.recv())));
             }
             let local = Rc::new(LocalExecutor::new());
-            let parts = Parts { listeners, peers, operators, reload, signals, store: self.store };
+            let node = BoundNode { listeners, peers, admin, reload, signals, store: self.store };
             // A task of its own: what is given to `run` is polled at every wake of the thread.
-            let main = local.spawn(parts.serve(shared.clone(), executor.clone(), local.clone()));
+            let main = local.spawn(node.serve(shared.clone(), executor.clone(), local.clone()));
             let main = local.run(main);
-            match alone {
+            match single_threaded {
                 true => async_io::block_on(executor.run(main)),
                 false => async_io::block_on(main),
             }
-            drop(stop);
+            drop(shutdown_tx);
             shared.record(Event::new(shared.clock.now(), EventKind::Stopped));
         });
         Ok(())
@@ -114,16 +114,16 @@
 }
 
 /// What a node has opened before it serves.
-struct Parts {
+struct BoundNode {
     listeners: calls::Listeners,
     peers: spread::Listener,
-    operators: admin::Listener,
+    admin: admin::Listener,
     reload: Option<Reload>,
     signals: Signals,
     store: Option<Box<dyn Store>>,
 }
 
-impl Parts {
+impl BoundNode {
     /// Starts everything, and goes on until the planned stop has ended.
     async fn serve(
         self,
@@ -148,7 +148,7 @@
             let changed = move || handle.settings_changed();
             local.spawn(reload.run(shared.clone(), changed)).detach();
         }
-        local.spawn(admin::serve(shared.clone(), self.operators)).detach();
+        local.spawn(admin::serve(shared.clone(), self.admin)).detach();
         wait_for_stop(&shared, self.signals).await;
         handle.announce_leaving();
         drain(&shared, &calls).await;
@@ -194,9 +194,10 @@
     let limit = start + calls.drain_limit();
     while shared.clock.now() < limit {
         let now = shared.clock.now();
-        let waited = now.since(start);
-        let quiet = shared.no_connection_open() || waited >= DRAIN_NOTICE + LAST_CONNECTIONS;
-        if shared.calls_open() == 0 && waited >= DRAIN_NOTICE && quiet {
+        let elapsed = now.since(start);
+        let connections_settled =
+            shared.no_connection_open() || elapsed >= MIN_DRAIN_TIME + CONNECTION_CLOSE_TIMEOUT;
+        if shared.calls_open() == 0 && elapsed >= MIN_DRAIN_TIME && connections_settled {
             break;
         }
         shared.clock.sleep(DRAIN_POLL).await;
