--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -8,7 +8,7 @@
 
 /// How far the wall clock may be ahead before it is followed. Smaller differences are left to the
 /// daemon that sets the wall clock.
-const MAX_LAG: Duration = Duration::from_millis(250);
+const MAX_WALL_CLOCK_LEAD: Duration = Duration::from_millis(250);
 
 /// Where a process takes the time from. Clones show the same time.
 #[derive(Clone, Debug)]
@@ -64,19 +64,19 @@
 
     /// Guards against a VM that was suspended: its monotonic clock stood still meanwhile, and the
     /// node would stay behind all others and refuse new keys as minted in the future. The wall
-    /// clock is followed forwards when it is ahead by more than [`MAX_LAG`], and never backwards.
+    /// clock is followed forwards when it is ahead by more than [`MAX_WALL_CLOCK_LEAD`], and never backwards.
     fn now(&self) -> Time {
-        let carried = self.start + self.origin.elapsed();
+        let monotonic_now = self.start + self.origin.elapsed();
         let ahead = Duration::from_micros(self.ahead_us.load(Ordering::Relaxed));
-        let now = carried + ahead;
+        let now = monotonic_now + ahead;
         let wall = wall_clock();
-        if wall.since(now) <= MAX_LAG {
+        if wall.since(now) <= MAX_WALL_CLOCK_LEAD {
             return now;
         }
         // The largest wins if several threads see the step at once.
-        let ahead_us = wall.0 - carried.0;
+        let ahead_us = wall.0 - monotonic_now.0;
         let ahead_us = self.ahead_us.fetch_max(ahead_us, Ordering::Relaxed).max(ahead_us);
-        carried + Duration::from_micros(ahead_us)
+        monotonic_now + Duration::from_micros(ahead_us)
     }
 }
 
