--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -54,13 +54,13 @@
     calls: Calls,
     local: &LocalExecutor<'_>,
 ) -> Handle {
-    let (changed, changes) = async_channel::bounded(1);
-    let (leaving, leave) = async_channel::bounded(1);
-    let orders = Orders { changes, leave };
+    let (changed, settings_rx) = async_channel::bounded(1);
+    let (leaving, leaving_rx) = async_channel::bounded(1);
+    let signals = Signals { settings_rx, leaving_rx };
     let task = async move {
         let executor = Rc::new(LocalExecutor::new());
-        let (messages, received) = async_channel::bounded(MAX_INPUTS);
-        let (replies, replied) = async_channel::bounded(MAX_REPLIES);
+        let (messages, message_rx) = async_channel::bounded(MAX_INPUTS);
+        let (replies, reply_rx) = async_channel::bounded(MAX_REPLIES);
         let cx = Context { shared: shared.clone(), executor: executor.clone(), inputs: messages };
         let own = own_peer(&shared.settings);
         executor.spawn(server::serve(cx.clone(), own.clone(), listener.peers)).detach();
@@ -74,7 +74,7 @@
             replies,
             cx,
         };
-        executor.run(driver.run(received, replied, orders)).await;
+        executor.run(driver.run(message_rx, reply_rx, signals)).await;
     };
     local.spawn(task).detach();
     Handle { changed, leaving }
@@ -93,12 +93,12 @@
 }
 
 /// What the rest of the process asks of the decider.
-struct Orders {
-    changes: Receiver<()>,
-    leave: Receiver<()>,
+struct Signals {
+    settings_rx: Receiver<()>,
+    leaving_rx: Receiver<()>,
 }
 
-type Replied = (u64, Result<Reply, ReadError>);
+type StoreResult = (u64, Result<Reply, ReadError>);
 
 struct Driver {
     discovery: Discovery,
@@ -106,24 +106,24 @@
     store: Box<dyn Store>,
     wake: Option<Time>,
     calls: Calls,
-    replies: Sender<Replied>,
+    replies: Sender<StoreResult>,
     cx: Context,
 }
 
 impl Driver {
     async fn run(
         mut self,
-        received: Receiver<spread::Input>,
-        replied: Receiver<Replied>,
-        orders: Orders,
+        message_rx: Receiver<spread::Input>,
+        reply_rx: Receiver<StoreResult>,
+        signals: Signals,
     ) {
         self.handle(Input::Start);
         loop {
             let input = future::or(
-                future::or(self.woken(), next_reply(&replied)),
+                future::or(self.next_wake(), next_reply(&reply_rx)),
                 future::or(
-                    future::or(next_message(&received), self.next_note()),
-                    future::or(self.next_lost_peer(), self.next_order(&orders)),
+                    future::or(next_message(&message_rx), self.next_note()),
+                    future::or(self.next_lost_peer(), self.next_signal(&signals)),
                 ),
             )
             .await;
@@ -131,7 +131,7 @@
         }
     }
 
-    async fn woken(&self) -> Input {
+    async fn next_wake(&self) -> Input {
         match self.wake {
             Some(wake) => self.cx.shared.clock.sleep_until(wake).await,
             None => future::pending().await,
@@ -153,15 +153,15 @@
         }
     }
 
-    async fn next_order(&self, orders: &Orders) -> Input {
+    async fn next_signal(&self, signals: &Signals) -> Input {
         let changed = async {
-            match orders.changes.recv().await {
+            match signals.settings_rx.recv().await {
                 Ok(()) => Input::Seeds(self.cx.shared.current().seeds.clone()),
                 Err(_) => future::pending().await,
             }
         };
         let leaving = async {
-            match orders.leave.recv().await {
+            match signals.leaving_rx.recv().await {
                 Ok(()) => Input::Leaving,
                 Err(_) => future::pending().await,
             }
@@ -174,11 +174,11 @@
         self.wake = None;
         self.discovery.handle(self.cx.shared.clock.now(), input, &mut out);
         for output in out {
-            self.perform(output);
+            self.execute(output);
         }
     }
 
-    fn perform(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         let shared = &self.cx.shared;
         match output {
             Output::Read(call) => self.read(call),
@@ -220,8 +220,8 @@
     }
 }
 
-async fn next_reply(replied: &Receiver<Replied>) -> Input {
-    match replied.recv().await {
+async fn next_reply(reply_rx: &Receiver<StoreResult>) -> Input {
+    match reply_rx.recv().await {
         Ok((id, result)) => Input::Reply { id, result },
         Err(_) => future::pending().await,
     }
@@ -229,9 +229,9 @@
 
 /// The next message of a peer. That a peer could not be reached changes nothing: questions are
 /// asked again anyway.
-async fn next_message(received: &Receiver<spread::Input>) -> Input {
+async fn next_message(message_rx: &Receiver<spread::Input>) -> Input {
     loop {
-        match received.recv().await {
+        match message_rx.recv().await {
             Ok(spread::Input::Peer { from, msg }) => return Input::Peer { from, msg },
             Ok(_) => {}
             Err(_) => future::pending().await,
