--- a/node/src/output.rs
+++ b/node/src/output.rs
@@ -31,14 +31,14 @@
 }
 
 /// Writes the line of a change of state. Failures are warnings.
-pub fn event(vm: &str, event: &Event) {
+pub fn log_event(vm: &str, event: &Event) {
     let level = if event.code.is_some() { log::Level::Warn } else { log::Level::Info };
     let line = serde_json::to_string(&EventLine { vm, event }).unwrap_or_default();
-    log::log!(target: EVENT, level, "{line}");
+    log::log!(target: EVENT_TARGET, level, "{line}");
 }
 
 /// Target of log records whose text is a JSON object of fields.
-const EVENT: &str = "event";
+const EVENT_TARGET: &str = "event";
 
 /// Fields of a change of state, the same in both formats.
 #[derive(Serialize)]
@@ -57,8 +57,8 @@
     fields.insert("time".to_owned(), now.format_rfc3339().into());
     fields.insert("level".to_owned(), record.level().as_str().into());
     match serde_json::from_str::<Fields>(&text) {
-        Ok(of_event) if [EVENT, trace::REQUEST].contains(&record.target()) => {
-            fields.extend(of_event)
+        Ok(event_fields) if [EVENT_TARGET, trace::REQUEST].contains(&record.target()) => {
+            fields.extend(event_fields)
         }
         _ => {
             fields.insert("text".to_owned(), text.into());
@@ -75,7 +75,7 @@
     for (index, (name, value)) in fields(now, record).iter().enumerate() {
         let space = if index == 0 { "" } else { " " };
         match value {
-            Value::String(text) if is_plain(text) => write!(w, "{space}{name}={text}")?,
+            Value::String(text) if is_unquoted(text) => write!(w, "{space}{name}={text}")?,
             value => write!(w, "{space}{name}={value}")?,
         }
     }
@@ -83,6 +83,6 @@
 }
 
 /// Whether a value needs no quotes to be read back.
-fn is_plain(text: &str) -> bool {
+fn is_unquoted(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && !b"\"\\=".contains(&b))
 }
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -184,7 +184,7 @@
     /// Records a change of state: counts it, keeps it for the time line and writes a log line.
     pub fn record(&self, event: Event) {
         self.metrics.count_event(&event);
-        output::event(self.settings.vm.as_str(), &event);
+        output::log_event(self.settings.vm.as_str(), &event);
         self.events.lock().push(event);
     }
 
