--- a/node/src/output.rs
+++ b/node/src/output.rs
@@ -6,7 +6,7 @@
 use crate::settings::{Log, LogFormat, LogLevel};
 use flexi_logger::{DeferredNow, Logger, LoggerHandle};
 use indexmap::IndexMap;
-use lines::Lines;
+use lines::NonBlockingWriter;
 use log::Record;
 use serde::Serialize;
 use serde_json::Value;
@@ -26,7 +26,7 @@
         LogFormat::Json => write_json,
     };
     Logger::try_with_str(level)
-        .and_then(|logger| logger.log_to_writer(Box::new(Lines::new(format))).start())
+        .and_then(|logger| logger.log_to_writer(Box::new(NonBlockingWriter::new(format))).start())
         .map_err(|e| Fault::new(Code::OutputFailed).with_location("log").with_detail(e))
 }
 
--- a/node/src/output/lines.rs
+++ b/node/src/output/lines.rs
@@ -10,29 +10,29 @@
 use std::time::{Duration, Instant};
 
 /// Lines that wait for a reader of standard output that is slow; more are dropped and counted.
-const MAX_WAITING: usize = 1_024;
+const MAX_QUEUED_LINES: usize = 1_024;
 
 /// Lines of one second; more are dropped and counted. A node serves about a hundred calls a second
 /// at the size aimed at, with three lines each.
-const MAX_A_SECOND: u64 = 400;
+const MAX_LINES_PER_SECOND: u64 = 400;
 
 /// How long lines are gathered before they are written in one piece, and up to what size.
-const TOGETHER: Duration = Duration::from_millis(50);
-const MAX_TOGETHER: usize = 65_536;
+const BATCH_DELAY: Duration = Duration::from_millis(50);
+const MAX_BATCH_BYTES: usize = 65_536;
 
 /// How long the end of the process waits for lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Writes lines from a thread of its own.
 ///
 /// Guards against a log that holds up calls: standard output is a pipe, and whoever writes into
 /// one that nobody reads waits for ever. A line that does not fit is dropped; the next one that
 /// is written is preceded by how many were.
-pub struct Lines {
+pub struct NonBlockingWriter {
     format: FormatFunction,
     queue: SyncSender<Vec<u8>>,
     counts: Arc<Counts>,
-    second: Mutex<Second>,
+    window: Mutex<RateWindow>,
 }
 
 #[derive(Debug, Default)]
@@ -43,39 +43,39 @@
 }
 
 #[derive(Debug)]
-struct Second {
+struct RateWindow {
     start: Instant,
     lines: u64,
 }
 
-impl Lines {
+impl NonBlockingWriter {
     /// Starts the thread.
-    pub fn new(format: FormatFunction) -> Lines {
-        let (queue, lines) = sync_channel(MAX_WAITING);
+    pub fn new(format: FormatFunction) -> NonBlockingWriter {
+        let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
         let counts = Arc::new(Counts::default());
         let written = counts.clone();
-        std::thread::spawn(move || write_all(&lines, &written));
-        let second = Mutex::new(Second { start: Instant::now(), lines: 0 });
-        Lines { format, queue, counts, second }
+        std::thread::spawn(move || run_writer(&lines, &written));
+        let window = Mutex::new(RateWindow { start: Instant::now(), lines: 0 });
+        NonBlockingWriter { format, queue, counts, window }
     }
 
-    fn fits(&self) -> bool {
-        let Ok(mut second) = self.second.lock() else {
+    fn within_rate_limit(&self) -> bool {
+        let Ok(mut window) = self.window.lock() else {
             return false;
         };
-        if second.start.elapsed() >= Duration::from_secs(1) {
-            *second = Second { start: Instant::now(), lines: 0 };
+        if window.start.elapsed() >= Duration::from_secs(1) {
+            *window = RateWindow { start: Instant::now(), lines: 0 };
         }
-        second.lines += 1;
-        second.lines <= MAX_A_SECOND
+        window.lines += 1;
+        window.lines <= MAX_LINES_PER_SECOND
     }
 }
 
-impl LogWriter for Lines {
+impl LogWriter for NonBlockingWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         // What went wrong is written whatever the volume.
-        let important = record.level() <= log::Level::Warn;
-        if !self.fits() && !important {
+        let is_severe = record.level() <= log::Level::Warn;
+        if !self.within_rate_limit() && !is_severe {
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
@@ -90,12 +90,12 @@
     }
 
     fn flush(&self) -> io::Result<()> {
-        let until = Instant::now() + LAST_LINES;
-        let waiting = || {
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        let has_pending_lines = || {
             let queued = self.counts.queued.load(Ordering::Relaxed);
             queued > self.counts.written.load(Ordering::Relaxed)
         };
-        while waiting() && Instant::now() < until {
+        while has_pending_lines() && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(2));
         }
         Ok(())
@@ -108,14 +108,14 @@
 
 /// Writes until the process ends. Standard output that is closed loses the lines, and nothing
 /// else: there is nowhere left to report it to.
-fn write_all(lines: &Receiver<Vec<u8>>, counts: &Counts) {
+fn run_writer(lines: &Receiver<Vec<u8>>, counts: &Counts) {
     let mut out = io::stdout();
     while let Ok(first) = lines.recv() {
         // More lines come within the pause than would be worth a wake each.
-        std::thread::sleep(TOGETHER);
+        std::thread::sleep(BATCH_DELAY);
         let mut text = first;
         let mut count = 1;
-        while let Some(line) = lines.try_recv().ok().filter(|_| text.len() < MAX_TOGETHER) {
+        while let Some(line) = lines.try_recv().ok().filter(|_| text.len() < MAX_BATCH_BYTES) {
             text.extend_from_slice(&line);
             count += 1;
         }
