--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::dialect::Dialect;
 use crate::clock::Clock;
-use crate::reload::Reload;
+use crate::reload::SettingsWatcher;
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::store::Store;
@@ -84,7 +84,7 @@
         // Before any call is taken: until then a signal ends the process at once.
         let signals = Signals::new([Signal::Term, Signal::Int])
             .map_err(|e| Fault::new(Code::ListenFailed).with_location("signals").with_detail(e))?;
-        let reload = self.settings_file.as_deref().map(Reload::new).transpose()?;
+        let watcher = self.settings_file.as_deref().map(SettingsWatcher::new).transpose()?;
         let shared = Shared::with_dialect(self.settings, self.clock, self.dialect);
         let executor = Arc::new(Executor::new());
         let (shutdown_tx, shutdown_rx) = async_channel::bounded::<()>(1);
@@ -98,7 +98,7 @@
                 scope.spawn(|| async_io::block_on(executor.run(shutdown_rx.recv())));
             }
             let local = Rc::new(LocalExecutor::new());
-            let node = BoundNode { listeners, peers, admin, reload, signals, store: self.store };
+            let node = BoundNode { listeners, peers, admin, watcher, signals, store: self.store };
             // A task of its own: what is given to `run` is polled at every wake of the thread.
             let main = local.spawn(node.serve(shared.clone(), executor.clone(), local.clone()));
             let main = local.run(main);
@@ -118,7 +118,7 @@
     listeners: calls::Listeners,
     peers: spread::Listener,
     admin: admin::Listener,
-    reload: Option<Reload>,
+    watcher: Option<SettingsWatcher>,
     signals: Signals,
     store: Option<Box<dyn Store>>,
 }
@@ -143,10 +143,10 @@
                 ConfigHandle::Discovery(handle)
             }
         };
-        if let Some(reload) = self.reload {
+        if let Some(watcher) = self.watcher {
             let handle = handle.clone();
             let changed = move || handle.settings_changed();
-            local.spawn(reload.run(shared.clone(), changed)).detach();
+            local.spawn(watcher.run(shared.clone(), changed)).detach();
         }
         local.spawn(admin::serve(shared.clone(), self.admin)).detach();
         wait_for_stop(&shared, self.signals).await;
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -11,23 +11,23 @@
 use sycamore_core::{Code, Fault, Result};
 
 /// How often the file is looked at. It is about a kilobyte.
-const LOOK: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The settings file of a running node.
 #[derive(Debug)]
-pub struct Reload {
+pub struct SettingsWatcher {
     path: PathBuf,
     signals: Signals,
     // The text last read, valid or not, so that each change is reported once.
     last: Vec<u8>,
 }
 
-impl Reload {
+impl SettingsWatcher {
     /// Follows the file at `path`. From here on the signal no longer ends the process.
-    pub fn new(path: &Path) -> Result<Reload> {
+    pub fn new(path: &Path) -> Result<SettingsWatcher> {
         let signals = Signals::new([Signal::Hup])
             .map_err(|e| Fault::new(Code::ListenFailed).with_location("signals").with_detail(e))?;
-        Ok(Reload { path: path.to_owned(), signals, last: Vec::new() })
+        Ok(SettingsWatcher { path: path.to_owned(), signals, last: Vec::new() })
     }
 
     /// Takes changes of the file up until it is dropped. `changed` is called after each.
@@ -38,21 +38,21 @@
                 self.signals.next().await;
                 true
             };
-            let look = async {
-                shared.clock.sleep(LOOK).await;
+            let poll = async {
+                shared.clock.sleep(POLL_INTERVAL).await;
                 false
             };
-            let told = future::or(signal, look).await;
-            if self.read(&shared, told) {
+            let signalled = future::or(signal, poll).await;
+            if self.read(&shared, signalled) {
                 changed();
             }
         }
     }
 
     /// Reads the file. Returns whether other settings hold from now on.
-    fn read(&mut self, shared: &Shared, told: bool) -> bool {
+    fn read(&mut self, shared: &Shared, signalled: bool) -> bool {
         let text = std::fs::read(&self.path);
-        if !told && text.as_ref().is_ok_and(|text| *text == self.last) {
+        if !signalled && text.as_ref().is_ok_and(|text| *text == self.last) {
             return false;
         }
         let settings = match &text {
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use sycamore_core::event::EventKind;
 use sycamore_node::clock::Clock;
-use sycamore_node::reload::Reload;
+use sycamore_node::reload::SettingsWatcher;
 use sycamore_node::settings::Settings;
 use sycamore_node::shared::Shared;
 
@@ -30,8 +30,8 @@
 /// were taken up, for a minute at most.
 fn follow(path: &Path, shared: &std::sync::Arc<Shared>, write: impl FnOnce(), expected: usize) {
     let changes = Cell::new(0);
-    let reload = Reload::new(path).unwrap();
-    let run = reload.run(shared.clone(), || changes.set(changes.get() + 1));
+    let watcher = SettingsWatcher::new(path).unwrap();
+    let run = watcher.run(shared.clone(), || changes.set(changes.get() + 1));
     // Polled after `run`, which has read the file by then.
     let seen = async {
         write();
