--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -19,7 +19,7 @@
     path: PathBuf,
     signals: Signals,
     // The text last read, valid or not, so that each change is reported once.
-    last: Vec<u8>,
+    last_text: Vec<u8>,
 }
 
 impl SettingsWatcher {
@@ -27,12 +27,12 @@
     pub fn new(path: &Path) -> Result<SettingsWatcher> {
         let signals = Signals::new([Signal::Hup])
             .map_err(|e| Fault::new(Code::ListenFailed).with_location("signals").with_detail(e))?;
-        Ok(SettingsWatcher { path: path.to_owned(), signals, last: Vec::new() })
+        Ok(SettingsWatcher { path: path.to_owned(), signals, last_text: Vec::new() })
     }
 
     /// Takes changes of the file up until it is dropped. `changed` is called after each.
-    pub async fn run(mut self, shared: Arc<Shared>, changed: impl Fn()) {
-        self.last = std::fs::read(&self.path).unwrap_or_default();
+    pub async fn run(mut self, shared: Arc<Shared>, on_change: impl Fn()) {
+        self.last_text = std::fs::read(&self.path).unwrap_or_default();
         loop {
             let signal = async {
                 self.signals.next().await;
@@ -43,16 +43,16 @@
                 false
             };
             let signalled = future::or(signal, poll).await;
-            if self.read(&shared, signalled) {
-                changed();
+            if self.reload(&shared, signalled) {
+                on_change();
             }
         }
     }
 
     /// Reads the file. Returns whether other settings hold from now on.
-    fn read(&mut self, shared: &Shared, signalled: bool) -> bool {
+    fn reload(&mut self, shared: &Shared, signalled: bool) -> bool {
         let text = std::fs::read(&self.path);
-        if !signalled && text.as_ref().is_ok_and(|text| *text == self.last) {
+        if !signalled && text.as_ref().is_ok_and(|text| *text == self.last_text) {
             return false;
         }
         let settings = match &text {
@@ -60,7 +60,7 @@
             Err(e) => Err(Fault::new(Code::SettingsUnreadable).with_detail(e)),
         };
         // A file that can't be read now is reported once, and again when it can be.
-        self.last = text.unwrap_or_default();
+        self.last_text = text.unwrap_or_default();
         let event = Event::new(shared.clock.now(), EventKind::SettingsRead);
         match settings {
             Ok(settings) => {
