--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -196,7 +196,7 @@
         let now = shared.clock.now();
         let elapsed = now.since(start);
         let connections_settled =
-            shared.no_connection_open() || elapsed >= MIN_DRAIN_TIME + CONNECTION_CLOSE_TIMEOUT;
+            shared.has_no_connections() || elapsed >= MIN_DRAIN_TIME + CONNECTION_CLOSE_TIMEOUT;
         if shared.calls_open() == 0 && elapsed >= MIN_DRAIN_TIME && connections_settled {
             break;
         }
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -145,7 +145,7 @@
         watch: Arc<Watch>,
         req: Request<Incoming>,
     ) -> Response<Body> {
-        watch.begin(self.shared.open_call());
+        watch.begin(self.shared.track_call());
         let began = self.shared.clock.now();
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
         let read = self.read_head(&watch, &req);
@@ -154,7 +154,7 @@
             Ok(head) => head,
             Err(code) => return self.refuse(&watch, &id, refusal(code)),
         };
-        if !self.shared.takes_calls() {
+        if !self.shared.accepts_calls() {
             return self.refuse(&watch, &id, refusal(Code::Draining));
         }
         let call = CallKey(number);
@@ -288,7 +288,7 @@
         let dialect = &self.shared.dialect;
         headers.remove(&dialect.deadline);
         let incarnation = forward.incarnation.as_ref();
-        let settings = self.shared.current();
+        let settings = self.shared.current_settings();
         let parties =
             [(&dialect.caller, settings.service.as_ref()), (&dialect.incarnation, incarnation)];
         for (header, name) in parties {
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -110,7 +110,7 @@
 
     /// Time passes.
     pub fn tick(&self) {
-        if !self.shared.takes_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
+        if !self.shared.accepts_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
             self.tell(Input::Drain);
         }
         self.tell(Input::Tick);
@@ -177,7 +177,7 @@
         watch: Arc<Watch>,
         req: Request<Incoming>,
     ) -> Response<Body> {
-        watch.begin(self.shared.open_call());
+        watch.begin(self.shared.track_call());
         let read = CallHead::read(&req, &Dialect::new());
         let id = req.headers().get(headers::REQUEST_ID).cloned();
         let id = id.unwrap_or_else(|| HeaderValue::from_static("none"));
@@ -201,7 +201,7 @@
             Ok(held) => held,
             Err(code) => return self.refuse(&watch, &id, refusal(code), 0),
         };
-        if !self.shared.takes_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
+        if !self.shared.accepts_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
             self.tell(Input::Drain);
         }
         let digest = held.as_ref().filter(|_| head.key.is_some()).map(|buf| digest(&req, buf));
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -120,7 +120,7 @@
         let (tx, rx) = async_channel::bounded(1);
         let id = call.id.clone();
         let side = self.clone();
-        let open = self.shared.open_call();
+        let open = self.shared.track_call();
         let task = async move {
             // The caller may be gone, which is no concern of the run.
             let _ = tx.try_send(side.answer_once(call).await);
--- a/node/src/calls/serve.rs
+++ b/node/src/calls/serve.rs
@@ -105,7 +105,7 @@
     }
 
     fn start(self: Arc<Server>, stream: Async<TcpStream>, number: usize) {
-        let open = self.shared.open_connection();
+        let open = self.shared.track_connection();
         let watch = Watch::new(self.shared.clock.clone(), is_local(&stream));
         if !self.watches.add(&watch, self.shared.settings.limits.max_connections) {
             self.shared.metrics.connections_refused.inc();
--- a/node/src/calls/watch.rs
+++ b/node/src/calls/watch.rs
@@ -1,7 +1,7 @@
 //! Watches over connections that callers or other nodes opened: limits in time and number.
 
 use crate::clock::Clock;
-use crate::shared::OpenCall;
+use crate::shared::CallGuard;
 use async_channel::{Receiver, Sender};
 use parking_lot::Mutex;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
     deadline: AtomicU64,
     ambiguous: AtomicBool,
     local: bool,
-    open: Mutex<Option<OpenCall>>,
+    open: Mutex<Option<CallGuard>>,
     close: Sender<()>,
     closed: Receiver<()>,
 }
@@ -87,7 +87,7 @@
     }
 
     /// A request is served from now on.
-    pub fn begin(&self, open: OpenCall) {
+    pub fn begin(&self, open: CallGuard) {
         *self.open.lock() = Some(open);
         self.set_phase(Phase::Call);
     }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -156,7 +156,7 @@
     async fn next_signal(&self, signals: &Signals) -> Input {
         let changed = async {
             match signals.settings_rx.recv().await {
-                Ok(()) => Input::Seeds(self.cx.shared.current().seeds.clone()),
+                Ok(()) => Input::Seeds(self.cx.shared.current_settings().seeds.clone()),
                 Err(_) => future::pending().await,
             }
         };
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -65,7 +65,7 @@
         match settings {
             Ok(settings) => {
                 shared.record(event);
-                shared.change_settings(settings)
+                shared.update_settings(settings)
             }
             Err(fault) => {
                 log::warn!("the settings that hold stay in force: {fault}");
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -22,7 +22,7 @@
 /// an await.
 #[derive(Debug)]
 pub struct Shared {
-    /// Settings, as read at the start. What may change later is in [`Shared::current`].
+    /// Settings, as read at the start. What may change later is in [`Shared::current_settings`].
     pub settings: Settings,
     /// The clock port.
     pub clock: Clock,
@@ -147,12 +147,12 @@
 
     /// The settings as last read. A running node follows `service`, `seeds`, `zones` and
     /// `fleet_retries`; the rest holds from its next start.
-    pub fn current(&self) -> Arc<Settings> {
+    pub fn current_settings(&self) -> Arc<Settings> {
         self.current.read().clone()
     }
 
     /// Takes settings up that were read again. Returns whether they differ.
-    pub fn change_settings(&self, settings: Settings) -> bool {
+    pub fn update_settings(&self, settings: Settings) -> bool {
         let mut current = self.current.write();
         let differ = **current != settings;
         *current = Arc::new(settings);
@@ -233,16 +233,16 @@
 
     /// Whether callers' requests are taken: always before a planned stop, and for a while after
     /// its start, since callers learn of it only by and by.
-    pub fn takes_calls(&self) -> bool {
-        self.within_leaving(self.settings.limits.serve_while_leaving_ms)
+    pub fn accepts_calls(&self) -> bool {
+        self.within_drain_period(self.settings.limits.serve_while_leaving_ms)
     }
 
     /// Whether the local target still runs what other nodes forward.
-    pub fn takes_forwards(&self) -> bool {
-        self.within_leaving(self.settings.limits.run_while_leaving_ms)
+    pub fn accepts_forwards(&self) -> bool {
+        self.within_drain_period(self.settings.limits.run_while_leaving_ms)
     }
 
-    fn within_leaving(&self, ms: u64) -> bool {
+    fn within_drain_period(&self, ms: u64) -> bool {
         let since = Time(self.draining_since.load(Ordering::Acquire));
         !self.draining() || self.clock.now() < since + Duration::from_millis(ms)
     }
@@ -272,18 +272,18 @@
     }
 
     /// Counts a call as open until the guard is dropped.
-    pub fn open_call(self: &Arc<Shared>) -> OpenCall {
+    pub fn track_call(self: &Arc<Shared>) -> CallGuard {
         self.calls_open.fetch_add(1, Ordering::AcqRel);
-        OpenCall { shared: self.clone() }
+        CallGuard { shared: self.clone() }
     }
 
     /// Whether no connection is open that calls come in on.
-    pub fn no_connection_open(&self) -> bool {
+    pub fn has_no_connections(&self) -> bool {
         Arc::strong_count(&self.connections) == 1
     }
 
     /// Counts a connection as open until the result is dropped.
-    pub fn open_connection(&self) -> Arc<()> {
+    pub fn track_connection(&self) -> Arc<()> {
         self.connections.clone()
     }
 
@@ -314,11 +314,11 @@
 
 /// Counts one call as open while it lives.
 #[derive(Debug)]
-pub struct OpenCall {
+pub struct CallGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for OpenCall {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.shared.calls_open.fetch_sub(1, Ordering::AcqRel);
     }
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -59,7 +59,7 @@
     std::fs::write(&path, text(6)).unwrap();
     let shared = Shared::new(Settings::read(&path).unwrap(), Clock::new());
     follow(&path, &shared, || replace(&path, &text(7)), 1);
-    assert_eq!(shared.current().seeds, ["127.0.0.1:7".parse().unwrap()]);
+    assert_eq!(shared.current_settings().seeds, ["127.0.0.1:7".parse().unwrap()]);
     assert_eq!(reads(&shared), [None]);
 }
 
@@ -76,11 +76,11 @@
         while reads(&seen).is_empty() {
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert_eq!(seen.current().seeds, ["127.0.0.1:6".parse().unwrap()]);
+        assert_eq!(seen.current_settings().seeds, ["127.0.0.1:6".parse().unwrap()]);
         replace(&writer, &text(7));
     });
     follow(&path, &shared, || replace(&path, &text(7)[..40]), 1);
     rest.join().unwrap();
     assert_eq!(reads(&shared), [Some(102), None]);
-    assert_eq!(shared.current().seeds, ["127.0.0.1:7".parse().unwrap()]);
+    assert_eq!(shared.current_settings().seeds, ["127.0.0.1:7".parse().unwrap()]);
 }
