--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -133,7 +133,7 @@
 }
 
 fn metrics(shared: &Shared) -> Response<Full<Bytes>> {
-    shared.metrics.observe(&shared.status());
+    shared.metrics.update_gauges(&shared.status());
     response(StatusCode::OK, "text/plain; version=0.0.4", shared.metrics.to_text())
 }
 
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -220,7 +220,7 @@
                         _ => {
                             let took = self.shared.clock.now().since(call.began);
                             let times = &self.shared.metrics.call_seconds;
-                            Metrics::observe_time(times, forward.terms.class, took);
+                            Metrics::observe_duration(times, forward.terms.class, took);
                             return self.pass_on(call, response, connection);
                         }
                     }
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -229,7 +229,7 @@
         let waited = self.shared.clock.now().since(came);
         if matches!(decision, Decision::Run { .. }) {
             self.trace(&id, Step::GateRun);
-            Metrics::observe_time(&self.shared.metrics.wait_seconds, class, waited);
+            Metrics::observe_duration(&self.shared.metrics.wait_seconds, class, waited);
         }
         let call = Call { key, id, deadline, class, idempotent, waited, req };
         match decision {
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -187,7 +187,7 @@
                 }
                 Some(Ok((response, connection))) if self.is_own(&response, &call.id) => {
                     let took = self.shared.clock.now().since(began);
-                    Metrics::observe_time(&self.shared.metrics.run_seconds, call.class, took);
+                    Metrics::observe_duration(&self.shared.metrics.run_seconds, call.class, took);
                     return match self.rejected(&response) {
                         None => Ok(Answering { response, connection, running }),
                         Some(code) => Err(rejected(running, response, connection, code)),
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -104,15 +104,19 @@
                 "connections_refused_total",
                 "Connections refused because the limit was reached.",
             ),
-            call_seconds: r.times("call_seconds", "Time to the head of an answer.", &["class"]),
-            wait_seconds: r.times("wait_seconds", "Wait for the local target.", &["class"]),
-            run_seconds: r.times("run_seconds", "Run time at the local target.", &["class"]),
+            call_seconds: r.histograms(
+                "call_seconds",
+                "Time to the head of an answer.",
+                &["class"],
+            ),
+            wait_seconds: r.histograms("wait_seconds", "Wait for the local target.", &["class"]),
+            run_seconds: r.histograms("run_seconds", "Run time at the local target.", &["class"]),
             families,
         }
     }
 
     /// Counts a time of requests of a class.
-    pub fn observe_time(times: &HistogramVec, class: Class, took: Duration) {
+    pub fn observe_duration(times: &HistogramVec, class: Class, took: Duration) {
         times.with_label_values(&[class.label()]).observe(took.as_secs_f64());
     }
 
@@ -122,7 +126,7 @@
     }
 
     /// Takes the gauges that follow from the status.
-    pub fn observe(&self, status: &Status) {
+    pub fn update_gauges(&self, status: &Status) {
         let seconds = |time: Time| (time.as_millis() / 1_000) as i64;
         self.newest_version_heard.set(status.newest_heard as i64);
         self.in_force_since_seconds.set(status.in_force_since.map_or(0, seconds));
--- a/node/src/metrics/families.rs
+++ b/node/src/metrics/families.rs
@@ -43,7 +43,7 @@
     }
 
     /// Histograms of times in seconds, by labels.
-    pub fn times(&mut self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
+    pub fn histograms(&mut self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
         let options = HistogramOpts::new(name, help).namespace(NAMESPACE).buckets(BUCKETS.into());
         self.register(HistogramVec::new(options, labels))
     }
