--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -116,8 +116,8 @@
     }
 
     /// Counts a time of requests of a class.
-    pub fn observe_duration(times: &HistogramVec, class: Class, took: Duration) {
-        times.with_label_values(&[class.label()]).observe(took.as_secs_f64());
+    pub fn observe_duration(histograms: &HistogramVec, class: Class, duration: Duration) {
+        histograms.with_label_values(&[class.label()]).observe(duration.as_secs_f64());
     }
 
     /// Counts a change of state.
@@ -158,9 +158,9 @@
 /// Counters of changes of state. Every kind counts from zero, so that an alarm on a rise sees the
 /// first one.
 fn event_counters(families: &mut Families) -> IntCounterVec {
-    let made = families.counters("events_total", "Changes of state.", &["kind"]);
+    let created = families.counters("events_total", "Changes of state.", &["kind"]);
     for kind in EventKind::ALL {
-        made.with_label_values(&[kind.name()]);
+        created.with_label_values(&[kind.name()]);
     }
-    made
+    created
 }
--- a/node/src/metrics/families.rs
+++ b/node/src/metrics/families.rs
@@ -61,11 +61,11 @@
         buf
     }
 
-    fn register<T: Collector + Clone + 'static>(&mut self, made: prometheus::Result<T>) -> T {
-        let made = made.expect("the name is valid");
-        self.names.extend(made.desc().iter().map(|desc| desc.fq_name.clone()));
-        self.registry.register(Box::new(made.clone())).expect("the name is registered once");
-        made
+    fn register<T: Collector + Clone + 'static>(&mut self, created: prometheus::Result<T>) -> T {
+        let created = created.expect("the name is valid");
+        self.names.extend(created.desc().iter().map(|desc| desc.fq_name.clone()));
+        self.registry.register(Box::new(created.clone())).expect("the name is registered once");
+        created
     }
 }
 
