--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -296,7 +296,7 @@
     /// connections that run out.
     fn check_target(&self) -> Result<()> {
         let target = self.target_address;
-        match self.listen.by_name().into_iter().find(|(_, own)| Some(*own) == target) {
+        match self.listen.named_addresses().into_iter().find(|(_, own)| Some(*own) == target) {
             Some((name, own)) => {
                 let detail = format!("found {own}, which is listen.{name}");
                 Err(Fault::new(Code::SettingsInvalid)
@@ -309,20 +309,20 @@
 }
 
 impl Listen {
-    fn by_name(&self) -> Vec<(&'static str, SocketAddr)> {
-        let four = [
+    fn named_addresses(&self) -> Vec<(&'static str, SocketAddr)> {
+        let required = [
             ("calls", self.calls),
             ("gate", self.gate),
             ("peers", self.peers),
             ("admin", self.admin),
         ];
-        four.into_iter().chain(self.ready.map(|ready| ("ready", ready))).collect()
+        required.into_iter().chain(self.ready.map(|ready| ("ready", ready))).collect()
     }
 
     /// Guards against one address for two ports, which would show at the start as if another
     /// process held it. Port 0 is a free port each time.
     fn check(&self) -> Result<()> {
-        let addresses = self.by_name();
+        let addresses = self.named_addresses();
         for (index, (name, address)) in addresses.iter().enumerate() {
             let earlier = addresses[..index].iter().find(|(_, other)| other == address);
             if let Some((other, _)) = earlier.filter(|_| address.port() != 0) {
