--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -76,7 +76,7 @@
     calls: Calls,
     local: &LocalExecutor<'_>,
 ) -> Handle {
-    let (inputs, received) = async_channel::bounded(MAX_INPUTS);
+    let (inputs, input_rx) = async_channel::bounded(MAX_INPUTS);
     let handle = Handle { inputs: inputs.clone() };
     let task = async move {
         let executor = Rc::new(LocalExecutor::new());
@@ -92,7 +92,7 @@
             calls,
             cx,
         };
-        executor.run(driver.run(received)).await;
+        executor.run(driver.run(input_rx)).await;
     };
     local.spawn(task).detach();
     handle
@@ -127,7 +127,7 @@
 }
 
 impl Driver {
-    async fn run(mut self, received: Receiver<Input>) {
+    async fn run(mut self, input_rx: Receiver<Input>) {
         self.handle(Input::Start);
         loop {
             let input = {
@@ -136,7 +136,7 @@
                     Input::Wake
                 };
                 let message = async {
-                    match received.recv().await {
+                    match input_rx.recv().await {
                         Ok(input) => input,
                         Err(_) => future::pending().await,
                     }
@@ -160,11 +160,11 @@
         let mut out = Vec::new();
         self.spread.handle(self.cx.shared.clock.now(), input, &mut out);
         for output in out {
-            self.perform(output);
+            self.execute(output);
         }
     }
 
-    fn perform(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         let shared = &self.cx.shared;
         match output {
             Output::ReadSource(call) => self.read_source(call),
