--- a/node/src/spread/codec.rs
+++ b/node/src/spread/codec.rs
@@ -19,7 +19,7 @@
 type Result<T> = std::result::Result<T, Error>;
 
 /// Bytes of a call without its message, 112, of its empty return, 72, and of the finish, 40.
-const CALL_BYTES: u64 = 112 + 72 + 40;
+const RPC_OVERHEAD_BYTES: u64 = 112 + 72 + 40;
 
 /// Age on the wire of a store that the sender does not read.
 const NO_STORE_AGE: u32 = u32::MAX;
@@ -95,7 +95,7 @@
 pub fn size(msg: &PeerMsg, payloads: &mut Payloads) -> Result<u64> {
     let mut message = capnp::message::Builder::new_default();
     write(msg, payloads, message.init_root())?;
-    Ok(CALL_BYTES + (message.size_in_words() * size_of::<capnp::Word>()) as u64)
+    Ok(RPC_OVERHEAD_BYTES + (message.size_in_words() * size_of::<capnp::Word>()) as u64)
 }
 
 /// Reads a message.
@@ -206,12 +206,12 @@
     if let Some(have) = &ping.have {
         write_summary(have, to.reborrow().init_have());
     }
-    if let Some(marks) = &ping.lists {
-        let mut lists = to.init_lists(marks.len() as u32);
-        for (index, mark) in marks.iter().enumerate() {
+    if let Some(versions) = &ping.lists {
+        let mut lists = to.init_lists(versions.len() as u32);
+        for (index, version) in versions.iter().enumerate() {
             let mut to = lists.reborrow().get(index as u32);
-            to.set_zone(mark.zone.as_bytes());
-            to.set_index(mark.index);
+            to.set_zone(version.zone.as_bytes());
+            to.set_index(version.index);
         }
     }
 }
@@ -223,11 +223,11 @@
         wire::Ask::Compare => PingKind::Compare,
     };
     let have = if from.has_have() { Some(read_summary(from.get_have()?)?) } else { None };
-    let mark = |mark: wire::list_mark::Reader<'_>| {
-        Ok(ListVersion { zone: read_name(mark.get_zone()?)?, index: mark.get_index() })
+    let version = |version: wire::list_mark::Reader<'_>| {
+        Ok(ListVersion { zone: read_name(version.get_zone()?)?, index: version.get_index() })
     };
     let lists = if from.has_lists() {
-        Some(from.get_lists()?.iter().map(mark).collect::<Result<Vec<_>>>()?)
+        Some(from.get_lists()?.iter().map(version).collect::<Result<Vec<_>>>()?)
     } else {
         None
     };
