--- a/node/src/spread/link.rs
+++ b/node/src/spread/link.rs
@@ -4,7 +4,7 @@
 use super::spread_capnp as wire;
 use async_channel::Sender;
 use async_io::Async;
-use capnp::capability::Rc as Shared;
+use capnp::capability::Rc as CapabilityRc;
 use capnp::message::ReaderOptions;
 use capnp_rpc::rpc_twoparty_capnp::Side;
 use capnp_rpc::{RpcSystem, twoparty};
@@ -26,33 +26,33 @@
 
 /// Counts the bytes written to a peer. The class of the link is known once the peer is.
 #[derive(Clone, Debug, Default)]
-pub struct Meter {
+pub struct ByteCounter {
     counter: Rc<OnceCell<IntCounter>>,
-    early: Rc<RefCell<u64>>,
+    pending: Rc<RefCell<u64>>,
 }
 
-impl Meter {
+impl ByteCounter {
     /// Names the counter. Bytes written before are added to it.
     pub fn set(&self, counter: IntCounter) {
         if self.counter.set(counter).is_ok() {
-            self.add(self.early.take());
+            self.add(self.pending.take());
         }
     }
 
     fn add(&self, bytes: u64) {
         match self.counter.get() {
             Some(counter) => counter.inc_by(bytes),
-            None => *self.early.borrow_mut() += bytes,
+            None => *self.pending.borrow_mut() += bytes,
         }
     }
 }
 
-struct Metered<W> {
+struct CountingWriter<W> {
     inner: W,
-    meter: Meter,
+    sent_bytes: ByteCounter,
 }
 
-impl<W: AsyncWrite + Unpin> AsyncWrite for Metered<W> {
+impl<W: AsyncWrite + Unpin> AsyncWrite for CountingWriter<W> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -60,7 +60,7 @@
     ) -> Poll<std::io::Result<usize>> {
         let result = Pin::new(&mut self.inner).poll_write(cx, buf);
         if let Poll::Ready(Ok(bytes)) = &result {
-            self.meter.add(*bytes as u64);
+            self.sent_bytes.add(*bytes as u64);
         }
         result
     }
@@ -82,7 +82,7 @@
 
 impl wire::session::Server for Session {
     async fn deliver(
-        self: Shared<Self>,
+        self: CapabilityRc<Self>,
         params: wire::session::DeliverParams,
         _results: wire::session::DeliverResults,
     ) -> Result<(), capnp::Error> {
@@ -104,7 +104,7 @@
 /// Starts RPC on a connection. The returned system has to be driven; it ends with the connection.
 pub fn rpc(
     stream: Async<TcpStream>,
-    meter: Meter,
+    sent_bytes: ByteCounter,
     side: Side,
     bootstrap: Option<capnp::capability::Client>,
 ) -> RpcSystem<Side> {
@@ -114,7 +114,7 @@
     let (reader, writer) = split(stream);
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS)).nesting_limit(MAX_NESTING);
-    let writer = Metered { inner: writer, meter };
+    let writer = CountingWriter { inner: writer, sent_bytes };
     let network = twoparty::VatNetwork::new(reader, writer, side, options);
     RpcSystem::new(Box::new(network), bootstrap)
 }
--- a/node/src/spread/peers.rs
+++ b/node/src/spread/peers.rs
@@ -1,7 +1,7 @@
 //! Connections to peers: one for each peer that messages go to, opened when needed and closed when
 //! idle.
 
-use super::link::{self, Meter};
+use super::link::{self, ByteCounter};
 use super::payload::Payloads;
 use super::spread_capnp as wire;
 use super::{Context, codec};
@@ -76,9 +76,10 @@
         self.open.borrow_mut().insert(to, tx);
         let peers = self.clone();
         let task = async move {
-            let meter = Meter::default();
-            meter.set(peers.cx.shared.metrics.control_bytes.with_label_values(&[link.label()]));
-            let result = peers.run(to, meter, &rx).await;
+            let sent_bytes = ByteCounter::default();
+            sent_bytes
+                .set(peers.cx.shared.metrics.control_bytes.with_label_values(&[link.label()]));
+            let result = peers.run(to, sent_bytes, &rx).await;
             rx.close();
             if result.is_err() {
                 peers.failed(to);
@@ -91,12 +92,12 @@
     async fn run(
         &self,
         to: SocketAddr,
-        meter: Meter,
+        sent_bytes: ByteCounter,
         rx: &Receiver<PeerMsg>,
     ) -> Result<(), capnp::Error> {
         let connect = async { Ok(Async::<TcpStream>::connect(to).await?) };
         let stream = connect.or(self.late(CONNECT_WAIT)).await?;
-        let mut system = link::rpc(stream, meter, Side::Client, None);
+        let mut system = link::rpc(stream, sent_bytes, Side::Client, None);
         let node: wire::node::Client = system.bootstrap(Side::Server);
         let disconnector = system.get_disconnector();
         let driver = self.cx.executor.spawn(system);
--- a/node/src/spread/server.rs
+++ b/node/src/spread/server.rs
@@ -1,6 +1,6 @@
 //! Connections from peers.
 
-use super::link::{self, Meter};
+use super::link::{self, ByteCounter};
 use super::spread_capnp as wire;
 use super::{Context, codec};
 use async_io::Async;
@@ -26,7 +26,7 @@
 struct Node {
     cx: Context,
     own: Peer,
-    meter: Meter,
+    sent_bytes: ByteCounter,
     introduced: std::rc::Rc<Cell<bool>>,
 }
 
@@ -39,7 +39,7 @@
         let from = codec::read_peer(params.get()?.get_from()?)?;
         let link = self.own.place.link_to(&from.place);
         let metrics = &self.cx.shared.metrics;
-        self.meter.set(metrics.control_bytes.with_label_values(&[link.label()]));
+        self.sent_bytes.set(metrics.control_bytes.with_label_values(&[link.label()]));
         self.introduced.set(true);
         let session = link::session(from, self.cx.inputs.clone());
         results.get().set_session(session);
@@ -70,10 +70,15 @@
 
 async fn serve_one(cx: Context, own: Peer, stream: Async<TcpStream>) {
     let introduced = std::rc::Rc::new(Cell::new(false));
-    let meter = Meter::default();
-    let node = Node { cx: cx.clone(), own, meter: meter.clone(), introduced: introduced.clone() };
+    let sent_bytes = ByteCounter::default();
+    let node = Node {
+        cx: cx.clone(),
+        own,
+        sent_bytes: sent_bytes.clone(),
+        introduced: introduced.clone(),
+    };
     let client: wire::node::Client = capnp_rpc::new_client(node);
-    let system = link::rpc(stream, meter, Side::Server, Some(client.client));
+    let system = link::rpc(stream, sent_bytes, Side::Server, Some(client.client));
     let silent = async {
         cx.shared.clock.sleep(INTRODUCTION_WAIT).await;
         if introduced.get() {
