--- a/bench/src/fleet/size.rs
+++ b/bench/src/fleet/size.rs
@@ -6,7 +6,7 @@
 use sycamore_core::hash::Hash;
 use sycamore_core::spread::message::{Delta, PeerMsg, ZoneList};
 use sycamore_node::spread::codec;
-use sycamore_node::spread::payload::Payloads;
+use sycamore_node::spread::payload::PayloadCache;
 
 /// Contents whose size is kept.
 const KEPT: usize = 8_192;
@@ -21,7 +21,7 @@
 /// which holds its own copy, and is compressed here only once.
 #[derive(Debug, Default)]
 pub struct Sizes {
-    payloads: Payloads,
+    payloads: PayloadCache,
     deltas: IndexMap<DeltaKey, u64>,
     lists: IndexMap<ListKey, u64>,
 }
--- a/node/src/spread/codec.rs
+++ b/node/src/spread/codec.rs
@@ -1,6 +1,6 @@
 //! Messages to and from their form on the wire.
 
-use super::payload::{self, Payloads};
+use super::payload::{self, PayloadCache};
 use super::spread_capnp as wire;
 use capnp::Error;
 use std::net::SocketAddr;
@@ -55,7 +55,11 @@
 }
 
 /// Writes a message.
-pub fn write(msg: &PeerMsg, payloads: &mut Payloads, to: wire::message::Builder<'_>) -> Result<()> {
+pub fn write(
+    msg: &PeerMsg,
+    payloads: &mut PayloadCache,
+    to: wire::message::Builder<'_>,
+) -> Result<()> {
     let mut to = to;
     match msg {
         PeerMsg::Ping(ping) => write_ping(ping, to.init_ping()),
@@ -80,7 +84,7 @@
         PeerMsg::Zones(zones) => {
             let mut to = to.init_zones();
             to.set_index(zones.index);
-            to.set_zones(&payload::pack_zones(zones)?);
+            to.set_zones(&payload::encode_zones(zones)?);
         }
         PeerMsg::Note(note) => {
             let json = serde_json::to_vec(note).map_err(|e| Error::failed(e.to_string()))?;
@@ -92,7 +96,7 @@
 
 /// Bytes that a message takes on the wire, with the call, return and finish of Cap'n Proto RPC
 /// that carry it.
-pub fn size(msg: &PeerMsg, payloads: &mut Payloads) -> Result<u64> {
+pub fn size(msg: &PeerMsg, payloads: &mut PayloadCache) -> Result<u64> {
     let mut message = capnp::message::Builder::new_default();
     write(msg, payloads, message.init_root())?;
     Ok(RPC_OVERHEAD_BYTES + (message.size_in_words() * size_of::<capnp::Word>()) as u64)
@@ -115,7 +119,7 @@
         }
         Which::Zones(zones) => {
             let zones = zones?;
-            let list = payload::unpack_zones(zones.get_index(), zones.get_zones()?)?;
+            let list = payload::decode_zones(zones.get_index(), zones.get_zones()?)?;
             PeerMsg::Zones(Arc::new(list))
         }
         Which::Note(note) => {
@@ -129,7 +133,7 @@
 fn read_list(from: wire::zone_list::Reader<'_>) -> Result<Arc<payload::ZoneList>> {
     let place =
         Place { region: read_name(from.get_region()?)?, zone: read_name(from.get_zone()?)? };
-    Ok(Arc::new(payload::unpack_list(place, from.get_index(), from.get_vms()?)?))
+    Ok(Arc::new(payload::decode_list(place, from.get_index(), from.get_vms()?)?))
 }
 
 fn write_in_force(in_force: &InForce, mut to: wire::in_force::Builder<'_>) {
@@ -304,7 +308,7 @@
 
 fn write_delta(
     delta: &Arc<Delta>,
-    payloads: &mut Payloads,
+    payloads: &mut PayloadCache,
     mut to: wire::delta::Builder<'_>,
 ) -> Result<()> {
     write_summary(&delta.summary, to.reborrow().init_summary());
@@ -318,7 +322,7 @@
 
 fn read_delta(from: wire::delta::Reader<'_>) -> Result<Delta> {
     let base = if from.has_base() { Some(read_base(from.get_base()?)?) } else { None };
-    let (changed, removed) = payload::unpack_changes(from.get_changes()?)?;
+    let (changed, removed) = payload::decode_changes(from.get_changes()?)?;
     Ok(Delta {
         summary: read_summary(from.get_summary()?)?,
         base,
--- a/node/src/spread/payload.rs
+++ b/node/src/spread/payload.rs
@@ -25,98 +25,100 @@
 
 /// Largest content after decompression. Guards against a small message that unpacks to more than
 /// the node's memory.
-pub const MAX_UNPACKED_BYTES: u64 = 16 << 20;
+pub const MAX_DECOMPRESSED_BYTES: u64 = 16 << 20;
 
 /// Contents kept compressed for the next peer that needs them.
-const MAX_KEPT: usize = 32;
+const MAX_CACHED_PAYLOADS: usize = 32;
 
 /// Bytes of all contents kept compressed.
-const MAX_KEPT_BYTES: usize = 2 << 20;
+const MAX_CACHED_BYTES: usize = 2 << 20;
 
 /// Contents compressed of late.
 #[derive(Debug, Default)]
-pub struct Payloads {
+pub struct PayloadCache {
     changes: VecDeque<(Arc<Delta>, Rc<Vec<u8>>)>,
     lists: VecDeque<(Arc<ZoneList>, Rc<Vec<u8>>)>,
 }
 
-impl Payloads {
+impl PayloadCache {
     /// The content of a difference.
     pub fn changes(&mut self, delta: &Arc<Delta>) -> Result<Rc<Vec<u8>>> {
-        keep(&mut self.changes, delta, pack_changes)
+        get_or_encode(&mut self.changes, delta, encode_changes)
     }
 
     /// The content of a list of VMs.
     pub fn list(&mut self, list: &Arc<ZoneList>) -> Result<Rc<Vec<u8>>> {
-        keep(&mut self.lists, list, |list| pack_json(&VmList { vms: list.vms.clone() }))
+        get_or_encode(&mut self.lists, list, |list| {
+            compress_json(&VmList { vms: list.vms.clone() })
+        })
     }
 }
 
-fn keep<T>(
-    kept: &mut VecDeque<(Arc<T>, Rc<Vec<u8>>)>,
+fn get_or_encode<T>(
+    cache: &mut VecDeque<(Arc<T>, Rc<Vec<u8>>)>,
     content: &Arc<T>,
-    pack: impl Fn(&T) -> Result<Vec<u8>>,
+    encode: impl Fn(&T) -> Result<Vec<u8>>,
 ) -> Result<Rc<Vec<u8>>> {
-    if let Some((_, packed)) = kept.iter().find(|(held, _)| Arc::ptr_eq(held, content)) {
-        return Ok(packed.clone());
+    if let Some((_, compressed)) = cache.iter().find(|(held, _)| Arc::ptr_eq(held, content)) {
+        return Ok(compressed.clone());
     }
-    let packed = Rc::new(pack(content)?);
-    kept.push_back((content.clone(), packed.clone()));
-    let mut bytes: usize = kept.iter().map(|(_, packed)| packed.len()).sum();
-    while kept.len() > MAX_KEPT || bytes > MAX_KEPT_BYTES {
-        let Some((_, oldest)) = kept.pop_front() else { break };
+    let compressed = Rc::new(encode(content)?);
+    cache.push_back((content.clone(), compressed.clone()));
+    let mut bytes: usize = cache.iter().map(|(_, compressed)| compressed.len()).sum();
+    while cache.len() > MAX_CACHED_PAYLOADS || bytes > MAX_CACHED_BYTES {
+        let Some((_, oldest)) = cache.pop_front() else { break };
         bytes -= oldest.len();
     }
-    Ok(packed)
+    Ok(compressed)
 }
 
-fn pack(raw: &[u8]) -> Result<Vec<u8>> {
-    let mut packed = Vec::new();
+fn compress(raw: &[u8]) -> Result<Vec<u8>> {
+    let mut compressed = Vec::new();
     DeflateEncoder::new(raw, Compression::default())
-        .read_to_end(&mut packed)
+        .read_to_end(&mut compressed)
         .map_err(|e| Error::failed(e.to_string()))?;
-    Ok(packed)
+    Ok(compressed)
 }
 
-fn unpack(packed: &[u8]) -> Result<Vec<u8>> {
+fn decompress(compressed: &[u8]) -> Result<Vec<u8>> {
     let mut raw = Vec::new();
-    DeflateDecoder::new(packed)
-        .take(MAX_UNPACKED_BYTES + 1)
+    DeflateDecoder::new(compressed)
+        .take(MAX_DECOMPRESSED_BYTES + 1)
         .read_to_end(&mut raw)
         .map_err(|e| Error::failed(e.to_string()))?;
-    if raw.len() as u64 > MAX_UNPACKED_BYTES {
+    if raw.len() as u64 > MAX_DECOMPRESSED_BYTES {
         return Err(Error::failed("content is too large".into()));
     }
     Ok(raw)
 }
 
-fn pack_json<T: Serialize>(value: &T) -> Result<Vec<u8>> {
+fn compress_json<T: Serialize>(value: &T) -> Result<Vec<u8>> {
     let json = serde_json::to_vec(value).map_err(|e| Error::failed(e.to_string()))?;
-    pack(&json)
+    compress(&json)
 }
 
-fn unpack_json<T: DeserializeOwned>(packed: &[u8]) -> Result<T> {
-    serde_json::from_slice(&unpack(packed)?).map_err(|e| Error::failed(e.to_string()))
+fn decompress_json<T: DeserializeOwned>(compressed: &[u8]) -> Result<T> {
+    serde_json::from_slice(&decompress(compressed)?).map_err(|e| Error::failed(e.to_string()))
 }
 
 /// Reads the content of a list of VMs.
-pub fn unpack_list(place: Place, index: u64, packed: &[u8]) -> Result<ZoneList> {
-    let list: VmList = unpack_json(packed)?;
+pub fn decode_list(place: Place, index: u64, compressed: &[u8]) -> Result<ZoneList> {
+    let list: VmList = decompress_json(compressed)?;
     Ok(ZoneList { place, index, vms: list.vms })
 }
 
 /// Writes the content of a list of zones.
-pub fn pack_zones(list: &ZonesList) -> Result<Vec<u8>> {
-    pack_json(&Zones { zones: list.zones.clone() })
+pub fn encode_zones(list: &ZonesList) -> Result<Vec<u8>> {
+    compress_json(&Zones { zones: list.zones.clone() })
 }
 
 /// Reads the content of a list of zones.
-pub fn unpack_zones(index: u64, packed: &[u8]) -> Result<ZonesList> {
-    let list: Zones = unpack_json(packed)?;
+pub fn decode_zones(index: u64, compressed: &[u8]) -> Result<ZonesList> {
+    let list: Zones = decompress_json(compressed)?;
     Ok(ZonesList { index, zones: list.zones })
 }
 
-fn pack_changes(delta: &Delta) -> Result<Vec<u8>> {
+fn encode_changes(delta: &Delta) -> Result<Vec<u8>> {
     let mut message = Builder::new_default();
     let mut root = message.init_root::<wire::changes::Builder<'_>>();
     let mut changed = root.reborrow().init_changed(delta.changed.len() as u32);
@@ -129,15 +131,15 @@
     for (index, id) in delta.removed.iter().enumerate() {
         write_id(id, removed.reborrow().get(index as u32));
     }
-    pack(&capnp::serialize::write_message_to_words(&message))
+    compress(&capnp::serialize::write_message_to_words(&message))
 }
 
 /// Resources of a difference: those changed, with their bodies, and those removed.
 type Changes = (Vec<(ResourceId, Bytes)>, Vec<ResourceId>);
 
 /// Reads the content of a difference.
-pub fn unpack_changes(packed: &[u8]) -> Result<Changes> {
-    let raw = unpack(packed)?;
+pub fn decode_changes(compressed: &[u8]) -> Result<Changes> {
+    let raw = decompress(compressed)?;
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(raw.len().max(8)));
     let message = capnp::serialize::read_message(raw.as_slice(), options)?;
--- a/node/src/spread/peers.rs
+++ b/node/src/spread/peers.rs
@@ -2,7 +2,7 @@
 //! idle.
 
 use super::link::{self, ByteCounter};
-use super::payload::Payloads;
+use super::payload::PayloadCache;
 use super::spread_capnp as wire;
 use super::{Context, codec};
 use async_channel::{Receiver, Sender, TrySendError};
@@ -41,7 +41,7 @@
     cx: Context,
     own: Peer,
     open: Rc<RefCell<IndexMap<SocketAddr, Sender<PeerMsg>>>>,
-    payloads: Rc<RefCell<Payloads>>,
+    payloads: Rc<RefCell<PayloadCache>>,
 }
 
 impl Peers {
--- a/node/tests/spread_codec.rs
+++ b/node/tests/spread_codec.rs
@@ -21,7 +21,7 @@
     Base, Delta, ListVersion, Ping, PingKind, Pong, Pull, StateReport, Summary, ZoneList, ZonesList,
 };
 use sycamore_node::spread::codec;
-use sycamore_node::spread::payload::{MAX_UNPACKED_BYTES, Payloads, unpack_list};
+use sycamore_node::spread::payload::{MAX_DECOMPRESSED_BYTES, PayloadCache, decode_list};
 
 fn name() -> impl Strategy<Value = Name> {
     "[!-~]{1,12}".prop_map(|text| Name::new(text).unwrap())
@@ -140,7 +140,7 @@
 
 fn encode(msg: &PeerMsg) -> Vec<u8> {
     let mut message = Builder::new_default();
-    codec::write(msg, &mut Payloads::default(), message.init_root()).unwrap();
+    codec::write(msg, &mut PayloadCache::default(), message.init_root()).unwrap();
     write_message_to_words(&message)
 }
 
@@ -155,10 +155,10 @@
     codec::read(message.get_root()?)
 }
 
-fn pack(raw: impl Read) -> Vec<u8> {
-    let mut packed = Vec::new();
-    DeflateEncoder::new(raw, Compression::fast()).read_to_end(&mut packed).unwrap();
-    packed
+fn compress(raw: impl Read) -> Vec<u8> {
+    let mut compressed = Vec::new();
+    DeflateEncoder::new(raw, Compression::fast()).read_to_end(&mut compressed).unwrap();
+    compressed
 }
 
 proptest! {
@@ -206,19 +206,19 @@
     #[test]
     fn content_random_bytes(raw in vec(any::<u8>(), 0..600)) {
         let place = Place { region: Name::new("r").unwrap(), zone: Name::new("z").unwrap() };
-        let _ = unpack_list(place.clone(), 1, &raw);
-        let _ = unpack_list(place, 1, &pack(&raw[..]));
-        let _ = sycamore_node::spread::payload::unpack_changes(&raw);
-        let _ = sycamore_node::spread::payload::unpack_changes(&pack(&raw[..]));
+        let _ = decode_list(place.clone(), 1, &raw);
+        let _ = decode_list(place, 1, &compress(&raw[..]));
+        let _ = sycamore_node::spread::payload::decode_changes(&raw);
+        let _ = sycamore_node::spread::payload::decode_changes(&compress(&raw[..]));
     }
 }
 
 #[test]
 fn content_larger_than_allowed() {
     // Story: a message of 1 MB unpacks to a thousand times its size, and the node's memory ends.
-    let bomb = pack(std::io::repeat(b' ').take(MAX_UNPACKED_BYTES + 1));
+    let bomb = compress(std::io::repeat(b' ').take(MAX_DECOMPRESSED_BYTES + 1));
     assert!(bomb.len() < 1 << 20, "{} bytes", bomb.len());
     let place = Place { region: Name::new("r").unwrap(), zone: Name::new("z").unwrap() };
-    let refused = unpack_list(place, 1, &bomb).unwrap_err();
+    let refused = decode_list(place, 1, &bomb).unwrap_err();
     assert!(refused.to_string().contains("too large"), "{refused}");
 }
