--- a/node/src/spread/peers.rs
+++ b/node/src/spread/peers.rs
@@ -19,21 +19,21 @@
 use sycamore_core::spread::{Input, Peer, PeerMsg};
 
 /// How long a connection and its introduction may take.
-const CONNECT_WAIT: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A connection without a message for this long is closed. Above the interval of heartbeats, so
 /// that only connections to random peers close.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Messages that wait for one peer; more are dropped and the peer counts as failed.
-const MAX_WAITING: usize = 256;
+const MAX_QUEUED_MESSAGES: usize = 256;
 
 /// Messages sent to one peer and not confirmed yet.
-const MAX_UNCONFIRMED: usize = 64;
+const MAX_UNACKED_MESSAGES: usize = 64;
 
 /// How long a message may stay unconfirmed. Guards against a peer that takes connections and
 /// never answers: its connection would be kept, and messages for it, for ever.
-const CONFIRM_WAIT: Duration = Duration::from_secs(5);
+const ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Connections open to peers.
 #[derive(Clone)]
@@ -59,19 +59,19 @@
         let Some(queue) = open else { return self.open(to, link, msg) };
         match queue.try_send(msg) {
             Ok(()) => {}
-            Err(TrySendError::Full(_)) => self.failed(to),
+            Err(TrySendError::Full(_)) => self.report_failure(to),
             Err(TrySendError::Closed(msg)) => self.open(to, link, msg),
         }
     }
 
-    fn failed(&self, to: SocketAddr) {
+    fn report_failure(&self, to: SocketAddr) {
         self.open.borrow_mut().swap_remove(&to);
         // If the decider is this far behind, the failure shows as an unanswered question.
         let _ = self.cx.inputs.try_send(Input::PeerFailed { to });
     }
 
     fn open(&self, to: SocketAddr, link: Link, msg: PeerMsg) {
-        let (tx, rx) = async_channel::bounded(MAX_WAITING);
+        let (tx, rx) = async_channel::bounded(MAX_QUEUED_MESSAGES);
         let _ = tx.try_send(msg);
         self.open.borrow_mut().insert(to, tx);
         let peers = self.clone();
@@ -82,7 +82,7 @@
             let result = peers.run(to, sent_bytes, &rx).await;
             rx.close();
             if result.is_err() {
-                peers.failed(to);
+                peers.report_failure(to);
             }
         };
         self.cx.executor.spawn(task).detach();
@@ -96,12 +96,12 @@
         rx: &Receiver<PeerMsg>,
     ) -> Result<(), capnp::Error> {
         let connect = async { Ok(Async::<TcpStream>::connect(to).await?) };
-        let stream = connect.or(self.late(CONNECT_WAIT)).await?;
+        let stream = connect.or(self.timeout(CONNECT_TIMEOUT)).await?;
         let mut system = link::rpc(stream, sent_bytes, Side::Client, None);
         let node: wire::node::Client = system.bootstrap(Side::Server);
         let disconnector = system.get_disconnector();
         let driver = self.cx.executor.spawn(system);
-        let hello = self.hello(node).or(self.late(CONNECT_WAIT)).await;
+        let hello = self.hello(node).or(self.timeout(CONNECT_TIMEOUT)).await;
         let result = match hello {
             Ok(session) => self.deliver_all(&session, rx).await,
             Err(e) => Err(e),
@@ -124,35 +124,35 @@
         session: &wire::session::Client,
         rx: &Receiver<PeerMsg>,
     ) -> Result<(), capnp::Error> {
-        let mut unconfirmed = FuturesUnordered::new();
+        let mut unacked = FuturesUnordered::new();
         loop {
-            let full = unconfirmed.len() >= MAX_UNCONFIRMED;
+            let full = unacked.len() >= MAX_UNACKED_MESSAGES;
             let next = async {
                 if full {
                     return future::pending().await;
                 }
                 let idle = async {
-                    self.cx.shared.clock.sleep(IDLE).await;
+                    self.cx.shared.clock.sleep(IDLE_TIMEOUT).await;
                     // What was queued in this instant is still received.
                     rx.close();
                     rx.recv().await.ok()
                 };
                 Event::Message(async { rx.recv().await.ok() }.or(idle).await)
             };
-            let confirmed = async {
-                match unconfirmed.next().await {
-                    Some(result) => Event::Confirmed(result),
+            let acked = async {
+                match unacked.next().await {
+                    Some(result) => Event::Acked(result),
                     None => future::pending().await,
                 }
             };
-            match confirmed.or(next).await {
-                Event::Confirmed(result) => result?,
-                Event::Message(None) if unconfirmed.is_empty() => return Ok(()),
+            match acked.or(next).await {
+                Event::Acked(result) => result?,
+                Event::Message(None) if unacked.is_empty() => return Ok(()),
                 Event::Message(None) => {}
                 Event::Message(Some(msg)) => {
                     let req = self.request(session, &msg)?;
                     let sent = async move { req.send().promise.await.map(|_| ()) };
-                    unconfirmed.push(sent.or(self.late(CONFIRM_WAIT)));
+                    unacked.push(sent.or(self.timeout(ACK_TIMEOUT)));
                 }
             }
         }
@@ -168,7 +168,7 @@
         Ok(req)
     }
 
-    async fn late<T>(&self, wait: Duration) -> Result<T, capnp::Error> {
+    async fn timeout<T>(&self, wait: Duration) -> Result<T, capnp::Error> {
         self.cx.shared.clock.sleep(wait).await;
         Err(capnp::Error::disconnected("the peer does not answer".into()))
     }
@@ -181,5 +181,5 @@
 
 enum Event {
     Message(Option<PeerMsg>),
-    Confirmed(Result<(), capnp::Error>),
+    Acked(Result<(), capnp::Error>),
 }
