--- a/node/src/spread/platform.rs
+++ b/node/src/spread/platform.rs
@@ -17,19 +17,19 @@
 use sycamore_core::spread::{SourceCall, SourceValue};
 
 /// How long after the end of its wait a call is given up.
-const ANSWER: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Header with the index at which the value last changed.
-const INDEX: &str = "x-index";
+const INDEX_HEADER: &str = "x-index";
 
 /// Makes one call and returns its answer, or the code of its failure.
 pub async fn read(shared: &Arc<Shared>, call: &SourceCall) -> Result<SourceValue, Code> {
     shared.metrics.platform_calls.inc();
-    let late = async {
-        shared.clock.sleep(call.wait + ANSWER).await;
+    let timeout = async {
+        shared.clock.sleep(call.wait + RESPONSE_TIMEOUT).await;
         Err(Code::SourceUnreachable)
     };
-    future::or(exchange(shared, call), late).await
+    future::or(exchange(shared, call), timeout).await
 }
 
 async fn exchange(shared: &Arc<Shared>, call: &SourceCall) -> Result<SourceValue, Code> {
@@ -38,30 +38,30 @@
     let (mut sender, connection) = hyper::client::conn::http1::handshake(FuturesIo::new(stream))
         .await
         .map_err(|_| Code::SourceUnreachable)?;
-    let req = Request::get(path(call))
+    let req = Request::get(request_path(call))
         .header(HOST, address.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(|_| Code::SourceInvalid)?;
-    let answer = async {
+    let fetch = async {
         let response = sender.send_request(req).await.map_err(|_| Code::SourceUnreachable)?;
         let status = response.status();
-        let index = response.headers().get(INDEX).and_then(|value| value.to_str().ok());
+        let index = response.headers().get(INDEX_HEADER).and_then(|value| value.to_str().ok());
         let index = index.and_then(|text| text.parse().ok());
         // One byte more than a value may have, so that one that is too long is refused as a
         // document rather than here.
         let body = Limited::new(response.into_body(), MAX_DOCUMENT_BYTES + 1).collect().await;
         let body = body.map_err(|_| Code::SourceInvalid)?.to_bytes();
-        value(status, index, body)
+        parse_response(status, index, body)
     };
     let drive = async {
         // The connection's own end is no answer; the request's failure is reported by `answer`.
         let _ = connection.await;
         future::pending().await
     };
-    future::or(answer, drive).await
+    future::or(fetch, drive).await
 }
 
-fn path(call: &SourceCall) -> String {
+fn request_path(call: &SourceCall) -> String {
     let mut path = format!("/v1/kv/{}", call.key);
     if call.index > 0 {
         path.push_str(&format!("?index={}&wait={}s", call.index, call.wait.as_secs().max(1)));
@@ -69,7 +69,11 @@
     path
 }
 
-fn value(status: StatusCode, index: Option<u64>, body: Bytes) -> Result<SourceValue, Code> {
+fn parse_response(
+    status: StatusCode,
+    index: Option<u64>,
+    body: Bytes,
+) -> Result<SourceValue, Code> {
     match status {
         StatusCode::OK => {
             Ok(SourceValue { index: index.ok_or(Code::SourceInvalid)?, body: Some(body) })
