--- a/node/src/spread/server.rs
+++ b/node/src/spread/server.rs
@@ -17,17 +17,17 @@
 
 /// How long a connection may go on without an introduction. Guards against one that says nothing
 /// or rubbish and would otherwise hold its place for ever.
-const INTRODUCTION_WAIT: Duration = Duration::from_secs(2);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause after a failed accept, as when the process has no file descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What this node offers on a connection.
 struct Node {
     cx: Context,
     own: Peer,
     sent_bytes: ByteCounter,
-    introduced: std::rc::Rc<Cell<bool>>,
+    hello_received: std::rc::Rc<Cell<bool>>,
 }
 
 impl wire::node::Server for Node {
@@ -40,7 +40,7 @@
         let link = self.own.place.link_to(&from.place);
         let metrics = &self.cx.shared.metrics;
         self.sent_bytes.set(metrics.control_bytes.with_label_values(&[link.label()]));
-        self.introduced.set(true);
+        self.hello_received.set(true);
         let session = link::session(from, self.cx.inputs.clone());
         results.get().set_session(session);
         Ok(())
@@ -56,7 +56,7 @@
         }
         let Ok((stream, _)) = listener.accept().await else {
             let _ = permits.try_recv();
-            cx.shared.clock.sleep(ACCEPT_PAUSE).await;
+            cx.shared.clock.sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (connection, permits) = (serve_one(cx.clone(), own.clone(), stream), permits.clone());
@@ -69,19 +69,19 @@
 }
 
 async fn serve_one(cx: Context, own: Peer, stream: Async<TcpStream>) {
-    let introduced = std::rc::Rc::new(Cell::new(false));
+    let hello_received = std::rc::Rc::new(Cell::new(false));
     let sent_bytes = ByteCounter::default();
     let node = Node {
         cx: cx.clone(),
         own,
         sent_bytes: sent_bytes.clone(),
-        introduced: introduced.clone(),
+        hello_received: hello_received.clone(),
     };
     let client: wire::node::Client = capnp_rpc::new_client(node);
     let system = link::rpc(stream, sent_bytes, Side::Server, Some(client.client));
-    let silent = async {
-        cx.shared.clock.sleep(INTRODUCTION_WAIT).await;
-        if introduced.get() {
+    let hello_timeout = async {
+        cx.shared.clock.sleep(HELLO_TIMEOUT).await;
+        if hello_received.get() {
             futures_lite::future::pending::<()>().await;
         }
     };
@@ -89,5 +89,5 @@
         // A broken connection concerns the peer, which reports it on its side.
         let _ = system.await;
     };
-    run.or(silent).await;
+    run.or(hello_timeout).await;
 }
