--- a/node/tests/spread_processes.rs
+++ b/node/tests/spread_processes.rs
@@ -3,54 +3,54 @@
 #[path = "support/processes.rs"]
 mod processes;
 
-use processes::{Mood, Node, Platform, Vm, list, vms, wait_for};
+use processes::{MockPlatform, Node, ResponseMode, Vm, list, vms, wait_for};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use sycamore_core::Code;
 
-fn all_at(nodes: &[Node], version: u64) -> bool {
+fn all_have_version(nodes: &[Node], version: u64) -> bool {
     nodes.iter().all(|node| node.version() == version)
 }
 
-fn started(test: u8, platform: &Platform) -> (Vec<Vm>, Vec<Node>) {
+fn start_fleet(test: u8, platform: &MockPlatform) -> (Vec<Vm>, Vec<Node>) {
     let vms = vms(test, &[("a-0", "r1", "a"), ("a-1", "r1", "a"), ("b-0", "r2", "b")]);
     list(platform, &vms);
     platform.publish(1);
     let nodes: Vec<Node> = vms.iter().map(|vm| Node::start(vm, platform, &[])).collect();
-    wait_for("version 1 in force", || all_at(&nodes, 1));
+    wait_for("version 1 in force", || all_have_version(&nodes, 1));
     (vms, nodes)
 }
 
 #[test]
-fn versions_reach_processes() {
+fn restart_while_platform_is_down() {
     // Story: a node is killed and starts again while the platform answers nobody. It knows nothing
     // and has one neighbour's address. It serves what its neighbours hold.
-    let platform = Platform::new();
-    let (vms, mut nodes) = started(0, &platform);
+    let platform = MockPlatform::new();
+    let (vms, mut nodes) = start_fleet(0, &platform);
     platform.publish(2);
-    wait_for("version 2 in force", || all_at(&nodes, 2));
-    platform.set_mood(Mood::Silent);
+    wait_for("version 2 in force", || all_have_version(&nodes, 2));
+    platform.set_response_mode(ResponseMode::NoResponse);
     drop(nodes.pop());
     nodes.push(Node::start(&vms[2], &platform, &[nodes[0].peers()]));
-    wait_for("version 2 in force after the restart", || all_at(&nodes, 2));
+    wait_for("version 2 in force after the restart", || all_have_version(&nodes, 2));
     assert!(nodes[2].status().unwrap().confirmed);
-    platform.set_mood(Mood::Good);
+    platform.set_response_mode(ResponseMode::Normal);
     platform.publish(3);
-    wait_for("version 3 in force", || all_at(&nodes, 3));
+    wait_for("version 3 in force", || all_have_version(&nodes, 3));
 }
 
 #[test]
-fn peer_sends_rubbish() {
+fn invalid_bytes_from_peer() {
     // Story: something that is no node connects to the port for peers and sends text, a message
     // that announces gigabytes, half a message, or nothing, and holds its connections. The node
     // must neither die nor grow, and must go on taking versions from its peers.
-    let platform = Platform::new();
-    let (_, mut nodes) = started(1, &platform);
+    let platform = MockPlatform::new();
+    let (_, mut nodes) = start_fleet(1, &platform);
     let before = nodes[0].resident_kb();
     let mut held = Vec::new();
     for number in 0..200u32 {
         let mut stream = TcpStream::connect(nodes[0].peers()).unwrap();
-        let rubbish: Vec<u8> = match number % 4 {
+        let invalid: Vec<u8> = match number % 4 {
             0 => b"GET / HTTP/1.1\r\nhost: x\r\n\r\n".repeat(20),
             // One segment of 2^31 words.
             1 => [0, 0, 0, 0, 0, 0, 0, 0x80].to_vec(),
@@ -58,21 +58,21 @@
             _ => Vec::new(),
         };
         // The node may have closed the connection already.
-        let _ = stream.write_all(&rubbish);
+        let _ = stream.write_all(&invalid);
         held.push(stream);
     }
     platform.publish(2);
-    wait_for("version 2 in force", || all_at(&nodes, 2));
+    wait_for("version 2 in force", || all_have_version(&nodes, 2));
     assert!(nodes[0].is_running());
-    let grown = nodes[0].resident_kb().saturating_sub(before);
-    assert!(grown < 32_768, "grown by {grown} KB");
+    let growth_kb = nodes[0].resident_kb().saturating_sub(before);
+    assert!(growth_kb < 32_768, "grown by {growth_kb} KB");
 }
 
 #[test]
-fn peer_never_answers() {
+fn unresponsive_peer() {
     // Story: the seed of a node accepts connections and never says a word, and so does a VM that
     // the platform's list names first. The node gives both up and takes versions from others.
-    let platform = Platform::new();
+    let platform = MockPlatform::new();
     let mut vms = vms(2, &[("a-0", "r1", "a"), ("a-1", "r1", "a"), ("a-2", "r1", "a")]);
     let silent: Vec<TcpListener> = [0, 1]
         .map(|number| TcpListener::bind(SocketAddr::new(vms[number].ip, 7_002)).unwrap())
@@ -81,29 +81,34 @@
     platform.publish(1);
     let seeds: Vec<SocketAddr> = silent.iter().map(|l| l.local_addr().unwrap()).collect();
     let nodes = [Node::start(&vms.remove(2), &platform, &seeds)];
-    wait_for("version 1 in force", || all_at(&nodes, 1));
+    wait_for("version 1 in force", || all_have_version(&nodes, 1));
     assert!(!nodes[0].status().unwrap().confirmed, "nobody has confirmed it");
     platform.publish(2);
-    wait_for("version 2 in force", || all_at(&nodes, 2));
+    wait_for("version 2 in force", || all_have_version(&nodes, 2));
 }
 
 #[test]
-fn platform_misbehaves() {
+fn faulty_platform_responses() {
     // Story: the platform answers with bytes that are no HTTP, then with values that are no
     // publication, then refuses every call, then says nothing. Each time versions stay as they
     // are, and what is published afterwards is taken.
-    let platform = Platform::new();
-    let (_, nodes) = started(3, &platform);
+    let platform = MockPlatform::new();
+    let (_, nodes) = start_fleet(3, &platform);
     let mut version = 1;
-    for mood in [Mood::NoHttp, Mood::Rubbish, Mood::OverLimit, Mood::Silent] {
+    for mode in [
+        ResponseMode::NotHttp,
+        ResponseMode::InvalidValue,
+        ResponseMode::OverLimit,
+        ResponseMode::NoResponse,
+    ] {
         let calls = platform.calls();
-        platform.set_mood(mood);
+        platform.set_response_mode(mode);
         wait_for("more calls", || platform.calls() >= calls + 4);
-        assert!(all_at(&nodes, version), "{mood:?} changed the version");
-        platform.set_mood(Mood::Good);
+        assert!(all_have_version(&nodes, version), "{mode:?} changed the version");
+        platform.set_response_mode(ResponseMode::Normal);
         version += 1;
         platform.publish(version);
-        wait_for("the next version in force", || all_at(&nodes, version));
+        wait_for("the next version in force", || all_have_version(&nodes, version));
     }
     let codes: Vec<u16> =
         nodes.iter().flat_map(|node| node.events().events).filter_map(|event| event.code).collect();
--- a/node/tests/support/processes.rs
+++ b/node/tests/support/processes.rs
@@ -12,43 +12,45 @@
 use sycamore_core::status::{Events, Status};
 
 /// Longest wait of a test for anything.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How the platform answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum ResponseMode {
     /// As it should.
-    Good,
+    Normal,
     /// With text that is no HTTP.
-    NoHttp,
+    NotHttp,
     /// With a value that is no publication.
-    Rubbish,
+    InvalidValue,
     /// With 429.
     OverLimit,
     /// Not at all.
-    Silent,
+    NoResponse,
 }
 
 struct Values {
     index: u64,
     values: BTreeMap<String, (u64, String)>,
-    mood: Mood,
+    mode: ResponseMode,
     calls: usize,
 }
 
 /// The platform: keys with blocking queries.
 #[derive(Clone)]
-pub struct Platform {
+pub struct MockPlatform {
     pub address: SocketAddr,
     state: Arc<(Mutex<Values>, Condvar)>,
 }
 
-impl Platform {
-    pub fn new() -> Platform {
+impl MockPlatform {
+    pub fn new() -> MockPlatform {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let values = Values { index: 0, values: BTreeMap::new(), mood: Mood::Good, calls: 0 };
-        let platform = Platform { address, state: Arc::new((Mutex::new(values), Condvar::new())) };
+        let values =
+            Values { index: 0, values: BTreeMap::new(), mode: ResponseMode::Normal, calls: 0 };
+        let platform =
+            MockPlatform { address, state: Arc::new((Mutex::new(values), Condvar::new())) };
         let serving = platform.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -67,8 +69,8 @@
         self.state.1.notify_all();
     }
 
-    pub fn set_mood(&self, mood: Mood) {
-        self.state.0.lock().unwrap().mood = mood;
+    pub fn set_response_mode(&self, mode: ResponseMode) {
+        self.state.0.lock().unwrap().mode = mode;
         self.state.1.notify_all();
     }
 
@@ -106,20 +108,22 @@
         values.calls += 1;
         let unchanged = |values: &mut Values| {
             let index = values.values.get(key).map_or(0, |(index, _)| *index);
-            values.mood == Mood::Good && after > 0 && index <= after
+            values.mode == ResponseMode::Normal && after > 0 && index <= after
         };
         values = changed.wait_timeout_while(values, wait, unchanged).unwrap().0;
-        let reply = match values.mood {
-            Mood::Good => match values.values.get(key) {
+        let reply = match values.mode {
+            ResponseMode::Normal => match values.values.get(key) {
                 Some((index, value)) => answer("200 OK", *index, value),
                 None => answer("404 Not Found", 0, ""),
             },
-            Mood::NoHttp => "\u{1}\u{2}rubbish\r\n\r\n".repeat(100),
-            Mood::Rubbish => answer("200 OK", values.index + 1_000, "<html>oops</html>"),
-            Mood::OverLimit => answer("429 Too Many Requests", 0, ""),
-            Mood::Silent => {
+            ResponseMode::NotHttp => "\u{1}\u{2}rubbish\r\n\r\n".repeat(100),
+            ResponseMode::InvalidValue => {
+                answer("200 OK", values.index + 1_000, "<html>oops</html>")
+            }
+            ResponseMode::OverLimit => answer("429 Too Many Requests", 0, ""),
+            ResponseMode::NoResponse => {
                 drop(values);
-                std::thread::sleep(PATIENCE);
+                std::thread::sleep(WAIT_TIMEOUT);
                 return None;
             }
         };
@@ -162,7 +166,7 @@
 }
 
 /// Publishes the lists of VMs and zones.
-pub fn list(platform: &Platform, vms: &[Vm]) {
+pub fn list(platform: &MockPlatform, vms: &[Vm]) {
     let mut zones: Vec<(&str, &str)> =
         vms.iter().map(|vm| (vm.region.as_str(), vm.zone.as_str())).collect();
     zones.sort();
@@ -192,7 +196,7 @@
 }
 
 impl Node {
-    pub fn start(vm: &Vm, platform: &Platform, seeds: &[SocketAddr]) -> Node {
+    pub fn start(vm: &Vm, platform: &MockPlatform, seeds: &[SocketAddr]) -> Node {
         let Vm { name, region, zone, ip } = vm;
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let text = format!(
@@ -222,7 +226,7 @@
 
     fn get<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
         let mut stream = TcpStream::connect((self.vm.ip, 7_003)).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         let req = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
         stream.write_all(req.as_bytes()).ok()?;
         let mut text = String::new();
@@ -264,11 +268,11 @@
     }
 }
 
-/// Waits until `done`, for as long as [`PATIENCE`]. The verdict does not depend on how long.
+/// Waits until `done`, for as long as [`WAIT_TIMEOUT`]. The verdict does not depend on how long.
 pub fn wait_for(what: &str, done: impl Fn() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < PATIENCE, "{what} did not happen");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "{what} did not happen");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
