--- a/node/tests/shell/admin.rs
+++ b/node/tests/shell/admin.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 
 /// More connections than the port serves at once.
-const MANY: usize = 40;
+const CLIENTS_OVER_LIMIT: usize = 40;
 
 #[test]
 fn status_before_configuration() {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn rubbish_refused() {
+fn invalid_request_refused() {
     let node = NodeProcess::start(&settings());
     let answer = node.send(b"\x16\x03\x01\x00\xff rubbish\r\n\r\n");
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 400"), "{answer}");
@@ -84,20 +84,20 @@
 }
 
 #[test]
-fn silent_clients_beyond_the_limit() {
+fn idle_clients_over_the_connection_limit() {
     // Story: something opens connections to the admin port and says nothing, or half a request,
     // until no more are served. Operators see a node that answers nobody, for ever.
     let node = NodeProcess::start(&settings());
-    let mut held: Vec<_> = (0..MANY).map(|_| node.connect()).collect();
-    for stream in held.iter_mut().step_by(2) {
+    let mut idle_clients: Vec<_> = (0..CLIENTS_OVER_LIMIT).map(|_| node.connect()).collect();
+    for stream in idle_clients.iter_mut().step_by(2) {
         stream.write_all(b"GET /status HTTP/1.1\r\nhost:").unwrap();
     }
     assert_eq!(node.json("/status")["vm"], "vm-1");
-    drop(held);
+    drop(idle_clients);
 }
 
 #[test]
-fn one_request_a_connection() {
+fn connection_closed_after_one_request() {
     // Story: a client keeps its connection open between requests, as many do by default. Thirty
     // of them would hold every place of the port without asking anything.
     let node = NodeProcess::start(&settings());
--- a/node/tests/shell/command_line.rs
+++ b/node/tests/shell/command_line.rs
@@ -77,7 +77,7 @@
 fn listen_address_taken() {
     let settings = settings();
     let address = settings["listen"]["peers"].as_str().unwrap();
-    let _taken = TcpListener::bind(address).unwrap();
+    let _listener = TcpListener::bind(address).unwrap();
     let output = run_with_settings(&settings.to_string(), &[]);
     assert_eq!(output.status.code(), Some(1));
     let text = stderr(&output);
@@ -105,7 +105,7 @@
 }
 
 /// The lines that a node with a strange name logs from its start to its end.
-fn log_of(format: &str) -> Vec<String> {
+fn log_lines(format: &str) -> Vec<String> {
     let mut settings = settings();
     settings["vm"] = r#"a"b\c=d"#.into();
     settings["log"] = json!({"format": format});
@@ -119,7 +119,7 @@
 fn log_json_lines() {
     // Story: a VM's name holds a quotation mark. Put into the line as it is, it ends the string
     // early, and whatever collects the logs drops every line of that VM.
-    let lines = log_of("json");
+    let lines = log_lines("json");
     assert!(!lines.is_empty());
     for line in lines {
         let object: Value = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
@@ -132,7 +132,7 @@
 
 #[test]
 fn log_text_lines() {
-    let lines = log_of("text");
+    let lines = log_lines("text");
     assert!(!lines.is_empty());
     for line in lines {
         assert!(line.starts_with("time="), "{line}");
--- a/node/tests/shell/configured.rs
+++ b/node/tests/shell/configured.rs
@@ -72,8 +72,8 @@
     let mut caller = TcpStream::connect(settings["listen"]["calls"].as_str().unwrap()).unwrap();
     caller.write_all(b"GET /season HTTP/1.1\r\nhost: ledgers\r\n\r\n").unwrap();
     // The target has the request, and never answers.
-    let (mut taken, _) = target.accept().unwrap();
-    assert!(taken.read(&mut [0; 1]).unwrap() > 0);
+    let (mut upstream, _) = target.accept().unwrap();
+    assert!(upstream.read(&mut [0; 1]).unwrap() > 0);
     node.signal(Signal::TERM);
     assert_eq!(node.wait().code(), Some(0));
     let log = node.log();
@@ -91,12 +91,12 @@
     let calls = settings["listen"]["calls"].as_str().unwrap();
     let mut caller = TcpStream::connect(calls).unwrap();
     caller.write_all(b"GET /season HTTP/1.1\r\nhost: ledgers\r\n\r\n").unwrap();
-    let (mut taken, _) = target.accept().unwrap();
-    assert!(taken.read(&mut [0; 1_000]).unwrap() > 0);
+    let (mut upstream, _) = target.accept().unwrap();
+    assert!(upstream.read(&mut [0; 1_000]).unwrap() > 0);
     node.signal(Signal::TERM);
     // The call is still open, so that the process can't have ended by itself.
     node.wait_until("it refuses connections", |_| TcpStream::connect(calls).is_err());
-    taken.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole").unwrap();
+    upstream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole").unwrap();
     let mut answer = String::new();
     caller.read_to_string(&mut answer).unwrap();
     assert!(answer.ends_with("whole"), "{answer}");
--- a/node/tests/shell/process.rs
+++ b/node/tests/shell/process.rs
@@ -15,7 +15,7 @@
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
 /// Longest wait for anything; passing it fails the test.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A running node; killed when dropped.
 pub struct NodeProcess {
@@ -72,12 +72,12 @@
         node
     }
 
-    /// Waits until `holds`; fails the test if the process ends first or [`PATIENCE`] has passed.
-    pub fn wait_until(&mut self, what: &str, holds: impl Fn(&NodeProcess) -> bool) {
+    /// Waits until `holds`; fails the test if the process ends first or [`WAIT_TIMEOUT`] has passed.
+    pub fn wait_until(&mut self, what: &str, condition: impl Fn(&NodeProcess) -> bool) {
         let start = Instant::now();
-        while !holds(self) {
+        while !condition(self) {
             let runs = self.child.try_wait().unwrap().is_none();
-            assert!(runs && start.elapsed() < PATIENCE, "{what}: {}", self.log());
+            assert!(runs && start.elapsed() < WAIT_TIMEOUT, "{what}: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -94,7 +94,7 @@
     /// A connection to the admin port.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.admin).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
