--- a/node/tests/clock.rs
+++ b/node/tests/clock.rs
@@ -8,7 +8,7 @@
 const HOUR: Duration = Duration::from_secs(3_600);
 
 #[test]
-fn system_after_a_suspended_vm() {
+fn system_clock_follows_wall_clock_after_suspend() {
     // Story: a VM is suspended for an hour. Its monotonic clock stood still, its wall clock is set
     // right on waking. A node that goes on by the monotonic clock alone stays an hour behind: it
     // refuses every new signing, whose key seems to come from the future, until it is restarted.
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn system_never_goes_back() {
+fn system_clock_never_goes_back() {
     // Story: the wall clock was an hour ahead and is set right. Time that goes back would bring
     // leases and kept answers that have expired back to life.
     let wall = Clock::new().now();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn manual_stands_still() {
+fn manual_clock_stands_still() {
     let clock = Clock::manual(Time::from_millis(7));
     assert_eq!(clock.now(), Time::from_millis(7));
     assert_eq!(clock.now(), Time::from_millis(7));
--- a/node/tests/operating_doc.rs
+++ b/node/tests/operating_doc.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn alarms_use_metrics_and_events_that_there_are() {
+fn alarms_use_known_metrics_and_events() {
     let names = Metrics::new().names().to_vec();
     let kinds: Vec<_> = EventKind::ALL.iter().map(|kind| kind.name()).collect();
     let page = page();
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -28,7 +28,12 @@
 
 /// Follows `path`, changes it by `write` once it has been read, and goes on until so many changes
 /// were taken up, for a minute at most.
-fn follow(path: &Path, shared: &std::sync::Arc<Shared>, write: impl FnOnce(), expected: usize) {
+fn watch_until_changed(
+    path: &Path,
+    shared: &std::sync::Arc<Shared>,
+    write: impl FnOnce(),
+    expected: usize,
+) {
     let changes = Cell::new(0);
     let watcher = SettingsWatcher::new(path).unwrap();
     let run = watcher.run(shared.clone(), || changes.set(changes.get() + 1));
@@ -46,25 +51,25 @@
     async_io::block_on(future::or(run, seen));
 }
 
-fn reads(shared: &Shared) -> Vec<Option<u16>> {
+fn read_event_codes(shared: &Shared) -> Vec<Option<u16>> {
     let (events, _) = shared.events();
     let read = events.iter().filter(|event| event.kind == EventKind::SettingsRead);
     read.map(|event| event.code).collect()
 }
 
 #[test]
-fn reload_without_a_signal() {
+fn file_change_detected_without_signal() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("node.json");
     std::fs::write(&path, text(6)).unwrap();
     let shared = Shared::new(Settings::read(&path).unwrap(), Clock::new());
-    follow(&path, &shared, || replace(&path, &text(7)), 1);
+    watch_until_changed(&path, &shared, || replace(&path, &text(7)), 1);
     assert_eq!(shared.current_settings().seeds, ["127.0.0.1:7".parse().unwrap()]);
-    assert_eq!(reads(&shared), [None]);
+    assert_eq!(read_event_codes(&shared), [None]);
 }
 
 #[test]
-fn reload_refuses_what_is_not_valid() {
+fn invalid_settings_rejected_on_reload() {
     // Story: a settings file is written in two steps, and the node reads it in between. It must go
     // on with what it has, and take the whole file up afterwards.
     let dir = tempfile::tempdir().unwrap();
@@ -73,14 +78,14 @@
     let shared = Shared::new(Settings::read(&path).unwrap(), Clock::new());
     let (writer, seen) = (path.clone(), shared.clone());
     let rest = std::thread::spawn(move || {
-        while reads(&seen).is_empty() {
+        while read_event_codes(&seen).is_empty() {
             std::thread::sleep(Duration::from_millis(10));
         }
         assert_eq!(seen.current_settings().seeds, ["127.0.0.1:6".parse().unwrap()]);
         replace(&writer, &text(7));
     });
-    follow(&path, &shared, || replace(&path, &text(7)[..40]), 1);
+    watch_until_changed(&path, &shared, || replace(&path, &text(7)[..40]), 1);
     rest.join().unwrap();
-    assert_eq!(reads(&shared), [Some(102), None]);
+    assert_eq!(read_event_codes(&shared), [Some(102), None]);
     assert_eq!(shared.current_settings().seeds, ["127.0.0.1:7".parse().unwrap()]);
 }
--- a/node/tests/spread_codec.rs
+++ b/node/tests/spread_codec.rs
@@ -216,9 +216,9 @@
 #[test]
 fn content_larger_than_allowed() {
     // Story: a message of 1 MB unpacks to a thousand times its size, and the node's memory ends.
-    let bomb = compress(std::io::repeat(b' ').take(MAX_DECOMPRESSED_BYTES + 1));
-    assert!(bomb.len() < 1 << 20, "{} bytes", bomb.len());
+    let compressed = compress(std::io::repeat(b' ').take(MAX_DECOMPRESSED_BYTES + 1));
+    assert!(compressed.len() < 1 << 20, "{} bytes", compressed.len());
     let place = Place { region: Name::new("r").unwrap(), zone: Name::new("z").unwrap() };
-    let refused = decode_list(place, 1, &bomb).unwrap_err();
+    let refused = decode_list(place, 1, &compressed).unwrap_err();
     assert!(refused.to_string().contains("too large"), "{refused}");
 }
