--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' port: metrics, status, events, readiness and the planned stop.
+//! Admin HTTP server: metrics, status, events, readiness and graceful shutdown.
 
 use crate::calls;
 use crate::settings::Listen;
@@ -20,21 +20,20 @@
 use sycamore_core::Result;
 use sycamore_core::status::Events;
 
-/// Longest time to send the head of a request: a client that connects and says nothing would
-/// otherwise hold its place for [`CONNECTION_LIFE`].
+/// Timeout for reading a request head. Frees the slot of a client that connects and sends nothing
+/// before [`CONNECTION_LIFE`] has passed.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest life of an operator's connection: a client that reads nothing would otherwise hold its
-/// place for ever.
+/// Maximum lifetime of a connection. Frees the slot of a client that never reads the response.
 const CONNECTION_LIFE: Duration = Duration::from_secs(10);
 
-/// Largest head of a request, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Operators' connections served at once; more wait in the socket's backlog.
+/// Maximum number of concurrent connections; further ones wait in the listen backlog.
 const MAX_CONNECTIONS: usize = 32;
 
-/// The sockets that operators, and whoever asks for readiness, connect to.
+/// Sockets of the admin server and of the optional readiness endpoint.
 #[derive(Debug)]
 pub struct Listener {
     admin: Async<TcpListener>,
@@ -42,7 +41,7 @@
 }
 
 impl Listener {
-    /// Binds the socket.
+    /// Binds the sockets.
     pub fn bind(listen: &Listen) -> Result<Listener> {
         let ready = listen.ready.map(calls::bind).transpose()?;
         Ok(Listener { admin: calls::bind(listen.admin)?, ready })
@@ -60,7 +59,7 @@
     }
 }
 
-/// Serves operators until it is dropped.
+/// Serves requests until the future is dropped.
 pub async fn serve(shared: Arc<Shared>, listener: Listener) {
     let executor = Rc::new(async_executor::LocalExecutor::new());
     let (permit, permits) = async_channel::bounded::<()>(MAX_CONNECTIONS);
@@ -93,15 +92,14 @@
         let answer = answer(&shared, &req);
         async move { Ok::<_, Infallible>(answer) }
     });
-    // One request a connection: clients that keep theirs open between requests would hold every
-    // place without asking anything.
+    // Keep-alive is off, so that idle clients do not occupy connection slots.
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .max_buf_size(MAX_HEAD_BYTES)
         .keep_alive(false)
         .serve_connection(FuturesIo::new(stream), service);
-    // An operator who hangs up early concerns nobody else.
+    // A client that disconnects early does not affect other connections.
     let _ = connection.await;
 }
 
@@ -123,12 +121,12 @@
     }
 }
 
-/// The requests that there are.
+/// Supported requests.
 const REQUESTS: [&str; 5] =
     ["GET /metrics", "GET /status", "GET /events", "GET /ready", "POST /drain"];
 
 fn refusal(code: StatusCode) -> Response<Full<Bytes>> {
-    let text = format!("{code}; there are {}\n", REQUESTS.join(", "));
+    let text = format!("{code}; supported requests: {}\n", REQUESTS.join(", "));
     response(code, "text/plain", text.into_bytes())
 }
 
