--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -1,4 +1,4 @@
-//! The run of a node, from its start to its planned stop.
+//! Lifecycle of a node, from start to graceful shutdown.
 
 use crate::calls::dialect::Dialect;
 use crate::clock::Clock;
@@ -17,18 +17,18 @@
 use sycamore_core::event::{Event, EventKind};
 use sycamore_core::{Code, Fault, Result};
 
-/// How often the end of the last call is looked for during a planned stop.
+/// Polling interval for remaining calls during a graceful shutdown.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// How long a stopping node goes on telling peers and refusing work before it may end, so that
-/// callers and other nodes learn of it from refusals rather than from broken connections.
+/// Minimum duration of a graceful shutdown. Gives callers and peers time to learn of it from
+/// refusals instead of broken connections.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// How much longer it waits for connections on which nothing runs. They close by themselves soon
-/// after the notice; one that a request is on its way on is not met by the end of the process.
+/// Additional time to wait for idle connections to close, so that a request already in transit does
+/// not hit a closed socket.
 const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A node that has not started yet.
+/// A configured node that has not been started.
 #[derive(Debug)]
 pub struct App {
     settings: Settings,
@@ -39,7 +39,7 @@
 }
 
 impl App {
-    /// A node with these settings and the system's clock.
+    /// Creates a node with the given settings and the system clock.
     pub fn new(settings: Settings) -> App {
         App {
             settings,
@@ -50,38 +50,37 @@
         }
     }
 
-    /// The same node with another clock.
+    /// Replaces the clock.
     pub fn with_clock(mut self, clock: Clock) -> App {
         self.clock = clock;
         self
     }
 
-    /// The same node for callers and a target with header names of their own.
+    /// Sets custom header names for callers and the target.
     pub fn with_dialect(mut self, dialect: Dialect) -> App {
         self.dialect = dialect;
         self
     }
 
-    /// The same node where targets register themselves in a store, which it follows in place of
-    /// the spread of versions over peers.
+    /// Discovers targets through a store instead of distributing versions between peers.
     pub fn with_store(mut self, store: Box<dyn Store>) -> App {
         self.store = Some(store);
         self
     }
 
-    /// The same node, which reads its settings again when this file changes or on SIGHUP.
+    /// Reloads the settings when this file changes or on SIGHUP.
     pub fn with_settings_file(mut self, path: &Path) -> App {
         self.settings_file = Some(path.to_owned());
         self
     }
 
-    /// Runs the node until its planned stop has ended.
+    /// Runs the node until its graceful shutdown completes.
     ///
-    /// Calls are served by several threads, or by the calling one if there is to be only one;
-    /// messages to peers, the platform and operators by the
-    /// calling thread alone, since Cap'n Proto RPC works on one thread.
+    /// Calls are served by a pool of threads, or by the calling thread if `limits.threads` is 1.
+    /// Peer, platform and admin traffic runs on the calling thread, since Cap'n Proto RPC is
+    /// single-threaded.
     pub fn run(self) -> Result<()> {
-        // Before any call is taken: until then a signal ends the process at once.
+        // Installed before any call is accepted; until then a signal terminates the process.
         let signals = Signals::new([Signal::Term, Signal::Int])
             .map_err(|e| Fault::new(Code::ListenFailed).with_location("signals").with_detail(e))?;
         let watcher = self.settings_file.as_deref().map(SettingsWatcher::new).transpose()?;
@@ -92,14 +91,16 @@
         let peers = spread::Listener::bind(&shared.settings.listen)?;
         let admin = admin::Listener::bind(&shared.settings.listen)?;
         std::thread::scope(|scope| {
-            // One thread alone serves everything: two would hand each event over to each other.
+            // With a single thread, everything runs on the calling thread, which avoids handing
+            // events between threads.
             let single_threaded = shared.settings.limits.threads == 1;
             for _ in 0..if single_threaded { 0 } else { shared.settings.limits.threads } {
                 scope.spawn(|| async_io::block_on(executor.run(shutdown_rx.recv())));
             }
             let local = Rc::new(LocalExecutor::new());
             let node = BoundNode { listeners, peers, admin, watcher, signals, store: self.store };
-            // A task of its own: what is given to `run` is polled at every wake of the thread.
+            // Spawned as a task, because the future passed to `run` is polled on every wake-up of
+            // the thread.
             let main = local.spawn(node.serve(shared.clone(), executor.clone(), local.clone()));
             let main = local.run(main);
             match single_threaded {
@@ -113,7 +114,7 @@
     }
 }
 
-/// What a node has opened before it serves.
+/// Sockets, signal handlers and other resources acquired before serving.
 struct BoundNode {
     listeners: calls::Listeners,
     peers: spread::Listener,
@@ -124,7 +125,7 @@
 }
 
 impl BoundNode {
-    /// Starts everything, and goes on until the planned stop has ended.
+    /// Starts all services and runs until the graceful shutdown completes.
     async fn serve(
         self,
         shared: Arc<Shared>,
@@ -155,7 +156,7 @@
     }
 }
 
-/// Where the configuration comes from.
+/// Handle of the active configuration source.
 #[derive(Clone, Debug)]
 enum ConfigHandle {
     Spread(spread::Handle),
@@ -172,14 +173,14 @@
 
     fn settings_changed(&self) {
         match self {
-            // The spread takes its settings up at the next start.
+            // Peer distribution applies changed settings only after a restart.
             ConfigHandle::Spread(_) => {}
             ConfigHandle::Discovery(handle) => handle.settings_changed(),
         }
     }
 }
 
-/// Waits for a signal or an operator's `POST /drain`.
+/// Waits for a signal or a `POST /drain` request, then starts draining.
 async fn wait_for_stop(shared: &Arc<Shared>, mut signals: Signals) {
     let signal = async {
         signals.next().await;
@@ -188,7 +189,7 @@
     shared.start_draining();
 }
 
-/// Waits until every call has ended, or the service's limit for a planned stop has passed.
+/// Waits until all calls have completed or the service's drain limit has passed.
 async fn drain(shared: &Arc<Shared>, calls: &calls::Calls) {
     let start = shared.clock.now();
     let limit = start + calls.drain_limit();
