--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock port: the system's clocks in production, one that is set by hand in tests.
+//! Clock abstraction: system clocks in production, a manually advanced clock in tests.
 
 use event_listener::Event;
 use std::sync::Arc;
@@ -6,37 +6,34 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use sycamore_core::Time;
 
-/// How far the wall clock may be ahead before it is followed. Smaller differences are left to the
-/// daemon that sets the wall clock.
+/// Maximum lead of the wall clock before [`SystemClock`] follows it. Smaller differences are left
+/// to the time synchronisation daemon.
 const MAX_WALL_CLOCK_LEAD: Duration = Duration::from_millis(250);
 
-/// Where a process takes the time from. Clones show the same time.
+/// Time source of a process. Clones share the same clock.
 #[derive(Clone, Debug)]
 pub enum Clock {
     /// The system's clocks.
     System(Arc<SystemClock>),
-    /// The time since the VM's start, carried on from the wall clock as it was at the start.
+    /// Boot-time clock, anchored to the wall clock at process start.
     Steady(SteadyClock),
-    /// A clock that stands still until it is advanced.
+    /// A clock that changes only through [`Clock::advance`].
     Manual(Arc<ManualClock>),
 }
 
-/// The wall clock as it was at the start, carried on by the monotonic clock, so that it never goes
-/// back.
+/// A monotonic clock anchored to the wall clock at process start. Never goes backwards.
 #[derive(Debug)]
 pub struct SystemClock {
     start: Time,
     origin: Instant,
-    // By how much the wall clock has run ahead of the monotonic one, in microseconds.
+    // Lead of the wall clock over the monotonic clock, in microseconds.
     ahead_us: AtomicU64,
 }
 
-/// A clock that no step of the wall clock moves, and that counts the time during which the VM was
-/// suspended.
+/// A clock that ignores wall clock steps and includes time during which the VM was suspended.
 ///
-/// Guards against deadlines that pass all at once when the wall clock is set forward by seconds:
-/// every call under way would be ended. Where requests are known by keys that carry the time of
-/// their making, [`SystemClock`] follows the wall clock instead.
+/// Guards against deadlines that all expire at once when the wall clock is stepped forward. Use
+/// [`SystemClock`] where request keys carry wall clock timestamps.
 #[derive(Clone, Copy, Debug)]
 pub struct SteadyClock {
     start: Time,
@@ -49,7 +46,7 @@
     }
 }
 
-/// A clock set by hand.
+/// A manually advanced clock for tests.
 #[derive(Debug)]
 pub struct ManualClock {
     // Microseconds since the Unix epoch.
@@ -62,9 +59,11 @@
         SystemClock { start, origin: Instant::now(), ahead_us: AtomicU64::new(0) }
     }
 
-    /// Guards against a VM that was suspended: its monotonic clock stood still meanwhile, and the
-    /// node would stay behind all others and refuse new keys as minted in the future. The wall
-    /// clock is followed forwards when it is ahead by more than [`MAX_WALL_CLOCK_LEAD`], and never backwards.
+    /// Follows the wall clock forward when it leads by more than [`MAX_WALL_CLOCK_LEAD`], and never
+    /// backwards.
+    ///
+    /// The monotonic clock stops while a VM is suspended. Without this correction, the node would
+    /// stay behind all others and refuse new keys as minted in the future.
     fn now(&self) -> Time {
         let monotonic_now = self.start + self.origin.elapsed();
         let ahead = Duration::from_micros(self.ahead_us.load(Ordering::Relaxed));
@@ -73,7 +72,7 @@
         if wall.since(now) <= MAX_WALL_CLOCK_LEAD {
             return now;
         }
-        // The largest wins if several threads see the step at once.
+        // `fetch_max` keeps the largest value if several threads detect the step concurrently.
         let ahead_us = wall.0 - monotonic_now.0;
         let ahead_us = self.ahead_us.fetch_max(ahead_us, Ordering::Relaxed).max(ahead_us);
         monotonic_now + Duration::from_micros(ahead_us)
@@ -86,23 +85,23 @@
         Clock::starting_at(wall_clock())
     }
 
-    /// The system's clocks, as if the wall clock had read `start` when the process started.
+    /// A system clock anchored as if the wall clock had read `start` at process start.
     pub fn starting_at(start: Time) -> Clock {
         Clock::System(Arc::new(SystemClock::starting_at(start)))
     }
 
-    /// A clock that follows no step of the wall clock.
+    /// A [`SteadyClock`] anchored to the current wall clock.
     pub fn steady() -> Clock {
         Clock::Steady(SteadyClock { start: wall_clock(), origin: since_boot() })
     }
 
-    /// A clock that stands at `start` until [`Clock::advance`].
+    /// A manual clock that starts at `start`.
     pub fn manual(start: Time) -> Clock {
         let now_us = AtomicU64::new(start.0);
         Clock::Manual(Arc::new(ManualClock { now_us, advanced: Event::new() }))
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Time {
         match self {
             Clock::System(clock) => clock.now(),
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Moves a manual clock on; the system's clocks ignore it.
+    /// Advances a manual clock; other clocks ignore it.
     pub fn advance(&self, span: Duration) {
         if let Clock::Manual(clock) = self {
             clock.now_us.fetch_add(span.as_micros() as u64, Ordering::SeqCst);
@@ -119,14 +118,13 @@
         }
     }
 
-    /// Waits until `at`.
     pub async fn sleep_until(&self, at: Time) {
         match self {
             Clock::System(_) | Clock::Steady(_) => {
                 async_io::Timer::after(at.since(self.now())).await;
             }
             Clock::Manual(clock) => loop {
-                // Listens before it looks, so that no advance falls between the two.
+                // Registers the listener before checking the time, so that no advance is missed.
                 let advanced = clock.advanced.listen();
                 if self.now() >= at {
                     return;
@@ -136,7 +134,6 @@
         }
     }
 
-    /// Waits for `span`.
     pub async fn sleep(&self, span: Duration) {
         self.sleep_until(self.now() + span).await;
     }
