--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Follows a store in which targets register themselves: carries out what
-//! [`sycamore_core::discovery::Discovery`] decides.
+//! Runs [`sycamore_core::discovery::Discovery`] against a store in which targets register
+//! themselves.
 //!
-//! Messages between nodes travel as those of the spread of versions do.
+//! Peer messages use the same RPC transport as version distribution.
 
 use crate::calls::Calls;
 use crate::settings::Settings;
@@ -19,13 +19,13 @@
 use sycamore_core::discovery::{Call, Config, Discovery, Input, Output, ReadError, Reply};
 use sycamore_core::spread;
 
-/// Inputs that wait for the decider; peers are held back while it is full.
+/// Maximum number of queued peer messages; peers are throttled while the queue is full.
 const MAX_INPUTS: usize = 1_024;
 
-/// Replies that wait for the decider; it has at most two calls under way.
+/// Maximum number of queued replies; at most two calls are in flight.
 const MAX_REPLIES: usize = 4;
 
-/// A handle on the decider of this node.
+/// Handle to the discovery task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     changed: Sender<()>,
@@ -33,20 +33,20 @@
 }
 
 impl Handle {
-    /// Has the decider take up the settings that hold now.
+    /// Applies the current settings.
     pub fn settings_changed(&self) {
-        // One that waits already brings the newest settings too.
+        // A pending signal already covers the latest settings.
         let _ = self.changed.try_send(());
     }
 
-    /// Has the decider tell peers that this node is about to stop.
+    /// Notifies peers that this node is shutting down.
     pub fn announce_leaving(&self) {
-        // One that waits already says the same.
+        // A pending signal has the same effect.
         let _ = self.leaving.try_send(());
     }
 }
 
-/// Starts to follow `store` on the thread of `local`.
+/// Starts following `store` on the thread of `local`.
 pub fn start(
     shared: Arc<Shared>,
     listener: Listener,
@@ -92,7 +92,7 @@
     }
 }
 
-/// What the rest of the process asks of the decider.
+/// Signals from other parts of the process.
 struct Signals {
     settings_rx: Receiver<()>,
     leaving_rx: Receiver<()>,
@@ -213,7 +213,7 @@
         let reading = self.store.read(&self.cx.shared, call);
         let replies = self.replies.clone();
         let task = async move {
-            // Fails only when the node stops.
+            // Fails only during shutdown.
             let _ = replies.send((id, reading.await)).await;
         };
         self.cx.executor.spawn(task).detach();
@@ -227,8 +227,8 @@
     }
 }
 
-/// The next message of a peer. That a peer could not be reached changes nothing: questions are
-/// asked again anyway.
+/// Returns the next message from a peer. Failures to reach a peer are ignored, since queries are
+/// retried anyway.
 async fn next_message(message_rx: &Receiver<spread::Input>) -> Input {
     loop {
         match message_rx.recv().await {
