--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The process beside each target: proxy, gatekeeper, and reader and relay of the configuration.
+//! The node: a sidecar process beside each target, acting as proxy, gatekeeper and configuration
+//! relay.
 //!
-//! The modules here are adapters around the deciders of `sycamore_core`: they do the I/O, read
-//! the clock and hold the locks. [`app::App`] is the front.
+//! The modules are adapters around the state machines of `sycamore_core`: they perform I/O, read
+//! the clock and hold locks. [`app::App`] is the entry point.
 
 pub mod admin;
 pub mod app;
