--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `sycamore-node`: the command line around [`sycamore_node::app::App`].
+//! Command line of the node; runs [`sycamore_node::app::App`].
 
 use getopts::Options;
 use std::io::Write;
@@ -9,12 +9,12 @@
 use sycamore_node::output;
 use sycamore_node::settings::Settings;
 
-/// Exit code of a run that failed.
+/// Exit code if the node fails to start or run.
 const EXIT_FAILURE: u8 = 1;
-/// Exit code of a command line or settings file that is not valid.
+/// Exit code for an invalid command line or settings file.
 const EXIT_USAGE: u8 = 2;
 
-/// The command line, parsed.
+/// Parsed command line arguments.
 #[derive(Debug)]
 struct Args {
     settings: PathBuf,
@@ -78,7 +78,7 @@
 }
 
 fn fail(fault: &Fault, code: u8) -> ExitCode {
-    // Standard error is the last place left to report to.
+    // A failed write to standard error cannot be reported anywhere else.
     let _ = writeln!(std::io::stderr(), "sycamore-node: {fault}");
     ExitCode::from(code)
 }
