--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a node, in Prometheus' text form.
+//! Prometheus metrics of a node.
 
 mod families;
 
@@ -10,60 +10,60 @@
 use sycamore_core::event::{Event, EventKind};
 use sycamore_core::status::Status;
 
-/// Counters and gauges of a node.
+/// All metrics of a node.
 #[derive(Debug)]
 pub struct Metrics {
     families: Families,
-    /// The version in force.
     pub version_in_force: IntGauge,
-    /// The newest version heard of; above `version_in_force` while it is fetched, or if it was
-    /// refused.
+    /// Newest version known. Exceeds `version_in_force` while that version is being fetched, or if
+    /// it was refused.
     pub newest_version_heard: IntGauge,
-    /// When the version in force came into force, in seconds since the Unix epoch; 0 for never.
+    /// Time at which the version in force was applied, in seconds since the Unix epoch; 0 if none
+    /// was.
     pub in_force_since_seconds: IntGauge,
-    /// When the process started, in seconds since the Unix epoch.
+    /// Process start time, in seconds since the Unix epoch.
     pub started_seconds: IntGauge,
-    /// Whether a peer has been asked about the version in force since the start or the last pause:
-    /// 0 or 1.
+    /// Whether a peer has confirmed the version in force since the start or the last clock gap: 0
+    /// or 1.
     pub confirmed: IntGauge,
-    /// Whether the platform left this node's last call to it without an answer: 0 or 1.
+    /// Whether the node's last call to the platform got no response: 0 or 1.
     pub platform_silent: IntGauge,
-    /// Whether the node takes calls: 0 or 1.
+    /// Whether the node accepts calls: 0 or 1.
     pub ready: IntGauge,
-    /// Whether the node takes no new work: 0 or 1.
+    /// Whether the node is draining: 0 or 1.
     pub draining: IntGauge,
-    /// Calls being served.
+    /// Calls in progress.
     pub calls_open: IntGauge,
-    /// Changes of state, by kind.
+    /// State change events, by kind.
     pub events: IntCounterVec,
-    /// Final outcomes of calls at the entry node, by outcome and code.
+    /// Final call outcomes at the entry node, by outcome and code.
     pub outcomes: IntCounterVec,
-    /// Attempts forwarded to gatekeepers, by whether they were retries.
+    /// Attempts forwarded to gatekeepers, by kind (first attempt or retry).
     pub attempts: IntCounterVec,
-    /// Requests refused at the gatekeeper, by code.
+    /// Requests refused by the gatekeeper, by code.
     pub refusals: IntCounterVec,
-    /// Requests that the local target runs now.
+    /// Requests running on the local target.
     pub in_flight: IntGauge,
-    /// Requests that wait for the local target.
+    /// Requests queued for the local target.
     pub queued: IntGauge,
-    /// Bytes of control traffic sent, by class of the link.
+    /// Control traffic sent in bytes, by link class.
     pub control_bytes: IntCounterVec,
-    /// Messages to peers sent, by class of the link.
+    /// Messages sent to peers, by link class.
     pub control_messages: IntCounterVec,
     /// Calls to the platform.
     pub platform_calls: IntCounter,
-    /// Connections refused because the limit was reached.
+    /// Connections refused at the connection limit.
     pub connections_refused: IntCounter,
-    /// Time from a call's head to the head of its answer at the entry node, by class.
+    /// Time from the request head to the response head at the entry node, by traffic class.
     pub call_seconds: HistogramVec,
-    /// Time that a request waited for a slot of the local target, by class.
+    /// Queueing time for a slot of the local target, by traffic class.
     pub wait_seconds: HistogramVec,
-    /// Time from a request's last byte to the head of the local target's answer, by class.
+    /// Time from the last request byte to the local target's response head, by traffic class.
     pub run_seconds: HistogramVec,
 }
 
 impl Metrics {
-    /// A fresh set, registered in a registry of its own.
+    /// Creates the metrics in a registry of their own.
     pub fn new() -> Metrics {
         let mut families = Families::new();
         let r = &mut families;
@@ -115,17 +115,17 @@
         }
     }
 
-    /// Counts a time of requests of a class.
+    /// Records the duration of a request of the given class.
     pub fn observe_duration(histograms: &HistogramVec, class: Class, duration: Duration) {
         histograms.with_label_values(&[class.label()]).observe(duration.as_secs_f64());
     }
 
-    /// Counts a change of state.
+    /// Counts a state change event.
     pub fn count_event(&self, event: &Event) {
         self.events.with_label_values(&[event.kind.name()]).inc();
     }
 
-    /// Takes the gauges that follow from the status.
+    /// Updates the gauges derived from the status.
     pub fn update_gauges(&self, status: &Status) {
         let seconds = |time: Time| (time.as_millis() / 1_000) as i64;
         self.newest_version_heard.set(status.newest_heard as i64);
@@ -138,12 +138,12 @@
         self.calls_open.set(status.calls_open as i64);
     }
 
-    /// Everything in Prometheus' text form.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn to_text(&self) -> Vec<u8> {
         self.families.to_text()
     }
 
-    /// Names of all metrics, those without a value yet included.
+    /// Names of all metrics, including those without a value.
     pub fn names(&self) -> &[String] {
         self.families.names()
     }
@@ -155,8 +155,8 @@
     }
 }
 
-/// Counters of changes of state. Every kind counts from zero, so that an alarm on a rise sees the
-/// first one.
+/// Registers the event counters. Each kind is initialised to zero, so that alerts on an increase
+/// detect the first event.
 fn event_counters(families: &mut Families) -> IntCounterVec {
     let created = families.counters("events_total", "Changes of state.", &["kind"]);
     for kind in EventKind::ALL {
