--- a/node/src/metrics/families.rs
+++ b/node/src/metrics/families.rs
@@ -1,4 +1,4 @@
-//! Makes and registers families of metrics.
+//! Creates and registers metric families.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,11 +6,10 @@
     TextEncoder,
 };
 
-/// First word of every name.
+/// Prefix of all metric names.
 const NAMESPACE: &str = "sycamore";
 
-/// Upper bounds of the times counted together, in seconds: from what a node adds by itself to the
-/// longest wait of a caller.
+/// Histogram bucket bounds in seconds, from the proxy overhead up to the longest client timeout.
 const BUCKETS: [f64; 13] =
     [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
 
@@ -22,41 +21,40 @@
 }
 
 impl Families {
-    /// No family yet.
     pub fn new() -> Families {
         Families::default()
     }
 
-    /// A counter.
+    /// Registers a counter.
     pub fn counter(&mut self, name: &str, help: &str) -> IntCounter {
         self.register(IntCounter::with_opts(options(name, help)))
     }
 
-    /// Counters by labels.
+    /// Registers a counter with labels.
     pub fn counters(&mut self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         self.register(IntCounterVec::new(options(name, help), labels))
     }
 
-    /// A gauge.
+    /// Registers a gauge.
     pub fn gauge(&mut self, name: &str, help: &str) -> IntGauge {
         self.register(IntGauge::with_opts(options(name, help)))
     }
 
-    /// Histograms of times in seconds, by labels.
+    /// Registers a histogram of durations in seconds, with labels.
     pub fn histograms(&mut self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
         let options = HistogramOpts::new(name, help).namespace(NAMESPACE).buckets(BUCKETS.into());
         self.register(HistogramVec::new(options, labels))
     }
 
-    /// Names of all families. The registry itself only tells of those that have a value.
+    /// Names of all families. The registry itself reports only families that have a value.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// Everything in Prometheus' text form.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn to_text(&self) -> Vec<u8> {
         let mut buf = Vec::new();
-        // Writing to memory fails only for a family without metrics, which is left out.
+        // Encoding into memory fails only for a family without metrics, and `gather` omits those.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
         buf
     }
