--- a/node/src/output.rs
+++ b/node/src/output.rs
@@ -1,4 +1,4 @@
-//! Log lines: one a change of state, as key=value pairs or as JSON.
+//! Event log: one line per state change, as key=value pairs or JSON.
 
 mod lines;
 
@@ -14,7 +14,7 @@
 use sycamore_core::event::Event;
 use sycamore_core::{Code, Fault, Result};
 
-/// Starts logging to standard output; keep the handle for the life of the process.
+/// Starts logging to standard output. Logging stops when the handle is dropped.
 pub fn start(log: &Log) -> Result<LoggerHandle> {
     let level = match log.level {
         LogLevel::Error => "error",
@@ -30,17 +30,17 @@
         .map_err(|e| Fault::new(Code::OutputFailed).with_location("log").with_detail(e))
 }
 
-/// Writes the line of a change of state. Failures are warnings.
+/// Logs a state change. Events with an error code are logged as warnings.
 pub fn log_event(vm: &str, event: &Event) {
     let level = if event.code.is_some() { log::Level::Warn } else { log::Level::Info };
     let line = serde_json::to_string(&EventLine { vm, event }).unwrap_or_default();
     log::log!(target: EVENT_TARGET, level, "{line}");
 }
 
-/// Target of log records whose text is a JSON object of fields.
+/// Log target of records whose message is a JSON object of fields.
 const EVENT_TARGET: &str = "event";
 
-/// Fields of a change of state, the same in both formats.
+/// Fields of a state change, identical in both formats.
 #[derive(Serialize)]
 struct EventLine<'a> {
     vm: &'a str,
@@ -48,7 +48,7 @@
     event: &'a Event,
 }
 
-/// Fields of a log line by name.
+/// Fields of a log line, by name.
 type Fields = IndexMap<String, Value>;
 
 fn fields(now: &mut DeferredNow, record: &Record<'_>) -> Fields {
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Whether a value needs no quotes to be read back.
+/// Whether a value can be written without quotes.
 fn is_unquoted(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && !b"\"\\=".contains(&b))
 }
