--- a/node/src/output/lines.rs
+++ b/node/src/output/lines.rs
@@ -1,4 +1,4 @@
-//! Log lines on their way to standard output, bounded in number and never waited for.
+//! Non-blocking, rate-limited writer of log lines to standard output.
 
 use flexi_logger::writers::LogWriter;
 use flexi_logger::{DeferredNow, FormatFunction};
@@ -9,25 +9,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Lines that wait for a reader of standard output that is slow; more are dropped and counted.
+/// Maximum number of queued lines; excess lines are dropped and counted.
 const MAX_QUEUED_LINES: usize = 1_024;
 
-/// Lines of one second; more are dropped and counted. A node serves about a hundred calls a second
-/// at the size aimed at, with three lines each.
+/// Maximum number of lines per second; excess lines below warning level are dropped and counted.
 const MAX_LINES_PER_SECOND: u64 = 400;
 
-/// How long lines are gathered before they are written in one piece, and up to what size.
+/// Delay for collecting lines into a single write, and the maximum size of a batch.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 const MAX_BATCH_BYTES: usize = 65_536;
 
-/// How long the end of the process waits for lines to be written.
+/// Maximum time to wait for queued lines at process exit.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Writes lines from a thread of its own.
+/// Writes log lines from a background thread.
 ///
-/// Guards against a log that holds up calls: standard output is a pipe, and whoever writes into
-/// one that nobody reads waits for ever. A line that does not fit is dropped; the next one that
-/// is written is preceded by how many were.
+/// Guards against calls that block on logging: a write to a pipe whose reader has stalled never
+/// returns. Lines that do not fit the queue are dropped, and their number is written before the
+/// next line.
 pub struct NonBlockingWriter {
     format: FormatFunction,
     queue: SyncSender<Vec<u8>>,
@@ -49,7 +48,7 @@
 }
 
 impl NonBlockingWriter {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub fn new(format: FormatFunction) -> NonBlockingWriter {
         let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
         let counts = Arc::new(Counts::default());
@@ -73,7 +72,7 @@
 
 impl LogWriter for NonBlockingWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-        // What went wrong is written whatever the volume.
+        // Warnings and errors are exempt from the rate limit.
         let is_severe = record.level() <= log::Level::Warn;
         if !self.within_rate_limit() && !is_severe {
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
@@ -106,12 +105,12 @@
     }
 }
 
-/// Writes until the process ends. Standard output that is closed loses the lines, and nothing
-/// else: there is nowhere left to report it to.
+/// Writes queued lines until the process exits. Write errors are ignored, since there is nowhere
+/// left to report them.
 fn run_writer(lines: &Receiver<Vec<u8>>, counts: &Counts) {
     let mut out = io::stdout();
     while let Ok(first) = lines.recv() {
-        // More lines come within the pause than would be worth a wake each.
+        // Batches lines to save a wake-up per line.
         std::thread::sleep(BATCH_DELAY);
         let mut text = first;
         let mut count = 1;
