--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings file again, after a signal or when it has changed without one.
+//! Reloads the settings file on SIGHUP or when its content changes.
 
 use crate::settings::Settings;
 use crate::shared::Shared;
@@ -10,27 +10,28 @@
 use sycamore_core::event::{Event, EventKind};
 use sycamore_core::{Code, Fault, Result};
 
-/// How often the file is looked at. It is about a kilobyte.
+/// Polling interval of the settings file.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The settings file of a running node.
+/// Watches the settings file of a running node.
 #[derive(Debug)]
 pub struct SettingsWatcher {
     path: PathBuf,
     signals: Signals,
-    // The text last read, valid or not, so that each change is reported once.
+    // Content last read, valid or not, so that each change is reported once.
     last_text: Vec<u8>,
 }
 
 impl SettingsWatcher {
-    /// Follows the file at `path`. From here on the signal no longer ends the process.
+    /// Creates a watcher for `path` and installs a SIGHUP handler, so that the signal no longer
+    /// terminates the process.
     pub fn new(path: &Path) -> Result<SettingsWatcher> {
         let signals = Signals::new([Signal::Hup])
             .map_err(|e| Fault::new(Code::ListenFailed).with_location("signals").with_detail(e))?;
         Ok(SettingsWatcher { path: path.to_owned(), signals, last_text: Vec::new() })
     }
 
-    /// Takes changes of the file up until it is dropped. `changed` is called after each.
+    /// Applies changes of the file until the future is dropped. Calls `on_change` after each.
     pub async fn run(mut self, shared: Arc<Shared>, on_change: impl Fn()) {
         self.last_text = std::fs::read(&self.path).unwrap_or_default();
         loop {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Reads the file. Returns whether other settings hold from now on.
+    /// Reads the file. Returns whether the settings changed.
     fn reload(&mut self, shared: &Shared, signalled: bool) -> bool {
         let text = std::fs::read(&self.path);
         if !signalled && text.as_ref().is_ok_and(|text| *text == self.last_text) {
@@ -59,7 +60,7 @@
             Ok(text) => Settings::parse(text),
             Err(e) => Err(Fault::new(Code::SettingsUnreadable).with_detail(e)),
         };
-        // A file that can't be read now is reported once, and again when it can be.
+        // An unreadable file is reported once; its content is applied when it becomes readable.
         self.last_text = text.unwrap_or_default();
         let event = Event::new(shared.clock.now(), EventKind::SettingsRead);
         match settings {
@@ -68,7 +69,7 @@
                 shared.update_settings(settings)
             }
             Err(fault) => {
-                log::warn!("the settings that hold stay in force: {fault}");
+                log::warn!("settings reload failed, keeping the current settings: {fault}");
                 shared.record(event.with_code(fault.code));
                 false
             }
