--- a/node/src/store.rs
+++ b/node/src/store.rs
@@ -1,4 +1,4 @@
-//! The port to a store in which targets register themselves, apart from the configuration.
+//! Interface to a store in which targets register themselves.
 
 use crate::shared::Shared;
 use std::fmt::Debug;
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 use sycamore_core::discovery::{Call, ReadError, Reply};
 
-/// What a call to the store comes to.
+/// Future of a store call.
 pub type ReadFuture = Pin<Box<dyn Future<Output = Result<Reply, ReadError>>>>;
 
-/// A store that nodes read. An implementation carries single calls out and decodes what they
-/// bring; when to call is decided by [`sycamore_core::discovery::Discovery`].
+/// A store that nodes read. Implementations execute individual calls and decode the responses;
+/// [`sycamore_core::discovery::Discovery`] schedules them.
 pub trait Store: Debug {
-    /// Makes one call. The future ends by itself at the call's timeout at the latest, and ends the
-    /// call when it is dropped.
+    /// Executes one call. The future resolves within the call's timeout, and dropping it cancels
+    /// the call.
     fn read(&self, shared: &Arc<Shared>, call: Call) -> ReadFuture;
 }
