--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: read once from a JSON file, checked, and passed by reference.
+//! Node settings, parsed from a JSON file and validated.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// VM that the node runs on.
+    /// VM on which the node runs.
     pub vm: Name,
     /// Region of the VM.
     pub region: Name,
@@ -20,35 +20,35 @@
     pub zone: Name,
     /// Addresses to listen on.
     pub listen: Listen,
-    /// Address of the target on this VM; absent on a VM without a target.
+    /// Address of the target on this VM; absent if the VM has none.
     #[serde(default)]
     pub target_address: Option<SocketAddr>,
     /// Address of the platform's configuration service.
     pub platform_address: SocketAddr,
-    /// Region that the platform stands in: its nodes read bodies for the other regions. Absent if
-    /// not known.
+    /// Region of the platform, if known. Nodes in that region read bodies on behalf of the other
+    /// regions.
     #[serde(default)]
     pub platform_region: Option<Name>,
-    /// Addresses of peers to ask first after a start, before the platform; may be empty.
+    /// Peers to query after a start, before the platform; may be empty.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Services whose routes this node needs; absent for all.
+    /// Services whose routes this node needs; all if absent.
     #[serde(default)]
     pub scope: Option<Vec<Name>>,
-    /// The service that the target on this VM runs, where targets register themselves; absent if
-    /// the preset in force lists the target.
+    /// Service of the target on this VM, where targets register themselves; absent if the preset
+    /// lists the target.
     #[serde(default)]
     pub service: Option<Name>,
-    /// Regions by availability zone, where targets say only their zone.
+    /// Region of each availability zone, for targets that register only their zone.
     #[serde(default)]
     pub zones: IndexMap<Name, Name>,
-    /// Retries that the whole fleet may make, where presets do not say.
+    /// Fleet-wide retry budget, for presets that define none.
     #[serde(default)]
     pub fleet_retries: FleetRetries,
-    /// Times within which changes must take effect.
+    /// Bounds on the time until changes take effect.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Limits of the process.
+    /// Process limits.
     #[serde(default)]
     pub limits: Limits,
     /// Form and level of log lines.
@@ -60,26 +60,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers and the local target.
+    /// Accepts calls from callers and the local target.
     pub calls: SocketAddr,
-    /// For nodes that forward calls to the local target.
+    /// Accepts calls that other nodes forward to the local target.
     pub gate: SocketAddr,
-    /// For messages from peers.
+    /// Accepts messages from peers.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Serves the admin endpoints.
     pub admin: SocketAddr,
-    /// A second address for operators' requests, for whoever asks only whether the node is ready.
+    /// Optional second address of the admin endpoints, for readiness probes.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
 }
 
-/// Retries of the whole fleet in any ten seconds, for each service.
+/// Fleet-wide retry budget per service and ten-second window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetRetries {
-    /// Share of first attempts; 0 to 1, in steps of a hundredth.
+    /// Retries as a share of first attempts; 0 to 1, rounded to 0.01.
     pub share: Share,
-    /// Retries beside the share; 0 to 100,000.
+    /// Retries allowed in addition to the share; 0 to 100,000.
     pub reserve: u32,
 }
 
@@ -89,19 +89,19 @@
     }
 }
 
-/// A share, written as a number from 0 to 1.
+/// A share, serialised as a number from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share {
-    /// The share in whole percent.
+    /// The share, in percent.
     pub percent: u32,
 }
 
-/// The rate of a link, written in megabits a second.
+/// A link rate, serialised in megabits per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct LinkRate {
-    /// The rate in kilobits a second.
+    /// The rate, in kilobits per second.
     pub kbps: u64,
 }
 
@@ -139,14 +139,14 @@
     }
 }
 
-/// Times within which changes must take effect on every node, where targets register themselves in
-/// a store; counted from the store's acknowledgement.
+/// Upper bounds on the time from the store's acknowledgement until a change takes effect on every
+/// node, for platforms whose targets register in a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// A new version; 2,000 to 60,000 ms.
+    /// For a new version; 2,000 to 60,000 ms.
     pub change_ms: u64,
-    /// A target that leaves; 2,000 to 60,000 ms.
+    /// For the removal of a target; 2,000 to 60,000 ms.
     pub leaving_ms: u64,
 }
 
@@ -162,41 +162,41 @@
         check_range("bounds.leaving_ms", self.leaving_ms, 2_000..=60_000)
     }
 
-    /// The shorter of the two, in milliseconds.
+    /// The shorter bound, in milliseconds.
     pub fn shortest_ms(&self) -> u64 {
         self.change_ms.min(self.leaving_ms)
     }
 }
 
-/// Limits of the process, with their units in the names.
+/// Process limits. Field names include the unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Threads that serve calls; 1 to 64.
+    /// Number of threads that serve calls; 1 to 64.
     pub threads: usize,
-    /// Connections taken on `listen.calls` and on `listen.gate`, each; 1 to 100,000.
+    /// Maximum number of connections on each of `listen.calls` and `listen.gate`; 1 to 100,000.
     pub max_connections: usize,
-    /// Largest request head; 1,024 to 1,048,576 bytes.
+    /// Maximum size of a request head; 1,024 to 1,048,576 bytes.
     pub max_head_bytes: usize,
-    /// Longest time to read a request head; 100 to 60,000 ms.
+    /// Timeout for reading a request head; 100 to 60,000 ms.
     pub head_timeout_ms: u64,
-    /// Longest time without a byte moved in either direction of a body; 100 to 600,000 ms.
+    /// Idle timeout of a body, in both directions; 100 to 600,000 ms.
     pub idle_body_timeout_ms: u64,
-    /// Events kept for the time line; 16 to 100,000.
+    /// Number of events kept in memory; 16 to 100,000.
     pub event_ring: usize,
-    /// Longest wait for the first configuration before peers that can't be asked are given up;
-    /// 100 to 600,000 ms.
+    /// Maximum wait for the first configuration before unreachable peers are skipped; 100 to
+    /// 600,000 ms.
     pub first_configuration_ms: u64,
-    /// How long a node that is leaving still takes callers' requests before it refuses them;
-    /// 0 to 600,000 ms.
+    /// Time during which a draining node still accepts requests from callers; 0 to 600,000 ms.
     pub serve_while_leaving_ms: u64,
-    /// How long a node that is leaving still lets its target run what other nodes forward;
-    /// 0 to 600,000 ms.
+    /// Time during which a draining node still accepts requests forwarded by other nodes; 0 to
+    /// 600,000 ms.
     pub run_while_leaving_ms: u64,
-    /// What the VM's link takes each way, in megabits a second; absent if it is not narrow.
+    /// Bandwidth of the VM's link in each direction, in megabits per second; absent if it is not a
+    /// bottleneck.
     pub link_mbps: Option<LinkRate>,
-    /// Most VMs that the fleet may have; 1 to 1,000,000. A node that knows no peer spreads its
-    /// calls to the platform by it.
+    /// Maximum number of VMs in the fleet; 1 to 1,000,000. A node without known peers limits its
+    /// platform calls accordingly.
     pub fleet_vms: u32,
 }
 
@@ -222,9 +222,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// `text` for key=value lines, `json` for one object a line.
+    /// Output format.
     pub format: LogFormat,
-    /// Lowest level written.
+    /// Minimum level.
     pub level: LogLevel,
 }
 
@@ -234,30 +234,30 @@
     }
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
     /// key=value lines.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Level of log lines.
+/// Log level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only failures of the node itself.
+    /// Failures of the node itself.
     Error,
-    /// Also what an operator may have to act on.
+    /// Also conditions that may need operator action.
     Warn,
-    /// Also changes of state.
+    /// Also state changes.
     Info,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<Settings> {
         let place = path.display();
         let buf = std::fs::read(path).map_err(|e| {
@@ -269,7 +269,7 @@
         })
     }
 
-    /// Parses and checks the text of a settings file. The place of a failure is its JSON path.
+    /// Parses and validates settings. The location of an error is its JSON path.
     pub fn parse(buf: &[u8]) -> Result<Settings> {
         let deserializer = &mut serde_json::Deserializer::from_slice(buf);
         let settings: Settings =
@@ -287,18 +287,18 @@
         Ok(settings)
     }
 
-    /// Where the VM is.
+    /// Region and zone of the VM.
     pub fn place(&self) -> Place {
         Place { region: self.region.clone(), zone: self.zone.clone() }
     }
 
-    /// Guards against a gatekeeper that forwards every call to its own node, which shows as
-    /// connections that run out.
+    /// Guards against a gatekeeper that forwards calls to its own node until its connections are
+    /// exhausted.
     fn check_target(&self) -> Result<()> {
         let target = self.target_address;
         match self.listen.named_addresses().into_iter().find(|(_, own)| Some(*own) == target) {
             Some((name, own)) => {
-                let detail = format!("found {own}, which is listen.{name}");
+                let detail = format!("found {own}, which is already used by listen.{name}");
                 Err(Fault::new(Code::SettingsInvalid)
                     .with_location("target_address")
                     .with_detail(detail))
@@ -319,14 +319,14 @@
         required.into_iter().chain(self.ready.map(|ready| ("ready", ready))).collect()
     }
 
-    /// Guards against one address for two ports, which would show at the start as if another
-    /// process held it. Port 0 is a free port each time.
+    /// Guards against an address used twice, which would otherwise surface as "address in use" when
+    /// the node starts. Port 0 is exempt, since it selects a free port.
     fn check(&self) -> Result<()> {
         let addresses = self.named_addresses();
         for (index, (name, address)) in addresses.iter().enumerate() {
             let earlier = addresses[..index].iter().find(|(_, other)| other == address);
             if let Some((other, _)) = earlier.filter(|_| address.port() != 0) {
-                let detail = format!("found {address}, which is listen.{other}");
+                let detail = format!("found {address}, which is already used by listen.{other}");
                 return Err(Fault::new(Code::SettingsInvalid)
                     .with_location(format!("listen.{name}"))
                     .with_detail(detail));
