--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of one node share.
+//! State shared between the threads of a node.
 
 use crate::calls::dialect::Dialect;
 use crate::clock::Clock;
@@ -18,21 +18,21 @@
 use sycamore_core::status::Status;
 use sycamore_core::{Fault, Name, Time};
 
-/// State that the threads of a node share. Each part has its own lock, which is never held across
-/// an await.
+/// State shared between the threads of a node. Each part has its own lock, which is never held
+/// across an await point.
 #[derive(Debug)]
 pub struct Shared {
-    /// Settings, as read at the start. What may change later is in [`Shared::current_settings`].
+    /// Settings at startup. For settings that can be reloaded, see [`Shared::current_settings`].
     pub settings: Settings,
-    /// The clock port.
+    /// Time source.
     pub clock: Clock,
-    /// Names of headers towards callers and the target.
+    /// Header names used towards callers and the target.
     pub dialect: Dialect,
-    /// Counters and gauges.
+    /// Prometheus metrics.
     pub metrics: Metrics,
-    /// Notes from the call path to other nodes; the spread sends them.
+    /// Notes from the call path to other nodes, sent with the peer messages.
     pub notes: Queue<OutgoingNote>,
-    /// Gatekeepers that the call path could not reach, or whose connection broke.
+    /// Gatekeepers that the call path failed to reach or lost the connection to.
     pub lost_gates: Queue<SocketAddr>,
     current: RwLock<Arc<Settings>>,
     in_force: RwLock<Option<Arc<Snapshot>>>,
@@ -41,27 +41,27 @@
     spread: Mutex<SpreadView>,
     draining: AtomicBool,
     drain_started: event_listener::Event,
-    // Microseconds since the Unix epoch; the end of time before the planned stop.
+    // In microseconds since the Unix epoch; `u64::MAX` before the shutdown starts.
     draining_since: AtomicU64,
     calls_open: AtomicU64,
     own_runs: Mutex<Runs>,
-    // Each connection that calls come in on holds a clone.
+    // Each inbound call connection holds a clone; the strong count tracks open connections.
     connections: Arc<()>,
     started: Time,
 }
 
-/// What one part of the node has for another. Bounded: what no longer fits is dropped, and whoever
-/// waits for its effect asks again, or sees the same once more.
+/// Bounded queue between two components of the node. Items that do not fit are dropped; consumers
+/// must tolerate the loss.
 #[derive(Debug)]
 pub struct Queue<T> {
     tx: async_channel::Sender<T>,
     rx: async_channel::Receiver<T>,
 }
 
-/// Notes that may wait at once.
+/// Capacity of the note queue.
 const MAX_NOTES: usize = 4_096;
 
-/// Lost gatekeepers that may wait at once.
+/// Capacity of the queue of lost gatekeepers.
 const MAX_LOST_GATES: usize = 32;
 
 impl<T> Queue<T> {
@@ -70,46 +70,46 @@
         Queue { tx, rx }
     }
 
-    /// Puts an item on its way. Returns false if it was dropped.
+    /// Enqueues an item. Returns false if the queue is full and the item was dropped.
     pub fn send(&self, item: T) -> bool {
         self.tx.try_send(item).is_ok()
     }
 
-    /// The next item.
+    /// Waits for the next item. Returns `None` if the queue is closed.
     pub async fn next(&self) -> Option<T> {
         self.rx.recv().await.ok()
     }
 }
 
-/// States of VMs that this node knows of; a VM not named counts as live.
+/// Known VM states; a VM without an entry counts as live.
 pub type MemberView = indexmap::IndexMap<Name, VmState>;
 
-/// What the spread of versions shows on `/status`.
+/// Version distribution state reported on `/status`.
 #[derive(Clone, Debug)]
 pub struct SpreadView {
-    /// When the version in force came into force here.
+    /// Time at which the version in force was applied on this node.
     pub in_force_since: Option<Time>,
-    /// The newest version heard of.
+    /// Newest known version.
     pub newest_heard: u64,
-    /// The last version refused, and why.
+    /// Reason for the most recent refusal of a version.
     pub last_refusal: Option<Fault>,
-    /// What this node does for the spread.
+    /// Role of this node in version distribution.
     pub role: sycamore_core::status::Role,
-    /// Where the last version came from.
+    /// Peer that supplied the last version.
     pub parent: Option<Name>,
     /// Whether the platform answered the last call.
     pub platform_answers: Option<bool>,
-    /// Whether a peer has been asked about the version in force.
+    /// Whether a peer has confirmed the version in force.
     pub confirmed: bool,
 }
 
 impl Shared {
-    /// The shared state of a node that has just started.
+    /// Creates the state of a starting node.
     pub fn new(settings: Settings, clock: Clock) -> Arc<Shared> {
         Shared::with_dialect(settings, clock, Dialect::new())
     }
 
-    /// The same for callers and a target with header names of their own.
+    /// Creates the state with custom header names for callers and the target.
     pub fn with_dialect(settings: Settings, clock: Clock, dialect: Dialect) -> Arc<Shared> {
         let started = clock.now();
         let events = Mutex::new(EventRing::new(settings.limits.event_ring));
@@ -145,13 +145,13 @@
         shared
     }
 
-    /// The settings as last read. A running node follows `service`, `seeds`, `zones` and
-    /// `fleet_retries`; the rest holds from its next start.
+    /// Settings as last read. A running node applies changes of `service`, `seeds`, `zones` and
+    /// `fleet_retries`; other changes apply after a restart.
     pub fn current_settings(&self) -> Arc<Settings> {
         self.current.read().clone()
     }
 
-    /// Takes settings up that were read again. Returns whether they differ.
+    /// Replaces the current settings. Returns whether they differ.
     pub fn update_settings(&self, settings: Settings) -> bool {
         let mut current = self.current.write();
         let differ = **current != settings;
@@ -159,57 +159,57 @@
         differ
     }
 
-    /// The configuration in force; none before the first.
+    /// The configuration in force; `None` before the first.
     pub fn in_force(&self) -> Option<Arc<Snapshot>> {
         self.in_force.read().clone()
     }
 
-    /// Puts a configuration into force: one pointer is swapped, so that each call sees one
-    /// version whole. The decider has checked that it is newer.
+    /// Replaces the configuration in force. The snapshot is swapped as a whole, so no call sees a
+    /// mix of versions. The caller has checked that it is newer.
     pub fn put_in_force(&self, snapshot: Arc<Snapshot>) {
         self.metrics.version_in_force.set(snapshot.version() as i64);
         *self.in_force.write() = Some(snapshot);
     }
 
-    /// States of VMs that this node knows of.
+    /// Known VM states.
     pub fn members(&self) -> Arc<MemberView> {
         self.members.read().clone()
     }
 
-    /// Replaces the states of VMs.
+    /// Replaces the known VM states.
     pub fn set_members(&self, members: MemberView) {
         *self.members.write() = Arc::new(members);
     }
 
-    /// Records a change of state: counts it, keeps it for the time line and writes a log line.
+    /// Records an event: counts it, keeps it for `/events` and logs it.
     pub fn record(&self, event: Event) {
         self.metrics.count_event(&event);
         output::log_event(self.settings.vm.as_str(), &event);
         self.events.lock().push(event);
     }
 
-    /// The events kept and how many were dropped.
+    /// Kept events, and the number of dropped ones.
     pub fn events(&self) -> (Vec<Event>, u64) {
         let ring = self.events.lock();
         (ring.iter().cloned().collect(), ring.dropped())
     }
 
-    /// When the process started.
+    /// Process start time.
     pub fn started(&self) -> Time {
         self.started
     }
 
-    /// Changes what the spread shows on `/status`.
+    /// Updates the version distribution state reported on `/status`.
     pub fn update_spread(&self, change: impl FnOnce(&mut SpreadView)) {
         change(&mut self.spread.lock());
     }
 
-    /// Whether the node takes no new work.
+    /// Whether the node is draining.
     pub fn draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Starts the planned stop. Returns false if it had started before.
+    /// Starts the graceful shutdown. Returns false if it had already started.
     pub fn start_draining(&self) -> bool {
         let first = !self.draining.swap(true, Ordering::AcqRel);
         if first {
@@ -220,10 +220,10 @@
         first
     }
 
-    /// Waits until the planned stop starts.
+    /// Waits until the graceful shutdown starts.
     pub async fn drain_started(&self) {
         while !self.draining() {
-            // Listens before it looks again, so that no start falls between the two.
+            // Registers the listener before checking again, so that no notification is missed.
             let started = self.drain_started.listen();
             if !self.draining() {
                 started.await;
@@ -231,13 +231,13 @@
         }
     }
 
-    /// Whether callers' requests are taken: always before a planned stop, and for a while after
-    /// its start, since callers learn of it only by and by.
+    /// Whether requests from callers are accepted. A draining node accepts them for a configured
+    /// time, since callers learn of the shutdown with a delay.
     pub fn accepts_calls(&self) -> bool {
         self.within_drain_period(self.settings.limits.serve_while_leaving_ms)
     }
 
-    /// Whether the local target still runs what other nodes forward.
+    /// Whether requests forwarded by other nodes are accepted.
     pub fn accepts_forwards(&self) -> bool {
         self.within_drain_period(self.settings.limits.run_while_leaving_ms)
     }
@@ -247,7 +247,7 @@
         !self.draining() || self.clock.now() < since + Duration::from_millis(ms)
     }
 
-    /// Limits of the local target's service; none while they are not known.
+    /// Limits of the local target's service; `None` if unknown.
     pub fn own_limits(&self) -> Option<ServiceLimits> {
         let snapshot = self.in_force()?;
         let by_name = || snapshot.service_named(self.settings.service.as_ref()?);
@@ -256,38 +256,38 @@
         Some(snapshot.service(service).limits.clone())
     }
 
-    /// What the local target runs, as its gatekeeper said last.
+    /// Work running on the local target, as last reported by its gatekeeper.
     pub fn own_runs(&self) -> Runs {
         *self.own_runs.lock()
     }
 
-    /// Notes what the local target runs.
+    /// Updates the work running on the local target.
     pub fn set_own_runs(&self, runs: Runs) {
         *self.own_runs.lock() = runs;
     }
 
-    /// Calls being served now.
+    /// Number of calls in progress.
     pub fn calls_open(&self) -> u64 {
         self.calls_open.load(Ordering::Acquire)
     }
 
-    /// Counts a call as open until the guard is dropped.
+    /// Counts a call as in progress until the guard is dropped.
     pub fn track_call(self: &Arc<Shared>) -> CallGuard {
         self.calls_open.fetch_add(1, Ordering::AcqRel);
         CallGuard { shared: self.clone() }
     }
 
-    /// Whether no connection is open that calls come in on.
+    /// Whether no inbound call connection is open.
     pub fn has_no_connections(&self) -> bool {
         Arc::strong_count(&self.connections) == 1
     }
 
-    /// Counts a connection as open until the result is dropped.
+    /// Counts a connection as open until the returned handle is dropped.
     pub fn track_connection(&self) -> Arc<()> {
         self.connections.clone()
     }
 
-    /// The body of `/status`.
+    /// Builds the response body of `/status`.
     pub fn status(&self) -> Status {
         let in_force = self.in_force();
         let spread = self.spread.lock().clone();
@@ -312,7 +312,7 @@
     }
 }
 
-/// Counts one call as open while it lives.
+/// Counts one call as in progress while it exists.
 #[derive(Debug)]
 pub struct CallGuard {
     shared: Arc<Shared>,
