--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -1,7 +1,7 @@
-//! Spread of versions: messages to peers over Cap'n Proto RPC, and calls to the platform.
+//! Version distribution: peer messages over Cap'n Proto RPC, and calls to the platform.
 //!
-//! The decisions are those of [`sycamore_core::spread::Spread`]; the adapters here carry them out
-//! on one thread, since Cap'n Proto RPC works on one thread.
+//! Runs the state machine [`sycamore_core::spread::Spread`] on a single thread, since Cap'n Proto
+//! RPC is single-threaded.
 
 pub mod codec;
 mod link;
@@ -30,13 +30,12 @@
 use sycamore_core::spread::{Config, Input, Output, Peer, SourceCall, SourceReply, Spread};
 use sycamore_core::{Result, Time};
 
-/// Inputs that wait for the decider; peers are held back while it is full.
+/// Maximum number of queued inputs; peers are throttled while the queue is full.
 const MAX_INPUTS: usize = 4_096;
 
 /// The socket that peers connect to.
 #[derive(Debug)]
 pub struct Listener {
-    /// The bound socket.
     pub peers: Async<TcpListener>,
 }
 
@@ -47,21 +46,21 @@
     }
 }
 
-/// A handle on the spread of this node.
+/// Handle to the version distribution task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     inputs: Sender<Input>,
 }
 
 impl Handle {
-    /// Tells peers that this node is leaving.
+    /// Notifies peers that this node is shutting down.
     pub fn announce_leaving(&self) {
-        // If the decider is this far behind, it can't tell anyone either.
+        // If the queue is full, the notification could not be sent in time anyway.
         let _ = self.inputs.try_send(Input::Stop);
     }
 }
 
-/// What the tasks of the spread share. Everything runs on one thread.
+/// Context shared by the distribution tasks, all of which run on one thread.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
     pub(crate) shared: Arc<Shared>,
@@ -69,7 +68,7 @@
     pub(crate) inputs: Sender<Input>,
 }
 
-/// Starts the spread on the thread of `local`.
+/// Starts version distribution on the thread of `local`.
 pub fn start(
     shared: Arc<Shared>,
     listener: Listener,
@@ -98,7 +97,7 @@
     handle
 }
 
-/// How this node introduces itself to peers.
+/// Identity that this node presents to peers.
 pub(crate) fn own_peer(settings: &Settings) -> Peer {
     Peer { vm: settings.vm.clone(), place: settings.place(), address: settings.listen.peers }
 }
@@ -116,7 +115,7 @@
     }
 }
 
-/// Feeds the decider and carries out what it decides.
+/// Feeds the state machine and executes its outputs.
 struct Driver {
     spread: Spread,
     peers: Peers,
@@ -204,7 +203,7 @@
         let id = call.id;
         let task = async move {
             let result = platform::read(&cx.shared, &call).await;
-            // Fails only when the node stops.
+            // Fails only during shutdown.
             let _ = cx.inputs.send(Input::Source(SourceReply { id, result })).await;
         };
         self.source_calls.insert(id, self.cx.executor.spawn(task));
