--- a/node/src/spread/codec.rs
+++ b/node/src/spread/codec.rs
@@ -1,4 +1,4 @@
-//! Messages to and from their form on the wire.
+//! Encodes and decodes peer messages.
 
 use super::payload::{self, PayloadCache};
 use super::spread_capnp as wire;
@@ -18,14 +18,14 @@
 
 type Result<T> = std::result::Result<T, Error>;
 
-/// Bytes of a call without its message, 112, of its empty return, 72, and of the finish, 40.
+/// Cap'n Proto RPC overhead per message: call (112), empty return (72) and finish (40).
 const RPC_OVERHEAD_BYTES: u64 = 112 + 72 + 40;
 
-/// Age on the wire of a store that the sender does not read.
+/// Encoded store age of a sender that does not read the store.
 const NO_STORE_AGE: u32 = u32::MAX;
 
 fn invalid(what: &str) -> Error {
-    Error::failed(format!("{what} is not valid"))
+    Error::failed(format!("peer message contains an invalid {what}"))
 }
 
 pub(super) fn read_name(data: &[u8]) -> Result<Name> {
@@ -37,7 +37,7 @@
     Ok(Hash::new(raw))
 }
 
-/// Writes who a node is.
+/// Encodes the identity of a node.
 pub fn write_peer(peer: &Peer, mut to: wire::peer::Builder<'_>) {
     to.set_vm(peer.vm.as_bytes());
     to.set_region(peer.place.region.as_bytes());
@@ -45,7 +45,7 @@
     to.set_address(peer.address.to_string());
 }
 
-/// Reads who a node is.
+/// Decodes the identity of a node.
 pub fn read_peer(from: wire::peer::Reader<'_>) -> Result<Peer> {
     let place =
         Place { region: read_name(from.get_region()?)?, zone: read_name(from.get_zone()?)? };
@@ -54,7 +54,7 @@
     Ok(Peer { vm: read_name(from.get_vm()?)?, place, address })
 }
 
-/// Writes a message.
+/// Encodes a message.
 pub fn write(
     msg: &PeerMsg,
     payloads: &mut PayloadCache,
@@ -94,15 +94,14 @@
     Ok(())
 }
 
-/// Bytes that a message takes on the wire, with the call, return and finish of Cap'n Proto RPC
-/// that carry it.
+/// Encoded size of a message in bytes, including the Cap'n Proto RPC overhead.
 pub fn size(msg: &PeerMsg, payloads: &mut PayloadCache) -> Result<u64> {
     let mut message = capnp::message::Builder::new_default();
     write(msg, payloads, message.init_root())?;
     Ok(RPC_OVERHEAD_BYTES + (message.size_in_words() * size_of::<capnp::Word>()) as u64)
 }
 
-/// Reads a message.
+/// Decodes a message.
 pub fn read(from: wire::message::Reader<'_>) -> Result<PeerMsg> {
     use wire::message::Which;
     Ok(match from.which()? {
