--- a/node/src/spread/link.rs
+++ b/node/src/spread/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer: Cap'n Proto RPC over TCP, with the bytes that go out counted.
+//! A connection to a peer: Cap'n Proto RPC over TCP, with a counter of sent bytes.
 
 use super::codec;
 use super::spread_capnp as wire;
@@ -17,14 +17,14 @@
 use std::task::{Context, Poll};
 use sycamore_core::spread::{Input, Peer};
 
-/// Largest message taken from a peer, in words of 8 bytes. Guards against a peer that announces
-/// more than the node's memory: the announcement alone ends the connection.
+/// Maximum size of an inbound message, in 8-byte words. Guards against a peer that announces a
+/// message larger than the node's memory; such an announcement closes the connection.
 const MAX_MESSAGE_WORDS: usize = 1 << 20;
 
-/// Deepest nesting of a message taken from a peer.
+/// Maximum nesting depth of an inbound message.
 const MAX_NESTING: i32 = 32;
 
-/// Counts the bytes written to a peer. The class of the link is known once the peer is.
+/// Counts bytes sent to a peer. Bytes are buffered until the link class is known.
 #[derive(Clone, Debug, Default)]
 pub struct ByteCounter {
     counter: Rc<OnceCell<IntCounter>>,
@@ -32,7 +32,7 @@
 }
 
 impl ByteCounter {
-    /// Names the counter. Bytes written before are added to it.
+    /// Sets the metric and adds the bytes counted so far.
     pub fn set(&self, counter: IntCounter) {
         if self.counter.set(counter).is_ok() {
             self.add(self.pending.take());
@@ -74,7 +74,7 @@
     }
 }
 
-/// Takes the messages of a peer that has been introduced.
+/// Receives messages from a peer that has introduced itself.
 struct Session {
     from: Peer,
     inputs: Sender<Input>,
@@ -88,28 +88,29 @@
     ) -> Result<(), capnp::Error> {
         let msg = codec::read(params.get()?.get_message()?)?;
         let input = Input::Peer { from: self.from.clone(), msg };
-        // Waits while the decider is behind, which holds the peer back too.
+        // Waits while the queue is full, which throttles the peer.
         self.inputs
             .send(input)
             .await
-            .map_err(|_| capnp::Error::disconnected("the node stops".into()))
+            .map_err(|_| capnp::Error::disconnected("the node is shutting down".into()))
     }
 }
 
-/// A session for the messages of `from`.
+/// Creates a session that receives messages from `from`.
 pub fn session(from: Peer, inputs: Sender<Input>) -> wire::session::Client {
     capnp_rpc::new_client(Session { from, inputs })
 }
 
-/// Starts RPC on a connection. The returned system has to be driven; it ends with the connection.
+/// Starts RPC on a connection. The returned system must be polled; it completes when the connection
+/// closes.
 pub fn rpc(
     stream: Async<TcpStream>,
     sent_bytes: ByteCounter,
     side: Side,
     bootstrap: Option<capnp::capability::Client>,
 ) -> RpcSystem<Side> {
-    // Messages are small and wait for nothing; without this each would wait for the one before to
-    // be acknowledged. A failure leaves the connection slower, not wrong.
+    // Avoids the delay of Nagle's algorithm for small messages. If this fails, the connection still
+    // works.
     let _ = stream.get_ref().set_nodelay(true);
     let (reader, writer) = split(stream);
     let mut options = ReaderOptions::new();
