--- a/node/src/spread/payload.rs
+++ b/node/src/spread/payload.rs
@@ -1,5 +1,5 @@
-//! Large contents of messages: compressed once however many peers they go to, and bounded when
-//! they are read.
+//! Compressed payloads of peer messages: cached when sent to several peers, and size-limited when
+//! decompressed.
 
 use super::codec::read_name;
 use super::spread_capnp as wire;
@@ -23,17 +23,16 @@
 
 type Result<T> = std::result::Result<T, Error>;
 
-/// Largest content after decompression. Guards against a small message that unpacks to more than
-/// the node's memory.
+/// Maximum payload size after decompression. Guards against decompression bombs.
 pub const MAX_DECOMPRESSED_BYTES: u64 = 16 << 20;
 
-/// Contents kept compressed for the next peer that needs them.
+/// Maximum number of cached payloads.
 const MAX_CACHED_PAYLOADS: usize = 32;
 
-/// Bytes of all contents kept compressed.
+/// Maximum total size of cached payloads, in bytes.
 const MAX_CACHED_BYTES: usize = 2 << 20;
 
-/// Contents compressed of late.
+/// Recently encoded payloads.
 #[derive(Debug, Default)]
 pub struct PayloadCache {
     changes: VecDeque<(Arc<Delta>, Rc<Vec<u8>>)>,
@@ -41,12 +40,12 @@
 }
 
 impl PayloadCache {
-    /// The content of a difference.
+    /// Encoded changes of a delta.
     pub fn changes(&mut self, delta: &Arc<Delta>) -> Result<Rc<Vec<u8>>> {
         get_or_encode(&mut self.changes, delta, encode_changes)
     }
 
-    /// The content of a list of VMs.
+    /// Encoded VM list of a zone.
     pub fn list(&mut self, list: &Arc<ZoneList>) -> Result<Rc<Vec<u8>>> {
         get_or_encode(&mut self.lists, list, |list| {
             compress_json(&VmList { vms: list.vms.clone() })
@@ -87,7 +86,9 @@
         .read_to_end(&mut raw)
         .map_err(|e| Error::failed(e.to_string()))?;
     if raw.len() as u64 > MAX_DECOMPRESSED_BYTES {
-        return Err(Error::failed("content is too large".into()));
+        return Err(Error::failed(format!(
+            "decompressed payload is too large: exceeds {MAX_DECOMPRESSED_BYTES} bytes"
+        )));
     }
     Ok(raw)
 }
@@ -101,18 +102,18 @@
     serde_json::from_slice(&decompress(compressed)?).map_err(|e| Error::failed(e.to_string()))
 }
 
-/// Reads the content of a list of VMs.
+/// Decodes a VM list.
 pub fn decode_list(place: Place, index: u64, compressed: &[u8]) -> Result<ZoneList> {
     let list: VmList = decompress_json(compressed)?;
     Ok(ZoneList { place, index, vms: list.vms })
 }
 
-/// Writes the content of a list of zones.
+/// Encodes a list of zones.
 pub fn encode_zones(list: &ZonesList) -> Result<Vec<u8>> {
     compress_json(&Zones { zones: list.zones.clone() })
 }
 
-/// Reads the content of a list of zones.
+/// Decodes a list of zones.
 pub fn decode_zones(index: u64, compressed: &[u8]) -> Result<ZonesList> {
     let list: Zones = decompress_json(compressed)?;
     Ok(ZonesList { index, zones: list.zones })
@@ -134,10 +135,10 @@
     compress(&capnp::serialize::write_message_to_words(&message))
 }
 
-/// Resources of a difference: those changed, with their bodies, and those removed.
+/// Changed resources with their bodies, and removed resources.
 type Changes = (Vec<(ResourceId, Bytes)>, Vec<ResourceId>);
 
-/// Reads the content of a difference.
+/// Decodes the changes of a delta.
 pub fn decode_changes(compressed: &[u8]) -> Result<Changes> {
     let raw = decompress(compressed)?;
     let mut options = ReaderOptions::new();
