--- a/node/src/spread/peers.rs
+++ b/node/src/spread/peers.rs
@@ -1,5 +1,4 @@
-//! Connections to peers: one for each peer that messages go to, opened when needed and closed when
-//! idle.
+//! Outbound connections to peers, opened on demand and closed when idle.
 
 use super::link::{self, ByteCounter};
 use super::payload::PayloadCache;
@@ -18,24 +17,25 @@
 use sycamore_core::place::Link;
 use sycamore_core::spread::{Input, Peer, PeerMsg};
 
-/// How long a connection and its introduction may take.
+/// Timeout for connecting and for the initial `hello`.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A connection without a message for this long is closed. Above the interval of heartbeats, so
-/// that only connections to random peers close.
+/// Idle timeout. Longer than the heartbeat interval, so that only connections to randomly chosen
+/// peers are closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Messages that wait for one peer; more are dropped and the peer counts as failed.
+/// Maximum number of messages queued per peer. If the queue is full, the message is dropped and the
+/// peer is reported as failed.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Messages sent to one peer and not confirmed yet.
+/// Maximum number of unacknowledged messages per peer.
 const MAX_UNACKED_MESSAGES: usize = 64;
 
-/// How long a message may stay unconfirmed. Guards against a peer that takes connections and
-/// never answers: its connection would be kept, and messages for it, for ever.
+/// Acknowledgement timeout. Guards against a peer that accepts connections but never responds,
+/// whose connection and messages would otherwise be kept indefinitely.
 const ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Connections open to peers.
+/// Open connections to peers.
 #[derive(Clone)]
 pub struct Peers {
     cx: Context,
@@ -45,13 +45,12 @@
 }
 
 impl Peers {
-    /// No connection yet.
     pub fn new(cx: Context, own: Peer) -> Peers {
         let open = Rc::new(RefCell::new(IndexMap::new()));
         Peers { cx, own, open, payloads: Rc::default() }
     }
 
-    /// Sends a message. What can't be sent is reported as [`Input::PeerFailed`].
+    /// Sends a message. Failures are reported as [`Input::PeerFailed`].
     pub fn send(&self, to: SocketAddr, link: Link, msg: PeerMsg) {
         let label = [link.label()];
         self.cx.shared.metrics.control_messages.with_label_values(&label).inc();
@@ -66,7 +65,7 @@
 
     fn report_failure(&self, to: SocketAddr) {
         self.open.borrow_mut().swap_remove(&to);
-        // If the decider is this far behind, the failure shows as an unanswered question.
+        // If the queue is full, the failure is detected when a ping goes unanswered.
         let _ = self.cx.inputs.try_send(Input::PeerFailed { to });
     }
 
@@ -88,7 +87,7 @@
         self.cx.executor.spawn(task).detach();
     }
 
-    /// Connects, introduces this node and sends messages until the connection is idle.
+    /// Connects, introduces this node and sends messages until the connection becomes idle.
     async fn run(
         &self,
         to: SocketAddr,
@@ -106,7 +105,7 @@
             Ok(session) => self.deliver_all(&session, rx).await,
             Err(e) => Err(e),
         };
-        // The peer may be gone already.
+        // The peer may have disconnected already.
         let _ = disconnector.await;
         drop(driver);
         result
@@ -133,7 +132,7 @@
                 }
                 let idle = async {
                     self.cx.shared.clock.sleep(IDLE_TIMEOUT).await;
-                    // What was queued in this instant is still received.
+                    // Closing the channel still delivers messages that were already queued.
                     rx.close();
                     rx.recv().await.ok()
                 };
@@ -170,7 +169,7 @@
 
     async fn timeout<T>(&self, wait: Duration) -> Result<T, capnp::Error> {
         self.cx.shared.clock.sleep(wait).await;
-        Err(capnp::Error::disconnected("the peer does not answer".into()))
+        Err(capnp::Error::disconnected("peer did not respond in time".into()))
     }
 }
 
