--- a/node/src/spread/platform.rs
+++ b/node/src/spread/platform.rs
@@ -1,5 +1,4 @@
-//! The platform's configuration service, read over HTTP. Another source is another file like this
-//! one.
+//! HTTP client of the platform's configuration service.
 
 use crate::shared::Shared;
 use async_io::Async;
@@ -16,13 +15,13 @@
 use sycamore_core::config::document::MAX_DOCUMENT_BYTES;
 use sycamore_core::spread::{SourceCall, SourceValue};
 
-/// How long after the end of its wait a call is given up.
+/// Time allowed for the response after the wait of a blocking query has ended.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Header with the index at which the value last changed.
+/// Response header with the index of the value's last change.
 const INDEX_HEADER: &str = "x-index";
 
-/// Makes one call and returns its answer, or the code of its failure.
+/// Executes one call. Returns the value or the error code.
 pub async fn read(shared: &Arc<Shared>, call: &SourceCall) -> Result<SourceValue, Code> {
     shared.metrics.platform_calls.inc();
     let timeout = async {
@@ -47,14 +46,14 @@
         let status = response.status();
         let index = response.headers().get(INDEX_HEADER).and_then(|value| value.to_str().ok());
         let index = index.and_then(|text| text.parse().ok());
-        // One byte more than a value may have, so that one that is too long is refused as a
-        // document rather than here.
+        // Allows one byte over the limit, so that an oversized value is refused by document
+        // validation instead of here.
         let body = Limited::new(response.into_body(), MAX_DOCUMENT_BYTES + 1).collect().await;
         let body = body.map_err(|_| Code::SourceInvalid)?.to_bytes();
         parse_response(status, index, body)
     };
     let drive = async {
-        // The connection's own end is no answer; the request's failure is reported by `answer`.
+        // The connection task yields no result; request errors are reported by `fetch`.
         let _ = connection.await;
         future::pending().await
     };
