--- a/node/src/spread/server.rs
+++ b/node/src/spread/server.rs
@@ -1,4 +1,4 @@
-//! Connections from peers.
+//! RPC server for connections from peers.
 
 use super::link::{self, ByteCounter};
 use super::spread_capnp as wire;
@@ -12,17 +12,16 @@
 use std::time::Duration;
 use sycamore_core::spread::Peer;
 
-/// Connections from peers served at once; more wait in the socket's backlog.
+/// Maximum number of concurrent connections; further ones wait in the listen backlog.
 const MAX_CONNECTIONS: usize = 1_024;
 
-/// How long a connection may go on without an introduction. Guards against one that says nothing
-/// or rubbish and would otherwise hold its place for ever.
+/// Timeout for the peer's `hello`. Frees the slot of a client that sends nothing or invalid data.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after a failed accept, as when the process has no file descriptor left.
+/// Delay after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What this node offers on a connection.
+/// RPC interface exposed to a peer.
 struct Node {
     cx: Context,
     own: Peer,
@@ -47,7 +46,7 @@
     }
 }
 
-/// Takes connections until it is dropped.
+/// Accepts connections until the future is dropped.
 pub async fn serve(cx: Context, own: Peer, listener: Async<TcpListener>) {
     let (permit, permits) = async_channel::bounded::<()>(MAX_CONNECTIONS);
     loop {
@@ -86,7 +85,7 @@
         }
     };
     let run = async {
-        // A broken connection concerns the peer, which reports it on its side.
+        // Connection errors are handled by the peer.
         let _ = system.await;
     };
     run.or(hello_timeout).await;
