--- a/node/tests/clock.rs
+++ b/node/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock port.
+//! Clock implementations.
 
 use futures_lite::future;
 use std::time::Duration;
@@ -9,9 +9,8 @@
 
 #[test]
 fn system_clock_follows_wall_clock_after_suspend() {
-    // Story: a VM is suspended for an hour. Its monotonic clock stood still, its wall clock is set
-    // right on waking. A node that goes on by the monotonic clock alone stays an hour behind: it
-    // refuses every new signing, whose key seems to come from the future, until it is restarted.
+    // Guards against a node that stays behind the wall clock after its VM was suspended and refuses
+    // new signing requests, since their keys appear to come from the future.
     let wall = Clock::new().now();
     let clock = Clock::starting_at(wall - HOUR);
     assert!(clock.now() >= wall);
@@ -19,8 +18,8 @@
 
 #[test]
 fn system_clock_never_goes_back() {
-    // Story: the wall clock was an hour ahead and is set right. Time that goes back would bring
-    // leases and kept answers that have expired back to life.
+    // Guards against time going backwards when the wall clock is corrected, which would revive
+    // expired leases and cached answers.
     let wall = Clock::new().now();
     let clock = Clock::starting_at(wall + HOUR);
     let first = clock.now();
