--- a/node/tests/operating_doc.rs
+++ b/node/tests/operating_doc.rs
@@ -1,4 +1,4 @@
-//! docs/OPERATING.md against what a node exports.
+//! Checks that docs/OPERATING.md matches the exported metrics and events.
 
 use std::path::Path;
 use sycamore_core::event::EventKind;
@@ -9,7 +9,7 @@
     std::fs::read_to_string(path).unwrap()
 }
 
-/// First cells of the table under the line that begins with `head`.
+/// First column of the table whose header line starts with `head`.
 fn first_cells(head: &str) -> Vec<String> {
     let page = page();
     let table = page.lines().skip_while(|line| !line.starts_with(head)).skip(2);
