--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a node runs.
+//! Reloading of settings while a node runs.
 
 use futures_lite::future;
 use std::cell::Cell;
@@ -18,16 +18,16 @@
     )
 }
 
-/// Puts a text in place of the file in one step. A file that is cut and then written may be read
-/// in between, and its beginning be refused once more than the test counts.
+/// Replaces the file atomically. A partially written file could be read in between, which would
+/// record an extra rejection.
 fn replace(path: &Path, text: &str) {
     let next = path.with_extension("next");
     std::fs::write(&next, text).unwrap();
     std::fs::rename(&next, path).unwrap();
 }
 
-/// Follows `path`, changes it by `write` once it has been read, and goes on until so many changes
-/// were taken up, for a minute at most.
+/// Watches `path`, calls `write` after the initial read, and returns after `expected` changes.
+/// Fails after one minute.
 fn watch_until_changed(
     path: &Path,
     shared: &std::sync::Arc<Shared>,
@@ -46,7 +46,7 @@
             }
             async_io::Timer::after(Duration::from_millis(10)).await;
         }
-        panic!("never");
+        panic!("settings did not change {expected} times within a minute");
     };
     async_io::block_on(future::or(run, seen));
 }
@@ -70,8 +70,8 @@
 
 #[test]
 fn invalid_settings_rejected_on_reload() {
-    // Story: a settings file is written in two steps, and the node reads it in between. It must go
-    // on with what it has, and take the whole file up afterwards.
+    // Guards against a partially written settings file replacing valid settings. The complete file
+    // must be applied afterwards.
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("node.json");
     std::fs::write(&path, text(6)).unwrap();
