--- a/node/tests/settings.rs
+++ b/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is refused, and how the error reads.
+//! Validation of settings files, and the resulting errors.
 
 use serde_json::{Value, json};
 use sycamore_core::{Code, Fault};
@@ -19,7 +19,7 @@
     Settings::parse(settings.to_string().as_bytes())
 }
 
-/// The failure of settings that must be refused.
+/// Returns the error of settings that must be refused.
 fn refused(settings: &Value) -> Fault {
     let fault = parse(settings).unwrap_err();
     assert_eq!(fault.code, Code::SettingsInvalid);
@@ -82,8 +82,7 @@
 
 #[test]
 fn listen_address_twice() {
-    // Story: a port is copied and not changed. Without a check the node fails at its start with
-    // "address in use", as if another process held the port.
+    // Guards against a duplicate address being reported only as "address in use" at startup.
     let mut settings = valid();
     settings["listen"]["peers"] = "127.0.0.1:7001".into();
     let fault = refused(&settings);
@@ -93,8 +92,8 @@
 
 #[test]
 fn target_address_is_the_nodes_own() {
-    // Story: the target's port is set to one of the node's. The gatekeeper would forward every
-    // call to itself until its connections run out.
+    // Guards against a gatekeeper that forwards calls to its own node until its connections are
+    // exhausted.
     let mut settings = valid();
     settings["target_address"] = "127.0.0.1:7001".into();
     assert_eq!(refused(&settings).location, "target_address");
