--- a/node/tests/shell/admin.rs
+++ b/node/tests/shell/admin.rs
@@ -1,9 +1,9 @@
-//! The operators' port over a real process.
+//! Admin endpoints of a real process.
 
 use crate::process::{NodeProcess, settings};
 use std::io::Write;
 
-/// More connections than the port serves at once.
+/// Exceeds the connection limit of the admin server.
 const CLIENTS_OVER_LIMIT: usize = 40;
 
 #[test]
@@ -32,7 +32,7 @@
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     assert!(body.contains("\nsycamore_version_in_force 0\n"), "{body}");
     assert!(body.contains("sycamore_events_total{kind=\"started\"} 1\n"), "{body}");
-    // A kind that has not happened yet counts zero, so that an alarm on its rise sees the first.
+    // Event kinds start at zero, so that alerts on an increase detect the first event.
     assert!(body.contains("sycamore_events_total{kind=\"clock-gap\"} 0\n"), "{body}");
 }
 
@@ -75,8 +75,7 @@
 
 #[test]
 fn body_ignored() {
-    // Story: a body follows a request on a port that takes none. Read whole, a body without an
-    // end would hold memory or the connection.
+    // Guards against an endpoint that reads an unbounded body into memory.
     let node = NodeProcess::start(&settings());
     let head = "GET /status HTTP/1.1\r\nhost: node\r\ncontent-length: 999999999\r\n\r\nbegin";
     let answer = node.send(head.as_bytes());
@@ -85,8 +84,7 @@
 
 #[test]
 fn idle_clients_over_the_connection_limit() {
-    // Story: something opens connections to the admin port and says nothing, or half a request,
-    // until no more are served. Operators see a node that answers nobody, for ever.
+    // Guards against idle or incomplete requests occupying all connections of the admin server.
     let node = NodeProcess::start(&settings());
     let mut idle_clients: Vec<_> = (0..CLIENTS_OVER_LIMIT).map(|_| node.connect()).collect();
     for stream in idle_clients.iter_mut().step_by(2) {
@@ -98,8 +96,7 @@
 
 #[test]
 fn connection_closed_after_one_request() {
-    // Story: a client keeps its connection open between requests, as many do by default. Thirty
-    // of them would hold every place of the port without asking anything.
+    // Guards against idle keep-alive connections occupying all connections of the admin server.
     let node = NodeProcess::start(&settings());
     let answer = node.send(b"GET /ready HTTP/1.1\r\nhost: node\r\n\r\n");
     assert!(answer.to_ascii_lowercase().contains("connection: close"), "{answer}");
