--- a/node/tests/shell/command_line.rs
+++ b/node/tests/shell/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `sycamore-node`, its exit codes, signals and log lines.
+//! Command line, exit codes, signals and log output of `sycamore-node`.
 
 use crate::process::{NodeProcess, run, run_with_settings, settings};
 use rustix::process::Signal;
@@ -104,7 +104,7 @@
     assert!(node.log().contains("kind=stopped"), "{}", node.log());
 }
 
-/// The lines that a node with a strange name logs from its start to its end.
+/// Returns the log of a node whose VM name contains special characters.
 fn log_lines(format: &str) -> Vec<String> {
     let mut settings = settings();
     settings["vm"] = r#"a"b\c=d"#.into();
@@ -117,8 +117,7 @@
 
 #[test]
 fn log_json_lines() {
-    // Story: a VM's name holds a quotation mark. Put into the line as it is, it ends the string
-    // early, and whatever collects the logs drops every line of that VM.
+    // Guards against unescaped quotes in a VM name, which would make log lines invalid JSON.
     let lines = log_lines("json");
     assert!(!lines.is_empty());
     for line in lines {
@@ -137,7 +136,7 @@
     for line in lines {
         assert!(line.starts_with("time="), "{line}");
         assert!(line.contains(" level=") && line.contains(" kind="), "{line}");
-        // Only a value with characters that would end it is quoted.
+        // Only values with special characters are quoted.
         assert!(line.contains(r#" vm="a\"b\\c=d""#), "{line}");
     }
 }
