--- a/node/tests/shell/configured.rs
+++ b/node/tests/shell/configured.rs
@@ -1,4 +1,4 @@
-//! A node that takes a configuration from the platform's stand-in.
+//! A node configured by the mock platform.
 
 use crate::process::{NodeProcess, settings};
 use rustix::process::Signal;
@@ -8,7 +8,7 @@
 use sycamore_core::hash::Hash;
 use sycamore_standins::platform::{Platform, PlatformConfig, Store};
 
-/// A preset with one service on the VM of [`settings`], whose planned stop takes at most so long.
+/// A preset with one service on the VM of [`settings`] and the given drain limit.
 fn preset(gate: &Value, drain_ms: u32) -> String {
     let target = json!({"vm": "vm-1", "region": "alberta", "zone": "alberta-1", "gate": gate, "peers": "127.0.0.1:9"});
     let service = json!({"limits": {"drain_ms": drain_ms}, "targets": [target]});
@@ -19,7 +19,7 @@
     preset.to_string()
 }
 
-/// A platform with this preset in force as version 1, and one zone with one VM.
+/// Starts a platform with this preset in force as version 1, and one zone with one VM.
 fn platform(preset: &str, settings: &Value) -> SocketAddr {
     let digest = Hash::of(preset.as_bytes());
     let in_force = json!({"version": 1, "preset": "ordinary", "digest": digest});
@@ -37,7 +37,7 @@
     Platform::spawn(cfg).unwrap().readers[0]
 }
 
-/// A node that is ready to take calls, and its settings.
+/// Starts a node and waits until it is ready. Returns it with its settings.
 fn ready_node(target: SocketAddr, drain_ms: u32) -> (NodeProcess, Value) {
     let mut settings = settings();
     let preset = preset(&settings["listen"]["gate"], drain_ms);
@@ -65,13 +65,12 @@
 
 #[test]
 fn drain_limit_passed() {
-    // Story: a target hangs while its VM is stopped as planned. The stop ends at the service's
-    // limit and cuts the call. Without a word of that, the operator takes it for a clean stop.
+    // Guards against a graceful shutdown that cuts a call at the drain limit without reporting it.
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut node, settings) = ready_node(target.local_addr().unwrap(), 1_000);
     let mut caller = TcpStream::connect(settings["listen"]["calls"].as_str().unwrap()).unwrap();
     caller.write_all(b"GET /season HTTP/1.1\r\nhost: ledgers\r\n\r\n").unwrap();
-    // The target has the request, and never answers.
+    // The target receives the request but never answers.
     let (mut upstream, _) = target.accept().unwrap();
     assert!(upstream.read(&mut [0; 1]).unwrap() > 0);
     node.signal(Signal::TERM);
@@ -83,9 +82,8 @@
 
 #[test]
 fn stop_refuses_connections_before_it_ends() {
-    // Story: a caller connects in the milliseconds in which a node's process ends, and sends a
-    // signing. The node never reads it, but the caller sees a broken connection and must take the
-    // signing for one that may have run. Found by history_process, seed 1.
+    // Guards against connections accepted while the process exits. The caller of a signing request
+    // would have to assume that it may have run.
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut node, settings) = ready_node(target.local_addr().unwrap(), 60_000);
     let calls = settings["listen"]["calls"].as_str().unwrap();
@@ -94,7 +92,7 @@
     let (mut upstream, _) = target.accept().unwrap();
     assert!(upstream.read(&mut [0; 1_000]).unwrap() > 0);
     node.signal(Signal::TERM);
-    // The call is still open, so that the process can't have ended by itself.
+    // The open call keeps the process from exiting on its own.
     node.wait_until("it refuses connections", |_| TcpStream::connect(calls).is_err());
     upstream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole").unwrap();
     let mut answer = String::new();
