--- a/node/tests/shell/main.rs
+++ b/node/tests/shell/main.rs
@@ -1,4 +1,4 @@
-//! The shell of a node over real processes: command line, signals, log lines, operators' port.
+//! Tests of `sycamore-node` processes: command line, signals, log output and admin endpoints.
 
 mod admin;
 mod command_line;
