--- a/node/tests/shell/process.rs
+++ b/node/tests/shell/process.rs
@@ -1,4 +1,4 @@
-//! A `sycamore-node` process with ports and settings of its own.
+//! Helper that runs a `sycamore-node` process with its own ports and settings.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -11,21 +11,21 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Gives each node of a test process an address of its own.
+/// Gives each node of a test process its own address.
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// Longest wait for anything; passing it fails the test.
+/// Timeout of all waits; exceeding it fails the test.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A running node; killed when dropped.
+/// A running node; killed on drop.
 pub struct NodeProcess {
     child: Child,
     dir: TempDir,
-    /// Address of its admin port.
+    /// Address of the admin server.
     pub admin: SocketAddr,
 }
 
-/// Valid settings with addresses that no other node of this machine's tests uses.
+/// Valid settings with addresses that are unique among concurrent tests on this machine.
 pub fn settings() -> Value {
     let pid = std::process::id();
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
@@ -36,17 +36,17 @@
             "calls": format!("{ip}:7000"), "gate": format!("{ip}:7001"),
             "peers": format!("{ip}:7002"), "admin": format!("{ip}:7003")
         },
-        // Nothing listens there: the platform is down.
+        // Nothing listens on this address: the platform is down.
         "platform_address": format!("{ip}:7009")
     })
 }
 
-/// Runs the binary to its end.
+/// Runs the binary to completion.
 pub fn run(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_sycamore-node")).args(args).output().unwrap()
 }
 
-/// Runs the binary to its end on a settings file with this text.
+/// Runs the binary to completion with the given settings file content.
 pub fn run_with_settings(text: &str, args: &[&str]) -> Output {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("node.json");
@@ -55,7 +55,7 @@
 }
 
 impl NodeProcess {
-    /// Starts a node and waits until its admin port takes connections.
+    /// Starts a node and waits until its admin port accepts connections.
     pub fn start(settings: &Value) -> NodeProcess {
         let dir = tempfile::tempdir().unwrap();
         let path = dir.path().join("node.json");
@@ -72,7 +72,8 @@
         node
     }
 
-    /// Waits until `holds`; fails the test if the process ends first or [`WAIT_TIMEOUT`] has passed.
+    /// Waits until `condition` holds. Fails if the process exits first or [`WAIT_TIMEOUT`] has
+    /// passed.
     pub fn wait_until(&mut self, what: &str, condition: impl Fn(&NodeProcess) -> bool) {
         let start = Instant::now();
         while !condition(self) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// What it has logged.
+    /// Log output so far.
     pub fn log(&self) -> String {
         fs::read_to_string(self.log_path()).unwrap()
     }
@@ -91,24 +92,24 @@
         self.dir.path().join("log")
     }
 
-    /// A connection to the admin port.
+    /// Connects to the admin port.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.admin).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
-    /// Sends raw bytes to the admin port and reads until the node closes.
+    /// Sends raw bytes to the admin port and reads until the connection closes.
     pub fn send(&self, buf: &[u8]) -> String {
         let mut stream = self.connect();
-        // A node may refuse a request before it has read it all, so that writing fails.
+        // The node may close the connection before reading the entire request.
         let _ = stream.write_all(buf);
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    /// The answer to one request: head and body.
+    /// Sends a request and returns the head and body of the response.
     pub fn request(&self, method: &str, path: &str) -> (String, String) {
         let head = format!("{method} {path} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n");
         let answer = self.send(head.as_bytes());
@@ -116,17 +117,16 @@
         (head.to_owned(), body.to_owned())
     }
 
-    /// The JSON body of an answer.
+    /// Sends a GET request and parses the JSON body of the response.
     pub fn json(&self, path: &str) -> Value {
         serde_json::from_str(&self.request("GET", path).1).unwrap()
     }
 
-    /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
