--- a/node/tests/spread_codec.rs
+++ b/node/tests/spread_codec.rs
@@ -1,5 +1,4 @@
-//! Messages between nodes on the wire: what is written is read again, and what is changed or made
-//! up on the way neither stops a node nor takes its memory.
+//! Codec of peer messages: round trips, and robustness against corrupted and random input.
 
 use capnp::message::{Builder, Reader, ReaderOptions};
 use capnp::serialize::{OwnedSegments, read_message_from_flat_slice, write_message_to_words};
@@ -169,8 +168,7 @@
         prop_assert_eq!(decode(&encode(&msg)).unwrap(), msg);
     }
 
-    /// Story: a peer of a later release, or a broken one, sends bytes that are no message. The
-    /// node must go on, and refuse them rather than believe in part.
+    /// Guards against a corrupted message that crashes the node or is accepted in part.
     #[test]
     fn message_mutated(
         msg in message(),
@@ -184,7 +182,7 @@
             raw[at] ^= flip;
         }
         raw.truncate(if cut { length.index(raw.len()) } else { raw.len() });
-        // What still reads must be a message that can be passed on.
+        // A message that still decodes must survive a round trip.
         if let Ok(read) = decode(&raw) {
             prop_assert_eq!(decode(&encode(&read)).unwrap(), read);
         }
@@ -192,7 +190,7 @@
 
     #[test]
     fn message_random_bytes(raw in vec(any::<u8>(), 0..600), segments in 0u32..2) {
-        // A table of segments that fits makes it past the frame.
+        // A matching segment table gets the input past the framing check.
         let words = raw.len() as u32 / 8;
         let mut framed = [segments, words].map(u32::to_le_bytes).concat();
         framed.extend_from_slice(&raw);
@@ -202,7 +200,8 @@
         let _ = read_message_from_flat_slice(&mut rest, ReaderOptions::new());
     }
 
-    /// Contents inside of messages are compressed; random bytes there reach the next reader.
+    /// Payloads are compressed, so random bytes are fed both to the decompressor and, compressed,
+    /// to the decoder behind it.
     #[test]
     fn content_random_bytes(raw in vec(any::<u8>(), 0..600)) {
         let place = Place { region: Name::new("r").unwrap(), zone: Name::new("z").unwrap() };
@@ -215,7 +214,7 @@
 
 #[test]
 fn content_larger_than_allowed() {
-    // Story: a message of 1 MB unpacks to a thousand times its size, and the node's memory ends.
+    // Guards against decompression bombs.
     let compressed = compress(std::io::repeat(b' ').take(MAX_DECOMPRESSED_BYTES + 1));
     assert!(compressed.len() < 1 << 20, "{} bytes", compressed.len());
     let place = Place { region: Name::new("r").unwrap(), zone: Name::new("z").unwrap() };
