--- a/node/tests/spread_processes.rs
+++ b/node/tests/spread_processes.rs
@@ -1,4 +1,4 @@
-//! The spread through real processes: versions, and peers and a platform that misbehave.
+//! Version distribution between real processes, with faulty peers and a faulty platform.
 
 #[path = "support/processes.rs"]
 mod processes;
@@ -23,8 +23,8 @@
 
 #[test]
 fn restart_while_platform_is_down() {
-    // Story: a node is killed and starts again while the platform answers nobody. It knows nothing
-    // and has one neighbour's address. It serves what its neighbours hold.
+    // Guards against a node that cannot recover the configuration from its peers after a restart
+    // while the platform is down.
     let platform = MockPlatform::new();
     let (vms, mut nodes) = start_fleet(0, &platform);
     platform.publish(2);
@@ -41,9 +41,8 @@
 
 #[test]
 fn invalid_bytes_from_peer() {
-    // Story: something that is no node connects to the port for peers and sends text, a message
-    // that announces gigabytes, half a message, or nothing, and holds its connections. The node
-    // must neither die nor grow, and must go on taking versions from its peers.
+    // Guards against invalid or incomplete data on the peer port crashing the node, exhausting its
+    // memory or blocking version updates.
     let platform = MockPlatform::new();
     let (_, mut nodes) = start_fleet(1, &platform);
     let before = nodes[0].resident_kb();
@@ -52,7 +51,7 @@
         let mut stream = TcpStream::connect(nodes[0].peers()).unwrap();
         let invalid: Vec<u8> = match number % 4 {
             0 => b"GET / HTTP/1.1\r\nhost: x\r\n\r\n".repeat(20),
-            // One segment of 2^31 words.
+            // Announces one segment of 2^31 words.
             1 => [0, 0, 0, 0, 0, 0, 0, 0x80].to_vec(),
             2 => vec![0, 0, 0, 0, 255, 0, 0, 0, 1, 2, 3],
             _ => Vec::new(),
@@ -70,8 +69,8 @@
 
 #[test]
 fn unresponsive_peer() {
-    // Story: the seed of a node accepts connections and never says a word, and so does a VM that
-    // the platform's list names first. The node gives both up and takes versions from others.
+    // Guards against a node waiting indefinitely for peers that accept connections but never
+    // respond.
     let platform = MockPlatform::new();
     let mut vms = vms(2, &[("a-0", "r1", "a"), ("a-1", "r1", "a"), ("a-2", "r1", "a")]);
     let silent: Vec<TcpListener> = [0, 1]
@@ -82,16 +81,14 @@
     let seeds: Vec<SocketAddr> = silent.iter().map(|l| l.local_addr().unwrap()).collect();
     let nodes = [Node::start(&vms.remove(2), &platform, &seeds)];
     wait_for("version 1 in force", || all_have_version(&nodes, 1));
-    assert!(!nodes[0].status().unwrap().confirmed, "nobody has confirmed it");
+    assert!(!nodes[0].status().unwrap().confirmed, "no peer has confirmed the version");
     platform.publish(2);
     wait_for("version 2 in force", || all_have_version(&nodes, 2));
 }
 
 #[test]
 fn faulty_platform_responses() {
-    // Story: the platform answers with bytes that are no HTTP, then with values that are no
-    // publication, then refuses every call, then says nothing. Each time versions stay as they
-    // are, and what is published afterwards is taken.
+    // Guards against platform failures changing the version in force or blocking later versions.
     let platform = MockPlatform::new();
     let (_, nodes) = start_fleet(3, &platform);
     let mut version = 1;
