--- a/node/tests/support/processes.rs
+++ b/node/tests/support/processes.rs
@@ -1,4 +1,5 @@
-//! Real `sycamore-node` processes, and a small platform in a thread that can misbehave.
+//! Runs real `sycamore-node` processes against an in-process mock platform that can simulate
+//! faults.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
@@ -11,21 +12,21 @@
 use sycamore_core::hash::Hash;
 use sycamore_core::status::{Events, Status};
 
-/// Longest wait of a test for anything.
+/// Timeout of all waits.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How the platform answers.
+/// Response behaviour of the mock platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// As it should.
+    /// Valid responses.
     Normal,
-    /// With text that is no HTTP.
+    /// Bytes that are not HTTP.
     NotHttp,
-    /// With a value that is no publication.
+    /// Values that are not a publication.
     InvalidValue,
-    /// With 429.
+    /// Status 429.
     OverLimit,
-    /// Not at all.
+    /// No response.
     NoResponse,
 }
 
@@ -36,7 +37,7 @@
     calls: usize,
 }
 
-/// The platform: keys with blocking queries.
+/// Mock key-value store with blocking queries.
 #[derive(Clone)]
 pub struct MockPlatform {
     pub address: SocketAddr,
@@ -78,7 +79,7 @@
         self.state.0.lock().unwrap().calls
     }
 
-    /// Publishes one service and one route under a version.
+    /// Publishes a preset with one service and one route under the given version.
     pub fn publish(&self, version: u64) {
         let body = format!(
             r#"{{"name":"ordinary","services":{{"roster":{{"limits":{{"slots":{}}},
@@ -139,7 +140,7 @@
     )
 }
 
-/// A node's VM.
+/// VM of a node.
 #[derive(Clone, Debug)]
 pub struct Vm {
     pub name: String,
@@ -148,7 +149,7 @@
     pub ip: IpAddr,
 }
 
-/// VMs of a test: an address of its own for each, out of the way of other test processes.
+/// Creates the VMs of a test. Each has an address that is unique among concurrent test processes.
 pub fn vms(test: u8, names: &[(&str, &str, &str)]) -> Vec<Vm> {
     let pid = std::process::id();
     let vm = |(number, (name, region, zone)): (usize, &(&str, &str, &str))| Vm {
@@ -165,7 +166,7 @@
     names.iter().enumerate().map(vm).collect()
 }
 
-/// Publishes the lists of VMs and zones.
+/// Publishes the VM and zone lists.
 pub fn list(platform: &MockPlatform, vms: &[Vm]) {
     let mut zones: Vec<(&str, &str)> =
         vms.iter().map(|vm| (vm.region.as_str(), vm.zone.as_str())).collect();
@@ -188,7 +189,7 @@
     platform.set("zones", &format!(r#"{{"zones":[{}]}}"#, places.join(",")));
 }
 
-/// A running node; killed when dropped.
+/// A running node; killed on drop.
 pub struct Node {
     pub vm: Vm,
     child: Child,
@@ -242,13 +243,13 @@
         self.get("/events").unwrap()
     }
 
-    /// The version in force; zero before the first.
+    /// The version in force; 0 before the first.
     pub fn version(&self) -> u64 {
         let status = self.status();
         status.and_then(|status| status.in_force).map_or(0, |in_force| in_force.version)
     }
 
-    /// Resident memory in KB.
+    /// Resident set size in KB.
     pub fn resident_kb(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
@@ -268,7 +269,7 @@
     }
 }
 
-/// Waits until `done`, for as long as [`WAIT_TIMEOUT`]. The verdict does not depend on how long.
+/// Waits until `done` returns true. Fails after [`WAIT_TIMEOUT`].
 pub fn wait_for(what: &str, done: impl Fn() -> bool) {
     let start = Instant::now();
     while !done() {
