--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -28,21 +28,21 @@
 /// Handle to the discovery task.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    changed: Sender<()>,
-    leaving: Sender<()>,
+    settings_tx: Sender<()>,
+    leaving_tx: Sender<()>,
 }
 
 impl Handle {
     /// Applies the current settings.
     pub fn settings_changed(&self) {
         // A pending signal already covers the latest settings.
-        let _ = self.changed.try_send(());
+        let _ = self.settings_tx.try_send(());
     }
 
     /// Notifies peers that this node is shutting down.
     pub fn announce_leaving(&self) {
         // A pending signal has the same effect.
-        let _ = self.leaving.try_send(());
+        let _ = self.leaving_tx.try_send(());
     }
 }
 
@@ -54,8 +54,8 @@
     calls: Calls,
     local: &LocalExecutor<'_>,
 ) -> Handle {
-    let (changed, settings_rx) = async_channel::bounded(1);
-    let (leaving, leaving_rx) = async_channel::bounded(1);
+    let (settings_tx, settings_rx) = async_channel::bounded(1);
+    let (leaving_tx, leaving_rx) = async_channel::bounded(1);
     let signals = Signals { settings_rx, leaving_rx };
     let task = async move {
         let executor = Rc::new(LocalExecutor::new());
@@ -77,7 +77,7 @@
         executor.run(driver.run(message_rx, reply_rx, signals)).await;
     };
     local.spawn(task).detach();
-    Handle { changed, leaving }
+    Handle { settings_tx, leaving_tx }
 }
 
 fn config(settings: &Settings) -> Config {
@@ -210,11 +210,11 @@
     fn read(&self, call: Call) {
         self.cx.shared.metrics.platform_calls.inc();
         let id = call.id;
-        let reading = self.store.read(&self.cx.shared, call);
+        let read = self.store.read(&self.cx.shared, call);
         let replies = self.replies.clone();
         let task = async move {
             // Fails only during shutdown.
-            let _ = replies.send((id, reading.await)).await;
+            let _ = replies.send((id, read.await)).await;
         };
         self.cx.executor.spawn(task).detach();
     }
