--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -62,24 +62,24 @@
 /// Serves requests until the future is dropped.
 pub async fn serve(shared: Arc<Shared>, listener: Listener) {
     let executor = Rc::new(async_executor::LocalExecutor::new());
-    let (permit, permits) = async_channel::bounded::<()>(MAX_CONNECTIONS);
+    let (permit_tx, permit_rx) = async_channel::bounded::<()>(MAX_CONNECTIONS);
     let accept = async {
         loop {
-            if permit.send(()).await.is_err() {
+            if permit_tx.send(()).await.is_err() {
                 return;
             }
             let Ok(stream) = listener.accept().await else {
-                let _ = permits.recv().await;
+                let _ = permit_rx.recv().await;
                 shared.clock.sleep(Duration::from_millis(100)).await;
                 continue;
             };
             let shared = shared.clone();
-            let permits = permits.clone();
+            let permit_rx = permit_rx.clone();
             let task = async move {
-                let life = shared.clock.clone();
+                let clock = shared.clock.clone();
                 let serve = serve_connection(shared, stream);
-                futures_lite::future::or(serve, life.sleep(CONNECTION_LIFE)).await;
-                let _ = permits.recv().await;
+                futures_lite::future::or(serve, clock.sleep(CONNECTION_LIFE)).await;
+                let _ = permit_rx.recv().await;
             };
             executor.spawn(task).detach();
         }
@@ -89,8 +89,8 @@
 
 async fn serve_connection(shared: Arc<Shared>, stream: Async<TcpStream>) {
     let service = hyper::service::service_fn(move |req| {
-        let answer = answer(&shared, &req);
-        async move { Ok::<_, Infallible>(answer) }
+        let respond = respond(&shared, &req);
+        async move { Ok::<_, Infallible>(respond) }
     });
     // Keep-alive is off, so that idle clients do not occupy connection slots.
     let connection = hyper::server::conn::http1::Builder::new()
@@ -103,7 +103,7 @@
     let _ = connection.await;
 }
 
-fn answer(shared: &Shared, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(shared: &Shared, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     let (method, path) = (req.method(), req.uri().path());
     match (method, path) {
         (&Method::GET, "/metrics") => metrics(shared),
@@ -114,19 +114,19 @@
             shared.start_draining();
             json(StatusCode::ACCEPTED, &shared.status())
         }
-        _ if REQUESTS.iter().any(|request| request.ends_with(path)) => {
-            refusal(StatusCode::METHOD_NOT_ALLOWED)
+        _ if SUPPORTED_REQUESTS.iter().any(|request| request.ends_with(path)) => {
+            error_response(StatusCode::METHOD_NOT_ALLOWED)
         }
-        _ => refusal(StatusCode::NOT_FOUND),
+        _ => error_response(StatusCode::NOT_FOUND),
     }
 }
 
 /// Supported requests.
-const REQUESTS: [&str; 5] =
+const SUPPORTED_REQUESTS: [&str; 5] =
     ["GET /metrics", "GET /status", "GET /events", "GET /ready", "POST /drain"];
 
-fn refusal(code: StatusCode) -> Response<Full<Bytes>> {
-    let text = format!("{code}; supported requests: {}\n", REQUESTS.join(", "));
+fn error_response(code: StatusCode) -> Response<Full<Bytes>> {
+    let text = format!("{code}; supported requests: {}\n", SUPPORTED_REQUESTS.join(", "));
     response(code, "text/plain", text.into_bytes())
 }
 
