--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -150,7 +150,7 @@
             local.spawn(watcher.run(shared.clone(), changed)).detach();
         }
         local.spawn(admin::serve(shared.clone(), self.admin)).detach();
-        wait_for_stop(&shared, self.signals).await;
+        wait_for_shutdown(&shared, self.signals).await;
         handle.announce_leaving();
         drain(&shared, &calls).await;
     }
@@ -181,7 +181,7 @@
 }
 
 /// Waits for a signal or a `POST /drain` request, then starts draining.
-async fn wait_for_stop(shared: &Arc<Shared>, mut signals: Signals) {
+async fn wait_for_shutdown(shared: &Arc<Shared>, mut signals: Signals) {
     let signal = async {
         signals.next().await;
     };
@@ -192,8 +192,8 @@
 /// Waits until all calls have completed or the service's drain limit has passed.
 async fn drain(shared: &Arc<Shared>, calls: &calls::Calls) {
     let start = shared.clock.now();
-    let limit = start + calls.drain_limit();
-    while shared.clock.now() < limit {
+    let deadline = start + calls.drain_limit();
+    while shared.clock.now() < deadline {
         let now = shared.clock.now();
         let elapsed = now.since(start);
         let connections_settled =
@@ -203,9 +203,9 @@
         }
         shared.clock.sleep(DRAIN_POLL).await;
     }
-    let drained = Event::new(shared.clock.now(), EventKind::Drained);
+    let event = Event::new(shared.clock.now(), EventKind::Drained);
     shared.record(match shared.calls_open() {
-        0 => drained,
-        _ => drained.with_code(Code::DrainCutCalls),
+        0 => event,
+        _ => event.with_code(Code::DrainCutCalls),
     });
 }
