--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -158,9 +158,9 @@
 /// Registers the event counters. Each kind is initialised to zero, so that alerts on an increase
 /// detect the first event.
 fn event_counters(families: &mut Families) -> IntCounterVec {
-    let created = families.counters("events_total", "Changes of state.", &["kind"]);
+    let counters = families.counters("events_total", "Changes of state.", &["kind"]);
     for kind in EventKind::ALL {
-        created.with_label_values(&[kind.name()]);
+        counters.with_label_values(&[kind.name()]);
     }
-    created
+    counters
 }
