--- a/node/src/metrics/families.rs
+++ b/node/src/metrics/families.rs
@@ -59,11 +59,11 @@
         buf
     }
 
-    fn register<T: Collector + Clone + 'static>(&mut self, created: prometheus::Result<T>) -> T {
-        let created = created.expect("the name is valid");
-        self.names.extend(created.desc().iter().map(|desc| desc.fq_name.clone()));
-        self.registry.register(Box::new(created.clone())).expect("the name is registered once");
-        created
+    fn register<T: Collector + Clone + 'static>(&mut self, metric: prometheus::Result<T>) -> T {
+        let metric = metric.expect("the name is valid");
+        self.names.extend(metric.desc().iter().map(|desc| desc.fq_name.clone()));
+        self.registry.register(Box::new(metric.clone())).expect("the name is registered once");
+        metric
     }
 }
 
