--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -264,8 +264,8 @@
             Fault::new(Code::SettingsUnreadable).with_location(&place).with_detail(e)
         })?;
         Settings::parse(&buf).map_err(|fault| {
-            let inner = format!("{place}: {}", fault.location);
-            fault.with_location(inner)
+            let location = format!("{place}: {}", fault.location);
+            fault.with_location(location)
         })
     }
 
@@ -296,9 +296,14 @@
     /// exhausted.
     fn check_target(&self) -> Result<()> {
         let target = self.target_address;
-        match self.listen.named_addresses().into_iter().find(|(_, own)| Some(*own) == target) {
-            Some((name, own)) => {
-                let detail = format!("found {own}, which is already used by listen.{name}");
+        match self
+            .listen
+            .named_addresses()
+            .into_iter()
+            .find(|(_, address)| Some(*address) == target)
+        {
+            Some((name, address)) => {
+                let detail = format!("found {address}, which is already used by listen.{name}");
                 Err(Fault::new(Code::SettingsInvalid)
                     .with_location("target_address")
                     .with_detail(detail))
