--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -36,7 +36,7 @@
     pub lost_gates: Queue<SocketAddr>,
     current: RwLock<Arc<Settings>>,
     in_force: RwLock<Option<Arc<Snapshot>>>,
-    members: RwLock<Arc<MemberView>>,
+    members: RwLock<Arc<VmStates>>,
     events: Mutex<EventRing>,
     spread: Mutex<SpreadView>,
     draining: AtomicBool,
@@ -82,7 +82,7 @@
 }
 
 /// Known VM states; a VM without an entry counts as live.
-pub type MemberView = indexmap::IndexMap<Name, VmState>;
+pub type VmStates = indexmap::IndexMap<Name, VmState>;
 
 /// Version distribution state reported on `/status`.
 #[derive(Clone, Debug)]
@@ -122,7 +122,7 @@
             notes: Queue::new(MAX_NOTES),
             lost_gates: Queue::new(MAX_LOST_GATES),
             in_force: RwLock::new(None),
-            members: RwLock::new(Arc::new(MemberView::new())),
+            members: RwLock::new(Arc::new(VmStates::new())),
             events,
             spread: Mutex::new(SpreadView {
                 in_force_since: None,
@@ -172,12 +172,12 @@
     }
 
     /// Known VM states.
-    pub fn members(&self) -> Arc<MemberView> {
+    pub fn members(&self) -> Arc<VmStates> {
         self.members.read().clone()
     }
 
     /// Replaces the known VM states.
-    pub fn set_members(&self, members: MemberView) {
+    pub fn set_members(&self, members: VmStates) {
         *self.members.write() = Arc::new(members);
     }
 
