--- a/node/src/spread/platform.rs
+++ b/node/src/spread/platform.rs
@@ -52,12 +52,12 @@
         let body = body.map_err(|_| Code::SourceInvalid)?.to_bytes();
         parse_response(status, index, body)
     };
-    let drive = async {
+    let connection_driver = async {
         // The connection task yields no result; request errors are reported by `fetch`.
         let _ = connection.await;
         future::pending().await
     };
-    future::or(fetch, drive).await
+    future::or(fetch, connection_driver).await
 }
 
 fn request_path(call: &SourceCall) -> String {
