--- a/node/src/spread/server.rs
+++ b/node/src/spread/server.rs
@@ -48,20 +48,21 @@
 
 /// Accepts connections until the future is dropped.
 pub async fn serve(cx: Context, own: Peer, listener: Async<TcpListener>) {
-    let (permit, permits) = async_channel::bounded::<()>(MAX_CONNECTIONS);
+    let (permit_tx, permit_rx) = async_channel::bounded::<()>(MAX_CONNECTIONS);
     loop {
-        if permit.send(()).await.is_err() {
+        if permit_tx.send(()).await.is_err() {
             return;
         }
         let Ok((stream, _)) = listener.accept().await else {
-            let _ = permits.try_recv();
+            let _ = permit_rx.try_recv();
             cx.shared.clock.sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (connection, permits) = (serve_one(cx.clone(), own.clone(), stream), permits.clone());
+        let (connection, permit_rx) =
+            (serve_one(cx.clone(), own.clone(), stream), permit_rx.clone());
         let task = async move {
             connection.await;
-            let _ = permits.try_recv();
+            let _ = permit_rx.try_recv();
         };
         cx.executor.spawn(task).detach();
     }
