--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -10,7 +10,7 @@
 use sycamore_node::settings::Settings;
 use sycamore_node::shared::Shared;
 
-fn text(seed: u16) -> String {
+fn settings_json(seed: u16) -> String {
     format!(
         r#"{{"vm":"n","region":"r","zone":"z","listen":{{"calls":"127.0.0.1:0",
         "gate":"127.0.0.1:0","peers":"127.0.0.1:0","admin":"127.0.0.1:0"}},
@@ -20,9 +20,9 @@
 
 /// Replaces the file atomically. A partially written file could be read in between, which would
 /// record an extra rejection.
-fn replace(path: &Path, text: &str) {
+fn replace(path: &Path, settings_json: &str) {
     let next = path.with_extension("next");
-    std::fs::write(&next, text).unwrap();
+    std::fs::write(&next, settings_json).unwrap();
     std::fs::rename(&next, path).unwrap();
 }
 
@@ -38,7 +38,7 @@
     let watcher = SettingsWatcher::new(path).unwrap();
     let run = watcher.run(shared.clone(), || changes.set(changes.get() + 1));
     // Polled after `run`, which has read the file by then.
-    let seen = async {
+    let observed = async {
         write();
         for _ in 0..6_000 {
             if changes.get() == expected {
@@ -48,7 +48,7 @@
         }
         panic!("settings did not change {expected} times within a minute");
     };
-    async_io::block_on(future::or(run, seen));
+    async_io::block_on(future::or(run, observed));
 }
 
 fn read_event_codes(shared: &Shared) -> Vec<Option<u16>> {
@@ -61,9 +61,9 @@
 fn file_change_detected_without_signal() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("node.json");
-    std::fs::write(&path, text(6)).unwrap();
+    std::fs::write(&path, settings_json(6)).unwrap();
     let shared = Shared::new(Settings::read(&path).unwrap(), Clock::new());
-    watch_until_changed(&path, &shared, || replace(&path, &text(7)), 1);
+    watch_until_changed(&path, &shared, || replace(&path, &settings_json(7)), 1);
     assert_eq!(shared.current_settings().seeds, ["127.0.0.1:7".parse().unwrap()]);
     assert_eq!(read_event_codes(&shared), [None]);
 }
@@ -74,18 +74,18 @@
     // must be applied afterwards.
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("node.json");
-    std::fs::write(&path, text(6)).unwrap();
+    std::fs::write(&path, settings_json(6)).unwrap();
     let shared = Shared::new(Settings::read(&path).unwrap(), Clock::new());
-    let (writer, seen) = (path.clone(), shared.clone());
-    let rest = std::thread::spawn(move || {
-        while read_event_codes(&seen).is_empty() {
+    let (writer, observed) = (path.clone(), shared.clone());
+    let second_write = std::thread::spawn(move || {
+        while read_event_codes(&observed).is_empty() {
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert_eq!(seen.current_settings().seeds, ["127.0.0.1:6".parse().unwrap()]);
-        replace(&writer, &text(7));
+        assert_eq!(observed.current_settings().seeds, ["127.0.0.1:6".parse().unwrap()]);
+        replace(&writer, &settings_json(7));
     });
-    watch_until_changed(&path, &shared, || replace(&path, &text(7)[..40]), 1);
-    rest.join().unwrap();
+    watch_until_changed(&path, &shared, || replace(&path, &settings_json(7)[..40]), 1);
+    second_write.join().unwrap();
     assert_eq!(read_event_codes(&shared), [Some(102), None]);
     assert_eq!(shared.current_settings().seeds, ["127.0.0.1:7".parse().unwrap()]);
 }
