--- a/node/tests/settings.rs
+++ b/node/tests/settings.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn field_of_wrong_type() {
+fn field_with_wrong_type() {
     let mut settings = valid();
     settings["listen"]["gate"] = 7001.into();
     let fault = refused(&settings);
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn text_after_the_end() {
+fn trailing_text() {
     let text = format!("{} {}", valid(), valid());
     let fault = Settings::parse(text.as_bytes()).unwrap_err();
     assert!(fault.detail.contains("trailing characters"), "{fault}");
 }
 
 #[test]
-fn listen_address_twice() {
+fn duplicate_listen_address() {
     // Guards against a duplicate address being reported only as "address in use" at startup.
     let mut settings = valid();
     settings["listen"]["peers"] = "127.0.0.1:7001".into();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn target_address_is_the_nodes_own() {
+fn target_address_equals_listen_address() {
     // Guards against a gatekeeper that forwards calls to its own node until its connections are
     // exhausted.
     let mut settings = valid();
