--- a/node/tests/spread_codec.rs
+++ b/node/tests/spread_codec.rs
@@ -86,8 +86,8 @@
 
 fn ping() -> impl Strategy<Value = PeerMsg> {
     let kind = prop::sample::select(vec![PingKind::Join, PingKind::Attach, PingKind::Compare]);
-    let mark = (name(), any::<u64>()).prop_map(|(zone, index)| ListVersion { zone, index });
-    let lists = option::of(vec(mark, 0..4));
+    let list_version = (name(), any::<u64>()).prop_map(|(zone, index)| ListVersion { zone, index });
+    let lists = option::of(vec(list_version, 0..4));
     (any::<u32>(), kind, report(), option::of(summary()), any::<u64>(), lists).prop_map(
         |(seq, kind, report, have, zones, lists)| {
             PeerMsg::Ping(Box::new(Ping { seq, kind, report, have, zones, lists }))
@@ -218,6 +218,6 @@
     let compressed = compress(std::io::repeat(b' ').take(MAX_DECOMPRESSED_BYTES + 1));
     assert!(compressed.len() < 1 << 20, "{} bytes", compressed.len());
     let place = Place { region: Name::new("r").unwrap(), zone: Name::new("z").unwrap() };
-    let refused = decode_list(place, 1, &compressed).unwrap_err();
-    assert!(refused.to_string().contains("too large"), "{refused}");
+    let error = decode_list(place, 1, &compressed).unwrap_err();
+    assert!(error.to_string().contains("too large"), "{error}");
 }
