--- a/node/tests/spread_processes.rs
+++ b/node/tests/spread_processes.rs
@@ -3,7 +3,7 @@
 #[path = "support/processes.rs"]
 mod processes;
 
-use processes::{MockPlatform, Node, ResponseMode, Vm, list, vms, wait_for};
+use processes::{MockPlatform, Node, ResponseMode, Vm, publish_vm_lists, vms, wait_for};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use sycamore_core::Code;
@@ -14,7 +14,7 @@
 
 fn start_fleet(test: u8, platform: &MockPlatform) -> (Vec<Vm>, Vec<Node>) {
     let vms = vms(test, &[("a-0", "r1", "a"), ("a-1", "r1", "a"), ("b-0", "r2", "b")]);
-    list(platform, &vms);
+    publish_vm_lists(platform, &vms);
     platform.publish(1);
     let nodes: Vec<Node> = vms.iter().map(|vm| Node::start(vm, platform, &[])).collect();
     wait_for("version 1 in force", || all_have_version(&nodes, 1));
@@ -45,8 +45,8 @@
     // memory or blocking version updates.
     let platform = MockPlatform::new();
     let (_, mut nodes) = start_fleet(1, &platform);
-    let before = nodes[0].resident_kb();
-    let mut held = Vec::new();
+    let before_kb = nodes[0].resident_kb();
+    let mut open_streams = Vec::new();
     for number in 0..200u32 {
         let mut stream = TcpStream::connect(nodes[0].peers()).unwrap();
         let invalid: Vec<u8> = match number % 4 {
@@ -58,12 +58,12 @@
         };
         // The node may have closed the connection already.
         let _ = stream.write_all(&invalid);
-        held.push(stream);
+        open_streams.push(stream);
     }
     platform.publish(2);
     wait_for("version 2 in force", || all_have_version(&nodes, 2));
     assert!(nodes[0].is_running());
-    let growth_kb = nodes[0].resident_kb().saturating_sub(before);
+    let growth_kb = nodes[0].resident_kb().saturating_sub(before_kb);
     assert!(growth_kb < 32_768, "grown by {growth_kb} KB");
 }
 
@@ -73,12 +73,12 @@
     // respond.
     let platform = MockPlatform::new();
     let mut vms = vms(2, &[("a-0", "r1", "a"), ("a-1", "r1", "a"), ("a-2", "r1", "a")]);
-    let silent: Vec<TcpListener> = [0, 1]
+    let unresponsive: Vec<TcpListener> = [0, 1]
         .map(|number| TcpListener::bind(SocketAddr::new(vms[number].ip, 7_002)).unwrap())
         .into();
-    list(&platform, &vms);
+    publish_vm_lists(&platform, &vms);
     platform.publish(1);
-    let seeds: Vec<SocketAddr> = silent.iter().map(|l| l.local_addr().unwrap()).collect();
+    let seeds: Vec<SocketAddr> = unresponsive.iter().map(|l| l.local_addr().unwrap()).collect();
     let nodes = [Node::start(&vms.remove(2), &platform, &seeds)];
     wait_for("version 1 in force", || all_have_version(&nodes, 1));
     assert!(!nodes[0].status().unwrap().confirmed, "no peer has confirmed the version");
--- a/node/tests/support/processes.rs
+++ b/node/tests/support/processes.rs
@@ -52,10 +52,10 @@
             Values { index: 0, values: BTreeMap::new(), mode: ResponseMode::Normal, calls: 0 };
         let platform =
             MockPlatform { address, state: Arc::new((Mutex::new(values), Condvar::new())) };
-        let serving = platform.clone();
+        let server = platform.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let platform = serving.clone();
+                let platform = server.clone();
                 std::thread::spawn(move || platform.serve(stream));
             }
         });
@@ -114,14 +114,14 @@
         values = changed.wait_timeout_while(values, wait, unchanged).unwrap().0;
         let reply = match values.mode {
             ResponseMode::Normal => match values.values.get(key) {
-                Some((index, value)) => answer("200 OK", *index, value),
-                None => answer("404 Not Found", 0, ""),
+                Some((index, value)) => http_response("200 OK", *index, value),
+                None => http_response("404 Not Found", 0, ""),
             },
             ResponseMode::NotHttp => "\u{1}\u{2}rubbish\r\n\r\n".repeat(100),
             ResponseMode::InvalidValue => {
-                answer("200 OK", values.index + 1_000, "<html>oops</html>")
+                http_response("200 OK", values.index + 1_000, "<html>oops</html>")
             }
-            ResponseMode::OverLimit => answer("429 Too Many Requests", 0, ""),
+            ResponseMode::OverLimit => http_response("429 Too Many Requests", 0, ""),
             ResponseMode::NoResponse => {
                 drop(values);
                 std::thread::sleep(WAIT_TIMEOUT);
@@ -133,7 +133,7 @@
     }
 }
 
-fn answer(status: &str, index: u64, body: &str) -> String {
+fn http_response(status: &str, index: u64, body: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 {status}\r\nx-index: {index}\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n{body}"
@@ -167,7 +167,7 @@
 }
 
 /// Publishes the VM and zone lists.
-pub fn list(platform: &MockPlatform, vms: &[Vm]) {
+pub fn publish_vm_lists(platform: &MockPlatform, vms: &[Vm]) {
     let mut zones: Vec<(&str, &str)> =
         vms.iter().map(|vm| (vm.region.as_str(), vm.zone.as_str())).collect();
     zones.sort();
