--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -1,4 +1,5 @@
-//! Serves calls: as entry node for callers, and as gatekeeper of the local target.
+//! The call path of a node: the entry node that accepts requests from callers, and the gatekeeper
+//! of the local target.
 
 pub mod body;
 pub mod dialect;
@@ -30,41 +31,39 @@
 use sycamore_core::hash::rendezvous_score;
 use sycamore_core::{Code, Fault, Name, Result};
 
-/// Connections are looked at once in so many ticks.
+/// Number of ticks between checks for expired connection timeouts.
 const SWEEP_TICKS: u32 = 2;
 
-/// Connections that may wait to be accepted. Guards against callers who return all at once: what
-/// does not fit is dropped, and connects only when it is sent again a second later.
+/// Backlog of the listening sockets. Sized for many callers reconnecting at once: a SYN that does
+/// not fit is dropped and retransmitted only a second later.
 const BACKLOG: i32 = 4_096;
 
-/// The sockets that calls come in on.
+/// The listening sockets of the call path.
 #[derive(Debug)]
 pub struct Listeners {
-    /// From callers and the local target.
+    /// Requests from callers and from the local target.
     pub calls: Async<TcpListener>,
-    /// From nodes that forward calls.
+    /// Requests forwarded by other nodes.
     pub gate: Async<TcpListener>,
 }
 
 impl Listeners {
-    /// Binds both sockets.
     pub fn bind(listen: &Listen) -> Result<Listeners> {
         Ok(Listeners { calls: bind(listen.calls)?, gate: bind(listen.gate)? })
     }
 }
 
-/// Binds one socket.
 pub fn bind(address: std::net::SocketAddr) -> Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(address);
     let listening = listener.and_then(|listener| {
-        // The standard library asks for a queue of its own length; a second call sets another.
+        // The standard library sets its own backlog; listening again replaces it.
         rustix::net::listen(&listener, BACKLOG)?;
         Ok(listener)
     });
     listening.map_err(|e| Fault::new(Code::ListenFailed).with_location(address).with_detail(e))
 }
 
-/// A handle on the call path of this node.
+/// Handle to the call path of this node.
 #[derive(Clone, Debug)]
 pub struct Calls {
     shared: Arc<Shared>,
@@ -73,16 +72,15 @@
     seen: Arc<Mutex<Seen>>,
 }
 
-/// What the deciders were last told.
+/// The snapshot and the VM states last passed to the state machines.
 #[derive(Debug, Default)]
 struct Seen {
     snapshot: Option<Arc<Snapshot>>,
     members: Option<Arc<Members>>,
 }
 
-/// Starts serving calls on `executor`.
 pub fn start(shared: Arc<Shared>, listeners: Listeners, executor: Arc<Executor<'static>>) -> Calls {
-    // A seed that differs between nodes and starts; everything after it is decided by it.
+    // Differs between nodes and between restarts.
     let seed = rendezvous_score(shared.settings.vm.as_bytes(), &shared.clock.now().0.to_le_bytes());
     let entry = Arc::new(EntrySide::new(shared.clone(), &executor, seed));
     let gate = Arc::new(GateSide::new(shared.clone(), &executor, seed));
@@ -98,12 +96,12 @@
 }
 
 impl Calls {
-    /// Takes a note that another node's call path sent to this one.
+    /// Handles a note sent by another node's call path.
     pub fn take_note(&self, from: &Name, note: Note) {
         self.gate.take_note(from, &note);
     }
 
-    /// Tells the call path that the version in force or the states of VMs have changed.
+    /// Applies a change of the version in force or of the VM states.
     pub fn view_changed(&self) {
         let mut seen = self.seen.lock();
         let members = self.shared.members();
@@ -116,26 +114,27 @@
             return;
         };
         if seen.snapshot.as_ref().is_none_or(|known| !Arc::ptr_eq(known, &snapshot)) {
-            // The gatekeeper first: it lets go of keys before anyone sends them elsewhere.
+            // The gatekeeper first, so that it releases keys before they are routed to another
+            // home.
             self.gate.configure(&snapshot);
             self.entry.configure(&snapshot);
             seen.snapshot = Some(snapshot);
         }
     }
 
-    /// Tells the call path that the version in force has been confirmed to be the newest, by the
-    /// platform or by peers. After a clock gap requests that may run only once wait for it.
+    /// Reports that the platform or peers confirmed the version in force as the newest. After a
+    /// clock gap, requests that may run only once wait for this.
     pub fn confirmed(&self) {
         self.gate.confirm();
     }
 
-    /// Longest planned stop of the local target's service.
+    /// Maximum drain time of the local target's service.
     pub fn drain_limit(&self) -> Duration {
         let limits: ServiceLimits = self.shared.own_limits().unwrap_or_default();
         Duration::from_millis(limits.drain_ms.into())
     }
 
-    /// Lets time pass for the deciders and the connections.
+    /// Sends ticks to the state machines and closes connections that exceeded a timeout.
     async fn keep_time(self, servers: Vec<Arc<Server>>) {
         let mut ticks = 0;
         loop {
