--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through a node.
+//! Request and response bodies that pass through a node.
 
 use super::pace::Pace;
 use super::pool::Connection;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use sycamore_core::Code;
 
-/// A body that goes out: of a request towards a target, or of an answer towards a caller.
+/// An outgoing body: of a request to a target, or of a response to a caller.
 #[derive(Debug)]
 pub struct Body {
     content: Content,
@@ -37,40 +37,36 @@
     left: u64,
     idle: Duration,
     timer: Option<Timer>,
-    // The other side has said that nothing more comes; of a body of unknown length only that shows
-    // its end.
+    // The sender signalled the end of the body. Required for bodies of unknown length.
     ended: bool,
     failed: bool,
     pace: Option<Pace>,
 }
 
-/// Who is told that a body is over.
+/// What to notify when a body completes or is dropped.
 #[derive(Debug)]
 pub enum Guard {
-    /// Nobody.
     None,
-    /// The connection that it goes out on.
+    /// The connection on which the body is sent.
     Watch(Arc<Watch>),
-    /// An entry node's call.
+    /// A call at the entry node.
     Entry(entry::Answer),
-    /// A gatekeeper's call.
+    /// A call at the gatekeeper.
     Gate(gate::Answer),
 }
 
 impl Body {
-    /// No body.
     pub fn empty() -> Body {
         Body { content: Content::Empty, guard: Guard::None }
     }
 
-    /// A body that is held whole.
+    /// A body that is buffered in memory.
     pub fn whole(buf: Bytes) -> Body {
         let content = if buf.is_empty() { Content::Empty } else { Content::Whole(buf) };
         Body { content, guard: Guard::None }
     }
 
-    /// A body that is passed on as it comes, up to `most` bytes, and given up if nothing comes
-    /// for `idle`.
+    /// A body that is streamed. Fails if it exceeds `most` bytes or if no data arrives for `idle`.
     pub fn relay(incoming: Incoming, most: u64, idle: Duration) -> Body {
         let relay = Relay {
             incoming,
@@ -84,7 +80,7 @@
         Body { content: Content::Relay(Box::new(relay)), guard: Guard::None }
     }
 
-    /// The same body, its bytes given to the VM's link at the pace that it takes.
+    /// Limits the rate at which the body is sent to the bandwidth of the VM's link.
     pub fn with_pace(mut self, pace: Pace) -> Body {
         if let Content::Relay(relay) = &mut self.content {
             relay.pace = Some(pace);
@@ -92,13 +88,13 @@
         self
     }
 
-    /// The same body; `guard` is told when it is over.
+    /// Notifies `guard` when the body completes or is dropped.
     pub fn with_guard(mut self, guard: Guard) -> Body {
         self.guard = guard;
         self
     }
 
-    /// Whether it can be sent again: it has been held whole.
+    /// Whether the body is buffered and can be sent again.
     pub fn is_whole(&self) -> bool {
         !matches!(self.content, Content::Relay(_))
     }
@@ -106,7 +102,7 @@
     fn is_over(&self) -> bool {
         match &self.content {
             Content::Empty => true,
-            // hyper takes it in one piece.
+            // hyper takes a buffered body as a single frame.
             Content::Whole(_) => false,
             Content::Relay(relay) => !relay.failed && relay.is_end_stream(),
         }
@@ -182,12 +178,12 @@
         hint
     }
 
-    /// Bytes that have come and wait for the link.
+    /// Bytes received but not yet sent over the link.
     fn held(&self) -> u64 {
         self.pace.as_ref().map_or(0, Pace::held)
     }
 
-    /// Bytes that wait for the link after the whole body has been read, if so.
+    /// Number of unsent bytes once the incoming body has been read to its end.
     fn read_whole(&self) -> Option<u64> {
         let read = !self.failed && self.is_read();
         (read && self.held() > 0).then(|| self.held())
@@ -204,11 +200,11 @@
         if self.pace.is_none() {
             return self.poll_incoming(cx);
         }
-        // What the link has no room for yet is read all the same.
+        // Reads ahead of the link, up to the buffer limit.
         while self.pace.as_ref().is_some_and(Pace::has_room) && !self.is_read() {
             match self.poll_incoming(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers are dropped: the header by which a caller asks for them is, too.
+                    // Trailers are dropped, as is the `te` header by which a caller requests them.
                     if let (Ok(data), Some(pace)) = (frame.into_data(), &mut self.pace) {
                         pace.hold(data);
                     }
@@ -226,8 +222,8 @@
         }
     }
 
-    /// An error here makes hyper break the connection off, so that the reader can't take what it
-    /// got for the whole body.
+    /// Polls the incoming body. An error makes hyper close the connection, so that the receiver
+    /// cannot mistake a truncated body for a complete one.
     fn poll_incoming(
         &mut self,
         cx: &mut Context<'_>,
@@ -268,7 +264,7 @@
     }
 }
 
-/// Reads a body of at most `most` bytes whole.
+/// Buffers a body of at most `most` bytes.
 pub async fn collect(mut incoming: Incoming, most: u64, idle: Duration) -> Result<Bytes, Code> {
     let stated = incoming.size_hint().lower().min(most) as usize;
     let mut first: Option<Bytes> = None;
@@ -293,7 +289,7 @@
         if size > most {
             return Err(Code::RequestTooLarge);
         }
-        // Most bodies come in one piece, which is kept as it is.
+        // Most bodies arrive in a single frame, which is used without copying.
         if first.is_none() && buf.is_empty() && data.len() >= stated {
             first = Some(data);
             continue;
@@ -306,19 +302,18 @@
     Ok(first.unwrap_or_else(|| buf.freeze()))
 }
 
-/// The connection that an answer comes in on; goes back to its pool once the answer is whole.
+/// The connection on which a response arrives. Returned to the pool once the response is complete.
 #[derive(Debug)]
 pub struct Lease {
     connection: Option<Connection>,
 }
 
 impl Lease {
-    /// Holds the connection while its answer comes in.
     pub fn new(connection: Connection) -> Lease {
         Lease { connection: Some(connection) }
     }
 
-    /// The answer is over. A connection whose answer was cut is closed.
+    /// Ends the lease. The connection of an incomplete response is closed.
     pub fn over(&mut self, whole: bool) {
         if let Some(connection) = self.connection.take().filter(|_| whole) {
             connection.give_back();
