--- a/node/src/calls/dialect.rs
+++ b/node/src/calls/dialect.rs
@@ -1,30 +1,30 @@
-//! Names of headers between a node and its callers and target.
+//! Names of the headers exchanged with callers and targets.
 //!
-//! Between nodes the product's own names hold. A deployment whose callers and targets use other
-//! names says so here, and nothing else of the call path knows them.
+//! Nodes use the product's own names between each other. A deployment whose callers and targets use
+//! different names configures them here; the rest of the call path does not depend on them.
 
 use super::headers;
 use hyper::header::HeaderName;
 
-/// The headers that callers send and targets take and give.
+/// Headers exchanged with callers and targets.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Milliseconds that are left for the request.
+    /// Remaining time of the request in milliseconds.
     pub deadline: HeaderName,
-    /// Names the request; a target repeats it in its answer.
+    /// Identifies the request. A target echoes it in its response.
     pub request_id: HeaderName,
-    /// The service on whose VM the request was made; absent if targets do not ask for it.
+    /// Service of the VM that sent the request, if targets expect it.
     pub caller: Option<HeaderName>,
-    /// The run of the target's process that is meant; another one refuses the request.
+    /// Incarnation of the target's process. A target with another incarnation rejects the request.
     pub incarnation: Option<HeaderName>,
-    /// Stands in a target's answer if it has not run the request.
+    /// Present in a target's response if the target did not run the request.
     pub not_run: Option<HeaderName>,
-    /// Whether `retry-after` may state fractions of a second.
+    /// Whether `retry-after` may contain fractions of a second.
     pub fractional_retry_after: bool,
 }
 
 impl Dialect {
-    /// The product's own names.
+    /// The product's own header names.
     pub fn new() -> Dialect {
         Dialect {
             deadline: headers::DEADLINE,
@@ -36,33 +36,33 @@
         }
     }
 
-    /// The same with the headers of a request.
+    /// Replaces the request id and deadline headers.
     pub fn with_request(mut self, request_id: HeaderName, deadline: HeaderName) -> Dialect {
         self.request_id = request_id;
         self.deadline = deadline;
         self
     }
 
-    /// The same with the headers that a target expects of the caller and of itself.
+    /// Sets the headers for the calling service and the target's incarnation.
     pub fn with_parties(mut self, caller: HeaderName, incarnation: HeaderName) -> Dialect {
         self.caller = Some(caller);
         self.incarnation = Some(incarnation);
         self
     }
 
-    /// The same with the header of a target's answer that says that nothing ran.
+    /// Sets the response header by which a target reports that it did not run the request.
     pub fn with_not_run(mut self, not_run: HeaderName) -> Dialect {
         self.not_run = Some(not_run);
         self
     }
 
-    /// The same with fractions of a second in `retry-after`.
+    /// Allows fractions of a second in `retry-after`.
     pub fn with_fractional_retry_after(mut self) -> Dialect {
         self.fractional_retry_after = true;
         self
     }
 
-    /// Whether the names are the product's own, which targets then know too.
+    /// Whether these are the product's own header names, which targets then support too.
     pub fn is_own(&self) -> bool {
         self.request_id == headers::REQUEST_ID
     }
