--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -1,4 +1,4 @@
-//! The entry node's adapter: takes calls from callers and forwards them to gatekeepers.
+//! Adapter of the entry node: accepts requests from callers and forwards them to gatekeepers.
 
 mod attempt;
 mod hedge;
@@ -26,13 +26,13 @@
 use sycamore_core::config::Snapshot;
 use sycamore_core::{Code, Time};
 
-/// Largest request body that is held in memory so that it can be sent again.
+/// Maximum size of a request body that is buffered so that it can be sent again.
 pub const MAX_HELD_BODY_BYTES: u64 = 65_536;
 
-/// When to come back to a node that is leaving.
+/// `Retry-After` of rejections that are not caused by load.
 const COME_BACK_SOON: Duration = Duration::from_millis(200);
 
-/// The entry side of a node.
+/// Adapter of the entry node's state machine.
 #[derive(Debug)]
 pub struct EntrySide {
     shared: Arc<Shared>,
@@ -41,14 +41,14 @@
     id_prefix: String,
 }
 
-/// A part of the calls with its own lock and connections.
+/// A subset of the calls with its own lock and connection pool.
 #[derive(Debug)]
 struct Shard {
     entry: Mutex<Entry>,
     pool: Arc<Pool>,
 }
 
-/// A request as it is sent, perhaps more than once.
+/// A request that is forwarded, possibly more than once.
 #[derive(Debug)]
 struct Call {
     open: OpenEntry,
@@ -72,7 +72,7 @@
     depth: u8,
 }
 
-/// An answer on its way to the caller.
+/// A response that is being sent to the caller.
 #[derive(Debug)]
 pub struct Answer {
     open: OpenEntry,
@@ -80,7 +80,7 @@
     watch: Arc<Watch>,
 }
 
-/// A call that the decider knows; closed when dropped, so also when the caller goes away.
+/// A call that is open in the state machine. Closed on drop, including when the caller disconnects.
 #[derive(Debug)]
 struct OpenEntry {
     side: Arc<EntrySide>,
@@ -89,7 +89,7 @@
 }
 
 impl EntrySide {
-    /// An entry side with one shard a thread.
+    /// Creates an adapter with one shard per thread.
     pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> EntrySide {
         let place = shared.settings.place();
         let shard = |index: usize| Shard {
@@ -101,22 +101,21 @@
         EntrySide { shards, next_call: AtomicU64::new(1), id_prefix, shared }
     }
 
-    /// How many shards there are.
     pub fn shards(&self) -> usize {
         self.shards.len()
     }
 
-    /// A version came into force.
+    /// Applies a version that came into force.
     pub fn configure(&self, snapshot: &Arc<Snapshot>) {
         self.tell_all(|| Input::Configure(snapshot.clone()));
     }
 
-    /// The states of VMs changed.
+    /// Applies a change of VM states.
     pub fn view(&self, members: &Arc<Members>) {
         self.tell_all(|| Input::View(members.clone()));
     }
 
-    /// Closes connections that were not used for long.
+    /// Closes connections that exceeded their idle timeout.
     pub fn sweep(&self) {
         for shard in &self.shards {
             shard.pool.sweep();
@@ -130,7 +129,7 @@
         }
     }
 
-    /// One decision about one call; what follows from it is for this call alone.
+    /// Passes an input for a single call to the state machine and returns its output.
     fn decide(&self, shard: usize, input: Input<'_>) -> Option<Output> {
         let now = self.shared.clock.now();
         let mut out = Vec::with_capacity(1);
@@ -138,7 +137,7 @@
         out.pop()
     }
 
-    /// Serves one request of a caller.
+    /// Serves a request from a caller.
     pub async fn serve(
         self: Arc<EntrySide>,
         shard: usize,
@@ -181,7 +180,7 @@
         }
     }
 
-    /// Reads the head. One that states no host, though its version asks for it, is malformed.
+    /// Parses the request head. An HTTP/1.1 request without a `host` header is malformed.
     fn read_head(&self, watch: &Watch, req: &Request<Incoming>) -> Result<CallHead, Code> {
         let without_host = req.version() == Version::HTTP_11 && !req.headers().contains_key(HOST);
         if watch.ambiguous() || without_host {
@@ -206,7 +205,7 @@
         self.forward(call, forward).await
     }
 
-    /// Sends a request until it is answered or the decider ends it.
+    /// Forwards a request until it is answered or the state machine ends the call.
     async fn forward(&self, mut call: Call, mut forward: Forward) -> Response<Body> {
         loop {
             let attempt = self.attempt(&mut call, &mut forward).await;
@@ -243,7 +242,7 @@
         }
     }
 
-    /// Records an attempt without an answer: its code, and whether a byte of it may have left.
+    /// Records a failed attempt: its code, and whether the target may have run the request.
     fn note_failure(&self, id: &HeaderValue, forward: &Forward, (code, sent): (Code, bool)) {
         if matches!(code, Code::GatekeeperUnreachable | Code::AnswerLost) {
             self.shared.lost_gates.send(forward.gate);
@@ -258,7 +257,7 @@
         trace::line(&self.shared, id, Step::AttemptFailed, fields);
     }
 
-    /// The request as the gatekeeper gets it. `None` if its body has been used up.
+    /// Builds the request to the gatekeeper. Returns `None` if the body is already consumed.
     fn request(&self, call: &mut Call, forward: &Forward) -> Option<Request<Body>> {
         let mut req = Request::new(call.body.take()?);
         *req.method_mut() = call.method.clone();
@@ -282,8 +281,8 @@
         Some(req)
     }
 
-    /// Names the service that asks and the run of the target that is meant, whatever the caller
-    /// has sent under these names.
+    /// Sets the headers for the calling service and the target's incarnation. Values sent by the
+    /// caller are discarded.
     fn write_parties(&self, headers: &mut HeaderMap, forward: &Forward) {
         let dialect = &self.shared.dialect;
         headers.remove(&dialect.deadline);
@@ -294,7 +293,7 @@
         for (header, name) in parties {
             let Some(header) = header else { continue };
             headers.remove(header);
-            // A name is printable ASCII, so that it always fits.
+            // A name is printable ASCII, so the conversion succeeds.
             let value = name.and_then(|name| HeaderValue::from_bytes(name.as_bytes()).ok());
             if let Some(value) = value {
                 headers.insert(header.clone(), value);
@@ -302,7 +301,7 @@
         }
     }
 
-    /// Holds a small body in memory; a larger one is passed on as it comes.
+    /// Buffers a small body; a larger one is streamed.
     async fn hold(&self, incoming: Incoming, forward: &Forward) -> Result<HeldBody, Code> {
         if incoming.is_end_stream() {
             return Ok(HeldBody::Whole(bytes::Bytes::new()));
@@ -310,7 +309,7 @@
         let idle = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
         let stated = incoming.size_hint().upper();
         let small = stated.is_some_and(|bytes| bytes <= MAX_HELD_BODY_BYTES);
-        // Only a key needs the whole body: it must always stand for the same request.
+        // Keyed requests are always buffered, because a key must identify one body.
         if !forward.terms.is_keyed() && !small {
             let body = Body::relay(incoming, forward.max_body_bytes, idle);
             return Ok(HeldBody::Stream(Some(Box::new(body))));
@@ -380,7 +379,7 @@
         outcomes.with_label_values(&[name, &number]).inc();
     }
 
-    /// The request's id, or a new one.
+    /// Returns the request id sent by the caller, or generates one.
     fn request_id(&self, number: u64, head: Option<&CallHead>) -> HeaderValue {
         let given = head.and_then(|head| head.request_id.clone());
         given.unwrap_or_else(|| {
@@ -389,7 +388,7 @@
         })
     }
 
-    /// `None` if the deadline passes first.
+    /// Returns `None` if the deadline passes first.
     async fn before<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
         let timeout = async {
             self.shared.clock.sleep_until(deadline).await;
@@ -400,7 +399,7 @@
 }
 
 impl Answer {
-    /// The answer's body is over: to its end, or cut.
+    /// Ends the response; `whole` is false if the body was truncated.
     pub fn over(mut self, whole: bool) {
         self.lease.over(whole);
         let outcome =
@@ -420,7 +419,7 @@
     Outcome::not_run(code, COME_BACK_SOON)
 }
 
-/// The form of a target that a server expects: path and query alone.
+/// Converts to origin form: path and query only.
 fn origin_form(uri: Uri) -> Uri {
     if uri.authority().is_none() {
         return uri;
