--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call: the body that it sends, and what it comes to.
+//! A single attempt of a call: its request body and its result.
 
 use crate::calls::body::Body;
 use crate::calls::headers::{self, Verdict};
@@ -11,9 +11,9 @@
 
 #[derive(Debug)]
 pub(super) enum HeldBody {
-    /// In memory: can be sent again.
+    /// Buffered: can be sent again.
     Whole(bytes::Bytes),
-    /// Passed on as it comes: absent once it has been sent.
+    /// Streamed: `None` once it has been sent.
     Stream(Option<Box<Body>>),
 }
 
@@ -22,7 +22,7 @@
         !matches!(self, HeldBody::Stream(None))
     }
 
-    /// Whether it can be sent while another attempt sends it.
+    /// Whether it can be sent by two attempts at the same time.
     pub(super) fn is_held(&self) -> bool {
         matches!(self, HeldBody::Whole(_))
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// What one attempt came to.
+/// Result of an attempt.
 #[derive(Debug)]
 pub(super) enum Attempt {
     Answer(Response<Incoming>, Connection),
@@ -52,7 +52,7 @@
     },
 }
 
-/// Code of an attempt without an answer, and whether a byte of it may have left.
+/// Code of a failed attempt, and whether the target may have run the request.
 pub(super) fn failure(input: &Input<'_>) -> (Code, bool) {
     match input {
         Input::Attempt { end, .. } => end_code(end),
@@ -61,7 +61,7 @@
     }
 }
 
-/// The same by what the attempt came to.
+/// Code of an attempt's end, and whether the target may have run the request.
 pub(super) fn end_code(end: &AttemptEnd) -> (Code, bool) {
     match end {
         AttemptEnd::Refused { code, .. } => (*code, false),
@@ -75,7 +75,7 @@
     }
 }
 
-/// What the head of a target's answer says.
+/// Classifies a target's response by its head.
 pub(super) fn answering(response: &Response<Incoming>) -> AttemptEnd {
     let load = headers::load(response.headers());
     let failed = response.status().is_server_error();
@@ -85,7 +85,7 @@
     }
 }
 
-/// Takes a gatekeeper's answer apart.
+/// Converts a gatekeeper's response to the result of the attempt.
 pub(super) fn judge(
     id: &HeaderValue,
     response: Response<Incoming>,
