--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -1,4 +1,4 @@
-//! One step of a call: an attempt, and a hedge beside it if it is slow.
+//! One round of a call: an attempt, and a hedged attempt if the first one is slow.
 
 use super::attempt::{Attempt, answering, end_code, judge};
 use super::{Call, EntrySide};
@@ -16,15 +16,15 @@
 use sycamore_core::call::CallKey;
 use sycamore_core::call::entry::{AttemptEnd, Forward, Input, Output};
 
-/// What became of a request that was sent to a gatekeeper.
+/// Result of sending a request to a gatekeeper.
 enum Sent {
     Ended(Attempt),
-    /// Nothing has left, and the body is still whole.
+    /// No byte was sent; the body is unused.
     Unsent(Body),
 }
 
 impl Sent {
-    /// The end of an attempt whose body is held anyway.
+    /// Drops the unsent body, which is buffered elsewhere.
     fn into_attempt(self) -> Attempt {
         match self {
             Sent::Ended(attempt) => attempt,
@@ -34,8 +34,8 @@
 }
 
 impl EntrySide {
-    /// Sends a request, and a hedge if that takes longer than nearly all do. `forward` becomes the
-    /// attempt that the result is of.
+    /// Sends a request, and a hedge if no response arrives within the hedge delay. Sets `forward`
+    /// to the attempt that produced the result.
     pub(super) async fn attempt(&self, call: &mut Call, forward: &mut Forward) -> Attempt {
         let Some(req) = self.begin_attempt(call, forward) else {
             return Attempt::Ended(AttemptEnd::ConnectionLost);
@@ -84,7 +84,7 @@
         attempt
     }
 
-    /// The request of an attempt, which is recorded. `None` if its body has been used up.
+    /// Records an attempt and builds its request. Returns `None` if the body is already consumed.
     fn begin_attempt(&self, call: &mut Call, forward: &Forward) -> Option<Request<Body>> {
         let fields = Fields::of_forward(&self.shared, forward);
         trace::line(&self.shared, &call.id, Step::Forwarded, fields);
@@ -112,7 +112,7 @@
     }
 }
 
-/// An attempt and its hedge, one of which has ended.
+/// An attempt and its hedge, one of which has completed.
 struct Race<'a> {
     side: &'a EntrySide,
     key: CallKey,
@@ -122,7 +122,6 @@
     hedge: &'a Forward,
 }
 
-/// Which of the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Attempted {
     First,
@@ -139,7 +138,8 @@
 }
 
 impl Race<'_> {
-    /// One of the two has ended. Returns the result for the caller, and which of them it is of.
+    /// Handles the completion of one of the two attempts. Returns the result for the caller and the
+    /// attempt that produced it.
     async fn settle(
         &self,
         ended: Attempted,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// One of the two is over; without an end it was given up.
+    /// Reports the end of one of the attempts; `None` means that it was cancelled.
     fn over(&self, which: Attempted, end: Option<AttemptEnd>) {
         let forward = match which {
             Attempted::First => self.first,
@@ -191,10 +191,10 @@
     }
 }
 
-/// Whether an attempt's end is what the caller gets while another goes on.
+/// Whether an attempt's result is returned to the caller while the other attempt is in flight.
 enum Usable {
     Yes,
-    /// A failure of the target's own, unless the other attempt is answered better.
+    /// An error response of the target, used unless the other attempt succeeds.
     LastResort,
     No,
 }
@@ -205,7 +205,7 @@
             AttemptEnd::ErrorResponseStarted { .. } => Usable::LastResort,
             _ => Usable::Yes,
         },
-        // The deadline is the same for both.
+        // Both attempts have the same deadline.
         Attempt::Late { .. } => Usable::Yes,
         Attempt::Ended(_) => Usable::No,
     }
