--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -1,4 +1,4 @@
-//! The gatekeeper's adapter: the only one that opens connections to the local target.
+//! Adapter of the gatekeeper, the only component that opens connections to the local target.
 
 mod slot;
 mod target;
@@ -39,10 +39,10 @@
 use sycamore_core::{Code, Name, Time};
 use target::Call;
 
-/// When to come back after a refusal by the adapter itself.
+/// `Retry-After` of rejections by the adapter.
 const COME_BACK_SOON: Duration = Duration::from_millis(200);
 
-/// The gatekeeper side of a node.
+/// Adapter of the gatekeeper's state machine.
 #[derive(Debug)]
 pub struct GateSide {
     shared: Arc<Shared>,
@@ -59,7 +59,7 @@
     waiting: IndexMap<CallKey, Sender<Decision>>,
 }
 
-/// What the decider says to one call.
+/// Decision of the state machine about a call.
 #[derive(Debug)]
 enum Decision {
     Run { once: bool },
@@ -69,7 +69,6 @@
 }
 
 impl GateSide {
-    /// The gatekeeper side of a node.
     pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> GateSide {
         let settings = &shared.settings;
         let link = settings.limits.link_mbps.map(|rate| rate.kbps);
@@ -88,27 +87,27 @@
         }
     }
 
-    /// A version came into force.
+    /// Applies a version that came into force.
     pub fn configure(&self, snapshot: &Arc<Snapshot>) {
         self.tell(Input::Configure(snapshot.clone()));
     }
 
-    /// The states of VMs changed.
+    /// Applies a change of VM states.
     pub fn view(&self, members: &Arc<Members>) {
         self.tell(Input::View(members.clone()));
     }
 
-    /// The version in force is confirmed to be the newest.
+    /// Reports that the version in force is confirmed to be the newest.
     pub fn confirm(&self) {
         self.tell(Input::Confirm);
     }
 
-    /// Takes a note from another gatekeeper.
+    /// Handles a note from another gatekeeper.
     pub fn take_note(&self, from: &Name, note: &Note) {
         self.tell(Input::Note { from, note });
     }
 
-    /// Time passes.
+    /// Sends a tick to the state machine, preceded by a drain input if draining has started.
     pub fn tick(&self) {
         if !self.shared.takes_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
             self.tell(Input::Drain);
@@ -117,7 +116,7 @@
         self.pool.sweep();
     }
 
-    /// Makes a decision that is not about a call of the present task.
+    /// Passes an input to the state machine that does not belong to a call of the current task.
     fn tell(&self, input: Input<'_>) {
         let mut out = Vec::new();
         let now = self.shared.clock.now();
@@ -130,7 +129,7 @@
         self.carry_out(effects);
     }
 
-    /// Makes a decision about `call` and returns what it says to that call.
+    /// Passes an input about `call` to the state machine and returns the decision for that call.
     fn decide(&self, call: CallKey, input: Input<'_>) -> Option<Decision> {
         let mut out = Vec::with_capacity(2);
         let now = self.shared.clock.now();
@@ -165,13 +164,13 @@
         }
     }
 
-    /// For how long the next bytes of the answer to `call` must wait for the link.
+    /// Delay before the next `bytes` of the response to `call` may be sent over the link.
     pub(super) fn wait_for_link(&self, call: CallKey, bytes: u64) -> Duration {
         let now = self.shared.clock.now();
         self.state.lock().gatekeeper.schedule_chunk(now, call, bytes).since(now)
     }
 
-    /// Serves one request that another node forwards.
+    /// Serves a request forwarded by another node.
     pub async fn serve(
         self: Arc<GateSide>,
         watch: Arc<Watch>,
@@ -214,7 +213,7 @@
             digest,
             fingerprint: self.fingerprint(&req, &host, &head, held.as_ref()),
             crashes: head.crashes,
-            // The entry node has counted itself.
+            // The entry node has already counted itself.
             depth: head.depth.saturating_sub(1),
             deadline,
         };
@@ -246,7 +245,7 @@
         trace::line(&self.shared, id, step, Fields::default().with_load(load));
     }
 
-    /// Waits for a slot.
+    /// Waits for a slot of the target.
     async fn wait(
         self: &Arc<GateSide>,
         call: CallKey,
@@ -260,7 +259,7 @@
         };
         let decision = future::or(async { granted.recv().await.ok() }, timeout).await;
         let decision = decision.or_else(|| {
-            // A slot may have been given in the very moment of the timeout.
+            // A slot may have been granted at the moment of the timeout.
             let refused = self.decide(call, Input::Expire(call));
             granted.try_recv().ok().or(refused)
         });
@@ -270,7 +269,7 @@
         decision.unwrap_or(Decision::Refuse(refusal(Code::QueueTimeout), 0))
     }
 
-    /// Holds a small body in memory, so that the request can be told from others.
+    /// Buffers a small body for the fingerprint and digest of the request.
     async fn hold(
         &self,
         req: Request<Incoming>,
@@ -290,7 +289,7 @@
         Ok((Request::from_parts(head, Body::whole(buf.clone())), Some(buf)))
     }
 
-    /// Gives an answer that is held whole.
+    /// Builds a response from a buffered one.
     fn replay(
         &self,
         watch: &Arc<Watch>,
@@ -342,7 +341,7 @@
         head.map(|()| Body::empty().with_guard(Guard::Watch(watch.clone())))
     }
 
-    /// Marks the head of a target's answer as one.
+    /// Sets the headers of a response from the target.
     fn finish_head(&self, headers: &mut HeaderMap, id: &HeaderValue, load: HeaderValue) {
         headers::strip(headers);
         headers.remove(headers::CODE);
@@ -354,8 +353,8 @@
         }
     }
 
-    /// Equal for a request that is sent again, whatever id it has. A key tells requests apart;
-    /// else the body does, if it is held.
+    /// Identifies a request across retries, independently of its request id. Includes the
+    /// idempotency key or, without a key, the body if it is buffered.
     fn fingerprint(
         &self,
         req: &Request<Body>,
@@ -387,7 +386,7 @@
         Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms)
     }
 
-    /// `None` if the deadline passes first.
+    /// Returns `None` if the deadline passes first.
     async fn before<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
         let timeout = async {
             self.shared.clock.sleep_until(deadline).await;
@@ -398,8 +397,8 @@
 }
 
 impl State {
-    /// Passes on what the decider says to other calls. Returns what it says to `own` and what
-    /// concerns no call.
+    /// Sends decisions to the waiting calls. Returns the decision for `own` and the outputs that do
+    /// not belong to a call.
     fn dispatch(
         &mut self,
         own: Option<CallKey>,
@@ -429,7 +428,7 @@
             if own == Some(call) {
                 to_own = Some(decision);
             } else if let Some(waiting) = waiting {
-                // Whoever stopped listening withdraws the call.
+                // Fails if the receiver was dropped, which withdraws the call.
                 let _ = waiting.try_send(decision);
             }
         }
@@ -441,7 +440,7 @@
     Outcome::not_run(code, COME_BACK_SOON)
 }
 
-/// Equal for the same request, whoever sends it.
+/// Digest of method, target and body. Equal for equal requests from any caller.
 fn digest(req: &Request<Body>, body: &Bytes) -> Hash {
     let target = req.uri().path_and_query().map_or("", |path| path.as_str());
     let parts = [req.method().as_str().as_bytes(), b" ", target.as_bytes(), b"\n", body];
