--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -1,4 +1,4 @@
-//! Slots of the target and waits for them, each given back when dropped.
+//! Guards for the target's slots and for queued requests.
 
 use super::GateSide;
 use crate::calls::body::Lease;
@@ -8,7 +8,7 @@
 use sycamore_core::call::CallKey;
 use sycamore_core::call::gatekeeper::{End, Input};
 
-/// A slot of the target; freed when dropped, as cancelled unless it was ended before.
+/// A slot of the target. Freed on drop; the call then counts as cancelled unless it was ended.
 #[derive(Debug)]
 pub struct Slot {
     side: Arc<GateSide>,
@@ -16,26 +16,26 @@
     ended: bool,
 }
 
-/// A slot in use on a connection. If it is dropped early, the connection keeps the slot until the
-/// target has closed it too, so that the target never runs more than its slots.
+/// A slot in use on a connection. If dropped before the slot is taken, the connection keeps the
+/// slot until the target has closed its side, so that the target never exceeds its slots.
 #[derive(Debug)]
 pub struct Running {
     slot: Option<Slot>,
     linger: Arc<Linger>,
 }
 
-/// An answer on its way to the entry node.
+/// A response that is being sent to the entry node.
 #[derive(Debug)]
 pub struct Answer {
     running: Running,
-    // Read from the target to its end while bytes of it wait for the link.
+    // Set once the response was read from the target, while part of it waits for the link.
     leaving: Option<Leaving>,
     lease: Lease,
     watch: Arc<Watch>,
 }
 
-/// A waiting request; withdrawn when dropped, so that it never reaches the target once the caller
-/// has gone.
+/// A queued request. Withdrawn on drop, so that it does not reach the target after its caller has
+/// disconnected.
 #[derive(Debug)]
 pub struct Wait {
     side: Arc<GateSide>,
@@ -43,7 +43,7 @@
     over: bool,
 }
 
-/// An answer that the target is done with; the decider hears when it has left.
+/// A response that was read from the target. Reports on drop that it was sent.
 #[derive(Debug)]
 struct Leaving {
     side: Arc<GateSide>,
@@ -57,12 +57,12 @@
 }
 
 impl Slot {
-    /// The slot of a call that the decider has just let run.
+    /// The slot of a call that the state machine allowed to run.
     pub fn new(side: &Arc<GateSide>, call: CallKey) -> Slot {
         Slot { side: side.clone(), call, ended: false }
     }
 
-    /// Frees the slot and says how the run ended. Returns what the decider says of it.
+    /// Frees the slot and reports how the run ended. Returns the decision for the call.
     pub(super) fn end(mut self, end: End) -> Option<super::Decision> {
         self.ended = true;
         self.side.decide(self.call, Input::End { call: self.call, end })
@@ -78,12 +78,12 @@
 }
 
 impl Running {
-    /// A slot in use on the connection that `linger` belongs to.
+    /// A slot in use on the connection that owns `linger`.
     pub fn new(slot: Slot, linger: Arc<Linger>) -> Running {
         Running { slot: Some(slot), linger }
     }
 
-    /// Takes the slot off the connection.
+    /// Detaches the slot from the connection.
     pub fn take(&mut self) -> Option<Slot> {
         self.slot.take()
     }
@@ -98,13 +98,13 @@
 }
 
 impl Answer {
-    /// An answer whose body goes out now.
+    /// A response whose body is about to be sent.
     pub fn new(running: Running, lease: Lease, watch: Arc<Watch>) -> Answer {
         Answer { running, leaving: None, lease, watch }
     }
 
-    /// The answer has been read from the target to its end, and `left` bytes of it have not left:
-    /// the slot and the connection are free for the next request.
+    /// Frees the slot and the connection after the response was read from the target; `left` bytes
+    /// of it are still unsent.
     pub fn read(&mut self, left: u64) {
         if let Some(slot) = self.running.take() {
             self.leaving = Some(Leaving { side: slot.side.clone(), call: slot.call });
@@ -113,14 +113,14 @@
         }
     }
 
-    /// The answer's body is over: to its end, or cut.
+    /// Ends the response; `whole` is false if the body was truncated.
     pub fn over(mut self, whole: bool) {
         if whole {
             if let Some(slot) = self.running.take() {
                 slot.end(End::Answered { cached: None });
             }
         }
-        // The connection holds the slot before it is closed.
+        // Attach the slot to the connection before closing it.
         drop(self.running);
         self.lease.over(whole);
         self.watch.set_phase(Phase::Flush);
@@ -128,12 +128,12 @@
 }
 
 impl Wait {
-    /// A call that the decider has just queued.
+    /// A call that the state machine queued.
     pub fn new(side: &Arc<GateSide>, call: CallKey) -> Wait {
         Wait { side: side.clone(), call, over: false }
     }
 
-    /// The decider has answered, and the answer was taken.
+    /// Marks the decision as received, so that the call is not withdrawn.
     pub fn over(mut self) {
         self.over = true;
     }
