--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -1,4 +1,4 @@
-//! What goes to the local target and what comes back.
+//! Requests to the local target and its responses.
 
 use super::slot::{Answer, Running, Slot};
 use super::{Decision, GateSide, refusal};
@@ -24,44 +24,40 @@
 use sycamore_core::config::Class;
 use sycamore_core::{Code, Time};
 
-/// Largest answer to a request that runs only once; it is read whole before it goes out, so that
-/// it can be given again.
+/// Maximum size of the response to a request that may run only once. The response is buffered so
+/// that it can be replayed.
 const MAX_KEPT_BODY_BYTES: u64 = 1_048_576;
 
-/// How long a broken target is given to show that it still takes connections.
+/// Timeout of the connection attempt that checks whether a target still accepts connections.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest time for which a connection may have been unused that a request goes out on which may
-/// run only once. Opening one takes about a millisecond; targets close idle ones after seconds.
+/// Maximum idle time of a connection used for a request that may run only once. Targets
+/// usually close idle connections after seconds, so such a connection is still open.
 const FRESH: Duration = Duration::from_millis(500);
 
-/// How often a free connection to the target is looked for when all it takes are in use.
+/// Interval at which a request waits for a free connection while the connection limit is reached.
 const CONNECTION_POLL: Duration = Duration::from_millis(2);
 
-/// A request as the target will get it.
+/// A request to the target.
 #[derive(Debug)]
 pub struct Call {
-    /// The call.
     pub key: CallKey,
-    /// Request id.
     pub id: HeaderValue,
-    /// When its caller stops waiting.
     pub deadline: Time,
     /// Class of its route.
     pub class: Class,
-    /// Whether it may be run more than once.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// How long it has waited for a slot.
+    /// Time spent waiting for a slot.
     pub waited: Duration,
-    /// The request.
     pub req: Request<Body>,
 }
 
 impl Call {
-    /// For how long a connection may have been unused that the request goes out on.
+    /// Maximum idle time of the connection used for this request.
     ///
-    /// A request sent on an idle connection that the target has dropped is reset, and may have run,
-    /// so one that may run only once needs a fresh connection.
+    /// A request on an idle connection that the target has closed is reset and may have run, so a
+    /// request that may run only once needs a recently used connection.
     fn freshness(&self) -> Duration {
         match self.idempotent {
             true => Duration::MAX,
@@ -70,7 +66,7 @@
     }
 }
 
-/// An answer of the target, its body still to come.
+/// Head of a target's response; the body follows.
 #[derive(Debug)]
 struct Answering {
     response: Response<Incoming>,
@@ -78,7 +74,7 @@
     running: Running,
 }
 
-/// A request that got no answer.
+/// A request without a response.
 #[derive(Debug)]
 struct Ended {
     outcome: Outcome,
@@ -92,7 +88,7 @@
 }
 
 impl GateSide {
-    /// Runs a request whose answer is passed on as it comes.
+    /// Runs a request and streams its response.
     pub async fn run(self: &Arc<GateSide>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
         let (id, key, waited) = (call.id.clone(), call.key, call.waited);
         let answering = match self.send(call).await {
@@ -107,22 +103,22 @@
         let lease = Lease::new(answering.connection);
         let answer = Answer::new(answering.running, lease, watch.clone());
         let mut body = Body::relay(incoming, u64::MAX, self.idle()).with_guard(Guard::Gate(answer));
-        // An answer to a caller on this VM does not use the link.
+        // Traffic on the same VM does not use the link.
         if !watch.is_local() {
             body = body.with_pace(Pace::new(self.clone(), key));
         }
         Response::from_parts(head, body)
     }
 
-    /// Runs a request that may run only once, to its end even if its caller goes away: the caller
-    /// may ask again with the same key, through another node.
+    /// Runs a request that may run only once, to completion even if the caller disconnects: the
+    /// caller may repeat it with the same key through another node.
     pub async fn run_once(self: &Arc<GateSide>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
         let (tx, rx) = async_channel::bounded(1);
         let id = call.id.clone();
         let side = self.clone();
         let open = self.shared.open_call();
         let task = async move {
-            // The caller may be gone, which is no concern of the run.
+            // Fails if the caller has disconnected.
             let _ = tx.try_send(side.answer_once(call).await);
             drop(open);
         };
@@ -154,7 +150,7 @@
         }
     }
 
-    /// Sends a request to the target and waits for the head of its answer.
+    /// Sends a request to the target and waits for the head of the response.
     async fn send(self: &Arc<GateSide>, call: Call) -> Result<Answering, Ended> {
         let mut slot = Slot::new(self, call.key);
         let Some(address) = self.shared.settings.target_address else {
@@ -176,8 +172,8 @@
             let linger = connection.linger();
             let sent = AtomicBool::new(false);
             let began = self.shared.clock.now();
-            // Dropped after `running`, so that a connection that closes because this wait is
-            // given up already holds the slot.
+            // Dropped after `running`, so that the slot is attached before the connection closes
+            // when this wait is cancelled.
             let mut send = pin!(connection.send(req, &sent));
             let mut running = Running::new(slot, linger);
             match self.before(call.deadline, send.as_mut()).await {
@@ -198,7 +194,7 @@
                     let Some(kept) = running.take() else {
                         return Err(Ended::unknown(Code::TargetFailed));
                     };
-                    // A new connection that can't take a request is as good as none.
+                    // A new connection that cannot take a request counts as a failed connection.
                     if !used {
                         return Err(not_sent(kept));
                     }
@@ -209,7 +205,7 @@
         }
     }
 
-    /// Opens a connection to the target, within the connections that it takes.
+    /// Opens a connection to the target, within its connection limit.
     async fn connect(&self, address: SocketAddr, deadline: Time) -> Option<Connection> {
         let limits = self.shared.own_limits();
         let most = limits.map_or(1, |limits| limits.connections as usize);
@@ -222,7 +218,7 @@
         self.pool.connect(address).await.ok()
     }
 
-    /// Reports a connection that broke after a byte of the request may have left.
+    /// Reports a connection that broke after a byte of the request may have been sent.
     async fn broken(&self, mut running: Running) -> Ended {
         let target_gone = self.target_gone().await;
         let decision = running.take().and_then(|slot| slot.end(End::Broken { target_gone }));
@@ -232,7 +228,7 @@
         }
     }
 
-    /// Whether the target's process has ended: its address refuses connections.
+    /// Whether the target's process has exited, that is, its address refuses connections.
     async fn target_gone(&self) -> bool {
         let Some(address) = self.shared.settings.target_address else {
             return true;
@@ -252,7 +248,7 @@
         }
     }
 
-    /// Writes the headers that the target gets.
+    /// Sets the headers of the request to the target.
     fn finish_request(&self, headers: &mut HeaderMap, id: &HeaderValue, deadline: Time) {
         let dialect = &self.shared.dialect;
         headers::strip(headers);
@@ -271,13 +267,13 @@
         }
     }
 
-    /// Whether an answer is to this request, if the target says to which it is.
+    /// Whether the response belongs to this request, according to its request id.
     fn is_own(&self, response: &Response<Incoming>, id: &HeaderValue) -> bool {
         let named = response.headers().get(&self.shared.dialect.request_id);
         named.is_none_or(|other| other == id) && (named.is_some() || self.shared.dialect.is_own())
     }
 
-    /// Why the target has not run the request, if it says so.
+    /// The code if the target reports that it did not run the request.
     fn rejected(&self, response: &Response<Incoming>) -> Option<Code> {
         let marker = self.shared.dialect.not_run.as_ref()?;
         response.headers().get(marker)?;
@@ -288,7 +284,7 @@
     }
 }
 
-/// A refusal by the target, which says that it has not run the request.
+/// Reports a response by which the target rejected the request without running it.
 fn rejected(
     mut running: Running,
     response: Response<Incoming>,
@@ -305,7 +301,7 @@
     }
 }
 
-/// A refusal that is true: the slot's request has not left this node.
+/// Reports a request of which no byte was sent.
 fn not_sent(slot: Slot) -> Ended {
     match slot.end(End::NotSent) {
         Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
