--- a/node/src/calls/headers.rs
+++ b/node/src/calls/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of a call: names, reading them with every check, and what is passed on.
+//! Names, validation and forwarding rules of the headers of a call.
 
 use super::dialect::Dialect;
 use hyper::header::{
@@ -11,67 +11,64 @@
 use sycamore_core::config::{AtMostOnceMode, Class};
 use sycamore_core::{Code, Name, Time};
 
-/// Time left for the call in ms.
+/// Remaining time of the call in ms.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-sycamore-deadline-ms");
-/// Names the request over all its attempts and nodes.
+/// Identifies the request across all attempts and nodes.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-sycamore-request-id");
-/// Attempt of this forward, from 1.
+/// Number of the attempt, from 1.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("x-sycamore-attempt");
-/// Nodes passed as entry node so far.
+/// Number of entry nodes that the call has passed.
 pub const DEPTH: HeaderName = HeaderName::from_static("x-sycamore-depth");
-/// Names a request that may run only once.
+/// Identifies a request that may run only once.
 pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// How the call ended.
 pub const OUTCOME: HeaderName = HeaderName::from_static("x-sycamore-outcome");
-/// Number of the result code if it was not answered.
+/// Result code, if there is no response from the target.
 pub const CODE: HeaderName = HeaderName::from_static("x-sycamore-code");
-/// When to come back, in ms.
+/// Milliseconds after which to retry.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("x-sycamore-retry-after-ms");
 /// Load of the gatekeeper's target.
 pub const LOAD: HeaderName = HeaderName::from_static("x-sycamore-load");
-/// How long the request waited for a slot of the target, in ms; between nodes only.
+/// Time that the request waited for a slot of the target, in ms; between nodes only.
 pub const WAITED: HeaderName = HeaderName::from_static("x-sycamore-waited-ms");
-/// Crashes of targets that the request is suspected of; between nodes only.
+/// Number of target crashes that the request may have caused; between nodes only.
 pub const CRASHES: HeaderName = HeaderName::from_static("x-sycamore-crashes");
-/// What the entry node's route says of the request; between nodes only.
+/// Terms of the request according to the entry node's route; between nodes only.
 pub const TERMS: HeaderName = HeaderName::from_static("x-sycamore-terms");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Longest request id, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// Headers that a request may carry only once. Guards against a header smuggled in twice: two
-/// nodes could read different ones and so disagree on what the request is.
+/// Headers that may occur only once in a request. Prevents smuggling: two nodes could use different
+/// values of a repeated header.
 const SINGLE: [HeaderName; 9] =
     [CONTENT_LENGTH, HOST, DEADLINE, REQUEST_ID, ATTEMPT, DEPTH, KEY, CRASHES, TERMS];
 
-/// Headers between nodes that mean nothing to a target with names of its own.
+/// Headers between nodes, removed before a request is sent to a target with its own header names.
 pub const BETWEEN_NODES: [HeaderName; 6] = [DEADLINE, REQUEST_ID, ATTEMPT, DEPTH, CRASHES, TERMS];
 
-/// Headers that concern one connection and are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] =
     [CONNECTION, KEEP_ALIVE, PROXY_CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, EXPECT];
 
-/// The headers of a call, read and checked.
+/// The validated headers of a call.
 #[derive(Clone, Debug)]
 pub struct CallHead {
-    /// Time left.
     pub time_left: Option<Duration>,
-    /// Request id, if there is one.
     pub request_id: Option<HeaderValue>,
-    /// Nodes passed as entry node.
+    /// Number of entry nodes that the call has passed.
     pub depth: u8,
     /// The `Idempotency-Key`.
     pub key: Option<RequestKey>,
-    /// Crashes that the entry node knows of.
+    /// Number of target crashes that the request may have caused, as known to the entry node.
     pub crashes: u32,
-    /// Stated size of the body.
+    /// The `Content-Length`.
     pub body_bytes: Option<u64>,
 }
 
 impl CallHead {
-    /// Reads the headers of a request. Refuses what is malformed or stands twice.
+    /// Parses the headers of a request. Rejects malformed and repeated headers.
     pub fn read<B>(req: &Request<B>, dialect: &Dialect) -> Result<CallHead, Code> {
         let headers = req.headers();
         for name in SINGLE.iter().chain([&dialect.deadline, &dialect.request_id]) {
@@ -102,28 +99,28 @@
     }
 }
 
-/// How a gatekeeper's answer is to be taken.
+/// Classification of a gatekeeper's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the target's answer.
+    /// A response from the target.
     Answered,
     /// The request did not reach the target.
     NotRun(Code, Duration),
-    /// The target may have run it.
+    /// The target may have run the request.
     Unknown(Code),
-    /// It is not an answer to this request.
+    /// Not a response to this request.
     Foreign,
 }
 
-/// Reads a gatekeeper's answer to the request with this id.
+/// Classifies a gatekeeper's response to the request with this id.
 ///
-/// An answer with another id than the request's is not given to its caller.
+/// A response with a different request id is not forwarded to the caller.
 pub fn verdict<B>(response: &Response<B>, id: &HeaderValue) -> Verdict {
     let headers = response.headers();
     let outcome = headers.get(OUTCOME).map(HeaderValue::as_bytes);
     let code = number(headers, &CODE).ok().flatten();
     let code = code.and_then(|code| Code::from_number(code.try_into().ok()?));
-    // A listener that is full refuses before it has read the request, so it can't name it.
+    // A listener at its connection limit rejects before it reads the request, so the id is missing.
     let early = outcome == Some(b"not-run") && code == Some(Code::TooManyConnections);
     if headers.get(REQUEST_ID) != Some(id) && !early {
         return Verdict::Foreign;
@@ -139,18 +136,18 @@
     }
 }
 
-/// The load in an answer between nodes.
+/// The target's load in a response between nodes.
 pub fn load(headers: &HeaderMap) -> Option<Load> {
     Load::parse(headers.get(LOAD)?.to_str().ok()?)
 }
 
-/// The wait for a slot in an answer between nodes; zero if it says nothing of it.
+/// The time spent waiting for a slot in a response between nodes; zero if absent.
 pub fn waited(headers: &HeaderMap) -> Duration {
     let ms = number(headers, &WAITED).ok().flatten().unwrap_or(0);
     Duration::from_millis(ms)
 }
 
-/// How long the other side keeps a connection without a request, if it says so.
+/// The `timeout` parameter of the `keep-alive` header.
 pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
@@ -158,7 +155,7 @@
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// The number in a header; `None` if it is absent.
+/// Parses a numeric header; `None` if it is absent.
 pub fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Code> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -169,7 +166,7 @@
     number.map(Some).ok_or(Code::RequestInvalid)
 }
 
-/// Drops the headers that concern one connection, also those that `connection` names.
+/// Removes hop-by-hop headers, including those listed in `connection`.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -177,7 +174,7 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        // A caller may not have the headers of the call dropped on the way.
+        // A caller cannot remove the headers of the call by listing them in `connection`.
         .filter(|name| !SINGLE.contains(name))
         .collect();
     for name in HOP_BY_HOP.iter().chain(&named) {
@@ -185,7 +182,7 @@
     }
 }
 
-/// Host of a request in lower case, without a port; empty if there is none.
+/// Host of a request in lower case, without the port; empty if there is none.
 pub fn host<B>(req: &Request<B>) -> String {
     let header = req.headers().get(HOST).and_then(|value| value.to_str().ok());
     let host = header.or_else(|| req.uri().host()).unwrap_or_default();
@@ -193,9 +190,8 @@
     host[..end.unwrap_or(host.len())].to_ascii_lowercase()
 }
 
-/// The terms as text:
-/// `service;idempotent;once;class;rank;may_exceed_objective;repeat;objective`, the last as
-/// milliseconds left at `now`.
+/// Formats the terms as `service;idempotent;once;class;rank;may_exceed_objective;repeat;objective`,
+/// where the objective is in milliseconds from `now`.
 pub fn write_terms(terms: &Terms, now: Time) -> Option<HeaderValue> {
     let left = terms.objective.since(now).as_millis() as u64;
     let idempotent = u8::from(terms.idempotent);
@@ -211,7 +207,7 @@
     HeaderValue::try_from(text).ok()
 }
 
-/// Reads the terms that an entry node told at `now`; `None` if there are none.
+/// Parses the terms sent by an entry node, relative to `now`; `None` if absent.
 pub fn read_terms(headers: &HeaderMap, now: Time) -> Result<Option<Terms>, Code> {
     let Some(value) = headers.get(TERMS) else {
         return Ok(None);
@@ -242,7 +238,7 @@
     Some(Terms { service, idempotent, once, class, rank, objective, may_exceed_objective, repeat })
 }
 
-/// Writes an outcome that is not an answer into the head of a response between nodes.
+/// Sets the status and headers of a response for an outcome other than `Answered`.
 pub fn write_outcome(response: &mut Response<()>, outcome: Outcome) {
     let (status, name, code) = match outcome {
         Outcome::Answered => return,
@@ -260,7 +256,7 @@
     response.headers_mut().insert(CODE, HeaderValue::from(code.number()));
 }
 
-/// Lets a caller who understands fractions of a second come back at the very time.
+/// Sets `retry-after` with millisecond precision.
 pub fn write_fractional_retry_after(headers: &mut HeaderMap) {
     let ms = number(headers, &RETRY_AFTER_MS).ok().flatten();
     let text = ms.map(|ms| format!("{}.{:03}", ms / 1_000, ms % 1_000));
@@ -276,7 +272,7 @@
     }
 }
 
-/// Status of a refusal.
+/// HTTP status of a rejection.
 pub fn status_of(code: Code) -> StatusCode {
     match code {
         Code::NoRoute => StatusCode::NOT_FOUND,
