--- a/node/src/calls/pace.rs
+++ b/node/src/calls/pace.rs
@@ -1,4 +1,4 @@
-//! Bytes of an answer, given to the VM's link no faster than it takes them.
+//! Limits the rate of a response body to the bandwidth of the VM's link.
 
 use super::gate::GateSide;
 use async_io::Timer;
@@ -10,48 +10,47 @@
 use std::task::{Context, Poll, ready};
 use sycamore_core::call::CallKey;
 
-/// Bytes that are given to the link at once: about 9 ms of the narrowest, 15 Mbit/s. Smaller
-/// pieces would cost a wake-up each without letting others pass sooner than by a few ms.
+/// Maximum bytes sent to the link at once: about 9 ms on a link of 15 Mbit/s. Smaller chunks cost
+/// more wake-ups and barely reduce the delay of other responses.
 const PIECE_BYTES: usize = 16_384;
 
-/// Bytes of one answer that are held at once. Most large answers fit whole, so that their targets
-/// are done with them; how many there are is bounded by what is under way to the link.
+/// Maximum bytes buffered per response. Most large responses fit completely, so that the target's
+/// slot is freed early.
 const MAX_HELD_BYTES: u64 = 1 << 20;
 
-/// What has come of an answer and waits for the link.
+/// Response data that waits for the link.
 #[derive(Debug)]
 pub struct Pace {
     side: Arc<GateSide>,
     call: CallKey,
     held: VecDeque<Bytes>,
     held_bytes: u64,
-    // The piece that has its time, and that time.
+    // The next chunk and the timer after which it may be sent.
     next: Option<(Bytes, Timer)>,
 }
 
 impl Pace {
-    /// The pace of the answer to `call`.
     pub fn new(side: Arc<GateSide>, call: CallKey) -> Pace {
         Pace { side, call, held: VecDeque::new(), held_bytes: 0, next: None }
     }
 
-    /// Takes bytes that have come.
+    /// Appends received data.
     pub fn hold(&mut self, data: Bytes) {
         self.held_bytes += data.len() as u64;
         self.held.push_back(data);
     }
 
-    /// Bytes that wait.
+    /// Number of buffered bytes.
     pub fn held(&self) -> u64 {
         self.held_bytes
     }
 
-    /// Whether more of the answer may be read while these bytes wait.
+    /// Whether more of the response may be read ahead.
     pub fn has_room(&self) -> bool {
         self.held_bytes < MAX_HELD_BYTES
     }
 
-    /// The next piece, when the link has room for it.
+    /// Returns the next chunk once the link has capacity for it.
     pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Bytes> {
         if self.next.is_none() {
             let piece = self.take_piece();
