--- a/node/src/calls/pool.rs
+++ b/node/src/calls/pool.rs
@@ -1,4 +1,4 @@
-//! Connections that this node opens: to gatekeepers, and to the local target.
+//! Pool of outgoing connections: to gatekeepers and to the local target.
 
 use super::body::Body;
 use super::gate::Slot;
@@ -21,38 +21,36 @@
 use std::time::Duration;
 use sycamore_core::Time;
 
-/// Longest wait for a connection to be opened. Regions are 40 ms apart there and back; an
-/// opening packet that was lost is sent again only after a second, and another target answers
-/// sooner.
+/// Timeout for opening a connection. Well above the 40 ms round trip between regions and below the
+/// one-second SYN retransmission, so that a retry on another target is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long an unused connection is kept; shorter than a listener keeps it, so that it is not
-/// closed on the other side just as a request goes out on it.
+/// Idle timeout of pooled connections. Shorter than that of the listeners, so that the remote side
+/// does not close a connection while a request is being sent.
 const IDLE_LIFE: Duration = Duration::from_secs(30);
 
-/// Share of the time that the other side states for idle connections after which one is no longer
-/// used, so that it is not closed there while a request is on its way.
+/// Fraction of the remote side's keep-alive timeout after which a connection is no longer reused.
 const KEEP_ALIVE_SHARE: f64 = 0.7;
 
-/// Unused connections kept to one address.
+/// Maximum idle connections per address.
 const MAX_IDLE: usize = 128;
 
-/// Longest wait for a connection that was given back to be usable again.
+/// Maximum wait for a returned connection to become ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Longest wait for the target to close its side after a request was cancelled.
+/// Maximum wait for the target to close its side after a cancelled request.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// A request that did not get an answer.
+/// A request without a response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it left this node; here it is again.
+    /// No byte was sent; contains the request.
     NotSent(Box<Request<Body>>),
-    /// A byte of it may have left.
+    /// Part of the request may have been sent.
     Broken,
 }
 
-/// Unused connections by address.
+/// Idle connections by address.
 #[derive(Debug)]
 pub struct Pool {
     clock: Clock,
@@ -68,14 +66,14 @@
     since: Time,
 }
 
-/// A slot of the target that is not free before the connection has ended.
+/// A slot of the target that is freed only when the connection has ended.
 pub type Linger = Mutex<Option<Slot>>;
 
-/// An open connection, on which one request at a time is under way.
+/// An open connection with at most one request in flight.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Body>,
-    // How long the other side says that it keeps the connection without a request.
+    // Idle timeout, derived from the remote side's keep-alive timeout.
     idle_life: Duration,
     address: SocketAddr,
     pool: Arc<Pool>,
@@ -83,13 +81,13 @@
 }
 
 impl Pool {
-    /// No connections yet; their tasks will run on `executor`.
+    /// Creates an empty pool whose connection tasks run on `executor`.
     pub fn new(clock: Clock, executor: Arc<Executor<'static>>) -> Arc<Pool> {
         Pool::with_connect_timeout(clock, executor, CONNECT_TIMEOUT)
     }
 
-    /// The same with another longest wait for a connection to be opened, where there is no other
-    /// side to turn to.
+    /// Creates an empty pool with a different connect timeout, for callers without an alternative
+    /// address.
     pub fn with_connect_timeout(
         clock: Clock,
         executor: Arc<Executor<'static>>,
@@ -99,13 +97,13 @@
         Arc::new(Pool { clock, executor, connect_timeout, idle, open })
     }
 
-    /// Connections that are open, used or not.
+    /// Number of open connections, idle or in use.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Sends a request over an unused connection, or a new one. `sent` tells, also to whoever
-    /// gives the wait up, whether a byte of the request may have left.
+    /// Sends a request over an idle connection or a new one. `sent` is set while any byte of the
+    /// request may have been sent, and stays valid if this future is dropped.
     pub async fn send(
         self: &Arc<Pool>,
         address: SocketAddr,
@@ -124,7 +122,6 @@
         }
     }
 
-    /// Opens a connection.
     pub async fn connect(self: &Arc<Pool>, address: SocketAddr) -> io::Result<Connection> {
         let timeout = async {
             self.clock.sleep(self.connect_timeout).await;
@@ -150,7 +147,8 @@
                 }
             }
             pool.open.fetch_sub(1, Ordering::AcqRel);
-            // Dropped outside the lock: its end may start another request.
+            // Dropped after the lock is released, because freeing the slot may start another
+            // request.
             let slot = held.lock().take();
             drop(slot);
         };
@@ -158,7 +156,7 @@
         Ok(Connection { sender, idle_life: IDLE_LIFE, address, pool: self.clone(), linger })
     }
 
-    /// An unused connection that can take a request, unused for `freshness` at most.
+    /// Returns an idle connection that is ready and was idle for at most `freshness`.
     pub async fn take(&self, address: SocketAddr, freshness: Duration) -> Option<Connection> {
         loop {
             let mut connection = self.pop(address, freshness)?;
@@ -195,7 +193,7 @@
         newest.map(|newest| newest.connection)
     }
 
-    /// Closes connections that were not used for long.
+    /// Closes connections that exceeded their idle timeout.
     pub fn sweep(&self) {
         let now = self.clock.now();
         let mut stale = Vec::new();
@@ -217,12 +215,12 @@
 }
 
 impl Connection {
-    /// What is held until the connection has ended.
+    /// The slot that is held until the connection ends.
     pub fn linger(&self) -> Arc<Linger> {
         self.linger.clone()
     }
 
-    /// Lets the next request have the connection.
+    /// Returns the connection to the pool.
     pub fn give_back(self) {
         if self.sender.is_closed() {
             return;
@@ -236,7 +234,6 @@
         }
     }
 
-    /// Sends a request.
     pub async fn send(
         mut self,
         req: Request<Body>,
@@ -250,7 +247,7 @@
                 }
                 Ok((response, self))
             }
-            // hyper gives the request back only if it has written no byte of it.
+            // hyper returns the request only if it has written no byte of it.
             Err(mut error) => Err(match error.take_message() {
                 Some(req) => {
                     sent.store(false, Ordering::Release);
@@ -262,8 +259,8 @@
     }
 }
 
-/// Tells the other side that nothing more comes, and waits until it has closed too: a target has
-/// noticed a cancellation by then, so that its slot is free in truth.
+/// Shuts down the write side and waits until the target has closed the connection. By then the
+/// target has noticed the cancellation, so its slot is free.
 async fn wait_for_close(mut stream: Async<TcpStream>) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
