--- a/node/src/calls/quiet.rs
+++ b/node/src/calls/quiet.rs
@@ -1,4 +1,4 @@
-//! A socket that is read only when something may have come.
+//! A socket wrapper that avoids reads without data.
 
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -7,11 +7,10 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// A socket that remembers that it was read empty.
+/// A socket that skips reads until it is readable again after it was drained.
 ///
-/// hyper reads at every wake of its task, also at those that concern the other direction or
-/// another connection. A read that brings nothing costs a system call: without this layer a call
-/// made 9.5 of them at its entry node, with it none.
+/// hyper reads on every wake-up of its task, including those caused by the write direction or by
+/// another connection. Each read without data costs a system call.
 #[derive(Debug)]
 pub struct Quiet {
     stream: Async<TcpStream>,
@@ -19,12 +18,10 @@
 }
 
 impl Quiet {
-    /// Wraps a socket.
     pub fn new(stream: Async<TcpStream>) -> Quiet {
         Quiet { stream, drained: false }
     }
 
-    /// Takes the socket out.
     pub fn into_inner(self) -> Async<TcpStream> {
         self.stream
     }
@@ -37,13 +34,13 @@
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         if self.drained {
-            // Registers for the next event if none has come since.
+            // Registers for the next readiness event if none is pending.
             ready!(self.stream.poll_readable(cx))?;
         }
         self.drained = true;
         let count = ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        // A short read took all there was. Events are reported by level, so that what comes in
-        // between, an end included, is reported after the registration.
+        // A short read drained the socket. Events are level-triggered, so data or EOF that arrives
+        // in between is reported after the registration.
         self.drained = count > 0 && count < buf.len();
         Poll::Ready(Ok(count))
     }
