--- a/node/src/calls/serve.rs
+++ b/node/src/calls/serve.rs
@@ -1,4 +1,4 @@
-//! Accepts connections on one listener and serves the requests on them.
+//! Accepts connections on a listener and serves their requests.
 
 use super::body::Body;
 use super::entry::EntrySide;
@@ -22,34 +22,33 @@
 use std::time::Duration;
 use sycamore_core::Code;
 
-/// Smallest buffer that hyper takes for a connection.
+/// Minimum buffer size that hyper accepts for a connection.
 const MIN_BUFFER_BYTES: usize = 65_536;
 
-/// Headers of a request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 100;
 
-/// Longest time that a connection stays open without a request: from callers, and from nodes,
-/// which close theirs earlier.
+/// Idle timeouts of connections from callers and from nodes. Nodes close their connections earlier.
 const CALLER_IDLE: Duration = Duration::from_secs(75);
 const NODE_IDLE: Duration = Duration::from_secs(120);
 
-/// How long a leaving node keeps a connection open on which no request comes, so that a request
-/// already on its way is still answered.
+/// How long a draining node keeps idle connections open, so that requests already in transit are
+/// answered.
 const DRAIN_NOTICE: Duration = Duration::from_millis(1_500);
 
-/// Pause after a failure to accept, as when the process has no descriptors left.
+/// Pause after a failed `accept`, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Whom the requests of a listener are for.
+/// Adapter that handles the requests of a listener.
 #[derive(Clone, Debug)]
 pub enum Side {
-    /// Callers' requests.
+    /// Requests from callers.
     Entry(Arc<EntrySide>),
-    /// Requests that nodes forward.
+    /// Requests forwarded by nodes.
     Gate(Arc<GateSide>),
 }
 
-/// One listener and its connections.
+/// A listener and its connections.
 #[derive(Debug)]
 pub struct Server {
     shared: Arc<Shared>,
@@ -59,7 +58,6 @@
 }
 
 impl Server {
-    /// A server without connections.
     pub fn new(shared: Arc<Shared>, executor: Arc<Executor<'static>>, side: Side) -> Arc<Server> {
         let limits = &shared.settings.limits;
         let idle = match side {
@@ -74,18 +72,18 @@
         Arc::new(Server { watches: Watches::new(times), shared, executor, side })
     }
 
-    /// Closes connections that have used up a limit.
+    /// Closes connections that exceeded a timeout.
     pub fn sweep(&self) {
         self.watches.sweep(self.shared.clock.now());
     }
 
-    /// Accepts connections until the node has been leaving for a while.
+    /// Accepts connections until the drain notice period has passed.
     ///
-    /// Closes the listener before the process ends: a connection made during the end would be
+    /// Closes the listener before the process exits: a connection accepted during the exit would be
     /// reset, and its caller could not tell whether the request ran.
     pub async fn accept(self: Arc<Server>, listener: Async<TcpListener>) {
         future::or(self.clone().accept_all(&listener), self.wait_for_drain()).await;
-        // Those that the system has already taken on this node's behalf.
+        // Connections that the kernel had already accepted.
         while let Ok((stream, _)) = listener.get_ref().accept() {
             if let Ok(stream) = Async::new(stream) {
                 self.clone().start(stream, 0);
@@ -111,7 +109,7 @@
             self.shared.metrics.connections_refused.inc();
             return refuse_connection(&stream);
         }
-        // Without it small answers wait for the acknowledgement of earlier ones.
+        // Without it, Nagle's algorithm delays small responses.
         let _ = stream.get_ref().set_nodelay(true);
         let executor = self.executor.clone();
         let task = async move {
@@ -141,7 +139,7 @@
             true
         };
         let serve = async {
-            // How a connection ended concerns whoever opened it; calls on it end by their guards.
+            // Errors of a connection concern only its peer; its calls end through their guards.
             let _ = connection.as_mut().await;
             false
         };
@@ -170,23 +168,23 @@
         }
     }
 
-    /// Waits until the node has been leaving for a while.
+    /// Waits until the node has been draining for the notice period.
     ///
-    /// Idle connections are answered with `connection: close` for a while before they are closed,
-    /// since a request may be on its way.
+    /// During this period idle connections stay open and requests on them are answered with
+    /// `connection: close`, since a request may be in transit.
     async fn wait_for_drain(&self) {
         self.shared.drain_started().await;
         self.shared.clock.sleep(DRAIN_NOTICE).await;
     }
 }
 
-/// Whether the other side has this side's address.
+/// Whether the peer has the same IP address as this socket.
 fn is_local(stream: &Async<TcpStream>) -> bool {
     let ends = (stream.get_ref().peer_addr(), stream.get_ref().local_addr());
     matches!(ends, (Ok(peer), Ok(own)) if peer.ip() == own.ip())
 }
 
-/// Tells whoever opened one connection too many so, in one write, and closes it.
+/// Answers a connection over the limit with a 503 and closes it.
 fn refuse_connection(stream: &Async<TcpStream>) {
     let (outcome, name, number) =
         (headers::OUTCOME, headers::CODE, Code::TooManyConnections.number());
@@ -195,6 +193,6 @@
          retry-after: 1\r\n{}: 1000\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
         headers::RETRY_AFTER_MS,
     );
-    // The socket does not block; whoever can't take the answer sees the close alone.
+    // The socket is non-blocking; a peer that cannot receive the response only sees the close.
     let _ = stream.get_ref().write_all(answer.as_bytes());
 }
