--- a/node/src/calls/trace.rs
+++ b/node/src/calls/trace.rs
@@ -1,6 +1,6 @@
-//! Log lines about single requests: one for each decision, with what decided it.
+//! Structured log lines about single requests, one per decision.
 //!
-//! docs/OPERATIONS.md shows how to get from a request's id to the cause of its failure by them.
+//! docs/OPERATIONS.md describes how to find the cause of a failed request by its id.
 
 use crate::shared::Shared;
 use hyper::header::HeaderValue;
@@ -9,69 +9,69 @@
 use sycamore_core::call::entry::Forward;
 use sycamore_core::call::{Load, Outcome};
 
-/// Target of log records whose text is a JSON object of fields.
+/// Log target of records whose message is a JSON object.
 pub const REQUEST: &str = "request";
 
-/// What was decided about a request.
+/// Step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
-    /// The entry node sends it to a target's gatekeeper.
+    /// The entry node forwards it to a target's gatekeeper.
     Forwarded,
-    /// An attempt came to nothing; the entry node goes on or ends the request.
+    /// An attempt failed; the entry node retries or ends the request.
     AttemptFailed,
-    /// The target's answer went out.
+    /// The target's response is forwarded to the caller.
     Answered,
-    /// The entry node ended the request without an answer of a target.
+    /// The entry node ended the request without a response from a target.
     Ended,
-    /// The gatekeeper refused it, or could not get an answer.
+    /// The gatekeeper rejected it or got no response.
     GateRefused,
-    /// The gatekeeper lets it wait for a slot.
+    /// The gatekeeper queued it until a slot is free.
     GateQueued,
-    /// The target runs it.
+    /// The gatekeeper gave it a slot of the target.
     GateRun,
 }
 
-/// The fields of a line; those without a value are left out.
+/// Fields of a log line; unset fields are omitted.
 #[derive(Debug, Default, Serialize)]
 pub struct Fields<'a> {
-    /// Attempt, from 1.
+    /// Number of the attempt, from 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempt: Option<u32>,
     /// Name of the target.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target: Option<&'a str>,
-    /// The service asked for.
+    /// Requested service.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub service: Option<&'a str>,
-    /// Number of the result code.
+    /// Result code.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub code: Option<u16>,
     /// `answered`, `not-run` or `unknown`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub outcome: Option<&'static str>,
-    /// Status of the answer.
+    /// HTTP status of the response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
     /// Version in force at this node.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// Time left for the request, in ms.
+    /// Remaining time of the request in ms.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub left_ms: Option<u64>,
-    /// Time that the answer was expected to take, in ms.
+    /// Expected response time in ms.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub expected_ms: Option<u64>,
     /// Load of the target, as running/slots/waiting.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load: Option<String>,
-    /// Age of that load, in ms.
+    /// Age of that load in ms.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load_age_ms: Option<u64>,
-    /// When the caller is to come back, in ms.
+    /// Time after which the caller should retry, in ms.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Whether the target may have run it.
+    /// Whether the target may have run the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sent: Option<bool>,
 }
@@ -85,7 +85,7 @@
     fields: Fields<'a>,
 }
 
-/// Writes the line of a decision. Those that a caller suffers from are warnings.
+/// Logs a step of a request. Requests that ended without a response are logged as warnings.
 pub fn line(shared: &Shared, id: &HeaderValue, step: Step, fields: Fields<'_>) {
     let level = match step {
         Step::Ended => log::Level::Warn,
@@ -96,13 +96,12 @@
     }
     let request = id.to_str().unwrap_or("unprintable");
     let line = Line { vm: shared.settings.vm.as_str(), request, step, fields };
-    // The fields are plain values, so that writing them can't fail.
+    // The fields are plain values, so serialization cannot fail.
     let text = serde_json::to_string(&line).unwrap_or_default();
     log::log!(target: REQUEST, level, "{text}");
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a forward.
     pub fn of_forward(shared: &Shared, forward: &'a Forward) -> Fields<'a> {
         let now = shared.clock.now();
         let reason = &forward.reason;
@@ -119,7 +118,6 @@
         }
     }
 
-    /// The fields of an outcome.
     pub fn of_outcome(outcome: Outcome) -> Fields<'a> {
         let (outcome, code, retry_after) = match outcome {
             Outcome::Answered => ("answered", None, None),
@@ -134,7 +132,7 @@
         }
     }
 
-    /// The same fields with the load of the local target.
+    /// Adds the load of the local target.
     pub fn with_load(mut self, load: Load) -> Fields<'a> {
         self.load = Some(load.to_string());
         self
