--- a/node/src/calls/watch.rs
+++ b/node/src/calls/watch.rs
@@ -1,4 +1,4 @@
-//! Watches over connections that callers or other nodes opened: limits in time and number.
+//! Tracks incoming connections and enforces their timeouts and their number.
 
 use crate::clock::Clock;
 use crate::shared::OpenCall;
@@ -9,34 +9,34 @@
 use std::time::Duration;
 use sycamore_core::Time;
 
-/// What a connection does.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Phase {
-    /// It waits for a request.
+    /// Waiting for a request.
     Idle,
-    /// A part of a request's head has come.
+    /// Receiving the head of a request.
     Head,
-    /// A request is being served.
+    /// Serving a request.
     Call,
-    /// An answer's body goes out.
+    /// Sending the body of a response.
     Answer,
-    /// The last bytes of an answer go out.
+    /// Flushing the last bytes of a response.
     Flush,
 }
 
-/// Longest times of a connection.
+/// Timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// Without a request.
     pub idle: Duration,
-    /// For the head of a request.
+    /// For receiving the head of a request.
     pub head: Duration,
-    /// Without a byte moved while an answer goes out.
+    /// Without progress while a response is sent.
     pub still: Duration,
 }
 
-/// One connection.
+/// An incoming connection.
 #[derive(Debug)]
 pub struct Watch {
     clock: Clock,
@@ -52,7 +52,7 @@
 }
 
 impl Watch {
-    /// A connection that waits for its first request; `local` if it comes from this VM.
+    /// A connection without a request yet; `local` if the peer is on this VM.
     pub fn new(clock: Clock, local: bool) -> Arc<Watch> {
         let (close, closed) = async_channel::bounded(1);
         let now = clock.now();
@@ -70,12 +70,11 @@
         })
     }
 
-    /// Whether the other side is on this VM.
+    /// Whether the peer is on this VM.
     pub fn is_local(&self) -> bool {
         self.local
     }
 
-    /// What the connection does.
     pub fn phase(&self) -> Phase {
         match self.phase.load(Ordering::Acquire) {
             0 => Phase::Idle,
@@ -86,16 +85,16 @@
         }
     }
 
-    /// A request is served from now on.
+    /// Marks the start of a request.
     pub fn begin(&self, open: OpenCall) {
         *self.open.lock() = Some(open);
         self.set_phase(Phase::Call);
     }
 
-    /// hyper has nothing left to write.
+    /// Called when hyper has written all its data.
     ///
-    /// Guards against a planned stop that cuts an answer: until here its last bytes are in this
-    /// process, where nobody would send them after its end, so the call counts as open.
+    /// The call counts as open until here. Guards against a drain that truncates a response: its
+    /// last bytes are still in this process and would be lost when it exits.
     pub fn flushed(&self) {
         if self.phase() == Phase::Flush {
             self.deadline.store(u64::MAX, Ordering::Release);
@@ -104,18 +103,18 @@
         }
     }
 
-    /// The connection has ended.
+    /// Marks the connection as ended.
     pub fn ended(&self) {
         self.open.lock().take();
     }
 
-    /// Changes what the connection does.
+    /// Sets the phase and records activity.
     pub fn set_phase(&self, phase: Phase) {
         self.moved.store(self.clock.now().0, Ordering::Release);
         self.phase.store(phase as u8, Ordering::Release);
     }
 
-    /// Bytes came in or went out.
+    /// Records that data was received or sent.
     pub fn bytes_moved(&self, incoming: bool) {
         let now = self.clock.now().0;
         self.moved.store(now, Ordering::Release);
@@ -125,30 +124,30 @@
         }
     }
 
-    /// When the call that is served must have ended.
+    /// Sets the deadline of the current call.
     pub fn set_deadline(&self, deadline: Time) {
         self.deadline.store(deadline.0, Ordering::Release);
     }
 
-    /// The head states the length of its body in two ways.
+    /// Records whether the head defines the length of the body more than once.
     pub fn set_ambiguous(&self, ambiguous: bool) {
         self.ambiguous.store(ambiguous, Ordering::Release);
     }
 
-    /// Whether the head states the length of its body in two ways.
+    /// Whether the head defines the length of the body more than once.
     pub fn ambiguous(&self) -> bool {
         self.ambiguous.load(Ordering::Acquire)
     }
 
-    /// Waits until the connection is to be closed.
+    /// Waits until the connection must be closed.
     pub async fn closed(&self) {
         let _ = self.closed.recv().await;
     }
 
-    /// Whether the connection has used up a limit.
+    /// Whether the connection exceeded a timeout.
     ///
-    /// Guards against a reader or writer that is slow on purpose or by accident: it would hold a
-    /// connection, and through it a slot of a target, for as long as it likes.
+    /// Guards against slow readers and writers, which would otherwise hold a connection, and with
+    /// it a slot of a target, indefinitely.
     fn is_over(&self, now: Time, times: &Times) -> bool {
         let since = |at: &AtomicU64| now.since(Time(at.load(Ordering::Acquire)));
         let late = now.0 > self.deadline.load(Ordering::Acquire);
@@ -161,7 +160,7 @@
     }
 }
 
-/// All connections of one listener.
+/// The connections of a listener.
 #[derive(Debug)]
 pub struct Watches {
     times: Times,
@@ -169,12 +168,11 @@
 }
 
 impl Watches {
-    /// No connection.
     pub fn new(times: Times) -> Watches {
         Watches { times, open: Mutex::new(Vec::new()) }
     }
 
-    /// Adds a connection unless there are `most` already.
+    /// Adds a connection unless there are already `most`.
     pub fn add(&self, watch: &Arc<Watch>, most: usize) -> bool {
         let mut open = self.open.lock();
         let fits = open.len() < most;
@@ -184,7 +182,6 @@
         fits
     }
 
-    /// Removes a connection.
     pub fn remove(&self, watch: &Arc<Watch>) {
         let mut open = self.open.lock();
         if let Some(index) = open.iter().position(|other| Arc::ptr_eq(other, watch)) {
@@ -192,7 +189,7 @@
         }
     }
 
-    /// Closes the connections that have used up a limit.
+    /// Closes the connections that exceeded a timeout.
     pub fn sweep(&self, now: Time) {
         for watch in self.open.lock().iter() {
             if watch.is_over(now, &self.times) {
