--- a/node/tests/calls_drain.rs
+++ b/node/tests/calls_drain.rs
@@ -1,4 +1,4 @@
-//! Planned stops through real sockets: nothing that has begun is cut, and nothing new is taken.
+//! Draining over real sockets: running requests complete, and new ones are rejected.
 
 #[path = "support/calls.rs"]
 mod support;
@@ -8,12 +8,12 @@
 
 #[test]
 fn drain_in_flight() {
-    // Story: a target is stopped as planned while it sends a ledger and answers a lookup. Both
-    // must end whole; a new request is refused truthfully.
+    // Guards against a drain that truncates a response in flight, or that does not reject a new
+    // request as not run.
     let (target, node) = single("{}");
     let stream = open(node.entry, &get("/idem/stream/20000000"));
     let held = open(node.entry, &get("/idem/hold"));
-    eventually("both run", || target.log().len() == 2);
+    eventually("both requests run", || target.log().len() == 2);
     node.shared.start_draining();
     let refused = call(node.entry, &get("/idem/new"));
     assert_eq!((refused.outcome(), refused.code()), ("not-run", Some(453)));
@@ -28,13 +28,13 @@
 
 #[test]
 fn drain_last_bytes() {
-    // Story: the ledger's last bytes are still in the node when its last call counts as ended;
-    // the process stops, and a slow reader gets a cut ledger.
+    // Guards against a drain that counts a call as closed while the last bytes of its response are
+    // still buffered in the node.
     let (target, node) = single("{}");
     let stream = open(node.entry, &get("/idem/stream/30000000"));
-    eventually("the target runs it", || target.log().len() == 1);
+    eventually("the target runs the request", || target.log().len() == 1);
     node.shared.start_draining();
-    // Nothing is read yet: far more than the sockets hold is on its way.
+    // The response exceeds the socket buffers, and nothing has been read yet.
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert!(node.shared.calls_open() > 0);
     let answer = read(&stream);
@@ -44,15 +44,15 @@
 
 #[test]
 fn drain_gate() {
-    // Story: the VM list lags, so an entry node still sends work to a leaving target. Its
-    // gatekeeper refuses, and the entry node sends the request and all later ones elsewhere.
+    // Guards against requests that fail because the entry node does not yet know that a target is
+    // draining: the gatekeeper must reject them and the entry node must use another target.
     let (leaving, staying) = (Target::new(), Target::new());
     let a = Node::new("a", Some(leaving.address));
     let b = Node::new("b", Some(staying.address));
     let preset = preset("{}", &[("a", a.gate), ("b", b.gate)]);
     let entry = Node::new("c", None);
     [&a, &b, &entry].iter().for_each(|node| node.configure(1, &preset));
-    eventually("both get work", || {
+    eventually("both targets get requests", || {
         call(entry.entry, &get("/idem"));
         leaving.log().len() > 2 && staying.log().len() > 2
     });
@@ -66,8 +66,7 @@
 
 #[test]
 fn drain_idle_connection() {
-    // Story: a caller holds an idle connection to a leaving node and sends a request just then.
-    // It must get an answer, not a broken connection.
+    // Guards against a request lost on an idle connection to a draining node: it must be answered.
     let (_target, node) = single("{}");
     let mut stream = open(node.entry, &get("/idem"));
     assert_eq!(read(&stream).outcome(), "answered");
