--- a/node/tests/calls_fleet.rs
+++ b/node/tests/calls_fleet.rs
@@ -9,7 +9,7 @@
 use sycamore_core::call::RequestKey;
 use sycamore_core::call::note::HomeList;
 
-/// Targets and the nodes beside them, all on version 1, with notes between them.
+/// Targets and their nodes, all on version 1 and exchanging notes.
 struct Fleet {
     targets: Vec<Target>,
     nodes: Vec<Node>,
@@ -38,10 +38,10 @@
         self.targets.iter().map(|target| target.ran(part)).sum()
     }
 
-    /// Waits until signings are taken at every home.
+    /// Waits until every home accepts signings.
     fn wait_for_homes(&self) {
         for at in 0..VMS.len() {
-            eventually("keys are taken", || {
+            eventually("the home accepts signings", || {
                 let probe = sign("/once/probe", &key_at_home(&[0, 1, 2], at), "");
                 call(self.nodes[0].entry, &probe).outcome() == "answered"
             });
@@ -49,7 +49,7 @@
     }
 }
 
-/// A new key whose home is the VM at this place among the listed ones.
+/// A new key whose home is the VM at index `home`, given the listed VMs.
 fn key_at_home(listed: &[usize], home: usize) -> String {
     let vms = listed.iter().map(|at| Name::new(VMS[*at]).unwrap()).collect();
     let list = HomeList { version: 1, vms };
@@ -64,7 +64,7 @@
 
 #[test]
 fn retry_past_dead_node() {
-    // Story: a node dies without a word. Lookups sent to it go elsewhere at once.
+    // Guards against lookups that fail because a node has died without notice.
     let (target, node) = single("{}");
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     node.configure(2, &preset("{}", &[("a", node.gate), ("b", dead)]));
@@ -81,7 +81,7 @@
     assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(461)));
     // Two targets broke; a third must not run it.
     assert_eq!(fleet.ran("/idem/break"), 2);
-    eventually("all gatekeepers know", || {
+    eventually("all gatekeepers quarantine the request", || {
         let answer = call(fleet.nodes[1].entry, &get("/idem/break"));
         (answer.outcome(), answer.code()) == ("not-run", Some(456))
     });
@@ -91,8 +91,8 @@
 
 #[test]
 fn once_over_other_entry() {
-    // Story: the entry node dies with the answer in flight; the caller resends its signing through
-    // another node and gets the answer of the one run.
+    // Guards against a second run of a signing that the caller resends through another entry node
+    // after the first one has failed.
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
     let key = key();
@@ -109,8 +109,8 @@
 
 #[test]
 fn once_home_moves() {
-    // Story: a version takes a target out. Its keys move to new homes: a signing that ran at the
-    // old one is not run again, and new signings are taken as soon as the old home has let go.
+    // Guards against a signing that runs again after its home has moved, and against new signings
+    // that stay rejected after the old home has released the key.
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
     let key = key_at_home(&[0, 1, 2], 2);
@@ -128,7 +128,7 @@
     assert_eq!(fleet.ran("/once/sign"), 1);
     for _ in 0..5 {
         let key = key_at_home(&[0, 1, 2], 2);
-        eventually("new signings are taken", || {
+        eventually("the new home accepts new signings", || {
             call(fleet.nodes[0].entry, &sign("/once/fresh", &key, "")).outcome() == "answered"
         });
     }
@@ -137,8 +137,8 @@
 
 #[test]
 fn once_old_home_cut_off() {
-    // Story: the old home stays on the old version, cut off. Its keys are not run by their new
-    // home, which says "not run" truthfully and when to come back.
+    // Guards against a new home that runs a key while the old home, cut off, still uses the old
+    // version. The rejection must say "not run" and when to retry.
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
     let targets: Vec<_> = [0, 1].iter().map(|at| (VMS[*at], fleet.nodes[*at].gate)).collect();
@@ -154,8 +154,7 @@
 
 #[test]
 fn overload_refused_early() {
-    // Story: far more comes than the targets can run. What is not taken is refused at once and
-    // truthfully, and the targets stay within their slots.
+    // Guards against overload that exceeds the targets' slots or that is not rejected as not run.
     let fleet = Fleet::new(r#"{"slots":2,"connections":4,"queue":2,"queue_wait_ms":50}"#);
     let entries: Vec<_> = fleet.nodes.iter().map(|node| node.entry).collect();
     let callers: Vec<_> = (0..30)
@@ -164,7 +163,7 @@
             std::thread::spawn(move || call(entry, &get(&format!("/idem/hold/{n}"))))
         })
         .collect();
-    eventually("the slots are full", || fleet.ran("/hold") == 6);
+    eventually("all slots are in use", || fleet.ran("/hold") == 6);
     std::thread::sleep(std::time::Duration::from_millis(300));
     fleet.targets.iter().for_each(Target::release);
     let answers: Vec<Answer> = callers.into_iter().map(|caller| caller.join().unwrap()).collect();
