--- a/node/tests/calls_hedge.rs
+++ b/node/tests/calls_hedge.rs
@@ -1,11 +1,11 @@
-//! Hedges over loopback sockets: a second attempt beside one that is slow.
+//! Hedged requests over loopback sockets: a second attempt in parallel with a slow one.
 
 #[path = "support/calls.rs"]
 mod support;
 
 use support::*;
 
-/// An entry node that knows how long answers of these targets take.
+/// Nodes for these targets; the first node has collected response times.
 fn fleet(targets: &[Target]) -> Vec<Node> {
     let vms = ["a", "b", "c"];
     let node = |(vm, target): (&&str, &Target)| Node::new(vm, Some(target.address));
@@ -19,7 +19,7 @@
     nodes
 }
 
-/// Guards against callers that wait for a target which has taken a request and says nothing.
+/// Guards against callers that wait for a target which accepted a request and never responds.
 #[test]
 fn hedge_past_silent_target() {
     let targets = [Target::new(), Target::new(), Target::new()];
@@ -29,18 +29,20 @@
         assert_eq!(call(nodes[0].entry, &get("/idem/hold")).outcome(), "answered");
     }
     let held = targets[0].ran("/idem/hold");
-    eventually("what was given up is cancelled", || targets[0].cancelled() == held);
+    eventually("the slower attempts are cancelled", || targets[0].cancelled() == held);
 }
 
-/// Guards against a failure of the target's own that is replaced by another status, since the other
-/// attempt passes the deadline.
+/// Guards against an error response that is replaced by a timeout because the other attempt passes
+/// the deadline.
 #[test]
 fn hedge_failure_beside_silence() {
     let targets = [Target::new(), Target::new()];
     let nodes = fleet(&targets);
     let answer = std::thread::scope(|scope| {
         let asking = scope.spawn(|| call(nodes[0].entry, &get("/idem/hold/fail")));
-        eventually("both have it", || targets.iter().all(|target| target.ran("/hold/fail") == 1));
+        eventually("both targets run the request", || {
+            targets.iter().all(|target| target.ran("/hold/fail") == 1)
+        });
         targets[0].release();
         asking.join().unwrap()
     });
