--- a/node/tests/calls_input.rs
+++ b/node/tests/calls_input.rs
@@ -1,4 +1,5 @@
-//! Bad input of callers: each gets a numbered error, bounded memory and time, and no panic.
+//! Malformed and excessive input from callers: it must yield a result code within bounded memory
+//! and time, without a panic.
 
 #[path = "support/calls.rs"]
 mod support;
@@ -6,8 +7,7 @@
 use std::io::{Read, Write};
 use support::*;
 
-/// Sends `raw` to a node and checks that it is refused with this status and code, and that the
-/// node still serves.
+/// Checks that `raw` is rejected with this status and code, and that the node still serves.
 fn refused(raw: &str, status: u16, code: u16) {
     let (target, node) = single("{}");
     let answer = call(node.entry, raw);
@@ -47,7 +47,7 @@
 
 #[test]
 fn input_body_oversize_chunked() {
-    // The size is only seen while the body passes, so the connection is broken off.
+    // The size is known only while the body is streamed, so the connection is closed.
     let (target, node) = single("{}");
     let head = "POST /idem HTTP/1.1\r\nhost: t\r\ntransfer-encoding: chunked\r\n\r\n";
     let mut stream = open(node.entry, head);
@@ -72,8 +72,7 @@
 
 #[test]
 fn input_length_twice() {
-    // Story: request smuggling. Two programs read two lengths, and one takes the rest of the
-    // body for a request of its own.
+    // Guards against request smuggling through two different lengths.
     refused("POST /idem HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nx", 400, 403);
 }
 
@@ -127,8 +126,8 @@
 
 #[test]
 fn input_headers_of_the_path_named_in_connection() {
-    // Story: a caller names the key in `connection`, so that a proxy drops it on the way; the
-    // signing would then run without the key that holds it to one run.
+    // Guards against a caller that lists the key in `connection` so that a proxy removes it; the
+    // signing would then run without its key.
     let (target, node) = single("{}");
     let raw =
         "GET /idem HTTP/1.1\r\nhost: test\r\nconnection: idempotency-key, x-drop\r\nx-drop: 1\r\n";
@@ -141,7 +140,7 @@
 
 #[test]
 fn input_outcome_not_from_target() {
-    // Headers of the outcome that a caller or target makes up do not pass.
+    // Internal headers sent by a caller are ignored.
     let (_target, node) = single("{}");
     let raw = "GET /idem HTTP/1.1\r\nhost: test\r\nx-sycamore-crashes: 9\r\n\r\n";
     assert_eq!(call(node.entry, raw).outcome(), "answered");
@@ -149,8 +148,7 @@
 
 #[test]
 fn limits_head_timeout() {
-    // Story: a client sends half a head and nothing more; thousands of them use up the
-    // connections, and nobody else is served.
+    // Guards against clients that exhaust the connections by never completing a head.
     let node = Node::with_limits("a", None, r#"{"head_timeout_ms":100}"#);
     let mut stream = open(node.entry, "GET /idem HTT");
     let mut buf = [0; 10];
@@ -171,14 +169,13 @@
 
 #[test]
 fn limits_slow_reader() {
-    // Story: a caller asks for a ledger and stops reading. Were it waited for, it would hold a
-    // slot of the target for as long as it likes.
+    // Guards against a caller that stops reading a ledger and thereby holds a slot of the target.
     let limits = r#"{"idle_body_timeout_ms":200}"#;
     let target = Target::new();
     let node = Node::with_limits("a", Some(target.address), limits);
     node.configure(1, &preset(r#"{"slots":1}"#, &[("a", node.gate)]));
     let stream = open(node.entry, &get("/idem/stream/50000000"));
-    eventually("the ledger is asked for", || target.log().len() == 1);
+    eventually("the target runs the ledger request", || target.log().len() == 1);
     eventually("the slot is free again", || call(node.entry, &get("/idem")).status == 200);
     assert!(!read(&stream).whole);
 }
@@ -188,7 +185,7 @@
     let node = Node::with_limits("a", None, r#"{"max_connections":2}"#);
     let _first = open(node.entry, "");
     let _second = open(node.entry, "");
-    eventually("a third is refused", || {
+    eventually("a third connection is rejected", || {
         let answer = read(&open(node.entry, ""));
         (answer.outcome(), answer.code()) == ("not-run", Some(465))
     });
