--- a/node/tests/calls_path.rs
+++ b/node/tests/calls_path.rs
@@ -1,4 +1,4 @@
-//! Calls through real sockets: caller, entry node, gatekeeper, target.
+//! Calls over real sockets: caller, entry node, gatekeeper, target.
 
 #[path = "support/calls.rs"]
 mod support;
@@ -40,8 +40,8 @@
     assert_eq!(answer.body.len(), 5_000_000);
 }
 
-/// A node on a VM with a link of so many Mbit/s, whose answers count as large, and whose target runs
-/// this many at once.
+/// A node on a VM with a link of `mbps` Mbit/s and a target with this many slots. `/idem` is a bulk
+/// route.
 fn narrow(target: &Target, mbps: u32, slots: u32) -> Node {
     let limits = format!(r#"{{"link_mbps":{mbps}}}"#);
     let node = Node::with_gate_on("a", Some(target.address), &limits, "127.0.0.2");
@@ -56,17 +56,17 @@
 
 #[test]
 fn path_paced_slot_free_before_the_end() {
-    // Story: the answer of a target with one slot takes seconds to leave over a narrow link. The
-    // target is done with it long before, and a short request comes: it must run meanwhile.
+    // Guards against a slot that stays occupied while a response, already read from the target, is
+    // sent over a narrow link.
     let target = Target::new();
     let node = narrow(&target, 1, 1);
     let large = open(node.entry, &get("/idem/stream/200000"));
-    eventually("the large answer is made", || target.ran("/idem/stream") == 1);
+    eventually("the target runs the large request", || target.ran("/idem/stream") == 1);
     let short = call(node.entry, &get("/quick/short"));
     assert_eq!((short.status, short.whole), (200, true), "{}", short.text());
     let mut first = [0; 1];
     let waits = node.shared.calls_open() > 0;
-    assert!(waits, "the large answer had left before the short one came");
+    assert!(waits, "the large response was sent before the short one arrived");
     assert!(large.peek(&mut first).is_ok());
     let answer = read(&large);
     assert!(answer.whole);
@@ -75,8 +75,8 @@
 
 #[test]
 fn path_paced_trailers_end() {
-    // Story: a target ends its answer with trailers. On a VM with a narrow link nobody looks for the
-    // end after them, and the caller waits until its deadline for an answer that it has.
+    // Guards against a paced response with trailers whose end is never detected, so that the caller
+    // waits until its deadline.
     let target = Target::new();
     let node = narrow(&target, 40, 1);
     for _ in 0..2 {
@@ -88,8 +88,8 @@
 
 #[test]
 fn path_chunked_keeps_connection() {
-    // Story: a target sends its answers without a length. None of them counts as whole at its end,
-    // so that the connection is closed after each, and the target spends its time on new ones.
+    // Guards against responses without a length that count as incomplete, so that each one closes
+    // its connection to the target.
     let (target, node) = single("{}");
     for _ in 0..5 {
         let answer = call(node.entry, &get("/idem/chunks-whole"));
@@ -101,8 +101,8 @@
 
 #[test]
 fn path_paced_whole() {
-    // Story: a ledger leaves a VM with a narrow link in pieces, with waits between them. Its reader
-    // must get every byte, in order, and the connection must serve the next request.
+    // Guards against a paced response that loses or reorders data, or that leaves its connection
+    // unusable.
     let target = Target::new();
     let limits = r#"{"link_mbps":40}"#;
     let node = Node::with_gate_on("a", Some(target.address), limits, "127.0.0.2");
@@ -140,8 +140,8 @@
 
 #[test]
 fn once_key_resent() {
-    // Story: a franchisee signs, the answer is lost, and the office sends the signing again with
-    // the same key. Were it run again, the grower would be billed twice.
+    // Guards against a signing that runs again when it is resent with the same key after its
+    // response was lost; the grower would be billed twice.
     let (target, node) = single("{}");
     let key = key_when_home(&node);
     let first = call(node.entry, &sign("/once", &key, "ten bales"));
@@ -153,10 +153,10 @@
     assert_eq!(target.ran("bales"), 1);
 }
 
-/// A key that the node takes: one minted when it had run for longer than clocks may differ.
+/// A key that the node accepts, created after the node has run for longer than the clock skew.
 fn key_when_home(node: &Node) -> String {
     let mut key = key();
-    eventually("a key is taken", || {
+    eventually("the node accepts a key", || {
         key = support::key();
         call(node.entry, &sign("/once/probe", &key, "probe")).outcome() == "answered"
     });
@@ -175,8 +175,8 @@
 
 #[test]
 fn once_caller_gone() {
-    // Story: the caller's connection breaks while its signing runs; it asks again with the same
-    // key and gets the answer of the one run.
+    // Guards against a second run of a signing whose caller disconnected and asks again with the
+    // same key.
     let (target, node) = single("{}");
     let key = key_when_home(&node);
     let stream = open(node.entry, &sign("/once/hold", &key, "x"));
@@ -185,7 +185,7 @@
     let again = call(node.entry, &sign("/once/hold", &key, "x"));
     assert_eq!((again.outcome(), again.code()), ("unknown", Some(459)));
     target.release();
-    eventually("the answer is kept", || {
+    eventually("the response is cached", || {
         call(node.entry, &sign("/once/hold", &key, "x")).outcome() == "answered"
     });
     assert_eq!(target.ran("/once/hold"), 1);
@@ -204,10 +204,9 @@
 
 #[test]
 fn answer_cut() {
-    // Story: a target dies in the middle of a ledger. The caller must see a broken connection,
-    // not a short ledger.
+    // Guards against a truncated ledger that is delivered as complete when its target dies.
     let (_target, node) = single("{}");
-    // If the break is seen before the head has gone out, the caller is told so instead.
+    // If the failure is detected before the head is sent, the caller gets an error instead.
     for n in 0..40 {
         let path = if n % 2 == 0 { "/idem/cut" } else { "/idem/chunks-cut" };
         let answer = call(node.entry, &get(path));
@@ -218,7 +217,7 @@
 
 #[test]
 fn answer_foreign() {
-    // Story: answers cross, and a target gives one caller the answer to another's request.
+    // Guards against a target's response to another request that reaches this caller.
     let (_target, node) = single("{}");
     let answer = call(node.entry, &get("/idem/foreign"));
     assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(461)), "{}", answer.text());
@@ -226,7 +225,7 @@
 
 #[test]
 fn verdict_crossed() {
-    // The same at the entry node: an answer to another request is not given to this caller.
+    // The same check at the entry node.
     let id = HeaderValue::from_static("mine");
     let mut response = Response::new(());
     response.headers_mut().insert(headers::OUTCOME, HeaderValue::from_static("answered"));
@@ -258,15 +257,14 @@
 
 #[test]
 fn queue_cancelled() {
-    // Story: a caller gives up while its request waits. Were it run all the same, a busy target
-    // would work for nobody.
+    // Guards against running a queued request whose caller has disconnected.
     let (target, node) = single(r#"{"slots":1,"queue_wait_ms":20000}"#);
     let first = open(node.entry, &get("/idem/hold/first"));
     eventually("the slot is taken", || target.ran("first") == 1);
     let second = open(node.entry, &get("/idem/second"));
-    eventually("the second waits", || node.shared.metrics.queued.get() == 1);
+    eventually("the second request is queued", || node.shared.metrics.queued.get() == 1);
     drop(second);
-    eventually("the second is withdrawn", || node.shared.metrics.queued.get() == 0);
+    eventually("the second request is withdrawn", || node.shared.metrics.queued.get() == 0);
     target.release();
     assert_eq!(read(&first).outcome(), "answered");
     assert_eq!(call(node.entry, &get("/idem/third")).outcome(), "answered");
@@ -288,8 +286,8 @@
 
 #[test]
 fn slots_exact() {
-    // Story: callers come and go away at once; a slot that is freed before the target has noticed
-    // the cancellation makes it run more than its slots.
+    // Guards against slots that are freed before the target has noticed a cancellation: the target
+    // would run more requests than it has slots.
     let (target, node) = single(r#"{"slots":2,"connections":8,"queue_wait_ms":20000}"#);
     let entry = node.entry;
     let callers: Vec<_> = (0..8)
@@ -307,5 +305,5 @@
     callers.into_iter().for_each(|caller| caller.join().unwrap());
     eventually("all calls are closed", || node.shared.calls_open() == 0);
     assert!(target.cancelled() > 0);
-    assert!(target.most_running() <= 2, "{} at once", target.most_running());
+    assert!(target.most_running() <= 2, "{} concurrent requests", target.most_running());
 }
