--- a/node/tests/support/calls.rs
+++ b/node/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! A small target, nodes on loopback sockets, and a caller that speaks raw HTTP/1.1.
+//! A test target, nodes on loopback sockets, and a raw HTTP/1.1 client.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use async_executor::Executor;
@@ -15,10 +15,10 @@
 use sycamore_node::settings::Settings;
 use sycamore_node::shared::Shared;
 
-/// Longest wait of a test for anything.
+/// Timeout of waits in tests.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A target whose path says what it does. It logs each request it runs.
+/// A target whose behaviour is selected by the request path. It logs each request it runs.
 pub struct Target {
     pub address: SocketAddr,
     state: Arc<TargetState>,
@@ -50,12 +50,12 @@
         Target { address, state }
     }
 
-    /// Request lines and bodies of what it ran.
+    /// Request lines and bodies of the requests it ran.
     pub fn log(&self) -> Vec<String> {
         self.state.log.lock().unwrap().clone()
     }
 
-    /// How often it ran requests whose line or body contains `part`.
+    /// Number of requests it ran whose line or body contains `part`.
     pub fn ran(&self, part: &str) -> usize {
         self.log().iter().filter(|line| line.contains(part)).count()
     }
@@ -72,7 +72,7 @@
         self.state.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Lets requests to `/hold` end.
+    /// Lets requests to `/hold` complete.
     pub fn release(&self) {
         self.state.hold.store(1, Ordering::SeqCst);
     }
@@ -131,7 +131,7 @@
         if path.contains("/chunks-trailers") {
             let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\ntrailer: x-sum\r\n\r\n";
             stream.write_all(format!("{head}5\r\nwhole\r\n").as_bytes()).ok()?;
-            // Late enough that what came before has been passed on.
+            // Long enough for the preceding data to be forwarded.
             std::thread::sleep(Duration::from_millis(50));
             stream.write_all(b"0\r\nx-sum: 1\r\n\r\n").ok()?;
             return Some(());
@@ -210,7 +210,7 @@
     }
 }
 
-/// The call path of one node, without a spread.
+/// The call path of one node, without the spread.
 pub struct Node {
     pub shared: Arc<Shared>,
     pub calls: Calls,
@@ -228,7 +228,7 @@
         Node::with_gate_on(vm, target, limits, "127.0.0.1")
     }
 
-    /// A node whose gatekeeper listens on an address that differs from its callers'.
+    /// A node whose gatekeeper listens on a different IP address than its caller socket.
     pub fn with_gate_on(vm: &str, target: Option<SocketAddr>, limits: &str, gate: &str) -> Node {
         let target = target.map_or("null".into(), |address| format!("\"{address}\""));
         let text = format!(
@@ -263,7 +263,7 @@
     }
 }
 
-/// A preset with one service, `/idem` and `/once` routes, and these targets.
+/// A preset with one service, the routes `/idem` and `/once`, and these targets.
 pub fn preset(limits: &str, targets: &[(&str, SocketAddr)]) -> String {
     let target = |(vm, gate): &(&str, SocketAddr)| {
         format!(r#"{{"vm":"{vm}","region":"r","zone":"z","gate":"{gate}","peers":"127.0.0.1:9"}}"#)
@@ -278,7 +278,7 @@
     )
 }
 
-/// One node in front of one target, configured and past the time in which its keys are unknown.
+/// One configured node with one target.
 pub fn single(limits: &str) -> (Target, Node) {
     let target = Target::new();
     let node = Node::new("a", Some(target.address));
@@ -286,13 +286,13 @@
     (target, node)
 }
 
-/// An answer as the caller sees it.
+/// A response as received by the caller.
 #[derive(Debug, Default)]
 pub struct Answer {
     pub status: u16,
     pub headers: Vec<String>,
     pub body: Vec<u8>,
-    /// The body came to its stated end.
+    /// Whether the body was received completely.
     pub whole: bool,
 }
 
@@ -323,7 +323,6 @@
     stream
 }
 
-/// Reads one answer.
 pub fn read(stream: &TcpStream) -> Answer {
     let mut reader = BufReader::new(stream);
     let Some((line, headers)) = read_head(&mut reader) else {
@@ -342,17 +341,17 @@
     answer
 }
 
-/// Sends one request and reads its answer.
+/// Sends one request and reads the response.
 pub fn call(address: SocketAddr, raw: &str) -> Answer {
     read(&open(address, raw))
 }
 
-/// `GET` of a path.
+/// A `GET` request for a path.
 pub fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: test\r\n\r\n")
 }
 
-/// `POST` with a key and a body.
+/// A `POST` request with a key and a body.
 pub fn sign(path: &str, key: &str, body: &str) -> String {
     let size = body.len();
     format!(
@@ -361,21 +360,21 @@
     )
 }
 
-/// A key minted now.
+/// A key created now.
 pub fn key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// Waits until `holds` or fails the test.
+/// Polls `holds` until it is true; fails the test after a timeout.
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+        assert!(start.elapsed() < PATIENCE, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Carries notes between nodes until the test ends, as the spread does.
+/// Forwards notes between nodes until the test ends, as the spread does.
 pub fn carry_notes(nodes: &[&Node]) {
     let by_vm: Vec<(Name, Calls)> =
         nodes.iter().map(|node| (node.shared.settings.vm.clone(), node.calls.clone())).collect();
