--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -18,10 +18,10 @@
 use crate::shared::Shared;
 use async_executor::Executor;
 use async_io::Async;
-use entry::EntrySide;
-use gate::GateSide;
+use entry::EntryAdapter;
+use gate::GateAdapter;
 use parking_lot::Mutex;
-use serve::{Server, Side};
+use serve::{Adapter, Server};
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::time::Duration;
@@ -67,8 +67,8 @@
 #[derive(Clone, Debug)]
 pub struct Calls {
     shared: Arc<Shared>,
-    entry: Arc<EntrySide>,
-    gate: Arc<GateSide>,
+    entry: Arc<EntryAdapter>,
+    gate: Arc<GateAdapter>,
     seen: Arc<Mutex<Seen>>,
 }
 
@@ -82,13 +82,13 @@
 pub fn start(shared: Arc<Shared>, listeners: Listeners, executor: Arc<Executor<'static>>) -> Calls {
     // Differs between nodes and between restarts.
     let seed = rendezvous_score(shared.settings.vm.as_bytes(), &shared.clock.now().0.to_le_bytes());
-    let entry = Arc::new(EntrySide::new(shared.clone(), &executor, seed));
-    let gate = Arc::new(GateSide::new(shared.clone(), &executor, seed));
+    let entry = Arc::new(EntryAdapter::new(shared.clone(), &executor, seed));
+    let gate = Arc::new(GateAdapter::new(shared.clone(), &executor, seed));
     let seen = Arc::new(Mutex::new(Seen::default()));
     let calls = Calls { shared: shared.clone(), entry: entry.clone(), gate: gate.clone(), seen };
     calls.view_changed();
-    let callers = Server::new(shared.clone(), executor.clone(), Side::Entry(entry));
-    let nodes = Server::new(shared, executor.clone(), Side::Gate(gate));
+    let callers = Server::new(shared.clone(), executor.clone(), Adapter::Entry(entry));
+    let nodes = Server::new(shared, executor.clone(), Adapter::Gate(gate));
     executor.spawn(callers.clone().accept(listeners.calls)).detach();
     executor.spawn(nodes.clone().accept(listeners.gate)).detach();
     executor.spawn(calls.clone().keep_time(vec![callers, nodes])).detach();
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -30,11 +30,11 @@
 pub const MAX_HELD_BODY_BYTES: u64 = 65_536;
 
 /// `Retry-After` of rejections that are not caused by load.
-const COME_BACK_SOON: Duration = Duration::from_millis(200);
+const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
 
 /// Adapter of the entry node's state machine.
 #[derive(Debug)]
-pub struct EntrySide {
+pub struct EntryAdapter {
     shared: Arc<Shared>,
     shards: Vec<Shard>,
     next_call: AtomicU64,
@@ -83,14 +83,14 @@
 /// A call that is open in the state machine. Closed on drop, including when the caller disconnects.
 #[derive(Debug)]
 struct OpenEntry {
-    side: Arc<EntrySide>,
+    adapter: Arc<EntryAdapter>,
     shard: usize,
     call: CallKey,
 }
 
-impl EntrySide {
+impl EntryAdapter {
     /// Creates an adapter with one shard per thread.
-    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> EntrySide {
+    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> EntryAdapter {
         let place = shared.settings.place();
         let shard = |index: usize| Shard {
             entry: Mutex::new(Entry::new(place.clone(), seed.wrapping_add(index as u64))),
@@ -98,7 +98,7 @@
         };
         let shards = (0..shared.settings.limits.threads).map(shard).collect();
         let id_prefix = format!("{}-{:x}", shared.settings.vm, shared.clock.now().0);
-        EntrySide { shards, next_call: AtomicU64::new(1), id_prefix, shared }
+        EntryAdapter { shards, next_call: AtomicU64::new(1), id_prefix, shared }
     }
 
     pub fn shards(&self) -> usize {
@@ -139,7 +139,7 @@
 
     /// Serves a request from a caller.
     pub async fn serve(
-        self: Arc<EntrySide>,
+        self: Arc<EntryAdapter>,
         shard: usize,
         watch: Arc<Watch>,
         req: Request<Incoming>,
@@ -171,7 +171,7 @@
         match self.decide(shard, Input::Arrive(arrival)) {
             Some(Output::Forward(forward)) => {
                 watch.set_deadline(forward.deadline);
-                let open = OpenEntry { side: self.clone(), shard, call };
+                let open = OpenEntry { adapter: self.clone(), shard, call };
                 let new = NewCall { open, began, watch, id, depth: head.depth };
                 self.take(new, req, forward).await
             }
@@ -404,19 +404,19 @@
         self.lease.over(whole);
         let outcome =
             if whole { Outcome::Answered } else { Outcome::Unknown { code: Code::AnswerLost } };
-        self.open.side.count(outcome);
+        self.open.adapter.count(outcome);
         self.watch.set_phase(Phase::Flush);
     }
 }
 
 impl Drop for OpenEntry {
     fn drop(&mut self) {
-        self.side.decide(self.shard, Input::Close(self.call));
+        self.adapter.decide(self.shard, Input::Close(self.call));
     }
 }
 
 fn refusal(code: Code) -> Outcome {
-    Outcome::not_run(code, COME_BACK_SOON)
+    Outcome::not_run(code, RETRY_AFTER_SHORT)
 }
 
 /// Converts to origin form: path and query only.
--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -1,7 +1,7 @@
 //! One round of a call: an attempt, and a hedged attempt if the first one is slow.
 
 use super::attempt::{Attempt, answering, end_code, judge};
-use super::{Call, EntrySide};
+use super::{Call, EntryAdapter};
 use crate::calls::body::Body;
 use crate::calls::pool::SendError;
 use crate::calls::trace::{self, Fields, Step};
@@ -33,7 +33,7 @@
     }
 }
 
-impl EntrySide {
+impl EntryAdapter {
     /// Sends a request, and a hedge if no response arrives within the hedge delay. Sets `forward`
     /// to the attempt that produced the result.
     pub(super) async fn attempt(&self, call: &mut Call, forward: &mut Forward) -> Attempt {
@@ -66,7 +66,7 @@
         let Some(req) = self.begin_attempt(call, &hedge) else {
             return sending.await.into_attempt();
         };
-        let race = Race { side: self, key, shard, id: &id, first: &first, hedge: &hedge };
+        let race = Race { adapter: self, key, shard, id: &id, first: &first, hedge: &hedge };
         let other = pin!(self.exchange(shard, &id, &hedge, req));
         let (attempt, by) = match select(sending, other).await {
             Either::Left((sent, other)) => {
@@ -114,7 +114,7 @@
 
 /// An attempt and its hedge, one of which has completed.
 struct Race<'a> {
-    side: &'a EntrySide,
+    adapter: &'a EntryAdapter,
     key: CallKey,
     shard: usize,
     id: &'a HeaderValue,
@@ -179,7 +179,7 @@
             Attempted::Hedge => self.hedge,
         };
         let noted = end.as_ref().map_or((Code::Overtaken, true), end_code);
-        self.side.note_failure(self.id, forward, noted);
+        self.adapter.note_failure(self.id, forward, noted);
         let call = self.key;
         let input = match which {
             Attempted::First => {
@@ -187,7 +187,7 @@
             }
             Attempted::Hedge => Input::HedgeEnded { call, end },
         };
-        self.side.decide(self.shard, input);
+        self.adapter.decide(self.shard, input);
     }
 }
 
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -40,11 +40,11 @@
 use target::Call;
 
 /// `Retry-After` of rejections by the adapter.
-const COME_BACK_SOON: Duration = Duration::from_millis(200);
+const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
 
 /// Adapter of the gatekeeper's state machine.
 #[derive(Debug)]
-pub struct GateSide {
+pub struct GateAdapter {
     shared: Arc<Shared>,
     executor: Arc<Executor<'static>>,
     pool: Arc<Pool>,
@@ -68,8 +68,8 @@
     Refuse(Outcome, u32),
 }
 
-impl GateSide {
-    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> GateSide {
+impl GateAdapter {
+    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> GateAdapter {
         let settings = &shared.settings;
         let link = settings.limits.link_mbps.map(|rate| rate.kbps);
         let mut gatekeeper =
@@ -77,7 +77,7 @@
         if let Some(service) = &settings.service {
             gatekeeper = gatekeeper.with_discovered_target(settings.listen.gate, service.clone());
         }
-        GateSide {
+        GateAdapter {
             pool: Pool::new(shared.clock.clone(), executor.clone()),
             executor: executor.clone(),
             state: Mutex::new(State { gatekeeper, waiting: IndexMap::new() }),
@@ -172,7 +172,7 @@
 
     /// Serves a request forwarded by another node.
     pub async fn serve(
-        self: Arc<GateSide>,
+        self: Arc<GateAdapter>,
         watch: Arc<Watch>,
         req: Request<Incoming>,
     ) -> Response<Body> {
@@ -247,7 +247,7 @@
 
     /// Waits for a slot of the target.
     async fn wait(
-        self: &Arc<GateSide>,
+        self: &Arc<GateAdapter>,
         call: CallKey,
         until: Time,
         granted: Receiver<Decision>,
@@ -437,7 +437,7 @@
 }
 
 fn refusal(code: Code) -> Outcome {
-    Outcome::not_run(code, COME_BACK_SOON)
+    Outcome::not_run(code, RETRY_AFTER_SHORT)
 }
 
 /// Digest of method, target and body. Equal for equal requests from any caller.
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -1,6 +1,6 @@
 //! Guards for the target's slots and for queued requests.
 
-use super::GateSide;
+use super::GateAdapter;
 use crate::calls::body::Lease;
 use crate::calls::pool::Linger;
 use crate::calls::watch::{Phase, Watch};
@@ -11,7 +11,7 @@
 /// A slot of the target. Freed on drop; the call then counts as cancelled unless it was ended.
 #[derive(Debug)]
 pub struct Slot {
-    side: Arc<GateSide>,
+    adapter: Arc<GateAdapter>,
     call: CallKey,
     ended: bool,
 }
@@ -38,7 +38,7 @@
 /// disconnected.
 #[derive(Debug)]
 pub struct Wait {
-    side: Arc<GateSide>,
+    adapter: Arc<GateAdapter>,
     call: CallKey,
     over: bool,
 }
@@ -46,33 +46,33 @@
 /// A response that was read from the target. Reports on drop that it was sent.
 #[derive(Debug)]
 struct Leaving {
-    side: Arc<GateSide>,
+    adapter: Arc<GateAdapter>,
     call: CallKey,
 }
 
 impl Drop for Leaving {
     fn drop(&mut self) {
-        self.side.tell(Input::ResponseSent(self.call));
+        self.adapter.tell(Input::ResponseSent(self.call));
     }
 }
 
 impl Slot {
     /// The slot of a call that the state machine allowed to run.
-    pub fn new(side: &Arc<GateSide>, call: CallKey) -> Slot {
-        Slot { side: side.clone(), call, ended: false }
+    pub fn new(adapter: &Arc<GateAdapter>, call: CallKey) -> Slot {
+        Slot { adapter: adapter.clone(), call, ended: false }
     }
 
     /// Frees the slot and reports how the run ended. Returns the decision for the call.
     pub(super) fn end(mut self, end: End) -> Option<super::Decision> {
         self.ended = true;
-        self.side.decide(self.call, Input::End { call: self.call, end })
+        self.adapter.decide(self.call, Input::End { call: self.call, end })
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         if !self.ended {
-            self.side.tell(Input::End { call: self.call, end: End::Cancelled });
+            self.adapter.tell(Input::End { call: self.call, end: End::Cancelled });
         }
     }
 }
@@ -107,7 +107,7 @@
     /// of it are still unsent.
     pub fn read(&mut self, left: u64) {
         if let Some(slot) = self.running.take() {
-            self.leaving = Some(Leaving { side: slot.side.clone(), call: slot.call });
+            self.leaving = Some(Leaving { adapter: slot.adapter.clone(), call: slot.call });
             slot.end(End::ResponseRead { unsent: left });
             self.lease.over(true);
         }
@@ -129,8 +129,8 @@
 
 impl Wait {
     /// A call that the state machine queued.
-    pub fn new(side: &Arc<GateSide>, call: CallKey) -> Wait {
-        Wait { side: side.clone(), call, over: false }
+    pub fn new(adapter: &Arc<GateAdapter>, call: CallKey) -> Wait {
+        Wait { adapter: adapter.clone(), call, over: false }
     }
 
     /// Marks the decision as received, so that the call is not withdrawn.
@@ -142,8 +142,8 @@
 impl Drop for Wait {
     fn drop(&mut self) {
         if !self.over {
-            self.side.state.lock().waiting.swap_remove(&self.call);
-            self.side.tell(Input::Withdraw(self.call));
+            self.adapter.state.lock().waiting.swap_remove(&self.call);
+            self.adapter.tell(Input::Withdraw(self.call));
         }
     }
 }
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -1,7 +1,7 @@
 //! Requests to the local target and its responses.
 
 use super::slot::{Answer, Running, Slot};
-use super::{Decision, GateSide, refusal};
+use super::{Decision, GateAdapter, refusal};
 use crate::calls::body::{self, Body, Guard, Lease};
 use crate::calls::headers;
 use crate::calls::pace::Pace;
@@ -87,9 +87,9 @@
     }
 }
 
-impl GateSide {
+impl GateAdapter {
     /// Runs a request and streams its response.
-    pub async fn run(self: &Arc<GateSide>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
+    pub async fn run(self: &Arc<GateAdapter>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
         let (id, key, waited) = (call.id.clone(), call.key, call.waited);
         let answering = match self.send(call).await {
             Ok(answering) => answering,
@@ -112,14 +112,18 @@
 
     /// Runs a request that may run only once, to completion even if the caller disconnects: the
     /// caller may repeat it with the same key through another node.
-    pub async fn run_once(self: &Arc<GateSide>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
+    pub async fn run_once(
+        self: &Arc<GateAdapter>,
+        watch: &Arc<Watch>,
+        call: Call,
+    ) -> Response<Body> {
         let (tx, rx) = async_channel::bounded(1);
         let id = call.id.clone();
-        let side = self.clone();
+        let adapter = self.clone();
         let open = self.shared.open_call();
         let task = async move {
             // Fails if the caller has disconnected.
-            let _ = tx.try_send(side.answer_once(call).await);
+            let _ = tx.try_send(adapter.answer_once(call).await);
             drop(open);
         };
         self.executor.spawn(task).detach();
@@ -129,7 +133,10 @@
         }
     }
 
-    async fn answer_once(self: &Arc<GateSide>, call: Call) -> Result<Arc<CachedResponse>, Ended> {
+    async fn answer_once(
+        self: &Arc<GateAdapter>,
+        call: Call,
+    ) -> Result<Arc<CachedResponse>, Ended> {
         let deadline = call.deadline;
         let Answering { response, connection, mut running } = self.send(call).await?;
         let (mut head, incoming) = response.into_parts();
@@ -151,7 +158,7 @@
     }
 
     /// Sends a request to the target and waits for the head of the response.
-    async fn send(self: &Arc<GateSide>, call: Call) -> Result<Answering, Ended> {
+    async fn send(self: &Arc<GateAdapter>, call: Call) -> Result<Answering, Ended> {
         let mut slot = Slot::new(self, call.key);
         let Some(address) = self.shared.settings.target_address else {
             return Err(not_sent(slot));
--- a/node/src/calls/pace.rs
+++ b/node/src/calls/pace.rs
@@ -1,6 +1,6 @@
 //! Limits the rate of a response body to the bandwidth of the VM's link.
 
-use super::gate::GateSide;
+use super::gate::GateAdapter;
 use async_io::Timer;
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -21,7 +21,7 @@
 /// Response data that waits for the link.
 #[derive(Debug)]
 pub struct Pace {
-    side: Arc<GateSide>,
+    adapter: Arc<GateAdapter>,
     call: CallKey,
     held: VecDeque<Bytes>,
     held_bytes: u64,
@@ -30,8 +30,8 @@
 }
 
 impl Pace {
-    pub fn new(side: Arc<GateSide>, call: CallKey) -> Pace {
-        Pace { side, call, held: VecDeque::new(), held_bytes: 0, next: None }
+    pub fn new(adapter: Arc<GateAdapter>, call: CallKey) -> Pace {
+        Pace { adapter, call, held: VecDeque::new(), held_bytes: 0, next: None }
     }
 
     /// Appends received data.
@@ -54,7 +54,7 @@
     pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Bytes> {
         if self.next.is_none() {
             let piece = self.take_piece();
-            let wait = self.side.wait_for_link(self.call, piece.len() as u64);
+            let wait = self.adapter.wait_for_link(self.call, piece.len() as u64);
             if wait.is_zero() {
                 self.held_bytes -= piece.len() as u64;
                 return Poll::Ready(piece);
--- a/node/src/calls/serve.rs
+++ b/node/src/calls/serve.rs
@@ -1,8 +1,8 @@
 //! Accepts connections on a listener and serves their requests.
 
 use super::body::Body;
-use super::entry::EntrySide;
-use super::gate::GateSide;
+use super::entry::EntryAdapter;
+use super::gate::GateAdapter;
 use super::headers;
 use super::socket::Socket;
 use super::watch::{Times, Watch, Watches};
@@ -41,11 +41,11 @@
 
 /// Adapter that handles the requests of a listener.
 #[derive(Clone, Debug)]
-pub enum Side {
+pub enum Adapter {
     /// Requests from callers.
-    Entry(Arc<EntrySide>),
+    Entry(Arc<EntryAdapter>),
     /// Requests forwarded by nodes.
-    Gate(Arc<GateSide>),
+    Gate(Arc<GateAdapter>),
 }
 
 /// A listener and its connections.
@@ -53,23 +53,27 @@
 pub struct Server {
     shared: Arc<Shared>,
     executor: Arc<Executor<'static>>,
-    side: Side,
+    adapter: Adapter,
     watches: Watches,
 }
 
 impl Server {
-    pub fn new(shared: Arc<Shared>, executor: Arc<Executor<'static>>, side: Side) -> Arc<Server> {
+    pub fn new(
+        shared: Arc<Shared>,
+        executor: Arc<Executor<'static>>,
+        adapter: Adapter,
+    ) -> Arc<Server> {
         let limits = &shared.settings.limits;
-        let idle = match side {
-            Side::Entry(_) => CALLER_IDLE,
-            Side::Gate(_) => NODE_IDLE,
+        let idle = match adapter {
+            Adapter::Entry(_) => CALLER_IDLE,
+            Adapter::Gate(_) => NODE_IDLE,
         };
         let times = Times {
             idle,
             head: Duration::from_millis(limits.head_timeout_ms),
             still: Duration::from_millis(limits.idle_body_timeout_ms),
         };
-        Arc::new(Server { watches: Watches::new(times), shared, executor, side })
+        Arc::new(Server { watches: Watches::new(times), shared, executor, adapter })
     }
 
     /// Closes connections that exceeded a timeout.
@@ -162,9 +166,11 @@
         watch: Arc<Watch>,
         req: Request<Incoming>,
     ) -> Response<Body> {
-        match &self.side {
-            Side::Entry(side) => side.clone().serve(number % side.shards(), watch, req).await,
-            Side::Gate(side) => side.clone().serve(watch, req).await,
+        match &self.adapter {
+            Adapter::Entry(adapter) => {
+                adapter.clone().serve(number % adapter.shards(), watch, req).await
+            }
+            Adapter::Gate(adapter) => adapter.clone().serve(watch, req).await,
         }
     }
 
