--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -2,6 +2,7 @@
 //! of the local target.
 
 pub mod body;
+pub mod conn_state;
 pub mod dialect;
 pub mod entry;
 pub mod gate;
@@ -12,7 +13,6 @@
 pub mod serve;
 pub mod socket;
 pub mod trace;
-pub mod watch;
 
 use crate::settings::Listen;
 use crate::shared::Shared;
--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -1,8 +1,8 @@
 //! Request and response bodies that pass through a node.
 
+use super::conn_state::{ConnectionState, Phase};
 use super::pace::Pace;
 use super::pool::Connection;
-use super::watch::{Phase, Watch};
 use super::{entry, gate};
 use async_io::Timer;
 use bytes::{Bytes, BytesMut};
@@ -48,7 +48,7 @@
 pub enum Guard {
     None,
     /// The connection on which the body is sent.
-    Watch(Arc<Watch>),
+    Connection(Arc<ConnectionState>),
     /// A call at the entry node.
     Entry(entry::Answer),
     /// A call at the gatekeeper.
@@ -156,7 +156,7 @@
         let whole = self.is_over();
         match std::mem::replace(&mut self.guard, Guard::None) {
             Guard::None => {}
-            Guard::Watch(watch) => watch.set_phase(Phase::Flush),
+            Guard::Connection(conn) => conn.set_phase(Phase::Flush),
             Guard::Entry(answer) => answer.over(whole),
             Guard::Gate(answer) => answer.over(whole),
         }
--- a/node/src/calls/watch.rs
+++ b/node/src/calls/conn_state.rs
@@ -20,53 +20,53 @@
     /// Serving a request.
     Call,
     /// Sending the body of a response.
-    Answer,
+    Response,
     /// Flushing the last bytes of a response.
     Flush,
 }
 
 /// Timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Timeouts {
     /// Without a request.
     pub idle: Duration,
     /// For receiving the head of a request.
     pub head: Duration,
     /// Without progress while a response is sent.
-    pub still: Duration,
+    pub stalled: Duration,
 }
 
 /// An incoming connection.
 #[derive(Debug)]
-pub struct Watch {
+pub struct ConnectionState {
     clock: Clock,
     phase: AtomicU8,
-    moved: AtomicU64,
-    head_since: AtomicU64,
+    last_activity: AtomicU64,
+    head_started: AtomicU64,
     deadline: AtomicU64,
-    ambiguous: AtomicBool,
+    has_ambiguous_length: AtomicBool,
     local: bool,
-    open: Mutex<Option<OpenCall>>,
-    close: Sender<()>,
-    closed: Receiver<()>,
+    open_call: Mutex<Option<OpenCall>>,
+    close_sender: Sender<()>,
+    close_receiver: Receiver<()>,
 }
 
-impl Watch {
+impl ConnectionState {
     /// A connection without a request yet; `local` if the peer is on this VM.
-    pub fn new(clock: Clock, local: bool) -> Arc<Watch> {
-        let (close, closed) = async_channel::bounded(1);
+    pub fn new(clock: Clock, local: bool) -> Arc<ConnectionState> {
+        let (close_sender, close_receiver) = async_channel::bounded(1);
         let now = clock.now();
-        Arc::new(Watch {
+        Arc::new(ConnectionState {
             clock,
             phase: AtomicU8::new(Phase::Idle as u8),
-            moved: AtomicU64::new(now.0),
-            head_since: AtomicU64::new(now.0),
+            last_activity: AtomicU64::new(now.0),
+            head_started: AtomicU64::new(now.0),
             deadline: AtomicU64::new(u64::MAX),
-            ambiguous: AtomicBool::new(false),
+            has_ambiguous_length: AtomicBool::new(false),
             local,
-            open: Mutex::new(None),
-            close,
-            closed,
+            open_call: Mutex::new(None),
+            close_sender,
+            close_receiver,
         })
     }
 
@@ -80,14 +80,14 @@
             0 => Phase::Idle,
             1 => Phase::Head,
             2 => Phase::Call,
-            3 => Phase::Answer,
+            3 => Phase::Response,
             _ => Phase::Flush,
         }
     }
 
     /// Marks the start of a request.
-    pub fn begin(&self, open: OpenCall) {
-        *self.open.lock() = Some(open);
+    pub fn begin_request(&self, open_call: OpenCall) {
+        *self.open_call.lock() = Some(open_call);
         self.set_phase(Phase::Call);
     }
 
@@ -95,31 +95,31 @@
     ///
     /// The call counts as open until here. Guards against a drain that truncates a response: its
     /// last bytes are still in this process and would be lost when it exits.
-    pub fn flushed(&self) {
+    pub fn on_flushed(&self) {
         if self.phase() == Phase::Flush {
             self.deadline.store(u64::MAX, Ordering::Release);
             self.set_phase(Phase::Idle);
-            self.open.lock().take();
+            self.open_call.lock().take();
         }
     }
 
     /// Marks the connection as ended.
-    pub fn ended(&self) {
-        self.open.lock().take();
+    pub fn mark_ended(&self) {
+        self.open_call.lock().take();
     }
 
     /// Sets the phase and records activity.
     pub fn set_phase(&self, phase: Phase) {
-        self.moved.store(self.clock.now().0, Ordering::Release);
+        self.last_activity.store(self.clock.now().0, Ordering::Release);
         self.phase.store(phase as u8, Ordering::Release);
     }
 
     /// Records that data was received or sent.
-    pub fn bytes_moved(&self, incoming: bool) {
+    pub fn record_io(&self, received: bool) {
         let now = self.clock.now().0;
-        self.moved.store(now, Ordering::Release);
-        if incoming && self.phase() == Phase::Idle {
-            self.head_since.store(now, Ordering::Release);
+        self.last_activity.store(now, Ordering::Release);
+        if received && self.phase() == Phase::Idle {
+            self.head_started.store(now, Ordering::Release);
             self.phase.store(Phase::Head as u8, Ordering::Release);
         }
     }
@@ -130,70 +130,72 @@
     }
 
     /// Records whether the head defines the length of the body more than once.
-    pub fn set_ambiguous(&self, ambiguous: bool) {
-        self.ambiguous.store(ambiguous, Ordering::Release);
+    pub fn set_ambiguous_length(&self, has_ambiguous_length: bool) {
+        self.has_ambiguous_length.store(has_ambiguous_length, Ordering::Release);
     }
 
     /// Whether the head defines the length of the body more than once.
-    pub fn ambiguous(&self) -> bool {
-        self.ambiguous.load(Ordering::Acquire)
+    pub fn has_ambiguous_length(&self) -> bool {
+        self.has_ambiguous_length.load(Ordering::Acquire)
     }
 
     /// Waits until the connection must be closed.
-    pub async fn closed(&self) {
-        let _ = self.closed.recv().await;
+    pub async fn close_requested(&self) {
+        let _ = self.close_receiver.recv().await;
     }
 
     /// Whether the connection exceeded a timeout.
     ///
     /// Guards against slow readers and writers, which would otherwise hold a connection, and with
     /// it a slot of a target, indefinitely.
-    fn is_over(&self, now: Time, times: &Times) -> bool {
+    fn has_timed_out(&self, now: Time, timeouts: &Timeouts) -> bool {
         let since = |at: &AtomicU64| now.since(Time(at.load(Ordering::Acquire)));
-        let late = now.0 > self.deadline.load(Ordering::Acquire);
+        let deadline_passed = now.0 > self.deadline.load(Ordering::Acquire);
         match self.phase() {
-            Phase::Idle => since(&self.moved) > times.idle,
-            Phase::Head => since(&self.head_since) > times.head,
+            Phase::Idle => since(&self.last_activity) > timeouts.idle,
+            Phase::Head => since(&self.head_started) > timeouts.head,
             Phase::Call => false,
-            Phase::Answer | Phase::Flush => late || since(&self.moved) > times.still,
+            Phase::Response | Phase::Flush => {
+                deadline_passed || since(&self.last_activity) > timeouts.stalled
+            }
         }
     }
 }
 
 /// The connections of a listener.
 #[derive(Debug)]
-pub struct Watches {
-    times: Times,
-    open: Mutex<Vec<Arc<Watch>>>,
+pub struct ConnectionTable {
+    timeouts: Timeouts,
+    open: Mutex<Vec<Arc<ConnectionState>>>,
 }
 
-impl Watches {
-    pub fn new(times: Times) -> Watches {
-        Watches { times, open: Mutex::new(Vec::new()) }
+impl ConnectionTable {
+    pub fn new(timeouts: Timeouts) -> ConnectionTable {
+        ConnectionTable { timeouts, open: Mutex::new(Vec::new()) }
     }
 
-    /// Adds a connection unless there are already `most`.
-    pub fn add(&self, watch: &Arc<Watch>, most: usize) -> bool {
+    /// Adds a connection unless there are already `max_connections`.
+    pub fn add(&self, conn: &Arc<ConnectionState>, max_connections: usize) -> bool {
         let mut open = self.open.lock();
-        let fits = open.len() < most;
+        let fits = open.len() < max_connections;
         if fits {
-            open.push(watch.clone());
+            open.push(conn.clone());
         }
         fits
     }
 
-    pub fn remove(&self, watch: &Arc<Watch>) {
+    pub fn remove(&self, conn: &Arc<ConnectionState>) {
         let mut open = self.open.lock();
-        if let Some(index) = open.iter().position(|other| Arc::ptr_eq(other, watch)) {
+        if let Some(index) = open.iter().position(|other| Arc::ptr_eq(other, conn)) {
             open.swap_remove(index);
         }
     }
 
     /// Closes the connections that exceeded a timeout.
     pub fn sweep(&self, now: Time) {
-        for watch in self.open.lock().iter() {
-            if watch.is_over(now, &self.times) {
-                let _ = watch.close.try_send(());
+        for conn in self.open.lock().iter() {
+            if conn.has_timed_out(now, &self.timeouts) {
+                let _ = conn.close_sender.try_send(());
             }
         }
     }
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -4,10 +4,10 @@
 mod hedge;
 
 use super::body::{self, Body, Guard, Lease};
+use super::conn_state::{ConnectionState, Phase};
 use super::headers::{self, CallHead};
 use super::pool::{Connection, Pool};
 use super::trace::{self, Fields, Step};
-use super::watch::{Phase, Watch};
 use crate::metrics::Metrics;
 use crate::shared::Shared;
 use async_executor::Executor;
@@ -53,7 +53,7 @@
 struct Call {
     open: OpenEntry,
     began: Time,
-    watch: Arc<Watch>,
+    conn: Arc<ConnectionState>,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
@@ -67,7 +67,7 @@
 struct NewCall {
     open: OpenEntry,
     began: Time,
-    watch: Arc<Watch>,
+    conn: Arc<ConnectionState>,
     id: HeaderValue,
     depth: u8,
 }
@@ -77,7 +77,7 @@
 pub struct Answer {
     open: OpenEntry,
     lease: Lease,
-    watch: Arc<Watch>,
+    conn: Arc<ConnectionState>,
 }
 
 /// A call that is open in the state machine. Closed on drop, including when the caller disconnects.
@@ -141,20 +141,20 @@
     pub async fn serve(
         self: Arc<EntryAdapter>,
         shard: usize,
-        watch: Arc<Watch>,
+        conn: Arc<ConnectionState>,
         req: Request<Incoming>,
     ) -> Response<Body> {
-        watch.begin(self.shared.open_call());
+        conn.begin_request(self.shared.open_call());
         let began = self.shared.clock.now();
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
-        let read = self.read_head(&watch, &req);
+        let read = self.read_head(&conn, &req);
         let id = self.request_id(number, read.as_ref().ok());
         let head = match read {
             Ok(head) => head,
-            Err(code) => return self.refuse(&watch, &id, refusal(code)),
+            Err(code) => return self.refuse(&conn, &id, refusal(code)),
         };
         if !self.shared.takes_calls() {
-            return self.refuse(&watch, &id, refusal(Code::Draining));
+            return self.refuse(&conn, &id, refusal(Code::Draining));
         }
         let call = CallKey(number);
         let host = headers::host(&req);
@@ -170,38 +170,38 @@
         };
         match self.decide(shard, Input::Arrive(arrival)) {
             Some(Output::Forward(forward)) => {
-                watch.set_deadline(forward.deadline);
+                conn.set_deadline(forward.deadline);
                 let open = OpenEntry { adapter: self.clone(), shard, call };
-                let new = NewCall { open, began, watch, id, depth: head.depth };
+                let new = NewCall { open, began, conn, id, depth: head.depth };
                 self.take(new, req, forward).await
             }
-            Some(Output::Finish { outcome, .. }) => self.refuse(&watch, &id, outcome),
-            None => self.refuse(&watch, &id, refusal(Code::NoTarget)),
+            Some(Output::Finish { outcome, .. }) => self.refuse(&conn, &id, outcome),
+            None => self.refuse(&conn, &id, refusal(Code::NoTarget)),
         }
     }
 
     /// Parses the request head. An HTTP/1.1 request without a `host` header is malformed.
-    fn read_head(&self, watch: &Watch, req: &Request<Incoming>) -> Result<CallHead, Code> {
+    fn read_head(&self, conn: &ConnectionState, req: &Request<Incoming>) -> Result<CallHead, Code> {
         let without_host = req.version() == Version::HTTP_11 && !req.headers().contains_key(HOST);
-        if watch.ambiguous() || without_host {
+        if conn.has_ambiguous_length() || without_host {
             return Err(Code::RequestInvalid);
         }
         CallHead::read(req, &self.shared.dialect)
     }
 
     async fn take(&self, new: NewCall, req: Request<Incoming>, forward: Forward) -> Response<Body> {
-        let NewCall { open, began, watch, id, depth } = new;
+        let NewCall { open, began, conn, id, depth } = new;
         let (head, incoming) = req.into_parts();
         let body = match self.hold(incoming, &forward).await {
             Ok(body) => body,
-            Err(code) => return self.refuse(&watch, &id, refusal(code)),
+            Err(code) => return self.refuse(&conn, &id, refusal(code)),
         };
         let mut headers = head.headers;
         headers::strip(&mut headers);
         let uri = origin_form(head.uri);
         let depth = depth.saturating_add(1);
         let method = head.method;
-        let call = Call { open, began, watch, method, uri, headers, id, depth, body };
+        let call = Call { open, began, conn, method, uri, headers, id, depth, body };
         self.forward(call, forward).await
     }
 
@@ -232,11 +232,11 @@
             match self.decide(call.open.shard, input) {
                 Some(Output::Forward(next)) => forward = next,
                 Some(Output::Finish { outcome, .. }) => {
-                    return self.refuse(&call.watch, &call.id, outcome);
+                    return self.refuse(&call.conn, &call.id, outcome);
                 }
                 None => {
                     let outcome = Outcome::Unknown { code: Code::AnswerLost };
-                    return self.refuse(&call.watch, &call.id, outcome);
+                    return self.refuse(&call.conn, &call.id, outcome);
                 }
             }
         }
@@ -339,15 +339,20 @@
         }
         let fields = Fields { status: Some(head.status.as_u16()), ..Fields::default() };
         trace::line(&self.shared, &call.id, Step::Answered, fields);
-        call.watch.set_phase(Phase::Answer);
+        call.conn.set_phase(Phase::Response);
         let lease = Lease::new(connection);
-        let answer = Answer { open: call.open, lease, watch: call.watch };
+        let answer = Answer { open: call.open, lease, conn: call.conn };
         let idle = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
         let body = Body::relay(incoming, u64::MAX, idle).with_guard(Guard::Entry(answer));
         Response::from_parts(head, body)
     }
 
-    fn refuse(&self, watch: &Arc<Watch>, id: &HeaderValue, outcome: Outcome) -> Response<Body> {
+    fn refuse(
+        &self,
+        conn: &Arc<ConnectionState>,
+        id: &HeaderValue,
+        outcome: Outcome,
+    ) -> Response<Body> {
         self.count(outcome);
         let fields = Fields {
             version: self.shared.in_force().map(|snapshot| snapshot.version()),
@@ -361,11 +366,11 @@
         if dialect.fractional_retry_after {
             headers::write_fractional_retry_after(head.headers_mut());
         }
-        if self.shared.draining() || watch.ambiguous() {
+        if self.shared.draining() || conn.has_ambiguous_length() {
             head.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        watch.set_phase(Phase::Answer);
-        head.map(|()| Body::empty().with_guard(Guard::Watch(watch.clone())))
+        conn.set_phase(Phase::Response);
+        head.map(|()| Body::empty().with_guard(Guard::Connection(conn.clone())))
     }
 
     fn count(&self, outcome: Outcome) {
@@ -405,7 +410,7 @@
         let outcome =
             if whole { Outcome::Answered } else { Outcome::Unknown { code: Code::AnswerLost } };
         self.open.adapter.count(outcome);
-        self.watch.set_phase(Phase::Flush);
+        self.conn.set_phase(Phase::Flush);
     }
 }
 
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -6,12 +6,12 @@
 pub use slot::{Answer, Slot};
 
 use super::body::{self, Body, Guard};
+use super::conn_state::{ConnectionState, Phase};
 use super::dialect::Dialect;
 use super::entry::MAX_HELD_BODY_BYTES;
 use super::headers::{self, CallHead};
 use super::pool::Pool;
 use super::trace::{self, Fields, Step};
-use super::watch::{Phase, Watch};
 use crate::metrics::Metrics;
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
@@ -173,24 +173,24 @@
     /// Serves a request forwarded by another node.
     pub async fn serve(
         self: Arc<GateAdapter>,
-        watch: Arc<Watch>,
+        conn: Arc<ConnectionState>,
         req: Request<Incoming>,
     ) -> Response<Body> {
-        watch.begin(self.shared.open_call());
+        conn.begin_request(self.shared.open_call());
         let read = CallHead::read(&req, &Dialect::new());
         let id = req.headers().get(headers::REQUEST_ID).cloned();
         let id = id.unwrap_or_else(|| HeaderValue::from_static("none"));
         let head = match read {
-            Ok(head) if head.request_id.is_some() && !watch.ambiguous() => head,
-            Ok(_) => return self.refuse(&watch, &id, refusal(Code::RequestInvalid), 0),
-            Err(code) => return self.refuse(&watch, &id, refusal(code), 0),
+            Ok(head) if head.request_id.is_some() && !conn.has_ambiguous_length() => head,
+            Ok(_) => return self.refuse(&conn, &id, refusal(Code::RequestInvalid), 0),
+            Err(code) => return self.refuse(&conn, &id, refusal(code), 0),
         };
         let key = CallKey(self.next_call.fetch_add(1, Ordering::Relaxed));
         let deadline = self.shared.clock.now() + head.time_left.unwrap_or_default();
-        watch.set_deadline(deadline);
+        conn.set_deadline(deadline);
         let terms = match headers::read_terms(req.headers(), self.shared.clock.now()) {
             Ok(terms) => terms,
-            Err(code) => return self.refuse(&watch, &id, refusal(code), 0),
+            Err(code) => return self.refuse(&conn, &id, refusal(code), 0),
         };
         let idempotent = terms.as_ref().is_none_or(|terms| terms.idempotent);
         let class = terms.as_ref().map_or(Class::Interactive, |terms| terms.class);
@@ -198,7 +198,7 @@
         let host = headers::host(&req);
         let (req, held) = match self.hold(req, deadline).await {
             Ok(held) => held,
-            Err(code) => return self.refuse(&watch, &id, refusal(code), 0),
+            Err(code) => return self.refuse(&conn, &id, refusal(code), 0),
         };
         if !self.shared.takes_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
             self.tell(Input::Drain);
@@ -232,11 +232,11 @@
         }
         let call = Call { key, id, deadline, class, idempotent, waited, req };
         match decision {
-            Decision::Run { once: true } => self.run_once(&watch, call).await,
-            Decision::Run { once: false } => self.run(&watch, call).await,
-            Decision::Replay(answer) => self.replay(&watch, &call.id, &answer, &self.load()),
-            Decision::Refuse(outcome, crashes) => self.refuse(&watch, &call.id, outcome, crashes),
-            Decision::Queue(..) => self.refuse(&watch, &call.id, refusal(Code::QueueTimeout), 0),
+            Decision::Run { once: true } => self.run_once(&conn, call).await,
+            Decision::Run { once: false } => self.run(&conn, call).await,
+            Decision::Replay(answer) => self.replay(&conn, &call.id, &answer, &self.load()),
+            Decision::Refuse(outcome, crashes) => self.refuse(&conn, &call.id, outcome, crashes),
+            Decision::Queue(..) => self.refuse(&conn, &call.id, refusal(Code::QueueTimeout), 0),
         }
     }
 
@@ -292,7 +292,7 @@
     /// Builds a response from a buffered one.
     fn replay(
         &self,
-        watch: &Arc<Watch>,
+        conn: &Arc<ConnectionState>,
         id: &HeaderValue,
         answer: &CachedResponse,
         load: &HeaderValue,
@@ -308,15 +308,15 @@
             }
         }
         self.finish_head(headers, id, load.clone());
-        watch.set_phase(Phase::Answer);
+        conn.set_phase(Phase::Response);
         *response.body_mut() =
-            Body::whole(answer.body.clone()).with_guard(Guard::Watch(watch.clone()));
+            Body::whole(answer.body.clone()).with_guard(Guard::Connection(conn.clone()));
         response
     }
 
     fn refuse(
         &self,
-        watch: &Arc<Watch>,
+        conn: &Arc<ConnectionState>,
         id: &HeaderValue,
         outcome: Outcome,
         crashes: u32,
@@ -337,8 +337,8 @@
         if self.shared.draining() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        watch.set_phase(Phase::Answer);
-        head.map(|()| Body::empty().with_guard(Guard::Watch(watch.clone())))
+        conn.set_phase(Phase::Response);
+        head.map(|()| Body::empty().with_guard(Guard::Connection(conn.clone())))
     }
 
     /// Sets the headers of a response from the target.
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -2,8 +2,8 @@
 
 use super::GateAdapter;
 use crate::calls::body::Lease;
+use crate::calls::conn_state::{ConnectionState, Phase};
 use crate::calls::pool::Linger;
-use crate::calls::watch::{Phase, Watch};
 use std::sync::Arc;
 use sycamore_core::call::CallKey;
 use sycamore_core::call::gatekeeper::{End, Input};
@@ -31,7 +31,7 @@
     // Set once the response was read from the target, while part of it waits for the link.
     leaving: Option<Leaving>,
     lease: Lease,
-    watch: Arc<Watch>,
+    conn: Arc<ConnectionState>,
 }
 
 /// A queued request. Withdrawn on drop, so that it does not reach the target after its caller has
@@ -99,8 +99,8 @@
 
 impl Answer {
     /// A response whose body is about to be sent.
-    pub fn new(running: Running, lease: Lease, watch: Arc<Watch>) -> Answer {
-        Answer { running, leaving: None, lease, watch }
+    pub fn new(running: Running, lease: Lease, conn: Arc<ConnectionState>) -> Answer {
+        Answer { running, leaving: None, lease, conn }
     }
 
     /// Frees the slot and the connection after the response was read from the target; `left` bytes
@@ -123,7 +123,7 @@
         // Attach the slot to the connection before closing it.
         drop(self.running);
         self.lease.over(whole);
-        self.watch.set_phase(Phase::Flush);
+        self.conn.set_phase(Phase::Flush);
     }
 }
 
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -3,10 +3,10 @@
 use super::slot::{Answer, Running, Slot};
 use super::{Decision, GateAdapter, refusal};
 use crate::calls::body::{self, Body, Guard, Lease};
+use crate::calls::conn_state::{ConnectionState, Phase};
 use crate::calls::headers;
 use crate::calls::pace::Pace;
 use crate::calls::pool::{Connection, SendError};
-use crate::calls::watch::{Phase, Watch};
 use crate::metrics::Metrics;
 use futures_lite::future;
 use hyper::body::{Body as _, Incoming};
@@ -89,22 +89,26 @@
 
 impl GateAdapter {
     /// Runs a request and streams its response.
-    pub async fn run(self: &Arc<GateAdapter>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
+    pub async fn run(
+        self: &Arc<GateAdapter>,
+        conn: &Arc<ConnectionState>,
+        call: Call,
+    ) -> Response<Body> {
         let (id, key, waited) = (call.id.clone(), call.key, call.waited);
         let answering = match self.send(call).await {
             Ok(answering) => answering,
-            Err(ended) => return self.refuse(watch, &id, ended.outcome, ended.crashes),
+            Err(ended) => return self.refuse(conn, &id, ended.outcome, ended.crashes),
         };
         let (mut head, incoming) = answering.response.into_parts();
         self.finish_head(&mut head.headers, &id, self.load());
         let waited = HeaderValue::from(waited.as_millis() as u64);
         head.headers.insert(headers::WAITED, waited);
-        watch.set_phase(Phase::Answer);
+        conn.set_phase(Phase::Response);
         let lease = Lease::new(answering.connection);
-        let answer = Answer::new(answering.running, lease, watch.clone());
+        let answer = Answer::new(answering.running, lease, conn.clone());
         let mut body = Body::relay(incoming, u64::MAX, self.idle()).with_guard(Guard::Gate(answer));
         // Traffic on the same VM does not use the link.
-        if !watch.is_local() {
+        if !conn.is_local() {
             body = body.with_pace(Pace::new(self.clone(), key));
         }
         Response::from_parts(head, body)
@@ -114,7 +118,7 @@
     /// caller may repeat it with the same key through another node.
     pub async fn run_once(
         self: &Arc<GateAdapter>,
-        watch: &Arc<Watch>,
+        conn: &Arc<ConnectionState>,
         call: Call,
     ) -> Response<Body> {
         let (tx, rx) = async_channel::bounded(1);
@@ -128,8 +132,8 @@
         };
         self.executor.spawn(task).detach();
         match rx.recv().await.unwrap_or(Err(Ended::unknown(Code::AnswerLost))) {
-            Ok(answer) => self.replay(watch, &id, &answer, &self.load()),
-            Err(ended) => self.refuse(watch, &id, ended.outcome, ended.crashes),
+            Ok(answer) => self.replay(conn, &id, &answer, &self.load()),
+            Err(ended) => self.refuse(conn, &id, ended.outcome, ended.crashes),
         }
     }
 
--- a/node/src/calls/serve.rs
+++ b/node/src/calls/serve.rs
@@ -1,11 +1,11 @@
 //! Accepts connections on a listener and serves their requests.
 
 use super::body::Body;
+use super::conn_state::{ConnectionState, ConnectionTable, Timeouts};
 use super::entry::EntryAdapter;
 use super::gate::GateAdapter;
 use super::headers;
 use super::socket::Socket;
-use super::watch::{Times, Watch, Watches};
 use crate::shared::Shared;
 use async_executor::Executor;
 use async_io::Async;
@@ -54,7 +54,7 @@
     shared: Arc<Shared>,
     executor: Arc<Executor<'static>>,
     adapter: Adapter,
-    watches: Watches,
+    connections: ConnectionTable,
 }
 
 impl Server {
@@ -68,17 +68,17 @@
             Adapter::Entry(_) => CALLER_IDLE,
             Adapter::Gate(_) => NODE_IDLE,
         };
-        let times = Times {
+        let timeouts = Timeouts {
             idle,
             head: Duration::from_millis(limits.head_timeout_ms),
-            still: Duration::from_millis(limits.idle_body_timeout_ms),
+            stalled: Duration::from_millis(limits.idle_body_timeout_ms),
         };
-        Arc::new(Server { watches: Watches::new(times), shared, executor, adapter })
+        Arc::new(Server { connections: ConnectionTable::new(timeouts), shared, executor, adapter })
     }
 
     /// Closes connections that exceeded a timeout.
     pub fn sweep(&self) {
-        self.watches.sweep(self.shared.clock.now());
+        self.connections.sweep(self.shared.clock.now());
     }
 
     /// Accepts connections until the drain notice period has passed.
@@ -108,8 +108,8 @@
 
     fn start(self: Arc<Server>, stream: Async<TcpStream>, number: usize) {
         let open = self.shared.open_connection();
-        let watch = Watch::new(self.shared.clock.clone(), is_local(&stream));
-        if !self.watches.add(&watch, self.shared.settings.limits.max_connections) {
+        let conn = ConnectionState::new(self.shared.clock.clone(), is_local(&stream));
+        if !self.connections.add(&conn, self.shared.settings.limits.max_connections) {
             self.shared.metrics.connections_refused.inc();
             return refuse_connection(&stream);
         }
@@ -117,19 +117,19 @@
         let _ = stream.get_ref().set_nodelay(true);
         let executor = self.executor.clone();
         let task = async move {
-            self.serve(stream, &watch, number).await;
-            watch.ended();
-            self.watches.remove(&watch);
+            self.serve(stream, &conn, number).await;
+            conn.mark_ended();
+            self.connections.remove(&conn);
             drop(open);
         };
         executor.spawn(task).detach();
     }
 
-    async fn serve(&self, stream: Async<TcpStream>, watch: &Arc<Watch>, number: usize) {
+    async fn serve(&self, stream: Async<TcpStream>, conn: &Arc<ConnectionState>, number: usize) {
         let max_head = self.shared.settings.limits.max_head_bytes;
-        let socket = FuturesIo::new(Socket::new(stream, watch.clone()));
+        let socket = FuturesIo::new(Socket::new(stream, conn.clone()));
         let service = hyper::service::service_fn(|req| {
-            let answer = self.answer(number, watch.clone(), req);
+            let answer = self.answer(number, conn.clone(), req);
             async move { Ok::<_, Infallible>(answer.await) }
         });
         let connection = http1::Builder::new()
@@ -148,7 +148,7 @@
             false
         };
         let closed = async {
-            watch.closed().await;
+            conn.close_requested().await;
             false
         };
         if future::or(future::or(serve, closed), leaving).await {
@@ -156,21 +156,21 @@
             let serve = async {
                 let _ = connection.await;
             };
-            future::or(serve, watch.closed()).await;
+            future::or(serve, conn.close_requested()).await;
         }
     }
 
     async fn answer(
         &self,
         number: usize,
-        watch: Arc<Watch>,
+        conn: Arc<ConnectionState>,
         req: Request<Incoming>,
     ) -> Response<Body> {
         match &self.adapter {
             Adapter::Entry(adapter) => {
-                adapter.clone().serve(number % adapter.shards(), watch, req).await
+                adapter.clone().serve(number % adapter.shards(), conn, req).await
             }
-            Adapter::Gate(adapter) => adapter.clone().serve(watch, req).await,
+            Adapter::Gate(adapter) => adapter.clone().serve(conn, req).await,
         }
     }
 
--- a/node/src/calls/socket.rs
+++ b/node/src/calls/socket.rs
@@ -3,9 +3,9 @@
 //! hyper answers malformed heads itself and silently drops a repeated `content-length`. This layer
 //! adds a result code to the former and detects the latter.
 
+use super::conn_state::{ConnectionState, Phase};
 use super::headers;
 use super::quiet::Quiet;
-use super::watch::{Phase, Watch};
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::io;
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: Quiet,
-    watch: Arc<Watch>,
+    conn: Arc<ConnectionState>,
     scan: HeadScan,
     // A rewritten response, the number of bytes written of it, and the number of bytes to report to
     // hyper.
@@ -30,8 +30,8 @@
 }
 
 impl Socket {
-    pub fn new(stream: Async<TcpStream>, watch: Arc<Watch>) -> Socket {
-        Socket { stream: Quiet::new(stream), watch, scan: HeadScan::default(), changed: None }
+    pub fn new(stream: Async<TcpStream>, conn: Arc<ConnectionState>) -> Socket {
+        Socket { stream: Quiet::new(stream), conn, scan: HeadScan::default(), changed: None }
     }
 
     fn poll_changed(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
@@ -55,16 +55,16 @@
     ) -> Poll<io::Result<usize>> {
         let count = ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
         if count > 0 {
-            let phase = self.watch.phase();
+            let phase = self.conn.phase();
             if phase == Phase::Idle {
                 self.scan = HeadScan::default();
             }
             if matches!(phase, Phase::Idle | Phase::Head) {
                 self.scan.take(&buf[..count]);
-                let ambiguous = self.scan.ambiguous();
-                self.watch.set_ambiguous(ambiguous);
+                let ambiguous = self.scan.is_ambiguous();
+                self.conn.set_ambiguous_length(ambiguous);
             }
-            self.watch.bytes_moved(true);
+            self.conn.record_io(true);
         }
         Poll::Ready(Ok(count))
     }
@@ -79,14 +79,14 @@
         if self.changed.is_some() {
             return self.poll_changed(cx);
         }
-        if matches!(self.watch.phase(), Phase::Idle | Phase::Head) {
+        if matches!(self.conn.phase(), Phase::Idle | Phase::Head) {
             if let Some(changed) = with_code(buf) {
                 self.changed = Some((changed, 0, buf.len()));
                 return self.poll_changed(cx);
             }
         }
         let count = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
-        self.watch.bytes_moved(false);
+        self.conn.record_io(false);
         Poll::Ready(Ok(count))
     }
 
@@ -100,13 +100,13 @@
             return self.poll_write(cx, buf);
         }
         let count = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, bufs))?;
-        self.watch.bytes_moved(false);
+        self.conn.record_io(false);
         Poll::Ready(Ok(count))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_flush(cx))?;
-        self.watch.flushed();
+        self.conn.on_flushed();
         Poll::Ready(Ok(()))
     }
 
@@ -175,7 +175,7 @@
         self.filled = 0;
     }
 
-    fn ambiguous(&self) -> bool {
+    fn is_ambiguous(&self) -> bool {
         self.lengths + self.codings > 1
     }
 }
