--- a/node/src/calls/serve.rs
+++ b/node/src/calls/serve.rs
@@ -26,15 +26,15 @@
 const MIN_BUFFER_BYTES: usize = 65_536;
 
 /// Maximum number of headers of a request.
-const MAX_HEADERS: usize = 100;
+const MAX_HEADER_COUNT: usize = 100;
 
 /// Idle timeouts of connections from callers and from nodes. Nodes close their connections earlier.
-const CALLER_IDLE: Duration = Duration::from_secs(75);
-const NODE_IDLE: Duration = Duration::from_secs(120);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+const NODE_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// How long a draining node keeps idle connections open, so that requests already in transit are
 /// answered.
-const DRAIN_NOTICE: Duration = Duration::from_millis(1_500);
+const DRAIN_NOTICE_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Pause after a failed `accept`, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -65,8 +65,8 @@
     ) -> Arc<Server> {
         let limits = &shared.settings.limits;
         let idle = match adapter {
-            Adapter::Entry(_) => CALLER_IDLE,
-            Adapter::Gate(_) => NODE_IDLE,
+            Adapter::Entry(_) => CALLER_IDLE_TIMEOUT,
+            Adapter::Gate(_) => NODE_IDLE_TIMEOUT,
         };
         let timeouts = Timeouts {
             idle,
@@ -86,38 +86,38 @@
     /// Closes the listener before the process exits: a connection accepted during the exit would be
     /// reset, and its caller could not tell whether the request ran.
     pub async fn accept(self: Arc<Server>, listener: Async<TcpListener>) {
-        future::or(self.clone().accept_all(&listener), self.wait_for_drain()).await;
+        future::or(self.clone().accept_loop(&listener), self.wait_for_drain()).await;
         // Connections that the kernel had already accepted.
         while let Ok((stream, _)) = listener.get_ref().accept() {
             if let Ok(stream) = Async::new(stream) {
-                self.clone().start(stream, 0);
+                self.clone().spawn_connection(stream, 0);
             }
         }
     }
 
-    async fn accept_all(self: Arc<Server>, listener: &Async<TcpListener>) {
-        let mut number = 0;
+    async fn accept_loop(self: Arc<Server>, listener: &Async<TcpListener>) {
+        let mut index = 0;
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.clone().start(stream, number),
+                Ok((stream, _)) => self.clone().spawn_connection(stream, index),
                 Err(_) => self.shared.clock.sleep(ACCEPT_PAUSE).await,
             }
-            number += 1;
+            index += 1;
         }
     }
 
-    fn start(self: Arc<Server>, stream: Async<TcpStream>, number: usize) {
+    fn spawn_connection(self: Arc<Server>, stream: Async<TcpStream>, index: usize) {
         let open = self.shared.open_connection();
         let conn = ConnectionState::new(self.shared.clock.clone(), is_local(&stream));
         if !self.connections.add(&conn, self.shared.settings.limits.max_connections) {
             self.shared.metrics.connections_refused.inc();
-            return refuse_connection(&stream);
+            return reject_connection(&stream);
         }
         // Without it, Nagle's algorithm delays small responses.
         let _ = stream.get_ref().set_nodelay(true);
         let executor = self.executor.clone();
         let task = async move {
-            self.serve(stream, &conn, number).await;
+            self.serve(stream, &conn, index).await;
             conn.mark_ended();
             self.connections.remove(&conn);
             drop(open);
@@ -125,20 +125,20 @@
         executor.spawn(task).detach();
     }
 
-    async fn serve(&self, stream: Async<TcpStream>, conn: &Arc<ConnectionState>, number: usize) {
+    async fn serve(&self, stream: Async<TcpStream>, conn: &Arc<ConnectionState>, index: usize) {
         let max_head = self.shared.settings.limits.max_head_bytes;
         let socket = FuturesIo::new(Socket::new(stream, conn.clone()));
         let service = hyper::service::service_fn(|req| {
-            let answer = self.answer(number, conn.clone(), req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = self.handle_request(index, conn.clone(), req);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = http1::Builder::new()
             .max_buf_size(max_head.max(MIN_BUFFER_BYTES))
             .max_header_size(max_head)
-            .max_headers(MAX_HEADERS)
+            .max_headers(MAX_HEADER_COUNT)
             .serve_connection(socket, service);
         let mut connection = pin!(connection);
-        let leaving = async {
+        let draining = async {
             self.wait_for_drain().await;
             true
         };
@@ -151,7 +151,7 @@
             conn.close_requested().await;
             false
         };
-        if future::or(future::or(serve, closed), leaving).await {
+        if future::or(future::or(serve, closed), draining).await {
             connection.as_mut().graceful_shutdown();
             let serve = async {
                 let _ = connection.await;
@@ -160,15 +160,15 @@
         }
     }
 
-    async fn answer(
+    async fn handle_request(
         &self,
-        number: usize,
+        index: usize,
         conn: Arc<ConnectionState>,
         req: Request<Incoming>,
     ) -> Response<Body> {
         match &self.adapter {
             Adapter::Entry(adapter) => {
-                adapter.clone().serve(number % adapter.shards(), conn, req).await
+                adapter.clone().serve(index % adapter.shards(), conn, req).await
             }
             Adapter::Gate(adapter) => adapter.clone().serve(conn, req).await,
         }
@@ -180,25 +180,25 @@
     /// `connection: close`, since a request may be in transit.
     async fn wait_for_drain(&self) {
         self.shared.drain_started().await;
-        self.shared.clock.sleep(DRAIN_NOTICE).await;
+        self.shared.clock.sleep(DRAIN_NOTICE_PERIOD).await;
     }
 }
 
 /// Whether the peer has the same IP address as this socket.
 fn is_local(stream: &Async<TcpStream>) -> bool {
-    let ends = (stream.get_ref().peer_addr(), stream.get_ref().local_addr());
-    matches!(ends, (Ok(peer), Ok(own)) if peer.ip() == own.ip())
+    let addresses = (stream.get_ref().peer_addr(), stream.get_ref().local_addr());
+    matches!(addresses, (Ok(peer), Ok(local)) if peer.ip() == local.ip())
 }
 
 /// Answers a connection over the limit with a 503 and closes it.
-fn refuse_connection(stream: &Async<TcpStream>) {
+fn reject_connection(stream: &Async<TcpStream>) {
     let (outcome, name, number) =
         (headers::OUTCOME, headers::CODE, Code::TooManyConnections.number());
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 503 Service Unavailable\r\n{outcome}: not-run\r\n{name}: {number}\r\n\
          retry-after: 1\r\n{}: 1000\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
         headers::RETRY_AFTER_MS,
     );
     // The socket is non-blocking; a peer that cannot receive the response only sees the close.
-    let _ = stream.get_ref().write_all(answer.as_bytes());
+    let _ = stream.get_ref().write_all(response.as_bytes());
 }
