--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -9,7 +9,7 @@
 pub mod headers;
 pub mod pace;
 pub mod pool;
-mod quiet;
+mod readiness;
 pub mod serve;
 pub mod socket;
 pub mod trace;
--- a/node/src/calls/pool.rs
+++ b/node/src/calls/pool.rs
@@ -3,7 +3,7 @@
 use super::body::Body;
 use super::gate::Slot;
 use super::headers;
-use super::quiet::Quiet;
+use super::readiness::ReadinessStream;
 use crate::clock::Clock;
 use async_executor::Executor;
 use async_io::Async;
@@ -129,8 +129,9 @@
         };
         let stream = future::or(Async::<TcpStream>::connect(address), timeout).await?;
         stream.get_ref().set_nodelay(true)?;
-        let (sender, driver) =
-            http1::handshake(FuturesIo::new(Quiet::new(stream))).await.map_err(io::Error::other)?;
+        let (sender, driver) = http1::handshake(FuturesIo::new(ReadinessStream::new(stream)))
+            .await
+            .map_err(io::Error::other)?;
         let linger = Arc::new(Linger::default());
         let pool = self.clone();
         pool.open.fetch_add(1, Ordering::AcqRel);
--- a/node/src/calls/quiet.rs
+++ b/node/src/calls/readiness.rs
@@ -12,14 +12,14 @@
 /// hyper reads on every wake-up of its task, including those caused by the write direction or by
 /// another connection. Each read without data costs a system call.
 #[derive(Debug)]
-pub struct Quiet {
+pub struct ReadinessStream {
     stream: Async<TcpStream>,
     drained: bool,
 }
 
-impl Quiet {
-    pub fn new(stream: Async<TcpStream>) -> Quiet {
-        Quiet { stream, drained: false }
+impl ReadinessStream {
+    pub fn new(stream: Async<TcpStream>) -> ReadinessStream {
+        ReadinessStream { stream, drained: false }
     }
 
     pub fn into_inner(self) -> Async<TcpStream> {
@@ -27,7 +27,7 @@
     }
 }
 
-impl AsyncRead for Quiet {
+impl AsyncRead for ReadinessStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -46,7 +46,7 @@
     }
 }
 
-impl AsyncWrite for Quiet {
+impl AsyncWrite for ReadinessStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/node/src/calls/socket.rs
+++ b/node/src/calls/socket.rs
@@ -5,7 +5,7 @@
 
 use super::conn_state::{ConnectionState, Phase};
 use super::headers;
-use super::quiet::Quiet;
+use super::readiness::ReadinessStream;
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::io;
@@ -21,7 +21,7 @@
 /// An incoming socket that reports its activity to a watch.
 #[derive(Debug)]
 pub struct Socket {
-    stream: Quiet,
+    stream: ReadinessStream,
     conn: Arc<ConnectionState>,
     scan: HeadScan,
     // A rewritten response, the number of bytes written of it, and the number of bytes to report to
@@ -31,7 +31,12 @@
 
 impl Socket {
     pub fn new(stream: Async<TcpStream>, conn: Arc<ConnectionState>) -> Socket {
-        Socket { stream: Quiet::new(stream), conn, scan: HeadScan::default(), rewritten: None }
+        Socket {
+            stream: ReadinessStream::new(stream),
+            conn,
+            scan: HeadScan::default(),
+            rewritten: None,
+        }
     }
 
     fn poll_rewritten(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
