--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -7,7 +7,7 @@
 pub mod entry;
 pub mod gate;
 pub mod headers;
-pub mod pace;
+pub mod pacer;
 pub mod pool;
 mod readiness;
 pub mod serve;
--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -1,7 +1,7 @@
 //! Request and response bodies that pass through a node.
 
 use super::conn_state::{ConnectionState, Phase};
-use super::pace::Pace;
+use super::pacer::Pacer;
 use super::pool::Connection;
 use super::{entry, gate};
 use async_io::Timer;
@@ -40,7 +40,7 @@
     // The sender signalled the end of the body. Required for bodies of unknown length.
     ended: bool,
     failed: bool,
-    pace: Option<Pace>,
+    pacer: Option<Pacer>,
 }
 
 /// What to notify when a body completes or is dropped.
@@ -75,15 +75,15 @@
             timer: None,
             ended: false,
             failed: false,
-            pace: None,
+            pacer: None,
         };
         Body { content: Content::Relay(Box::new(relay)), guard: Guard::None }
     }
 
     /// Limits the rate at which the body is sent to the bandwidth of the VM's link.
-    pub fn with_pace(mut self, pace: Pace) -> Body {
+    pub fn with_pacer(mut self, pacer: Pacer) -> Body {
         if let Content::Relay(relay) = &mut self.content {
-            relay.pace = Some(pace);
+            relay.pacer = Some(pacer);
         }
         self
     }
@@ -180,7 +180,7 @@
 
     /// Bytes received but not yet sent over the link.
     fn held(&self) -> u64 {
-        self.pace.as_ref().map_or(0, Pace::held)
+        self.pacer.as_ref().map_or(0, Pacer::buffered_bytes)
     }
 
     /// Number of unsent bytes once the incoming body has been read to its end.
@@ -197,16 +197,16 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.pace.is_none() {
+        if self.pacer.is_none() {
             return self.poll_incoming(cx);
         }
         // Reads ahead of the link, up to the buffer limit.
-        while self.pace.as_ref().is_some_and(Pace::has_room) && !self.is_read() {
+        while self.pacer.as_ref().is_some_and(Pacer::has_room) && !self.is_read() {
             match self.poll_incoming(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     // Trailers are dropped, as is the `te` header by which a caller requests them.
-                    if let (Ok(data), Some(pace)) = (frame.into_data(), &mut self.pace) {
-                        pace.hold(data);
+                    if let (Ok(data), Some(pacer)) = (frame.into_data(), &mut self.pacer) {
+                        pacer.push(data);
                     }
                 }
                 Poll::Ready(None) => {}
@@ -215,8 +215,8 @@
             }
         }
         let read = self.is_read();
-        match self.pace.as_mut().filter(|pace| pace.held() > 0) {
-            Some(pace) => pace.poll_piece(cx).map(|piece| Some(Ok(Frame::data(piece)))),
+        match self.pacer.as_mut().filter(|pacer| pacer.buffered_bytes() > 0) {
+            Some(pacer) => pacer.poll_chunk(cx).map(|chunk| Some(Ok(Frame::data(chunk)))),
             None if read => Poll::Ready(None),
             None => Poll::Pending,
         }
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -165,7 +165,7 @@
     }
 
     /// Delay before the next `bytes` of the response to `call` may be sent over the link.
-    pub(super) fn wait_for_link(&self, call: CallKey, bytes: u64) -> Duration {
+    pub(super) fn link_delay(&self, call: CallKey, bytes: u64) -> Duration {
         let now = self.shared.clock.now();
         self.state.lock().gatekeeper.schedule_chunk(now, call, bytes).since(now)
     }
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -5,7 +5,7 @@
 use crate::calls::body::{self, Body, Guard, Lease};
 use crate::calls::conn_state::{ConnectionState, Phase};
 use crate::calls::headers;
-use crate::calls::pace::Pace;
+use crate::calls::pacer::Pacer;
 use crate::calls::pool::{Connection, SendError};
 use crate::metrics::Metrics;
 use futures_lite::future;
@@ -109,7 +109,7 @@
         let mut body = Body::relay(incoming, u64::MAX, self.idle()).with_guard(Guard::Gate(answer));
         // Traffic on the same VM does not use the link.
         if !conn.is_local() {
-            body = body.with_pace(Pace::new(self.clone(), key));
+            body = body.with_pacer(Pacer::new(self.clone(), key));
         }
         Response::from_parts(head, body)
     }
