--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -27,18 +27,18 @@
 #[derive(Debug)]
 enum Content {
     Empty,
-    Whole(Bytes),
-    Relay(Box<Relay>),
+    Buffered(Bytes),
+    Stream(Box<BodyStream>),
 }
 
 #[derive(Debug)]
-struct Relay {
+struct BodyStream {
     incoming: Incoming,
-    left: u64,
-    idle: Duration,
-    timer: Option<Timer>,
+    remaining: u64,
+    idle_timeout: Duration,
+    idle_timer: Option<Timer>,
     // The sender signalled the end of the body. Required for bodies of unknown length.
-    ended: bool,
+    end_received: bool,
     failed: bool,
     pacer: Option<Pacer>,
 }
@@ -61,29 +61,29 @@
     }
 
     /// A body that is buffered in memory.
-    pub fn whole(buf: Bytes) -> Body {
-        let content = if buf.is_empty() { Content::Empty } else { Content::Whole(buf) };
+    pub fn buffered(buf: Bytes) -> Body {
+        let content = if buf.is_empty() { Content::Empty } else { Content::Buffered(buf) };
         Body { content, guard: Guard::None }
     }
 
-    /// A body that is streamed. Fails if it exceeds `most` bytes or if no data arrives for `idle`.
-    pub fn relay(incoming: Incoming, most: u64, idle: Duration) -> Body {
-        let relay = Relay {
+    /// A body that is streamed. Fails if it exceeds `max_bytes` bytes or if no data arrives for `idle_timeout`.
+    pub fn stream(incoming: Incoming, max_bytes: u64, idle_timeout: Duration) -> Body {
+        let stream = BodyStream {
             incoming,
-            left: most,
-            idle,
-            timer: None,
-            ended: false,
+            remaining: max_bytes,
+            idle_timeout,
+            idle_timer: None,
+            end_received: false,
             failed: false,
             pacer: None,
         };
-        Body { content: Content::Relay(Box::new(relay)), guard: Guard::None }
+        Body { content: Content::Stream(Box::new(stream)), guard: Guard::None }
     }
 
     /// Limits the rate at which the body is sent to the bandwidth of the VM's link.
     pub fn with_pacer(mut self, pacer: Pacer) -> Body {
-        if let Content::Relay(relay) = &mut self.content {
-            relay.pacer = Some(pacer);
+        if let Content::Stream(stream) = &mut self.content {
+            stream.pacer = Some(pacer);
         }
         self
     }
@@ -95,16 +95,16 @@
     }
 
     /// Whether the body is buffered and can be sent again.
-    pub fn is_whole(&self) -> bool {
-        !matches!(self.content, Content::Relay(_))
+    pub fn is_buffered(&self) -> bool {
+        !matches!(self.content, Content::Stream(_))
     }
 
-    fn is_over(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match &self.content {
             Content::Empty => true,
             // hyper takes a buffered body as a single frame.
-            Content::Whole(_) => false,
-            Content::Relay(relay) => !relay.failed && relay.is_end_stream(),
+            Content::Buffered(_) => false,
+            Content::Stream(stream) => !stream.failed && stream.is_end_stream(),
         }
     }
 }
@@ -119,15 +119,17 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut self.content {
             Content::Empty => Poll::Ready(None),
-            Content::Whole(buf) => {
+            Content::Buffered(buf) => {
                 let buf = std::mem::take(buf);
                 self.content = Content::Empty;
                 Poll::Ready(Some(Ok(Frame::data(buf))))
             }
-            Content::Relay(relay) => {
-                let frame = relay.poll_frame(cx);
-                if let (Some(left), Guard::Gate(answer)) = (relay.read_whole(), &mut self.guard) {
-                    answer.read(left);
+            Content::Stream(stream) => {
+                let frame = stream.poll_frame(cx);
+                if let (Some(unsent), Guard::Gate(response)) =
+                    (stream.unsent_after_end(), &mut self.guard)
+                {
+                    response.mark_read(unsent);
                 }
                 frame
             }
@@ -137,60 +139,60 @@
     fn is_end_stream(&self) -> bool {
         match &self.content {
             Content::Empty => true,
-            Content::Whole(_) => false,
-            Content::Relay(relay) => relay.is_end_stream(),
+            Content::Buffered(_) => false,
+            Content::Stream(stream) => stream.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
             Content::Empty => SizeHint::with_exact(0),
-            Content::Whole(buf) => SizeHint::with_exact(buf.len() as u64),
-            Content::Relay(relay) => relay.size_hint(),
+            Content::Buffered(buf) => SizeHint::with_exact(buf.len() as u64),
+            Content::Stream(stream) => stream.size_hint(),
         }
     }
 }
 
 impl Drop for Body {
     fn drop(&mut self) {
-        let whole = self.is_over();
+        let complete = self.is_complete();
         match std::mem::replace(&mut self.guard, Guard::None) {
             Guard::None => {}
             Guard::Connection(conn) => conn.set_phase(Phase::Flush),
-            Guard::Entry(answer) => answer.over(whole),
-            Guard::Gate(answer) => answer.over(whole),
+            Guard::Entry(response) => response.finish(complete),
+            Guard::Gate(response) => response.finish(complete),
         }
     }
 }
 
-impl Relay {
+impl BodyStream {
     fn is_end_stream(&self) -> bool {
-        self.is_read() && self.held() == 0
+        self.is_received() && self.unsent_bytes() == 0
     }
 
     fn size_hint(&self) -> SizeHint {
         let incoming = self.incoming.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(incoming.lower() + self.held());
+        hint.set_lower(incoming.lower() + self.unsent_bytes());
         if let Some(upper) = incoming.upper() {
-            hint.set_upper(upper + self.held());
+            hint.set_upper(upper + self.unsent_bytes());
         }
         hint
     }
 
     /// Bytes received but not yet sent over the link.
-    fn held(&self) -> u64 {
+    fn unsent_bytes(&self) -> u64 {
         self.pacer.as_ref().map_or(0, Pacer::buffered_bytes)
     }
 
     /// Number of unsent bytes once the incoming body has been read to its end.
-    fn read_whole(&self) -> Option<u64> {
-        let read = !self.failed && self.is_read();
-        (read && self.held() > 0).then(|| self.held())
+    fn unsent_after_end(&self) -> Option<u64> {
+        let read = !self.failed && self.is_received();
+        (read && self.unsent_bytes() > 0).then(|| self.unsent_bytes())
     }
 
-    fn is_read(&self) -> bool {
-        self.ended || self.incoming.is_end_stream()
+    fn is_received(&self) -> bool {
+        self.end_received || self.incoming.is_end_stream()
     }
 
     fn poll_frame(
@@ -201,7 +203,7 @@
             return self.poll_incoming(cx);
         }
         // Reads ahead of the link, up to the buffer limit.
-        while self.pacer.as_ref().is_some_and(Pacer::has_room) && !self.is_read() {
+        while self.pacer.as_ref().is_some_and(Pacer::has_room) && !self.is_received() {
             match self.poll_incoming(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     // Trailers are dropped, as is the `te` header by which a caller requests them.
@@ -214,7 +216,7 @@
                 Poll::Pending => break,
             }
         }
-        let read = self.is_read();
+        let read = self.is_received();
         match self.pacer.as_mut().filter(|pacer| pacer.buffered_bytes() > 0) {
             Some(pacer) => pacer.poll_chunk(cx).map(|chunk| Some(Ok(Frame::data(chunk)))),
             None if read => Poll::Ready(None),
@@ -230,29 +232,29 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match Pin::new(&mut self.incoming).poll_frame(cx) {
             Poll::Ready(None) => {
-                self.ended = true;
+                self.end_received = true;
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Ok(frame))) => {
-                self.timer = None;
+                self.idle_timer = None;
                 let size = frame.data_ref().map_or(0, |buf| buf.len() as u64);
-                if size > self.left {
+                if size > self.remaining {
                     return self.fail(io::ErrorKind::InvalidData);
                 }
-                self.left -= size;
+                self.remaining -= size;
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(_))) => self.fail(io::ErrorKind::ConnectionAborted),
-            Poll::Pending => self.poll_timer(cx),
+            Poll::Pending => self.poll_idle_timeout(cx),
         }
     }
 
-    fn poll_timer(
+    fn poll_idle_timeout(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let timer = self.timer.get_or_insert_with(|| Timer::after(self.idle));
-        match Pin::new(timer).poll(cx) {
+        let idle_timer = self.idle_timer.get_or_insert_with(|| Timer::after(self.idle_timeout));
+        match Pin::new(idle_timer).poll(cx) {
             Poll::Ready(_) => self.fail(io::ErrorKind::TimedOut),
             Poll::Pending => Poll::Pending,
         }
@@ -264,16 +266,20 @@
     }
 }
 
-/// Buffers a body of at most `most` bytes.
-pub async fn collect(mut incoming: Incoming, most: u64, idle: Duration) -> Result<Bytes, Code> {
-    let stated = incoming.size_hint().lower().min(most) as usize;
+/// Buffers a body of at most `max_bytes` bytes.
+pub async fn collect(
+    mut incoming: Incoming,
+    max_bytes: u64,
+    idle_timeout: Duration,
+) -> Result<Bytes, Code> {
+    let declared_bytes = incoming.size_hint().lower().min(max_bytes) as usize;
     let mut first: Option<Bytes> = None;
     let mut buf = BytesMut::new();
     let mut size = 0;
     loop {
         let frame = async { Some(incoming.frame().await) };
         let timeout = async {
-            Timer::after(idle).await;
+            Timer::after(idle_timeout).await;
             None
         };
         let Some(frame) = future::or(frame, timeout).await else {
@@ -286,11 +292,11 @@
             continue;
         };
         size += data.len() as u64;
-        if size > most {
+        if size > max_bytes {
             return Err(Code::RequestTooLarge);
         }
         // Most bodies arrive in a single frame, which is used without copying.
-        if first.is_none() && buf.is_empty() && data.len() >= stated {
+        if first.is_none() && buf.is_empty() && data.len() >= declared_bytes {
             first = Some(data);
             continue;
         }
@@ -314,8 +320,8 @@
     }
 
     /// Ends the lease. The connection of an incomplete response is closed.
-    pub fn over(&mut self, whole: bool) {
-        if let Some(connection) = self.connection.take().filter(|_| whole) {
+    pub fn finish(&mut self, complete: bool) {
+        if let Some(connection) = self.connection.take().filter(|_| complete) {
             connection.give_back();
         }
     }
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -311,7 +311,7 @@
         let small = stated.is_some_and(|bytes| bytes <= MAX_HELD_BODY_BYTES);
         // Keyed requests are always buffered, because a key must identify one body.
         if !forward.terms.is_keyed() && !small {
-            let body = Body::relay(incoming, forward.max_body_bytes, idle);
+            let body = Body::stream(incoming, forward.max_body_bytes, idle);
             return Ok(HeldBody::Stream(Some(Box::new(body))));
         }
         let most = forward.max_body_bytes.min(MAX_HELD_BODY_BYTES);
@@ -343,7 +343,7 @@
         let lease = Lease::new(connection);
         let answer = Answer { open: call.open, lease, conn: call.conn };
         let idle = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
-        let body = Body::relay(incoming, u64::MAX, idle).with_guard(Guard::Entry(answer));
+        let body = Body::stream(incoming, u64::MAX, idle).with_guard(Guard::Entry(answer));
         Response::from_parts(head, body)
     }
 
@@ -404,11 +404,11 @@
 }
 
 impl Answer {
-    /// Ends the response; `whole` is false if the body was truncated.
-    pub fn over(mut self, whole: bool) {
-        self.lease.over(whole);
+    /// Ends the response; `complete` is false if the body was truncated.
+    pub fn finish(mut self, complete: bool) {
+        self.lease.finish(complete);
         let outcome =
-            if whole { Outcome::Answered } else { Outcome::Unknown { code: Code::AnswerLost } };
+            if complete { Outcome::Answered } else { Outcome::Unknown { code: Code::AnswerLost } };
         self.open.adapter.count(outcome);
         self.conn.set_phase(Phase::Flush);
     }
--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -29,7 +29,7 @@
 
     pub(super) fn take(&mut self) -> Option<Body> {
         match self {
-            HeldBody::Whole(buf) => Some(Body::whole(buf.clone())),
+            HeldBody::Whole(buf) => Some(Body::buffered(buf.clone())),
             HeldBody::Stream(body) => body.take().map(|body| *body),
         }
     }
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -281,12 +281,12 @@
         }
         let small = incoming.size_hint().upper().is_some_and(|size| size <= MAX_HELD_BODY_BYTES);
         if !small {
-            let body = Body::relay(incoming, u64::MAX, self.idle());
+            let body = Body::stream(incoming, u64::MAX, self.idle());
             return Ok((Request::from_parts(head, body), None));
         }
         let collect = body::collect(incoming, MAX_HELD_BODY_BYTES, self.idle());
         let buf = self.before(deadline, collect).await.unwrap_or(Err(Code::DeadlinePassed))?;
-        Ok((Request::from_parts(head, Body::whole(buf.clone())), Some(buf)))
+        Ok((Request::from_parts(head, Body::buffered(buf.clone())), Some(buf)))
     }
 
     /// Builds a response from a buffered one.
@@ -310,7 +310,7 @@
         self.finish_head(headers, id, load.clone());
         conn.set_phase(Phase::Response);
         *response.body_mut() =
-            Body::whole(answer.body.clone()).with_guard(Guard::Connection(conn.clone()));
+            Body::buffered(answer.body.clone()).with_guard(Guard::Connection(conn.clone()));
         response
     }
 
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -103,26 +103,26 @@
         Answer { running, leaving: None, lease, conn }
     }
 
-    /// Frees the slot and the connection after the response was read from the target; `left` bytes
+    /// Frees the slot and the connection after the response was read from the target; `unsent` bytes
     /// of it are still unsent.
-    pub fn read(&mut self, left: u64) {
+    pub fn mark_read(&mut self, unsent: u64) {
         if let Some(slot) = self.running.take() {
             self.leaving = Some(Leaving { adapter: slot.adapter.clone(), call: slot.call });
-            slot.end(End::ResponseRead { unsent: left });
-            self.lease.over(true);
+            slot.end(End::ResponseRead { unsent });
+            self.lease.finish(true);
         }
     }
 
-    /// Ends the response; `whole` is false if the body was truncated.
-    pub fn over(mut self, whole: bool) {
-        if whole {
+    /// Ends the response; `complete` is false if the body was truncated.
+    pub fn finish(mut self, complete: bool) {
+        if complete {
             if let Some(slot) = self.running.take() {
                 slot.end(End::Answered { cached: None });
             }
         }
         // Attach the slot to the connection before closing it.
         drop(self.running);
-        self.lease.over(whole);
+        self.lease.finish(complete);
         self.conn.set_phase(Phase::Flush);
     }
 }
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -106,7 +106,8 @@
         conn.set_phase(Phase::Response);
         let lease = Lease::new(answering.connection);
         let answer = Answer::new(answering.running, lease, conn.clone());
-        let mut body = Body::relay(incoming, u64::MAX, self.idle()).with_guard(Guard::Gate(answer));
+        let mut body =
+            Body::stream(incoming, u64::MAX, self.idle()).with_guard(Guard::Gate(answer));
         // Traffic on the same VM does not use the link.
         if !conn.is_local() {
             body = body.with_pacer(Pacer::new(self.clone(), key));
