--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -322,7 +322,7 @@
     /// Ends the lease. The connection of an incomplete response is closed.
     pub fn finish(&mut self, complete: bool) {
         if let Some(connection) = self.connection.take().filter(|_| complete) {
-            connection.give_back();
+            connection.release();
         }
     }
 }
--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -103,7 +103,7 @@
         Verdict::Foreign => return Attempt::Ended(AttemptEnd::ConnectionLost),
     };
     if response.body().is_end_stream() {
-        connection.give_back();
+        connection.release();
     }
     Attempt::Ended(end)
 }
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -3,7 +3,7 @@
 use super::GateAdapter;
 use crate::calls::body::Lease;
 use crate::calls::conn_state::{ConnectionState, Phase};
-use crate::calls::pool::Linger;
+use crate::calls::pool::DeferredSlot;
 use std::sync::Arc;
 use sycamore_core::call::CallKey;
 use sycamore_core::call::gatekeeper::{End, Input};
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Running {
     slot: Option<Slot>,
-    linger: Arc<Linger>,
+    deferred_slot: Arc<DeferredSlot>,
 }
 
 /// A response that is being sent to the entry node.
@@ -78,9 +78,9 @@
 }
 
 impl Running {
-    /// A slot in use on the connection that owns `linger`.
-    pub fn new(slot: Slot, linger: Arc<Linger>) -> Running {
-        Running { slot: Some(slot), linger }
+    /// A slot in use on the connection that owns `deferred_slot`.
+    pub fn new(slot: Slot, deferred_slot: Arc<DeferredSlot>) -> Running {
+        Running { slot: Some(slot), deferred_slot }
     }
 
     /// Detaches the slot from the connection.
@@ -92,7 +92,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if let Some(slot) = self.slot.take() {
-            *self.linger.lock() = Some(slot);
+            *self.deferred_slot.lock() = Some(slot);
         }
     }
 }
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -33,7 +33,7 @@
 
 /// Maximum idle time of a connection used for a request that may run only once. Targets
 /// usually close idle connections after seconds, so such a connection is still open.
-const FRESH: Duration = Duration::from_millis(500);
+const MAX_IDLE_BEFORE_SINGLE_RUN: Duration = Duration::from_millis(500);
 
 /// Interval at which a request waits for a free connection while the connection limit is reached.
 const CONNECTION_POLL: Duration = Duration::from_millis(2);
@@ -58,10 +58,10 @@
     ///
     /// A request on an idle connection that the target has closed is reset and may have run, so a
     /// request that may run only once needs a recently used connection.
-    fn freshness(&self) -> Duration {
+    fn max_idle(&self) -> Duration {
         match self.idempotent {
             true => Duration::MAX,
-            false => FRESH,
+            false => MAX_IDLE_BEFORE_SINGLE_RUN,
         }
     }
 }
@@ -150,7 +150,7 @@
             Some(Ok(buf)) => {
                 headers::strip(&mut head.headers);
                 let kept = Arc::new(keep(head.status, &head.headers, buf));
-                connection.give_back();
+                connection.release();
                 if let Some(slot) = running.take() {
                     slot.end(End::Answered { cached: Some(kept.clone()) });
                 }
@@ -168,11 +168,11 @@
         let Some(address) = self.shared.settings.target_address else {
             return Err(not_sent(slot));
         };
-        let freshness = call.freshness();
+        let max_idle = call.max_idle();
         let mut req = call.req;
         self.finish_request(req.headers_mut(), &call.id, call.deadline);
         loop {
-            let taken = self.pool.take(address, freshness).await;
+            let taken = self.pool.take_idle(address, max_idle).await;
             let used = taken.is_some();
             let connection = match taken {
                 Some(connection) => Some(connection),
@@ -181,13 +181,13 @@
             let Some(connection) = connection else {
                 return Err(not_sent(slot));
             };
-            let linger = connection.linger();
+            let deferred_slot = connection.deferred_slot();
             let sent = AtomicBool::new(false);
             let began = self.shared.clock.now();
             // Dropped after `running`, so that the slot is attached before the connection closes
             // when this wait is cancelled.
             let mut send = pin!(connection.send(req, &sent));
-            let mut running = Running::new(slot, linger);
+            let mut running = Running::new(slot, deferred_slot);
             match self.before(call.deadline, send.as_mut()).await {
                 None => {
                     drop(running);
@@ -221,7 +221,7 @@
     async fn connect(&self, address: SocketAddr, deadline: Time) -> Option<Connection> {
         let limits = self.shared.own_limits();
         let most = limits.map_or(1, |limits| limits.connections as usize);
-        while self.pool.open() >= most {
+        while self.pool.open_count() >= most {
             if self.shared.clock.now() >= deadline {
                 return None;
             }
@@ -252,7 +252,7 @@
         };
         match future::or(probe, timeout).await {
             Some(Ok(connection)) => {
-                connection.give_back();
+                connection.release();
                 false
             }
             Some(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
@@ -305,7 +305,7 @@
 ) -> Ended {
     let refused = running.take().and_then(|slot| slot.end(End::Rejected(code)));
     if response.body().is_end_stream() {
-        connection.give_back();
+        connection.release();
     }
     match refused {
         Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
--- a/node/src/calls/pool.rs
+++ b/node/src/calls/pool.rs
@@ -27,19 +27,19 @@
 
 /// Idle timeout of pooled connections. Shorter than that of the listeners, so that the remote side
 /// does not close a connection while a request is being sent.
-const IDLE_LIFE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Fraction of the remote side's keep-alive timeout after which a connection is no longer reused.
-const KEEP_ALIVE_SHARE: f64 = 0.7;
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
 /// Maximum idle connections per address.
-const MAX_IDLE: usize = 128;
+const MAX_IDLE_PER_ADDRESS: usize = 128;
 
 /// Maximum wait for a returned connection to become ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Maximum wait for the target to close its side after a cancelled request.
-const LINGER: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request without a response.
 #[derive(Debug)]
@@ -56,28 +56,28 @@
     clock: Clock,
     executor: Arc<Executor<'static>>,
     connect_timeout: Duration,
-    idle: Mutex<IndexMap<SocketAddr, Vec<Idle>>>,
-    open: AtomicUsize,
+    idle: Mutex<IndexMap<SocketAddr, Vec<IdleConnection>>>,
+    open_count: AtomicUsize,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Time,
 }
 
 /// A slot of the target that is freed only when the connection has ended.
-pub type Linger = Mutex<Option<Slot>>;
+pub type DeferredSlot = Mutex<Option<Slot>>;
 
 /// An open connection with at most one request in flight.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Body>,
     // Idle timeout, derived from the remote side's keep-alive timeout.
-    idle_life: Duration,
+    idle_timeout: Duration,
     address: SocketAddr,
     pool: Arc<Pool>,
-    linger: Arc<Linger>,
+    deferred_slot: Arc<DeferredSlot>,
 }
 
 impl Pool {
@@ -93,13 +93,13 @@
         executor: Arc<Executor<'static>>,
         connect_timeout: Duration,
     ) -> Arc<Pool> {
-        let (idle, open) = (Mutex::new(IndexMap::new()), AtomicUsize::new(0));
-        Arc::new(Pool { clock, executor, connect_timeout, idle, open })
+        let (idle, open_count) = (Mutex::new(IndexMap::new()), AtomicUsize::new(0));
+        Arc::new(Pool { clock, executor, connect_timeout, idle, open_count })
     }
 
     /// Number of open connections, idle or in use.
-    pub fn open(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+    pub fn open_count(&self) -> usize {
+        self.open_count.load(Ordering::Acquire)
     }
 
     /// Sends a request over an idle connection or a new one. `sent` is set while any byte of the
@@ -110,7 +110,7 @@
         mut req: Request<Body>,
         sent: &AtomicBool,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
-        while let Some(connection) = self.take(address, Duration::MAX).await {
+        while let Some(connection) = self.take_idle(address, Duration::MAX).await {
             match connection.send(req, sent).await {
                 Err(SendError::NotSent(unsent)) => req = *unsent,
                 result => return result,
@@ -132,35 +132,41 @@
         let (sender, driver) = http1::handshake(FuturesIo::new(ReadinessStream::new(stream)))
             .await
             .map_err(io::Error::other)?;
-        let linger = Arc::new(Linger::default());
+        let deferred_slot = Arc::new(DeferredSlot::default());
         let pool = self.clone();
-        pool.open.fetch_add(1, Ordering::AcqRel);
-        let held = linger.clone();
+        pool.open_count.fetch_add(1, Ordering::AcqRel);
+        let held_slot = deferred_slot.clone();
         let task = async move {
             if let Ok(parts) = driver.without_shutdown().await {
-                let cancelled = held.lock().is_some();
+                let cancelled = held_slot.lock().is_some();
                 if cancelled {
                     let stream = parts.io.into_inner().into_inner();
                     let timeout = async {
-                        pool.clock.sleep(LINGER).await;
+                        pool.clock.sleep(CLOSE_TIMEOUT).await;
                     };
                     future::or(wait_for_close(stream), timeout).await;
                 }
             }
-            pool.open.fetch_sub(1, Ordering::AcqRel);
+            pool.open_count.fetch_sub(1, Ordering::AcqRel);
             // Dropped after the lock is released, because freeing the slot may start another
             // request.
-            let slot = held.lock().take();
+            let slot = held_slot.lock().take();
             drop(slot);
         };
         self.executor.spawn(task).detach();
-        Ok(Connection { sender, idle_life: IDLE_LIFE, address, pool: self.clone(), linger })
+        Ok(Connection {
+            sender,
+            idle_timeout: IDLE_TIMEOUT,
+            address,
+            pool: self.clone(),
+            deferred_slot,
+        })
     }
 
-    /// Returns an idle connection that is ready and was idle for at most `freshness`.
-    pub async fn take(&self, address: SocketAddr, freshness: Duration) -> Option<Connection> {
+    /// Returns an idle connection that is ready and was idle for at most `max_idle`.
+    pub async fn take_idle(&self, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
         loop {
-            let mut connection = self.pop(address, freshness)?;
+            let mut connection = self.pop_idle(address, max_idle)?;
             if connection.sender.is_ready() {
                 return Some(connection);
             }
@@ -175,7 +181,7 @@
         }
     }
 
-    fn pop(&self, address: SocketAddr, freshness: Duration) -> Option<Connection> {
+    fn pop_idle(&self, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
         let now = self.clock.now();
         let mut stale = Vec::new();
         let mut idle = self.idle.lock();
@@ -183,7 +189,7 @@
         if unused.first().is_some_and(|oldest| oldest.is_stale(now)) {
             stale.push(unused.remove(0));
         }
-        if unused.last().is_some_and(|newest| now.since(newest.since) > freshness) {
+        if unused.last().is_some_and(|newest| now.since(newest.since) > max_idle) {
             return None;
         }
         let newest = unused.pop().filter(|newest| !newest.is_stale(now));
@@ -200,7 +206,7 @@
         let mut stale = Vec::new();
         let mut idle = self.idle.lock();
         idle.retain(|_, unused| {
-            let (old, kept): (Vec<Idle>, Vec<Idle>) =
+            let (old, kept): (Vec<IdleConnection>, Vec<IdleConnection>) =
                 unused.drain(..).partition(|entry| entry.is_stale(now));
             stale.extend(old);
             *unused = kept;
@@ -209,20 +215,20 @@
     }
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_stale(&self, now: Time) -> bool {
-        now.since(self.since) > self.connection.idle_life
+        now.since(self.since) > self.connection.idle_timeout
     }
 }
 
 impl Connection {
     /// The slot that is held until the connection ends.
-    pub fn linger(&self) -> Arc<Linger> {
-        self.linger.clone()
+    pub fn deferred_slot(&self) -> Arc<DeferredSlot> {
+        self.deferred_slot.clone()
     }
 
     /// Returns the connection to the pool.
-    pub fn give_back(self) {
+    pub fn release(self) {
         if self.sender.is_closed() {
             return;
         }
@@ -230,8 +236,8 @@
         let since = pool.clock.now();
         let mut idle = pool.idle.lock();
         let unused = idle.entry(self.address).or_default();
-        if unused.len() < MAX_IDLE {
-            unused.push(Idle { connection: self, since });
+        if unused.len() < MAX_IDLE_PER_ADDRESS {
+            unused.push(IdleConnection { connection: self, since });
         }
     }
 
@@ -243,8 +249,8 @@
         sent.store(true, Ordering::Release);
         match self.sender.try_send_request(req).await {
             Ok(response) => {
-                if let Some(life) = headers::keep_alive(response.headers()) {
-                    self.idle_life = life.mul_f64(KEEP_ALIVE_SHARE).min(IDLE_LIFE);
+                if let Some(timeout) = headers::keep_alive(response.headers()) {
+                    self.idle_timeout = timeout.mul_f64(KEEP_ALIVE_FRACTION).min(IDLE_TIMEOUT);
                 }
                 Ok((response, self))
             }
