--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -197,7 +197,7 @@
             Err(code) => return self.refuse(&conn, &id, refusal(code)),
         };
         let mut headers = head.headers;
-        headers::strip(&mut headers);
+        headers::strip_hop_by_hop(&mut headers);
         let uri = origin_form(head.uri);
         let depth = depth.saturating_add(1);
         let method = head.method;
@@ -326,7 +326,7 @@
         connection: Connection,
     ) -> Response<Body> {
         let (mut head, incoming) = response.into_parts();
-        headers::strip(&mut head.headers);
+        headers::strip_hop_by_hop(&mut head.headers);
         head.headers.remove(headers::LOAD);
         head.headers.remove(headers::WAITED);
         head.headers.remove(headers::CRASHES);
--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -91,7 +91,7 @@
     response: Response<Incoming>,
     connection: Connection,
 ) -> Attempt {
-    let crashes = headers::number(response.headers(), &headers::CRASHES).ok().flatten();
+    let crashes = headers::parse_number(response.headers(), &headers::CRASHES).ok().flatten();
     let crashes = crashes.unwrap_or(0).min(u32::MAX.into()) as u32;
     let load = headers::load(response.headers());
     let end = match headers::verdict(&response, id) {
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -343,7 +343,7 @@
 
     /// Sets the headers of a response from the target.
     fn finish_head(&self, headers: &mut HeaderMap, id: &HeaderValue, load: HeaderValue) {
-        headers::strip(headers);
+        headers::strip_hop_by_hop(headers);
         headers.remove(headers::CODE);
         headers.insert(headers::OUTCOME, HeaderValue::from_static("answered"));
         headers.insert(headers::REQUEST_ID, id.clone());
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -148,7 +148,7 @@
         let collect = body::collect(incoming, MAX_KEPT_BODY_BYTES, self.idle());
         match self.before(deadline, collect).await {
             Some(Ok(buf)) => {
-                headers::strip(&mut head.headers);
+                headers::strip_hop_by_hop(&mut head.headers);
                 let kept = Arc::new(keep(head.status, &head.headers, buf));
                 connection.release();
                 if let Some(slot) = running.take() {
@@ -263,11 +263,11 @@
     /// Sets the headers of the request to the target.
     fn finish_request(&self, headers: &mut HeaderMap, id: &HeaderValue, deadline: Time) {
         let dialect = &self.shared.dialect;
-        headers::strip(headers);
+        headers::strip_hop_by_hop(headers);
         headers.remove(headers::CRASHES);
         headers.remove(headers::TERMS);
         if !dialect.is_own() {
-            for name in &headers::BETWEEN_NODES {
+            for name in &headers::INTERNAL {
                 headers.remove(name);
             }
         }
--- a/node/src/calls/headers.rs
+++ b/node/src/calls/headers.rs
@@ -42,11 +42,11 @@
 
 /// Headers that may occur only once in a request. Prevents smuggling: two nodes could use different
 /// values of a repeated header.
-const SINGLE: [HeaderName; 9] =
+const SINGLE_VALUED: [HeaderName; 9] =
     [CONTENT_LENGTH, HOST, DEADLINE, REQUEST_ID, ATTEMPT, DEPTH, KEY, CRASHES, TERMS];
 
 /// Headers between nodes, removed before a request is sent to a target with its own header names.
-pub const BETWEEN_NODES: [HeaderName; 6] = [DEADLINE, REQUEST_ID, ATTEMPT, DEPTH, CRASHES, TERMS];
+pub const INTERNAL: [HeaderName; 6] = [DEADLINE, REQUEST_ID, ATTEMPT, DEPTH, CRASHES, TERMS];
 
 /// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] =
@@ -71,7 +71,7 @@
     /// Parses the headers of a request. Rejects malformed and repeated headers.
     pub fn read<B>(req: &Request<B>, dialect: &Dialect) -> Result<CallHead, Code> {
         let headers = req.headers();
-        for name in SINGLE.iter().chain([&dialect.deadline, &dialect.request_id]) {
+        for name in SINGLE_VALUED.iter().chain([&dialect.deadline, &dialect.request_id]) {
             let mut values = headers.get_all(name).iter();
             if values.next().is_some() && values.next().is_some() {
                 return Err(Code::RequestInvalid);
@@ -87,14 +87,14 @@
         if request_id.is_some_and(|id| id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES) {
             return Err(Code::RequestInvalid);
         }
-        let depth = number(headers, &DEPTH)?.unwrap_or(0);
+        let depth = parse_number(headers, &DEPTH)?.unwrap_or(0);
         Ok(CallHead {
-            time_left: number(headers, &dialect.deadline)?.map(Duration::from_millis),
+            time_left: parse_number(headers, &dialect.deadline)?.map(Duration::from_millis),
             request_id: request_id.cloned(),
             depth: depth.min(u8::MAX.into()) as u8,
-            key: key(headers)?,
-            crashes: number(headers, &CRASHES)?.unwrap_or(0).min(u32::MAX.into()) as u32,
-            body_bytes: number(headers, &CONTENT_LENGTH)?,
+            key: parse_key(headers)?,
+            crashes: parse_number(headers, &CRASHES)?.unwrap_or(0).min(u32::MAX.into()) as u32,
+            body_bytes: parse_number(headers, &CONTENT_LENGTH)?,
         })
     }
 }
@@ -118,17 +118,18 @@
 pub fn verdict<B>(response: &Response<B>, id: &HeaderValue) -> Verdict {
     let headers = response.headers();
     let outcome = headers.get(OUTCOME).map(HeaderValue::as_bytes);
-    let code = number(headers, &CODE).ok().flatten();
+    let code = parse_number(headers, &CODE).ok().flatten();
     let code = code.and_then(|code| Code::from_number(code.try_into().ok()?));
     // A listener at its connection limit rejects before it reads the request, so the id is missing.
-    let early = outcome == Some(b"not-run") && code == Some(Code::TooManyConnections);
-    if headers.get(REQUEST_ID) != Some(id) && !early {
+    let rejected_by_listener =
+        outcome == Some(b"not-run") && code == Some(Code::TooManyConnections);
+    if headers.get(REQUEST_ID) != Some(id) && !rejected_by_listener {
         return Verdict::Foreign;
     }
     match (outcome, code) {
         (Some(b"answered"), None) => Verdict::Answered,
         (Some(b"not-run"), Some(code)) => {
-            let ms = number(headers, &RETRY_AFTER_MS).ok().flatten().unwrap_or(0);
+            let ms = parse_number(headers, &RETRY_AFTER_MS).ok().flatten().unwrap_or(0);
             Verdict::NotRun(code, Duration::from_millis(ms))
         }
         (Some(b"unknown"), Some(code)) => Verdict::Unknown(code),
@@ -143,12 +144,12 @@
 
 /// The time spent waiting for a slot in a response between nodes; zero if absent.
 pub fn waited(headers: &HeaderMap) -> Duration {
-    let ms = number(headers, &WAITED).ok().flatten().unwrap_or(0);
+    let ms = parse_number(headers, &WAITED).ok().flatten().unwrap_or(0);
     Duration::from_millis(ms)
 }
 
 /// The `timeout` parameter of the `keep-alive` header.
-pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
     let seconds = parts.find_map(|part| part.strip_prefix("timeout="))?;
@@ -156,7 +157,7 @@
 }
 
 /// Parses a numeric header; `None` if it is absent.
-pub fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Code> {
+pub fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Code> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -167,7 +168,7 @@
 }
 
 /// Removes hop-by-hop headers, including those listed in `connection`.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -175,7 +176,7 @@
         .flat_map(|text| text.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
         // A caller cannot remove the headers of the call by listing them in `connection`.
-        .filter(|name| !SINGLE.contains(name))
+        .filter(|name| !SINGLE_VALUED.contains(name))
         .collect();
     for name in HOP_BY_HOP.iter().chain(&named) {
         headers.remove(name);
@@ -193,10 +194,10 @@
 /// Formats the terms as `service;idempotent;once;class;rank;may_exceed_objective;repeat;objective`,
 /// where the objective is in milliseconds from `now`.
 pub fn write_terms(terms: &Terms, now: Time) -> Option<HeaderValue> {
-    let left = terms.objective.since(now).as_millis() as u64;
+    let remaining = terms.objective.since(now).as_millis() as u64;
     let idempotent = u8::from(terms.idempotent);
     let text = format!(
-        "{};{idempotent};{};{};{};{};{};{left}",
+        "{};{idempotent};{};{};{};{};{};{remaining}",
         terms.service,
         terms.once as u8,
         terms.class as u8,
@@ -233,8 +234,8 @@
     let rank = parts.next()?.parse().ok()?;
     let may_exceed_objective = parts.next()? == "1";
     let repeat = parts.next()? == "1";
-    let left = Duration::from_millis(parts.next()?.parse().ok()?);
-    let objective = now + left;
+    let remaining = Duration::from_millis(parts.next()?.parse().ok()?);
+    let objective = now + remaining;
     Some(Terms { service, idempotent, once, class, rank, objective, may_exceed_objective, repeat })
 }
 
@@ -247,9 +248,9 @@
             let headers = response.headers_mut();
             headers.insert(RETRY_AFTER_MS, HeaderValue::from(ms));
             headers.insert(RETRY_AFTER, HeaderValue::from(ms.div_ceil(1_000)));
-            (status_of(code), "not-run", code)
+            (rejection_status(code), "not-run", code)
         }
-        Outcome::Unknown { code } => (status_of_unknown(code), "unknown", code),
+        Outcome::Unknown { code } => (unknown_status(code), "unknown", code),
     };
     *response.status_mut() = status;
     response.headers_mut().insert(OUTCOME, HeaderValue::from_static(name));
@@ -258,14 +259,14 @@
 
 /// Sets `retry-after` with millisecond precision.
 pub fn write_fractional_retry_after(headers: &mut HeaderMap) {
-    let ms = number(headers, &RETRY_AFTER_MS).ok().flatten();
+    let ms = parse_number(headers, &RETRY_AFTER_MS).ok().flatten();
     let text = ms.map(|ms| format!("{}.{:03}", ms / 1_000, ms % 1_000));
     if let Some(value) = text.and_then(|text| HeaderValue::try_from(text).ok()) {
         headers.insert(RETRY_AFTER, value);
     }
 }
 
-fn status_of_unknown(code: Code) -> StatusCode {
+fn unknown_status(code: Code) -> StatusCode {
     match code {
         Code::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
@@ -273,7 +274,7 @@
 }
 
 /// HTTP status of a rejection.
-pub fn status_of(code: Code) -> StatusCode {
+pub fn rejection_status(code: Code) -> StatusCode {
     match code {
         Code::NoRoute => StatusCode::NOT_FOUND,
         Code::RequestInvalid | Code::KeyMissing | Code::TooDeep | Code::KeyReused => {
@@ -284,7 +285,7 @@
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<RequestKey>, Code> {
+fn parse_key(headers: &HeaderMap) -> Result<Option<RequestKey>, Code> {
     let Some(value) = headers.get(KEY) else {
         return Ok(None);
     };
--- a/node/src/calls/pool.rs
+++ b/node/src/calls/pool.rs
@@ -249,7 +249,7 @@
         sent.store(true, Ordering::Release);
         match self.sender.try_send_request(req).await {
             Ok(response) => {
-                if let Some(timeout) = headers::keep_alive(response.headers()) {
+                if let Some(timeout) = headers::keep_alive_timeout(response.headers()) {
                     self.idle_timeout = timeout.mul_f64(KEEP_ALIVE_FRACTION).min(IDLE_TIMEOUT);
                 }
                 Ok((response, self))
