--- a/node/src/calls/dialect.rs
+++ b/node/src/calls/dialect.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether these are the product's own header names, which targets then support too.
-    pub fn is_own(&self) -> bool {
+    pub fn is_native(&self) -> bool {
         self.request_id == headers::REQUEST_ID
     }
 }
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -330,7 +330,7 @@
         head.headers.remove(headers::LOAD);
         head.headers.remove(headers::WAITED);
         head.headers.remove(headers::CRASHES);
-        if !self.shared.dialect.is_own() {
+        if !self.shared.dialect.is_native() {
             head.headers.remove(headers::OUTCOME);
             head.headers.remove(headers::REQUEST_ID);
         }
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -266,7 +266,7 @@
         headers::strip_hop_by_hop(headers);
         headers.remove(headers::CRASHES);
         headers.remove(headers::TERMS);
-        if !dialect.is_own() {
+        if !dialect.is_native() {
             for name in &headers::INTERNAL {
                 headers.remove(name);
             }
@@ -282,7 +282,8 @@
     /// Whether the response belongs to this request, according to its request id.
     fn is_own(&self, response: &Response<Incoming>, id: &HeaderValue) -> bool {
         let named = response.headers().get(&self.shared.dialect.request_id);
-        named.is_none_or(|other| other == id) && (named.is_some() || self.shared.dialect.is_own())
+        named.is_none_or(|other| other == id)
+            && (named.is_some() || self.shared.dialect.is_native())
     }
 
     /// The code if the target reports that it did not run the request.
