--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -254,7 +254,7 @@
             sent: Some(sent),
             ..Fields::default()
         };
-        trace::line(&self.shared, id, Step::AttemptFailed, fields);
+        trace::log_step(&self.shared, id, Step::AttemptFailed, fields);
     }
 
     /// Builds the request to the gatekeeper. Returns `None` if the body is already consumed.
@@ -338,7 +338,7 @@
             head.headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         let fields = Fields { status: Some(head.status.as_u16()), ..Fields::default() };
-        trace::line(&self.shared, &call.id, Step::Answered, fields);
+        trace::log_step(&self.shared, &call.id, Step::Answered, fields);
         call.conn.set_phase(Phase::Response);
         let lease = Lease::new(connection);
         let answer = Answer { open: call.open, lease, conn: call.conn };
@@ -358,7 +358,7 @@
             version: self.shared.in_force().map(|snapshot| snapshot.version()),
             ..Fields::of_outcome(outcome)
         };
-        trace::line(&self.shared, id, Step::Ended, fields);
+        trace::log_step(&self.shared, id, Step::Ended, fields);
         let mut head = Response::new(());
         headers::write_outcome(&mut head, outcome);
         let dialect = &self.shared.dialect;
--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -87,7 +87,7 @@
     /// Records an attempt and builds its request. Returns `None` if the body is already consumed.
     fn begin_attempt(&self, call: &mut Call, forward: &Forward) -> Option<Request<Body>> {
         let fields = Fields::of_forward(&self.shared, forward);
-        trace::line(&self.shared, &call.id, Step::Forwarded, fields);
+        trace::log_step(&self.shared, &call.id, Step::Forwarded, fields);
         let kind = if forward.attempt > 1 { "retry" } else { "first" };
         self.shared.metrics.attempts.with_label_values(&[kind]).inc();
         self.request(call, forward)
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -242,7 +242,7 @@
 
     fn trace(&self, id: &HeaderValue, step: Step) {
         let load = self.state.lock().gatekeeper.load(self.shared.clock.now());
-        trace::line(&self.shared, id, step, Fields::default().with_load(load));
+        trace::log_step(&self.shared, id, step, Fields::default().with_load(load));
     }
 
     /// Waits for a slot of the target.
@@ -327,7 +327,7 @@
         }
         let load = self.state.lock().gatekeeper.load(self.shared.clock.now());
         let fields = Fields::of_outcome(outcome).with_load(load);
-        trace::line(&self.shared, id, Step::GateRefused, fields);
+        trace::log_step(&self.shared, id, Step::GateRefused, fields);
         let mut head = Response::new(());
         headers::write_outcome(&mut head, outcome);
         let headers = head.headers_mut();
--- a/node/src/calls/trace.rs
+++ b/node/src/calls/trace.rs
@@ -10,7 +10,7 @@
 use sycamore_core::call::{Load, Outcome};
 
 /// Log target of records whose message is a JSON object.
-pub const REQUEST: &str = "request";
+pub const REQUEST_LOG_TARGET: &str = "request";
 
 /// Step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -77,7 +77,7 @@
 }
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct StepRecord<'a> {
     vm: &'a str,
     request: &'a str,
     step: Step,
@@ -86,19 +86,19 @@
 }
 
 /// Logs a step of a request. Requests that ended without a response are logged as warnings.
-pub fn line(shared: &Shared, id: &HeaderValue, step: Step, fields: Fields<'_>) {
+pub fn log_step(shared: &Shared, id: &HeaderValue, step: Step, fields: Fields<'_>) {
     let level = match step {
         Step::Ended => log::Level::Warn,
         _ => log::Level::Info,
     };
-    if !log::log_enabled!(target: REQUEST, level) {
+    if !log::log_enabled!(target: REQUEST_LOG_TARGET, level) {
         return;
     }
     let request = id.to_str().unwrap_or("unprintable");
-    let line = Line { vm: shared.settings.vm.as_str(), request, step, fields };
+    let record = StepRecord { vm: shared.settings.vm.as_str(), request, step, fields };
     // The fields are plain values, so serialization cannot fail.
-    let text = serde_json::to_string(&line).unwrap_or_default();
-    log::log!(target: REQUEST, level, "{text}");
+    let text = serde_json::to_string(&record).unwrap_or_default();
+    log::log!(target: REQUEST_LOG_TARGET, level, "{text}");
 }
 
 impl<'a> Fields<'a> {
--- a/node/src/output.rs
+++ b/node/src/output.rs
@@ -57,7 +57,7 @@
     fields.insert("time".to_owned(), now.format_rfc3339().into());
     fields.insert("level".to_owned(), record.level().as_str().into());
     match serde_json::from_str::<Fields>(&text) {
-        Ok(of_event) if [EVENT, trace::REQUEST].contains(&record.target()) => {
+        Ok(of_event) if [EVENT, trace::REQUEST_LOG_TARGET].contains(&record.target()) => {
             fields.extend(of_event)
         }
         _ => {
