--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -106,7 +106,7 @@
         let mut seen = self.seen.lock();
         let members = self.shared.members();
         if seen.members.as_ref().is_none_or(|known| !Arc::ptr_eq(known, &members)) {
-            self.entry.view(&members);
+            self.entry.set_members(&members);
             self.gate.view(&members);
             seen.members = Some(members);
         }
--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -50,7 +50,7 @@
     /// The connection on which the body is sent.
     Connection(Arc<ConnectionState>),
     /// A call at the entry node.
-    Entry(entry::Answer),
+    Entry(entry::ActiveResponse),
     /// A call at the gatekeeper.
     Gate(gate::Answer),
 }
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 use crate::shared::Shared;
 use async_executor::Executor;
-use attempt::{Attempt, HeldBody, answering, failure};
+use attempt::{AttemptResult, RequestBody, classify_response, failure_of};
 use futures_lite::future;
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONNECTION, HOST, HeaderMap, HeaderValue};
@@ -27,7 +27,7 @@
 use sycamore_core::{Code, Time};
 
 /// Maximum size of a request body that is buffered so that it can be sent again.
-pub const MAX_HELD_BODY_BYTES: u64 = 65_536;
+pub const MAX_BUFFERED_BODY_BYTES: u64 = 65_536;
 
 /// `Retry-After` of rejections that are not caused by load.
 const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
@@ -51,22 +51,22 @@
 /// A request that is forwarded, possibly more than once.
 #[derive(Debug)]
 struct Call {
-    open: OpenEntry,
-    began: Time,
+    guard: CallGuard,
+    started: Time,
     conn: Arc<ConnectionState>,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     id: HeaderValue,
     depth: u8,
-    body: HeldBody,
+    body: RequestBody,
 }
 
 /// A call whose body has not been read yet.
 #[derive(Debug)]
 struct NewCall {
-    open: OpenEntry,
-    began: Time,
+    guard: CallGuard,
+    started: Time,
     conn: Arc<ConnectionState>,
     id: HeaderValue,
     depth: u8,
@@ -74,15 +74,15 @@
 
 /// A response that is being sent to the caller.
 #[derive(Debug)]
-pub struct Answer {
-    open: OpenEntry,
+pub struct ActiveResponse {
+    guard: CallGuard,
     lease: Lease,
     conn: Arc<ConnectionState>,
 }
 
 /// A call that is open in the state machine. Closed on drop, including when the caller disconnects.
 #[derive(Debug)]
-struct OpenEntry {
+struct CallGuard {
     adapter: Arc<EntryAdapter>,
     shard: usize,
     call: CallKey,
@@ -107,12 +107,12 @@
 
     /// Applies a version that came into force.
     pub fn configure(&self, snapshot: &Arc<Snapshot>) {
-        self.tell_all(|| Input::Configure(snapshot.clone()));
+        self.broadcast(|| Input::Configure(snapshot.clone()));
     }
 
     /// Applies a change of VM states.
-    pub fn view(&self, members: &Arc<Members>) {
-        self.tell_all(|| Input::View(members.clone()));
+    pub fn set_members(&self, members: &Arc<Members>) {
+        self.broadcast(|| Input::View(members.clone()));
     }
 
     /// Closes connections that exceeded their idle timeout.
@@ -122,7 +122,7 @@
         }
     }
 
-    fn tell_all<'a>(&self, input: impl Fn() -> Input<'a>) {
+    fn broadcast<'a>(&self, input: impl Fn() -> Input<'a>) {
         for shard in &self.shards {
             let mut out = Vec::new();
             shard.entry.lock().handle(self.shared.clock.now(), input(), &mut out);
@@ -145,16 +145,16 @@
         req: Request<Incoming>,
     ) -> Response<Body> {
         conn.begin_request(self.shared.open_call());
-        let began = self.shared.clock.now();
+        let started = self.shared.clock.now();
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
         let read = self.read_head(&conn, &req);
         let id = self.request_id(number, read.as_ref().ok());
         let head = match read {
             Ok(head) => head,
-            Err(code) => return self.refuse(&conn, &id, refusal(code)),
+            Err(code) => return self.reject(&conn, &id, rejection(code)),
         };
         if !self.shared.takes_calls() {
-            return self.refuse(&conn, &id, refusal(Code::Draining));
+            return self.reject(&conn, &id, rejection(Code::Draining));
         }
         let call = CallKey(number);
         let host = headers::host(&req);
@@ -171,12 +171,12 @@
         match self.decide(shard, Input::Arrive(arrival)) {
             Some(Output::Forward(forward)) => {
                 conn.set_deadline(forward.deadline);
-                let open = OpenEntry { adapter: self.clone(), shard, call };
-                let new = NewCall { open, began, conn, id, depth: head.depth };
-                self.take(new, req, forward).await
+                let guard = CallGuard { adapter: self.clone(), shard, call };
+                let new = NewCall { guard, started, conn, id, depth: head.depth };
+                self.start_forwarding(new, req, forward).await
             }
-            Some(Output::Finish { outcome, .. }) => self.refuse(&conn, &id, outcome),
-            None => self.refuse(&conn, &id, refusal(Code::NoTarget)),
+            Some(Output::Finish { outcome, .. }) => self.reject(&conn, &id, outcome),
+            None => self.reject(&conn, &id, rejection(Code::NoTarget)),
         }
     }
 
@@ -189,19 +189,24 @@
         CallHead::read(req, &self.shared.dialect)
     }
 
-    async fn take(&self, new: NewCall, req: Request<Incoming>, forward: Forward) -> Response<Body> {
-        let NewCall { open, began, conn, id, depth } = new;
+    async fn start_forwarding(
+        &self,
+        new: NewCall,
+        req: Request<Incoming>,
+        forward: Forward,
+    ) -> Response<Body> {
+        let NewCall { guard, started, conn, id, depth } = new;
         let (head, incoming) = req.into_parts();
-        let body = match self.hold(incoming, &forward).await {
+        let body = match self.buffer_body(incoming, &forward).await {
             Ok(body) => body,
-            Err(code) => return self.refuse(&conn, &id, refusal(code)),
+            Err(code) => return self.reject(&conn, &id, rejection(code)),
         };
         let mut headers = head.headers;
         headers::strip_hop_by_hop(&mut headers);
         let uri = origin_form(head.uri);
         let depth = depth.saturating_add(1);
         let method = head.method;
-        let call = Call { open, began, conn, method, uri, headers, id, depth, body };
+        let call = Call { guard, started, conn, method, uri, headers, id, depth, body };
         self.forward(call, forward).await
     }
 
@@ -209,41 +214,46 @@
     async fn forward(&self, mut call: Call, mut forward: Forward) -> Response<Body> {
         loop {
             let attempt = self.attempt(&mut call, &mut forward).await;
-            let (key, replayable) = (call.open.call, call.body.is_whole());
+            let (key, replayable) = (call.guard.call, call.body.is_replayable());
             let input = match attempt {
-                Attempt::Answer(response, connection) => {
-                    let end = answering(&response);
+                AttemptResult::Response(response, connection) => {
+                    let end = classify_response(&response);
                     let input = Input::Attempt { call: key, end, replayable };
-                    match self.decide(call.open.shard, input) {
+                    match self.decide(call.guard.shard, input) {
                         Some(Output::Forward(next)) => forward = next,
                         _ => {
-                            let took = self.shared.clock.now().since(call.began);
+                            let elapsed = self.shared.clock.now().since(call.started);
                             let times = &self.shared.metrics.call_seconds;
-                            Metrics::observe_time(times, forward.terms.class, took);
-                            return self.pass_on(call, response, connection);
+                            Metrics::observe_time(times, forward.terms.class, elapsed);
+                            return self.forward_response(call, response, connection);
                         }
                     }
                     continue;
                 }
-                Attempt::Ended(end) => Input::Attempt { call: key, end, replayable },
-                Attempt::Late { sent } => Input::Expire { call: key, sent },
+                AttemptResult::Ended(end) => Input::Attempt { call: key, end, replayable },
+                AttemptResult::DeadlinePassed { sent } => Input::Expire { call: key, sent },
             };
-            self.note_failure(&call.id, &forward, failure(&input));
-            match self.decide(call.open.shard, input) {
+            self.record_failed_attempt(&call.id, &forward, failure_of(&input));
+            match self.decide(call.guard.shard, input) {
                 Some(Output::Forward(next)) => forward = next,
                 Some(Output::Finish { outcome, .. }) => {
-                    return self.refuse(&call.conn, &call.id, outcome);
+                    return self.reject(&call.conn, &call.id, outcome);
                 }
                 None => {
                     let outcome = Outcome::Unknown { code: Code::AnswerLost };
-                    return self.refuse(&call.conn, &call.id, outcome);
+                    return self.reject(&call.conn, &call.id, outcome);
                 }
             }
         }
     }
 
     /// Records a failed attempt: its code, and whether the target may have run the request.
-    fn note_failure(&self, id: &HeaderValue, forward: &Forward, (code, sent): (Code, bool)) {
+    fn record_failed_attempt(
+        &self,
+        id: &HeaderValue,
+        forward: &Forward,
+        (code, sent): (Code, bool),
+    ) {
         if matches!(code, Code::GatekeeperUnreachable | Code::AnswerLost) {
             self.shared.lost_gates.send(forward.gate);
         }
@@ -265,9 +275,9 @@
         let headers = req.headers_mut();
         *headers = call.headers.clone();
         let now = self.shared.clock.now();
-        let left = forward.deadline.since(now).as_millis() as u64;
-        self.write_parties(headers, forward);
-        headers.insert(headers::DEADLINE, HeaderValue::from(left.max(1)));
+        let remaining_ms = forward.deadline.since(now).as_millis() as u64;
+        self.write_party_headers(headers, forward);
+        headers.insert(headers::DEADLINE, HeaderValue::from(remaining_ms.max(1)));
         if let Some(terms) = headers::write_terms(&forward.terms, now) {
             headers.insert(headers::TERMS, terms);
         }
@@ -283,7 +293,7 @@
 
     /// Sets the headers for the calling service and the target's incarnation. Values sent by the
     /// caller are discarded.
-    fn write_parties(&self, headers: &mut HeaderMap, forward: &Forward) {
+    fn write_party_headers(&self, headers: &mut HeaderMap, forward: &Forward) {
         let dialect = &self.shared.dialect;
         headers.remove(&dialect.deadline);
         let incarnation = forward.incarnation.as_ref();
@@ -302,24 +312,30 @@
     }
 
     /// Buffers a small body; a larger one is streamed.
-    async fn hold(&self, incoming: Incoming, forward: &Forward) -> Result<HeldBody, Code> {
+    async fn buffer_body(
+        &self,
+        incoming: Incoming,
+        forward: &Forward,
+    ) -> Result<RequestBody, Code> {
         if incoming.is_end_stream() {
-            return Ok(HeldBody::Whole(bytes::Bytes::new()));
+            return Ok(RequestBody::Buffered(bytes::Bytes::new()));
         }
-        let idle = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
-        let stated = incoming.size_hint().upper();
-        let small = stated.is_some_and(|bytes| bytes <= MAX_HELD_BODY_BYTES);
+        let idle_timeout = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
+        let declared_bytes = incoming.size_hint().upper();
+        let small = declared_bytes.is_some_and(|bytes| bytes <= MAX_BUFFERED_BODY_BYTES);
         // Keyed requests are always buffered, because a key must identify one body.
         if !forward.terms.is_keyed() && !small {
-            let body = Body::stream(incoming, forward.max_body_bytes, idle);
-            return Ok(HeldBody::Stream(Some(Box::new(body))));
+            let body = Body::stream(incoming, forward.max_body_bytes, idle_timeout);
+            return Ok(RequestBody::Stream(Some(Box::new(body))));
         }
-        let most = forward.max_body_bytes.min(MAX_HELD_BODY_BYTES);
-        let read = self.before(forward.deadline, body::collect(incoming, most, idle)).await;
-        read.unwrap_or(Err(Code::DeadlinePassed)).map(HeldBody::Whole)
+        let max_bytes = forward.max_body_bytes.min(MAX_BUFFERED_BODY_BYTES);
+        let read = self
+            .with_deadline(forward.deadline, body::collect(incoming, max_bytes, idle_timeout))
+            .await;
+        read.unwrap_or(Err(Code::DeadlinePassed)).map(RequestBody::Buffered)
     }
 
-    fn pass_on(
+    fn forward_response(
         &self,
         call: Call,
         response: Response<Incoming>,
@@ -341,19 +357,19 @@
         trace::log_step(&self.shared, &call.id, Step::Answered, fields);
         call.conn.set_phase(Phase::Response);
         let lease = Lease::new(connection);
-        let answer = Answer { open: call.open, lease, conn: call.conn };
-        let idle = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
-        let body = Body::stream(incoming, u64::MAX, idle).with_guard(Guard::Entry(answer));
+        let active = ActiveResponse { guard: call.guard, lease, conn: call.conn };
+        let idle_timeout = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
+        let body = Body::stream(incoming, u64::MAX, idle_timeout).with_guard(Guard::Entry(active));
         Response::from_parts(head, body)
     }
 
-    fn refuse(
+    fn reject(
         &self,
         conn: &Arc<ConnectionState>,
         id: &HeaderValue,
         outcome: Outcome,
     ) -> Response<Body> {
-        self.count(outcome);
+        self.count_outcome(outcome);
         let fields = Fields {
             version: self.shared.in_force().map(|snapshot| snapshot.version()),
             ..Fields::of_outcome(outcome)
@@ -373,7 +389,7 @@
         head.map(|()| Body::empty().with_guard(Guard::Connection(conn.clone())))
     }
 
-    fn count(&self, outcome: Outcome) {
+    fn count_outcome(&self, outcome: Outcome) {
         let outcomes = &self.shared.metrics.outcomes;
         let (name, code) = match outcome {
             Outcome::Answered => ("answered", None),
@@ -394,7 +410,7 @@
     }
 
     /// Returns `None` if the deadline passes first.
-    async fn before<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
+    async fn with_deadline<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
         let timeout = async {
             self.shared.clock.sleep_until(deadline).await;
             None
@@ -403,24 +419,24 @@
     }
 }
 
-impl Answer {
+impl ActiveResponse {
     /// Ends the response; `complete` is false if the body was truncated.
     pub fn finish(mut self, complete: bool) {
         self.lease.finish(complete);
         let outcome =
             if complete { Outcome::Answered } else { Outcome::Unknown { code: Code::AnswerLost } };
-        self.open.adapter.count(outcome);
+        self.guard.adapter.count_outcome(outcome);
         self.conn.set_phase(Phase::Flush);
     }
 }
 
-impl Drop for OpenEntry {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.adapter.decide(self.shard, Input::Close(self.call));
     }
 }
 
-fn refusal(code: Code) -> Outcome {
+fn rejection(code: Code) -> Outcome {
     Outcome::not_run(code, RETRY_AFTER_SHORT)
 }
 
--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -10,32 +10,32 @@
 use sycamore_core::call::entry::{AttemptEnd, Input};
 
 #[derive(Debug)]
-pub(super) enum HeldBody {
+pub(super) enum RequestBody {
     /// Buffered: can be sent again.
-    Whole(bytes::Bytes),
+    Buffered(bytes::Bytes),
     /// Streamed: `None` once it has been sent.
     Stream(Option<Box<Body>>),
 }
 
-impl HeldBody {
-    pub(super) fn is_whole(&self) -> bool {
-        !matches!(self, HeldBody::Stream(None))
+impl RequestBody {
+    pub(super) fn is_replayable(&self) -> bool {
+        !matches!(self, RequestBody::Stream(None))
     }
 
     /// Whether it can be sent by two attempts at the same time.
-    pub(super) fn is_held(&self) -> bool {
-        matches!(self, HeldBody::Whole(_))
+    pub(super) fn is_buffered(&self) -> bool {
+        matches!(self, RequestBody::Buffered(_))
     }
 
     pub(super) fn take(&mut self) -> Option<Body> {
         match self {
-            HeldBody::Whole(buf) => Some(Body::buffered(buf.clone())),
-            HeldBody::Stream(body) => body.take().map(|body| *body),
+            RequestBody::Buffered(buf) => Some(Body::buffered(buf.clone())),
+            RequestBody::Stream(body) => body.take().map(|body| *body),
         }
     }
 
-    pub(super) fn put_back(&mut self, unsent: Body) {
-        if let HeldBody::Stream(body) = self {
+    pub(super) fn restore(&mut self, unsent: Body) {
+        if let RequestBody::Stream(body) = self {
             *body = Some(Box::new(unsent));
         }
     }
@@ -43,17 +43,17 @@
 
 /// Result of an attempt.
 #[derive(Debug)]
-pub(super) enum Attempt {
-    Answer(Response<Incoming>, Connection),
+pub(super) enum AttemptResult {
+    Response(Response<Incoming>, Connection),
     Ended(AttemptEnd),
     /// The deadline passed.
-    Late {
+    DeadlinePassed {
         sent: bool,
     },
 }
 
 /// Code of a failed attempt, and whether the target may have run the request.
-pub(super) fn failure(input: &Input<'_>) -> (Code, bool) {
+pub(super) fn failure_of(input: &Input<'_>) -> (Code, bool) {
     match input {
         Input::Attempt { end, .. } => end_code(end),
         Input::Expire { sent, .. } => (Code::DeadlinePassed, *sent),
@@ -76,7 +76,7 @@
 }
 
 /// Classifies a target's response by its head.
-pub(super) fn answering(response: &Response<Incoming>) -> AttemptEnd {
+pub(super) fn classify_response(response: &Response<Incoming>) -> AttemptEnd {
     let load = headers::load(response.headers());
     let failed = response.status().is_server_error();
     match failed && response.status() != StatusCode::GATEWAY_TIMEOUT {
@@ -86,24 +86,24 @@
 }
 
 /// Converts a gatekeeper's response to the result of the attempt.
-pub(super) fn judge(
+pub(super) fn parse_response(
     id: &HeaderValue,
     response: Response<Incoming>,
     connection: Connection,
-) -> Attempt {
+) -> AttemptResult {
     let crashes = headers::parse_number(response.headers(), &headers::CRASHES).ok().flatten();
     let crashes = crashes.unwrap_or(0).min(u32::MAX.into()) as u32;
     let load = headers::load(response.headers());
     let end = match headers::verdict(&response, id) {
-        Verdict::Answered => return Attempt::Answer(response, connection),
+        Verdict::Answered => return AttemptResult::Response(response, connection),
         Verdict::NotRun(code, retry_after) => {
             AttemptEnd::Refused { code, retry_after, load, crashes }
         }
         Verdict::Unknown(code) => AttemptEnd::Failed { code, crashes },
-        Verdict::Foreign => return Attempt::Ended(AttemptEnd::ConnectionLost),
+        Verdict::Foreign => return AttemptResult::Ended(AttemptEnd::ConnectionLost),
     };
     if response.body().is_end_stream() {
         connection.release();
     }
-    Attempt::Ended(end)
+    AttemptResult::Ended(end)
 }
--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -1,6 +1,6 @@
 //! One round of a call: an attempt, and a hedged attempt if the first one is slow.
 
-use super::attempt::{Attempt, answering, end_code, judge};
+use super::attempt::{AttemptResult, classify_response, end_code, parse_response};
 use super::{Call, EntryAdapter};
 use crate::calls::body::Body;
 use crate::calls::pool::SendError;
@@ -18,17 +18,17 @@
 
 /// Result of sending a request to a gatekeeper.
 enum Sent {
-    Ended(Attempt),
+    Ended(AttemptResult),
     /// No byte was sent; the body is unused.
     Unsent(Body),
 }
 
 impl Sent {
     /// Drops the unsent body, which is buffered elsewhere.
-    fn into_attempt(self) -> Attempt {
+    fn into_attempt(self) -> AttemptResult {
         match self {
             Sent::Ended(attempt) => attempt,
-            Sent::Unsent(_) => Attempt::Ended(AttemptEnd::NotSent),
+            Sent::Unsent(_) => AttemptResult::Ended(AttemptEnd::NotSent),
         }
     }
 }
@@ -36,21 +36,21 @@
 impl EntryAdapter {
     /// Sends a request, and a hedge if no response arrives within the hedge delay. Sets `forward`
     /// to the attempt that produced the result.
-    pub(super) async fn attempt(&self, call: &mut Call, forward: &mut Forward) -> Attempt {
+    pub(super) async fn attempt(&self, call: &mut Call, forward: &mut Forward) -> AttemptResult {
         let Some(req) = self.begin_attempt(call, forward) else {
-            return Attempt::Ended(AttemptEnd::ConnectionLost);
+            return AttemptResult::Ended(AttemptEnd::ConnectionLost);
         };
-        let Some(patience) = forward.hedge_delay_ms.filter(|_| call.body.is_held()) else {
-            return match self.exchange(call.open.shard, &call.id, forward, req).await {
+        let Some(patience) = forward.hedge_delay_ms.filter(|_| call.body.is_buffered()) else {
+            return match self.exchange(call.guard.shard, &call.id, forward, req).await {
                 Sent::Ended(attempt) => attempt,
                 Sent::Unsent(body) => {
-                    call.body.put_back(body);
-                    Attempt::Ended(AttemptEnd::NotSent)
+                    call.body.restore(body);
+                    AttemptResult::Ended(AttemptEnd::NotSent)
                 }
             };
         };
         let first = forward.clone();
-        let (key, shard, id) = (call.open.call, call.open.shard, call.id.clone());
+        let (key, shard, id) = (call.guard.call, call.guard.shard, call.id.clone());
         let mut sending = pin!(self.exchange(shard, &id, &first, req));
         let slow = async {
             self.shared.clock.sleep(Duration::from_millis(patience.into())).await;
@@ -102,11 +102,11 @@
     ) -> Sent {
         let sent = AtomicBool::new(false);
         let sending = self.shards[shard].pool.send(forward.gate, req, &sent);
-        let attempt = match self.before(forward.deadline, sending).await {
-            None => Attempt::Late { sent: sent.load(Ordering::Acquire) },
-            Some(Err(SendError::Broken)) => Attempt::Ended(AttemptEnd::ConnectionLost),
+        let attempt = match self.with_deadline(forward.deadline, sending).await {
+            None => AttemptResult::DeadlinePassed { sent: sent.load(Ordering::Acquire) },
+            Some(Err(SendError::Broken)) => AttemptResult::Ended(AttemptEnd::ConnectionLost),
             Some(Err(SendError::NotSent(req))) => return Sent::Unsent(req.into_body()),
-            Some(Ok((response, connection))) => judge(id, response, connection),
+            Some(Ok((response, connection))) => parse_response(id, response, connection),
         };
         Sent::Ended(attempt)
     }
@@ -143,24 +143,24 @@
     async fn settle(
         &self,
         ended: Attempted,
-        attempt: Attempt,
-        other: impl Future<Output = Attempt>,
-    ) -> (Attempt, Attempted) {
+        attempt: AttemptResult,
+        other: impl Future<Output = AttemptResult>,
+    ) -> (AttemptResult, Attempted) {
         match rank(&attempt) {
             Usable::Yes => {
                 self.over(ended.other(), None);
                 (attempt, ended)
             }
             Usable::LastResort => match other.await {
-                better @ Attempt::Answer(..) => {
+                better @ AttemptResult::Response(..) => {
                     self.over(ended, Some(end_of(attempt)));
                     (better, ended.other())
                 }
-                Attempt::Ended(end) => {
+                AttemptResult::Ended(end) => {
                     self.over(ended.other(), Some(end));
                     (attempt, ended)
                 }
-                Attempt::Late { .. } => {
+                AttemptResult::DeadlinePassed { .. } => {
                     self.over(ended.other(), None);
                     (attempt, ended)
                 }
@@ -179,7 +179,7 @@
             Attempted::Hedge => self.hedge,
         };
         let noted = end.as_ref().map_or((Code::Overtaken, true), end_code);
-        self.adapter.note_failure(self.id, forward, noted);
+        self.adapter.record_failed_attempt(self.id, forward, noted);
         let call = self.key;
         let input = match which {
             Attempted::First => {
@@ -199,22 +199,22 @@
     No,
 }
 
-fn rank(attempt: &Attempt) -> Usable {
+fn rank(attempt: &AttemptResult) -> Usable {
     match attempt {
-        Attempt::Answer(response, _) => match answering(response) {
+        AttemptResult::Response(response, _) => match classify_response(response) {
             AttemptEnd::ErrorResponseStarted { .. } => Usable::LastResort,
             _ => Usable::Yes,
         },
         // Both attempts have the same deadline.
-        Attempt::Late { .. } => Usable::Yes,
-        Attempt::Ended(_) => Usable::No,
+        AttemptResult::DeadlinePassed { .. } => Usable::Yes,
+        AttemptResult::Ended(_) => Usable::No,
     }
 }
 
-fn end_of(attempt: Attempt) -> AttemptEnd {
+fn end_of(attempt: AttemptResult) -> AttemptEnd {
     match attempt {
-        Attempt::Answer(response, _) => answering(&response),
-        Attempt::Ended(end) => end,
-        Attempt::Late { .. } => AttemptEnd::ConnectionLost,
+        AttemptResult::Response(response, _) => classify_response(&response),
+        AttemptResult::Ended(end) => end,
+        AttemptResult::DeadlinePassed { .. } => AttemptEnd::ConnectionLost,
     }
 }
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -8,7 +8,7 @@
 use super::body::{self, Body, Guard};
 use super::conn_state::{ConnectionState, Phase};
 use super::dialect::Dialect;
-use super::entry::MAX_HELD_BODY_BYTES;
+use super::entry::MAX_BUFFERED_BODY_BYTES;
 use super::headers::{self, CallHead};
 use super::pool::Pool;
 use super::trace::{self, Fields, Step};
@@ -182,15 +182,15 @@
         let id = id.unwrap_or_else(|| HeaderValue::from_static("none"));
         let head = match read {
             Ok(head) if head.request_id.is_some() && !conn.has_ambiguous_length() => head,
-            Ok(_) => return self.refuse(&conn, &id, refusal(Code::RequestInvalid), 0),
-            Err(code) => return self.refuse(&conn, &id, refusal(code), 0),
+            Ok(_) => return self.reject(&conn, &id, rejection(Code::RequestInvalid), 0),
+            Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
         let key = CallKey(self.next_call.fetch_add(1, Ordering::Relaxed));
         let deadline = self.shared.clock.now() + head.time_left.unwrap_or_default();
         conn.set_deadline(deadline);
         let terms = match headers::read_terms(req.headers(), self.shared.clock.now()) {
             Ok(terms) => terms,
-            Err(code) => return self.refuse(&conn, &id, refusal(code), 0),
+            Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
         let idempotent = terms.as_ref().is_none_or(|terms| terms.idempotent);
         let class = terms.as_ref().map_or(Class::Interactive, |terms| terms.class);
@@ -198,7 +198,7 @@
         let host = headers::host(&req);
         let (req, held) = match self.hold(req, deadline).await {
             Ok(held) => held,
-            Err(code) => return self.refuse(&conn, &id, refusal(code), 0),
+            Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
         if !self.shared.takes_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
             self.tell(Input::Drain);
@@ -223,7 +223,7 @@
                 self.wait(key, until, granted).await
             }
             Some(decision) => decision,
-            None => Decision::Refuse(refusal(Code::NoTarget), 0),
+            None => Decision::Refuse(rejection(Code::NoTarget), 0),
         };
         let waited = self.shared.clock.now().since(came);
         if matches!(decision, Decision::Run { .. }) {
@@ -235,8 +235,8 @@
             Decision::Run { once: true } => self.run_once(&conn, call).await,
             Decision::Run { once: false } => self.run(&conn, call).await,
             Decision::Replay(answer) => self.replay(&conn, &call.id, &answer, &self.load()),
-            Decision::Refuse(outcome, crashes) => self.refuse(&conn, &call.id, outcome, crashes),
-            Decision::Queue(..) => self.refuse(&conn, &call.id, refusal(Code::QueueTimeout), 0),
+            Decision::Refuse(outcome, crashes) => self.reject(&conn, &call.id, outcome, crashes),
+            Decision::Queue(..) => self.reject(&conn, &call.id, rejection(Code::QueueTimeout), 0),
         }
     }
 
@@ -266,7 +266,7 @@
         if decision.is_some() {
             wait.over();
         }
-        decision.unwrap_or(Decision::Refuse(refusal(Code::QueueTimeout), 0))
+        decision.unwrap_or(Decision::Refuse(rejection(Code::QueueTimeout), 0))
     }
 
     /// Buffers a small body for the fingerprint and digest of the request.
@@ -279,13 +279,15 @@
         if incoming.is_end_stream() {
             return Ok((Request::from_parts(head, Body::empty()), Some(Bytes::new())));
         }
-        let small = incoming.size_hint().upper().is_some_and(|size| size <= MAX_HELD_BODY_BYTES);
+        let small =
+            incoming.size_hint().upper().is_some_and(|size| size <= MAX_BUFFERED_BODY_BYTES);
         if !small {
             let body = Body::stream(incoming, u64::MAX, self.idle());
             return Ok((Request::from_parts(head, body), None));
         }
-        let collect = body::collect(incoming, MAX_HELD_BODY_BYTES, self.idle());
-        let buf = self.before(deadline, collect).await.unwrap_or(Err(Code::DeadlinePassed))?;
+        let collect = body::collect(incoming, MAX_BUFFERED_BODY_BYTES, self.idle());
+        let buf =
+            self.with_deadline(deadline, collect).await.unwrap_or(Err(Code::DeadlinePassed))?;
         Ok((Request::from_parts(head, Body::buffered(buf.clone())), Some(buf)))
     }
 
@@ -314,7 +316,7 @@
         response
     }
 
-    fn refuse(
+    fn reject(
         &self,
         conn: &Arc<ConnectionState>,
         id: &HeaderValue,
@@ -387,7 +389,7 @@
     }
 
     /// Returns `None` if the deadline passes first.
-    async fn before<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
+    async fn with_deadline<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
         let timeout = async {
             self.shared.clock.sleep_until(deadline).await;
             None
@@ -436,7 +438,7 @@
     }
 }
 
-fn refusal(code: Code) -> Outcome {
+fn rejection(code: Code) -> Outcome {
     Outcome::not_run(code, RETRY_AFTER_SHORT)
 }
 
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -1,7 +1,7 @@
 //! Requests to the local target and its responses.
 
 use super::slot::{Answer, Running, Slot};
-use super::{Decision, GateAdapter, refusal};
+use super::{Decision, GateAdapter, rejection};
 use crate::calls::body::{self, Body, Guard, Lease};
 use crate::calls::conn_state::{ConnectionState, Phase};
 use crate::calls::headers;
@@ -97,7 +97,7 @@
         let (id, key, waited) = (call.id.clone(), call.key, call.waited);
         let answering = match self.send(call).await {
             Ok(answering) => answering,
-            Err(ended) => return self.refuse(conn, &id, ended.outcome, ended.crashes),
+            Err(ended) => return self.reject(conn, &id, ended.outcome, ended.crashes),
         };
         let (mut head, incoming) = answering.response.into_parts();
         self.finish_head(&mut head.headers, &id, self.load());
@@ -134,7 +134,7 @@
         self.executor.spawn(task).detach();
         match rx.recv().await.unwrap_or(Err(Ended::unknown(Code::AnswerLost))) {
             Ok(answer) => self.replay(conn, &id, &answer, &self.load()),
-            Err(ended) => self.refuse(conn, &id, ended.outcome, ended.crashes),
+            Err(ended) => self.reject(conn, &id, ended.outcome, ended.crashes),
         }
     }
 
@@ -146,7 +146,7 @@
         let Answering { response, connection, mut running } = self.send(call).await?;
         let (mut head, incoming) = response.into_parts();
         let collect = body::collect(incoming, MAX_KEPT_BODY_BYTES, self.idle());
-        match self.before(deadline, collect).await {
+        match self.with_deadline(deadline, collect).await {
             Some(Ok(buf)) => {
                 headers::strip_hop_by_hop(&mut head.headers);
                 let kept = Arc::new(keep(head.status, &head.headers, buf));
@@ -188,7 +188,7 @@
             // when this wait is cancelled.
             let mut send = pin!(connection.send(req, &sent));
             let mut running = Running::new(slot, deferred_slot);
-            match self.before(call.deadline, send.as_mut()).await {
+            match self.with_deadline(call.deadline, send.as_mut()).await {
                 None => {
                     drop(running);
                     return Err(Ended::unknown(Code::DeadlinePassed));
@@ -310,7 +310,7 @@
     }
     match refused {
         Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-        _ => Ended { outcome: refusal(code), crashes: 0 },
+        _ => Ended { outcome: rejection(code), crashes: 0 },
     }
 }
 
@@ -318,7 +318,7 @@
 fn not_sent(slot: Slot) -> Ended {
     match slot.end(End::NotSent) {
         Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-        _ => Ended { outcome: refusal(Code::TargetUnreachable), crashes: 0 },
+        _ => Ended { outcome: rejection(Code::TargetUnreachable), crashes: 0 },
     }
 }
 
