--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -17,18 +17,18 @@
 use sycamore_core::call::entry::{AttemptEnd, Forward, Input, Output};
 
 /// Result of sending a request to a gatekeeper.
-enum Sent {
+enum ExchangeResult {
     Ended(AttemptResult),
     /// No byte was sent; the body is unused.
     Unsent(Body),
 }
 
-impl Sent {
+impl ExchangeResult {
     /// Drops the unsent body, which is buffered elsewhere.
     fn into_attempt(self) -> AttemptResult {
         match self {
-            Sent::Ended(attempt) => attempt,
-            Sent::Unsent(_) => AttemptResult::Ended(AttemptEnd::NotSent),
+            ExchangeResult::Ended(attempt) => attempt,
+            ExchangeResult::Unsent(_) => AttemptResult::Ended(AttemptEnd::NotSent),
         }
     }
 }
@@ -40,45 +40,46 @@
         let Some(req) = self.begin_attempt(call, forward) else {
             return AttemptResult::Ended(AttemptEnd::ConnectionLost);
         };
-        let Some(patience) = forward.hedge_delay_ms.filter(|_| call.body.is_buffered()) else {
+        let Some(delay_ms) = forward.hedge_delay_ms.filter(|_| call.body.is_buffered()) else {
             return match self.exchange(call.guard.shard, &call.id, forward, req).await {
-                Sent::Ended(attempt) => attempt,
-                Sent::Unsent(body) => {
+                ExchangeResult::Ended(attempt) => attempt,
+                ExchangeResult::Unsent(body) => {
                     call.body.restore(body);
                     AttemptResult::Ended(AttemptEnd::NotSent)
                 }
             };
         };
-        let first = forward.clone();
+        let primary = forward.clone();
         let (key, shard, id) = (call.guard.call, call.guard.shard, call.id.clone());
-        let mut sending = pin!(self.exchange(shard, &id, &first, req));
-        let slow = async {
-            self.shared.clock.sleep(Duration::from_millis(patience.into())).await;
+        let mut primary_exchange = pin!(self.exchange(shard, &id, &primary, req));
+        let hedge_delay = async {
+            self.shared.clock.sleep(Duration::from_millis(delay_ms.into())).await;
             None
         };
-        let quick = future::or(async { Some(sending.as_mut().await) }, slow).await;
-        if let Some(sent) = quick {
+        let early = future::or(async { Some(primary_exchange.as_mut().await) }, hedge_delay).await;
+        if let Some(sent) = early {
             return sent.into_attempt();
         }
         let Some(Output::Forward(hedge)) = self.decide(shard, Input::HedgeDue(key)) else {
-            return sending.await.into_attempt();
+            return primary_exchange.await.into_attempt();
         };
         let Some(req) = self.begin_attempt(call, &hedge) else {
-            return sending.await.into_attempt();
+            return primary_exchange.await.into_attempt();
         };
-        let race = Race { adapter: self, key, shard, id: &id, first: &first, hedge: &hedge };
+        let race =
+            HedgeRace { adapter: self, key, shard, id: &id, primary: &primary, hedge: &hedge };
         let other = pin!(self.exchange(shard, &id, &hedge, req));
-        let (attempt, by) = match select(sending, other).await {
+        let (attempt, winner) = match select(primary_exchange, other).await {
             Either::Left((sent, other)) => {
                 let other = async { other.await.into_attempt() };
-                race.settle(Attempted::First, sent.into_attempt(), other).await
+                race.resolve(AttemptKind::Primary, sent.into_attempt(), other).await
             }
             Either::Right((sent, first)) => {
                 let first = async { first.await.into_attempt() };
-                race.settle(Attempted::Hedge, sent.into_attempt(), first).await
+                race.resolve(AttemptKind::Hedge, sent.into_attempt(), first).await
             }
         };
-        if by == Attempted::Hedge {
+        if winner == AttemptKind::Hedge {
             *forward = hedge.clone();
         }
         attempt
@@ -99,119 +100,119 @@
         id: &HeaderValue,
         forward: &Forward,
         req: Request<Body>,
-    ) -> Sent {
+    ) -> ExchangeResult {
         let sent = AtomicBool::new(false);
-        let sending = self.shards[shard].pool.send(forward.gate, req, &sent);
-        let attempt = match self.with_deadline(forward.deadline, sending).await {
+        let primary_exchange = self.shards[shard].pool.send(forward.gate, req, &sent);
+        let attempt = match self.with_deadline(forward.deadline, primary_exchange).await {
             None => AttemptResult::DeadlinePassed { sent: sent.load(Ordering::Acquire) },
             Some(Err(SendError::Broken)) => AttemptResult::Ended(AttemptEnd::ConnectionLost),
-            Some(Err(SendError::NotSent(req))) => return Sent::Unsent(req.into_body()),
+            Some(Err(SendError::NotSent(req))) => return ExchangeResult::Unsent(req.into_body()),
             Some(Ok((response, connection))) => parse_response(id, response, connection),
         };
-        Sent::Ended(attempt)
+        ExchangeResult::Ended(attempt)
     }
 }
 
 /// An attempt and its hedge, one of which has completed.
-struct Race<'a> {
+struct HedgeRace<'a> {
     adapter: &'a EntryAdapter,
     key: CallKey,
     shard: usize,
     id: &'a HeaderValue,
-    first: &'a Forward,
+    primary: &'a Forward,
     hedge: &'a Forward,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Attempted {
-    First,
+enum AttemptKind {
+    Primary,
     Hedge,
 }
 
-impl Attempted {
-    fn other(self) -> Attempted {
+impl AttemptKind {
+    fn other(self) -> AttemptKind {
         match self {
-            Attempted::First => Attempted::Hedge,
-            Attempted::Hedge => Attempted::First,
+            AttemptKind::Primary => AttemptKind::Hedge,
+            AttemptKind::Hedge => AttemptKind::Primary,
         }
     }
 }
 
-impl Race<'_> {
+impl HedgeRace<'_> {
     /// Handles the completion of one of the two attempts. Returns the result for the caller and the
     /// attempt that produced it.
-    async fn settle(
+    async fn resolve(
         &self,
-        ended: Attempted,
+        ended: AttemptKind,
         attempt: AttemptResult,
         other: impl Future<Output = AttemptResult>,
-    ) -> (AttemptResult, Attempted) {
-        match rank(&attempt) {
-            Usable::Yes => {
-                self.over(ended.other(), None);
+    ) -> (AttemptResult, AttemptKind) {
+        match usability(&attempt) {
+            Usability::Final => {
+                self.report_end(ended.other(), None);
                 (attempt, ended)
             }
-            Usable::LastResort => match other.await {
+            Usability::Fallback => match other.await {
                 better @ AttemptResult::Response(..) => {
-                    self.over(ended, Some(end_of(attempt)));
+                    self.report_end(ended, Some(into_end(attempt)));
                     (better, ended.other())
                 }
                 AttemptResult::Ended(end) => {
-                    self.over(ended.other(), Some(end));
+                    self.report_end(ended.other(), Some(end));
                     (attempt, ended)
                 }
                 AttemptResult::DeadlinePassed { .. } => {
-                    self.over(ended.other(), None);
+                    self.report_end(ended.other(), None);
                     (attempt, ended)
                 }
             },
-            Usable::No => {
-                self.over(ended, Some(end_of(attempt)));
+            Usability::Unusable => {
+                self.report_end(ended, Some(into_end(attempt)));
                 (other.await, ended.other())
             }
         }
     }
 
     /// Reports the end of one of the attempts; `None` means that it was cancelled.
-    fn over(&self, which: Attempted, end: Option<AttemptEnd>) {
+    fn report_end(&self, which: AttemptKind, end: Option<AttemptEnd>) {
         let forward = match which {
-            Attempted::First => self.first,
-            Attempted::Hedge => self.hedge,
+            AttemptKind::Primary => self.primary,
+            AttemptKind::Hedge => self.hedge,
         };
-        let noted = end.as_ref().map_or((Code::Overtaken, true), end_code);
-        self.adapter.record_failed_attempt(self.id, forward, noted);
+        let failure = end.as_ref().map_or((Code::Overtaken, true), end_code);
+        self.adapter.record_failed_attempt(self.id, forward, failure);
         let call = self.key;
         let input = match which {
-            Attempted::First => {
+            AttemptKind::Primary => {
                 Input::PrimaryEnded { call, end: end.unwrap_or(AttemptEnd::LostToHedge) }
             }
-            Attempted::Hedge => Input::HedgeEnded { call, end },
+            AttemptKind::Hedge => Input::HedgeEnded { call, end },
         };
         self.adapter.decide(self.shard, input);
     }
 }
 
 /// Whether an attempt's result is returned to the caller while the other attempt is in flight.
-enum Usable {
-    Yes,
+enum Usability {
+    Final,
     /// An error response of the target, used unless the other attempt succeeds.
-    LastResort,
-    No,
+    Fallback,
+    Unusable,
 }
 
-fn rank(attempt: &AttemptResult) -> Usable {
+fn usability(attempt: &AttemptResult) -> Usability {
     match attempt {
         AttemptResult::Response(response, _) => match classify_response(response) {
-            AttemptEnd::ErrorResponseStarted { .. } => Usable::LastResort,
-            _ => Usable::Yes,
+            AttemptEnd::ErrorResponseStarted { .. } => Usability::Fallback,
+            _ => Usability::Final,
         },
         // Both attempts have the same deadline.
-        AttemptResult::DeadlinePassed { .. } => Usable::Yes,
-        AttemptResult::Ended(_) => Usable::No,
+        AttemptResult::DeadlinePassed { .. } => Usability::Final,
+        AttemptResult::Ended(_) => Usability::Unusable,
     }
 }
 
-fn end_of(attempt: AttemptResult) -> AttemptEnd {
+fn into_end(attempt: AttemptResult) -> AttemptEnd {
     match attempt {
         AttemptResult::Response(response, _) => classify_response(&response),
         AttemptResult::Ended(end) => end,
