--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -107,7 +107,7 @@
         let members = self.shared.members();
         if seen.members.as_ref().is_none_or(|known| !Arc::ptr_eq(known, &members)) {
             self.entry.set_members(&members);
-            self.gate.view(&members);
+            self.gate.set_members(&members);
             seen.members = Some(members);
         }
         let Some(snapshot) = self.shared.in_force() else {
--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -52,7 +52,7 @@
     /// A call at the entry node.
     Entry(entry::ActiveResponse),
     /// A call at the gatekeeper.
-    Gate(gate::Answer),
+    Gate(gate::ActiveResponse),
 }
 
 impl Body {
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -3,7 +3,7 @@
 mod slot;
 mod target;
 
-pub use slot::{Answer, Slot};
+pub use slot::{ActiveResponse, Slot};
 
 use super::body::{self, Body, Guard};
 use super::conn_state::{ConnectionState, Phase};
@@ -23,7 +23,7 @@
 use hyper::{Request, Response, StatusCode};
 use indexmap::IndexMap;
 use parking_lot::Mutex;
-use slot::Wait;
+use slot::QueuedCall;
 use std::future::Future;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -50,7 +50,7 @@
     pool: Arc<Pool>,
     state: Mutex<State>,
     next_call: AtomicU64,
-    drain_told: AtomicBool,
+    drain_sent: AtomicBool,
 }
 
 #[derive(Debug)]
@@ -82,42 +82,42 @@
             executor: executor.clone(),
             state: Mutex::new(State { gatekeeper, waiting: IndexMap::new() }),
             next_call: AtomicU64::new(1),
-            drain_told: AtomicBool::new(false),
+            drain_sent: AtomicBool::new(false),
             shared,
         }
     }
 
     /// Applies a version that came into force.
     pub fn configure(&self, snapshot: &Arc<Snapshot>) {
-        self.tell(Input::Configure(snapshot.clone()));
+        self.handle_input(Input::Configure(snapshot.clone()));
     }
 
     /// Applies a change of VM states.
-    pub fn view(&self, members: &Arc<Members>) {
-        self.tell(Input::View(members.clone()));
+    pub fn set_members(&self, members: &Arc<Members>) {
+        self.handle_input(Input::View(members.clone()));
     }
 
     /// Reports that the version in force is confirmed to be the newest.
     pub fn confirm(&self) {
-        self.tell(Input::Confirm);
+        self.handle_input(Input::Confirm);
     }
 
     /// Handles a note from another gatekeeper.
     pub fn take_note(&self, from: &Name, note: &Note) {
-        self.tell(Input::Note { from, note });
+        self.handle_input(Input::Note { from, note });
     }
 
     /// Sends a tick to the state machine, preceded by a drain input if draining has started.
     pub fn tick(&self) {
-        if !self.shared.takes_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
-            self.tell(Input::Drain);
+        if !self.shared.takes_forwards() && !self.drain_sent.swap(true, Ordering::AcqRel) {
+            self.handle_input(Input::Drain);
         }
-        self.tell(Input::Tick);
+        self.handle_input(Input::Tick);
         self.pool.sweep();
     }
 
     /// Passes an input to the state machine that does not belong to a call of the current task.
-    fn tell(&self, input: Input<'_>) {
+    fn handle_input(&self, input: Input<'_>) {
         let mut out = Vec::new();
         let now = self.shared.clock.now();
         let mut state = self.state.lock();
@@ -125,8 +125,8 @@
         let (load, runs) = (state.gatekeeper.load(now), state.gatekeeper.runs());
         let (_, effects) = state.dispatch(None, out);
         drop(state);
-        self.show_load(load, runs);
-        self.carry_out(effects);
+        self.publish_load(load, runs);
+        self.execute(effects);
     }
 
     /// Passes an input about `call` to the state machine and returns the decision for that call.
@@ -138,18 +138,18 @@
         let (load, runs) = (state.gatekeeper.load(now), state.gatekeeper.runs());
         let (own, effects) = state.dispatch(Some(call), out);
         drop(state);
-        self.show_load(load, runs);
-        self.carry_out(effects);
+        self.publish_load(load, runs);
+        self.execute(effects);
         own
     }
 
-    fn show_load(&self, load: Load, runs: Runs) {
+    fn publish_load(&self, load: Load, runs: Runs) {
         self.shared.set_own_runs(runs);
         self.shared.metrics.in_flight.set(load.in_flight.into());
         self.shared.metrics.queued.set(load.queued.into());
     }
 
-    fn carry_out(&self, effects: Vec<Output>) {
+    fn execute(&self, effects: Vec<Output>) {
         for output in effects {
             match output {
                 Output::Send(note) => {
@@ -194,16 +194,17 @@
         };
         let idempotent = terms.as_ref().is_none_or(|terms| terms.idempotent);
         let class = terms.as_ref().map_or(Class::Interactive, |terms| terms.class);
-        let came = self.shared.clock.now();
+        let arrived = self.shared.clock.now();
         let host = headers::host(&req);
-        let (req, held) = match self.hold(req, deadline).await {
-            Ok(held) => held,
+        let (req, body_bytes) = match self.buffer_body(req, deadline).await {
+            Ok(body_bytes) => body_bytes,
             Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
-        if !self.shared.takes_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
-            self.tell(Input::Drain);
+        if !self.shared.takes_forwards() && !self.drain_sent.swap(true, Ordering::AcqRel) {
+            self.handle_input(Input::Drain);
         }
-        let digest = held.as_ref().filter(|_| head.key.is_some()).map(|buf| digest(&req, buf));
+        let digest =
+            body_bytes.as_ref().filter(|_| head.key.is_some()).map(|buf| digest(&req, buf));
         let arrival = Arrival {
             call: key,
             host: &host,
@@ -211,7 +212,7 @@
             terms,
             key: head.key,
             digest,
-            fingerprint: self.fingerprint(&req, &host, &head, held.as_ref()),
+            fingerprint: self.fingerprint(&req, &host, &head, body_bytes.as_ref()),
             crashes: head.crashes,
             // The entry node has already counted itself.
             depth: head.depth.saturating_sub(1),
@@ -220,12 +221,12 @@
         let decision = match self.decide(key, Input::Arrive(arrival)) {
             Some(Decision::Queue(until, granted)) => {
                 self.trace(&id, Step::GateQueued);
-                self.wait(key, until, granted).await
+                self.wait_for_slot(key, until, granted).await
             }
             Some(decision) => decision,
             None => Decision::Refuse(rejection(Code::NoTarget), 0),
         };
-        let waited = self.shared.clock.now().since(came);
+        let waited = self.shared.clock.now().since(arrived);
         if matches!(decision, Decision::Run { .. }) {
             self.trace(&id, Step::GateRun);
             Metrics::observe_time(&self.shared.metrics.wait_seconds, class, waited);
@@ -234,7 +235,7 @@
         match decision {
             Decision::Run { once: true } => self.run_once(&conn, call).await,
             Decision::Run { once: false } => self.run(&conn, call).await,
-            Decision::Replay(answer) => self.replay(&conn, &call.id, &answer, &self.load()),
+            Decision::Replay(cached) => self.replay(&conn, &call.id, &cached, &self.load()),
             Decision::Refuse(outcome, crashes) => self.reject(&conn, &call.id, outcome, crashes),
             Decision::Queue(..) => self.reject(&conn, &call.id, rejection(Code::QueueTimeout), 0),
         }
@@ -246,13 +247,13 @@
     }
 
     /// Waits for a slot of the target.
-    async fn wait(
+    async fn wait_for_slot(
         self: &Arc<GateAdapter>,
         call: CallKey,
         until: Time,
         granted: Receiver<Decision>,
     ) -> Decision {
-        let wait = Wait::new(self, call);
+        let queued_call = QueuedCall::new(self, call);
         let timeout = async {
             self.shared.clock.sleep_until(until).await;
             None
@@ -264,13 +265,13 @@
             granted.try_recv().ok().or(refused)
         });
         if decision.is_some() {
-            wait.over();
+            queued_call.disarm();
         }
         decision.unwrap_or(Decision::Refuse(rejection(Code::QueueTimeout), 0))
     }
 
     /// Buffers a small body for the fingerprint and digest of the request.
-    async fn hold(
+    async fn buffer_body(
         &self,
         req: Request<Incoming>,
         deadline: Time,
@@ -282,10 +283,10 @@
         let small =
             incoming.size_hint().upper().is_some_and(|size| size <= MAX_BUFFERED_BODY_BYTES);
         if !small {
-            let body = Body::stream(incoming, u64::MAX, self.idle());
+            let body = Body::stream(incoming, u64::MAX, self.idle_body_timeout());
             return Ok((Request::from_parts(head, body), None));
         }
-        let collect = body::collect(incoming, MAX_BUFFERED_BODY_BYTES, self.idle());
+        let collect = body::collect(incoming, MAX_BUFFERED_BODY_BYTES, self.idle_body_timeout());
         let buf =
             self.with_deadline(deadline, collect).await.unwrap_or(Err(Code::DeadlinePassed))?;
         Ok((Request::from_parts(head, Body::buffered(buf.clone())), Some(buf)))
@@ -296,23 +297,23 @@
         &self,
         conn: &Arc<ConnectionState>,
         id: &HeaderValue,
-        answer: &CachedResponse,
+        cached: &CachedResponse,
         load: &HeaderValue,
     ) -> Response<Body> {
         let mut response = Response::new(Body::empty());
-        *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or_default();
+        *response.status_mut() = StatusCode::from_u16(cached.status).unwrap_or_default();
         let headers = response.headers_mut();
-        for (name, value) in &answer.headers {
+        for (name, value) in &cached.headers {
             let name = HeaderName::from_bytes(name);
             let value = HeaderValue::from_maybe_shared(value.clone());
             if let (Ok(name), Ok(value)) = (name, value) {
                 headers.append(name, value);
             }
         }
-        self.finish_head(headers, id, load.clone());
+        self.set_response_headers(headers, id, load.clone());
         conn.set_phase(Phase::Response);
         *response.body_mut() =
-            Body::buffered(answer.body.clone()).with_guard(Guard::Connection(conn.clone()));
+            Body::buffered(cached.body.clone()).with_guard(Guard::Connection(conn.clone()));
         response
     }
 
@@ -344,7 +345,7 @@
     }
 
     /// Sets the headers of a response from the target.
-    fn finish_head(&self, headers: &mut HeaderMap, id: &HeaderValue, load: HeaderValue) {
+    fn set_response_headers(&self, headers: &mut HeaderMap, id: &HeaderValue, load: HeaderValue) {
         headers::strip_hop_by_hop(headers);
         headers.remove(headers::CODE);
         headers.insert(headers::OUTCOME, HeaderValue::from_static("answered"));
@@ -369,13 +370,13 @@
         let caller = caller.and_then(|name| req.headers().get(name));
         let caller = caller.map_or(&[][..], HeaderValue::as_bytes);
         let key = head.key.map(RequestKey::to_bytes);
-        let last = match (&key, body) {
+        let identity = match (&key, body) {
             (Some(key), _) => &key[..],
             (None, Some(body)) => body,
             (None, None) => &[],
         };
         let method = req.method().as_str().as_bytes();
-        Fingerprint::of(&[method, host.as_bytes(), target.as_bytes(), caller, last])
+        Fingerprint::of(&[method, host.as_bytes(), target.as_bytes(), caller, identity])
     }
 
     fn load(&self) -> HeaderValue {
@@ -384,7 +385,7 @@
         HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static("0/0/0"))
     }
 
-    fn idle(&self) -> Duration {
+    fn idle_body_timeout(&self) -> Duration {
         Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms)
     }
 
@@ -406,7 +407,7 @@
         own: Option<CallKey>,
         out: Vec<Output>,
     ) -> (Option<Decision>, Vec<Output>) {
-        let mut to_own = None;
+        let mut own_decision = None;
         let mut effects = Vec::new();
         for output in out {
             let (call, decision) = match output {
@@ -416,7 +417,7 @@
                     self.waiting.insert(call, tx);
                     (call, Decision::Queue(until, rx))
                 }
-                Output::Replay(call, answer) => (call, Decision::Replay(answer)),
+                Output::Replay(call, cached) => (call, Decision::Replay(cached)),
                 Output::Refuse { call, outcome, crashes } => {
                     (call, Decision::Refuse(outcome, crashes))
                 }
@@ -428,13 +429,13 @@
             let queued = matches!(decision, Decision::Queue(..));
             let waiting = if queued { None } else { self.waiting.swap_remove(&call) };
             if own == Some(call) {
-                to_own = Some(decision);
+                own_decision = Some(decision);
             } else if let Some(waiting) = waiting {
                 // Fails if the receiver was dropped, which withdraws the call.
                 let _ = waiting.try_send(decision);
             }
         }
-        (to_own, effects)
+        (own_decision, effects)
     }
 }
 
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -19,17 +19,17 @@
 /// A slot in use on a connection. If dropped before the slot is taken, the connection keeps the
 /// slot until the target has closed its side, so that the target never exceeds its slots.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningSlot {
     slot: Option<Slot>,
     deferred_slot: Arc<DeferredSlot>,
 }
 
 /// A response that is being sent to the entry node.
 #[derive(Debug)]
-pub struct Answer {
-    running: Running,
+pub struct ActiveResponse {
+    running: RunningSlot,
     // Set once the response was read from the target, while part of it waits for the link.
-    leaving: Option<Leaving>,
+    unsent_response: Option<UnsentResponse>,
     lease: Lease,
     conn: Arc<ConnectionState>,
 }
@@ -37,22 +37,22 @@
 /// A queued request. Withdrawn on drop, so that it does not reach the target after its caller has
 /// disconnected.
 #[derive(Debug)]
-pub struct Wait {
+pub struct QueuedCall {
     adapter: Arc<GateAdapter>,
     call: CallKey,
-    over: bool,
+    decided: bool,
 }
 
 /// A response that was read from the target. Reports on drop that it was sent.
 #[derive(Debug)]
-struct Leaving {
+struct UnsentResponse {
     adapter: Arc<GateAdapter>,
     call: CallKey,
 }
 
-impl Drop for Leaving {
+impl Drop for UnsentResponse {
     fn drop(&mut self) {
-        self.adapter.tell(Input::ResponseSent(self.call));
+        self.adapter.handle_input(Input::ResponseSent(self.call));
     }
 }
 
@@ -72,15 +72,15 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if !self.ended {
-            self.adapter.tell(Input::End { call: self.call, end: End::Cancelled });
+            self.adapter.handle_input(Input::End { call: self.call, end: End::Cancelled });
         }
     }
 }
 
-impl Running {
+impl RunningSlot {
     /// A slot in use on the connection that owns `deferred_slot`.
-    pub fn new(slot: Slot, deferred_slot: Arc<DeferredSlot>) -> Running {
-        Running { slot: Some(slot), deferred_slot }
+    pub fn new(slot: Slot, deferred_slot: Arc<DeferredSlot>) -> RunningSlot {
+        RunningSlot { slot: Some(slot), deferred_slot }
     }
 
     /// Detaches the slot from the connection.
@@ -89,7 +89,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningSlot {
     fn drop(&mut self) {
         if let Some(slot) = self.slot.take() {
             *self.deferred_slot.lock() = Some(slot);
@@ -97,17 +97,18 @@
     }
 }
 
-impl Answer {
+impl ActiveResponse {
     /// A response whose body is about to be sent.
-    pub fn new(running: Running, lease: Lease, conn: Arc<ConnectionState>) -> Answer {
-        Answer { running, leaving: None, lease, conn }
+    pub fn new(running: RunningSlot, lease: Lease, conn: Arc<ConnectionState>) -> ActiveResponse {
+        ActiveResponse { running, unsent_response: None, lease, conn }
     }
 
     /// Frees the slot and the connection after the response was read from the target; `unsent` bytes
     /// of it are still unsent.
     pub fn mark_read(&mut self, unsent: u64) {
         if let Some(slot) = self.running.take() {
-            self.leaving = Some(Leaving { adapter: slot.adapter.clone(), call: slot.call });
+            self.unsent_response =
+                Some(UnsentResponse { adapter: slot.adapter.clone(), call: slot.call });
             slot.end(End::ResponseRead { unsent });
             self.lease.finish(true);
         }
@@ -127,23 +128,23 @@
     }
 }
 
-impl Wait {
+impl QueuedCall {
     /// A call that the state machine queued.
-    pub fn new(adapter: &Arc<GateAdapter>, call: CallKey) -> Wait {
-        Wait { adapter: adapter.clone(), call, over: false }
+    pub fn new(adapter: &Arc<GateAdapter>, call: CallKey) -> QueuedCall {
+        QueuedCall { adapter: adapter.clone(), call, decided: false }
     }
 
     /// Marks the decision as received, so that the call is not withdrawn.
-    pub fn over(mut self) {
-        self.over = true;
+    pub fn disarm(mut self) {
+        self.decided = true;
     }
 }
 
-impl Drop for Wait {
+impl Drop for QueuedCall {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.decided {
             self.adapter.state.lock().waiting.swap_remove(&self.call);
-            self.adapter.tell(Input::Withdraw(self.call));
+            self.adapter.handle_input(Input::Withdraw(self.call));
         }
     }
 }
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -1,6 +1,6 @@
 //! Requests to the local target and its responses.
 
-use super::slot::{Answer, Running, Slot};
+use super::slot::{ActiveResponse, RunningSlot, Slot};
 use super::{Decision, GateAdapter, rejection};
 use crate::calls::body::{self, Body, Guard, Lease};
 use crate::calls::conn_state::{ConnectionState, Phase};
@@ -71,7 +71,7 @@
 struct Answering {
     response: Response<Incoming>,
     connection: Connection,
-    running: Running,
+    running: RunningSlot,
 }
 
 /// A request without a response.
@@ -100,14 +100,14 @@
             Err(ended) => return self.reject(conn, &id, ended.outcome, ended.crashes),
         };
         let (mut head, incoming) = answering.response.into_parts();
-        self.finish_head(&mut head.headers, &id, self.load());
+        self.set_response_headers(&mut head.headers, &id, self.load());
         let waited = HeaderValue::from(waited.as_millis() as u64);
         head.headers.insert(headers::WAITED, waited);
         conn.set_phase(Phase::Response);
         let lease = Lease::new(answering.connection);
-        let answer = Answer::new(answering.running, lease, conn.clone());
-        let mut body =
-            Body::stream(incoming, u64::MAX, self.idle()).with_guard(Guard::Gate(answer));
+        let active = ActiveResponse::new(answering.running, lease, conn.clone());
+        let mut body = Body::stream(incoming, u64::MAX, self.idle_body_timeout())
+            .with_guard(Guard::Gate(active));
         // Traffic on the same VM does not use the link.
         if !conn.is_local() {
             body = body.with_pacer(Pacer::new(self.clone(), key));
@@ -133,7 +133,7 @@
         };
         self.executor.spawn(task).detach();
         match rx.recv().await.unwrap_or(Err(Ended::unknown(Code::AnswerLost))) {
-            Ok(answer) => self.replay(conn, &id, &answer, &self.load()),
+            Ok(cached) => self.replay(conn, &id, &cached, &self.load()),
             Err(ended) => self.reject(conn, &id, ended.outcome, ended.crashes),
         }
     }
@@ -145,7 +145,7 @@
         let deadline = call.deadline;
         let Answering { response, connection, mut running } = self.send(call).await?;
         let (mut head, incoming) = response.into_parts();
-        let collect = body::collect(incoming, MAX_KEPT_BODY_BYTES, self.idle());
+        let collect = body::collect(incoming, MAX_KEPT_BODY_BYTES, self.idle_body_timeout());
         match self.with_deadline(deadline, collect).await {
             Some(Ok(buf)) => {
                 headers::strip_hop_by_hop(&mut head.headers);
@@ -187,7 +187,7 @@
             // Dropped after `running`, so that the slot is attached before the connection closes
             // when this wait is cancelled.
             let mut send = pin!(connection.send(req, &sent));
-            let mut running = Running::new(slot, deferred_slot);
+            let mut running = RunningSlot::new(slot, deferred_slot);
             match self.with_deadline(call.deadline, send.as_mut()).await {
                 None => {
                     drop(running);
@@ -231,7 +231,7 @@
     }
 
     /// Reports a connection that broke after a byte of the request may have been sent.
-    async fn broken(&self, mut running: Running) -> Ended {
+    async fn broken(&self, mut running: RunningSlot) -> Ended {
         let target_gone = self.target_gone().await;
         let decision = running.take().and_then(|slot| slot.end(End::Broken { target_gone }));
         match decision {
@@ -299,7 +299,7 @@
 
 /// Reports a response by which the target rejected the request without running it.
 fn rejected(
-    mut running: Running,
+    mut running: RunningSlot,
     response: Response<Incoming>,
     connection: Connection,
     code: Code,
