--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -26,7 +26,7 @@
 
 /// Maximum size of the response to a request that may run only once. The response is buffered so
 /// that it can be replayed.
-const MAX_KEPT_BODY_BYTES: u64 = 1_048_576;
+const MAX_CACHED_BODY_BYTES: u64 = 1_048_576;
 
 /// Timeout of the connection attempt that checks whether a target still accepts connections.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -68,7 +68,7 @@
 
 /// Head of a target's response; the body follows.
 #[derive(Debug)]
-struct Answering {
+struct TargetResponse {
     response: Response<Incoming>,
     connection: Connection,
     running: RunningSlot,
@@ -76,14 +76,14 @@
 
 /// A request without a response.
 #[derive(Debug)]
-struct Ended {
+struct NoResponse {
     outcome: Outcome,
     crashes: u32,
 }
 
-impl Ended {
-    fn unknown(code: Code) -> Ended {
-        Ended { outcome: Outcome::Unknown { code }, crashes: 0 }
+impl NoResponse {
+    fn unknown(code: Code) -> NoResponse {
+        NoResponse { outcome: Outcome::Unknown { code }, crashes: 0 }
     }
 }
 
@@ -95,17 +95,19 @@
         call: Call,
     ) -> Response<Body> {
         let (id, key, waited) = (call.id.clone(), call.key, call.waited);
-        let answering = match self.send(call).await {
-            Ok(answering) => answering,
-            Err(ended) => return self.reject(conn, &id, ended.outcome, ended.crashes),
+        let target_response = match self.send(call).await {
+            Ok(target_response) => target_response,
+            Err(no_response) => {
+                return self.reject(conn, &id, no_response.outcome, no_response.crashes);
+            }
         };
-        let (mut head, incoming) = answering.response.into_parts();
+        let (mut head, incoming) = target_response.response.into_parts();
         self.set_response_headers(&mut head.headers, &id, self.load());
         let waited = HeaderValue::from(waited.as_millis() as u64);
         head.headers.insert(headers::WAITED, waited);
         conn.set_phase(Phase::Response);
-        let lease = Lease::new(answering.connection);
-        let active = ActiveResponse::new(answering.running, lease, conn.clone());
+        let lease = Lease::new(target_response.connection);
+        let active = ActiveResponse::new(target_response.running, lease, conn.clone());
         let mut body = Body::stream(incoming, u64::MAX, self.idle_body_timeout())
             .with_guard(Guard::Gate(active));
         // Traffic on the same VM does not use the link.
@@ -125,65 +127,65 @@
         let (tx, rx) = async_channel::bounded(1);
         let id = call.id.clone();
         let adapter = self.clone();
-        let open = self.shared.open_call();
+        let open_call = self.shared.open_call();
         let task = async move {
             // Fails if the caller has disconnected.
-            let _ = tx.try_send(adapter.answer_once(call).await);
-            drop(open);
+            let _ = tx.try_send(adapter.execute_once(call).await);
+            drop(open_call);
         };
         self.executor.spawn(task).detach();
-        match rx.recv().await.unwrap_or(Err(Ended::unknown(Code::AnswerLost))) {
+        match rx.recv().await.unwrap_or(Err(NoResponse::unknown(Code::AnswerLost))) {
             Ok(cached) => self.replay(conn, &id, &cached, &self.load()),
-            Err(ended) => self.reject(conn, &id, ended.outcome, ended.crashes),
+            Err(no_response) => self.reject(conn, &id, no_response.outcome, no_response.crashes),
         }
     }
 
-    async fn answer_once(
+    async fn execute_once(
         self: &Arc<GateAdapter>,
         call: Call,
-    ) -> Result<Arc<CachedResponse>, Ended> {
+    ) -> Result<Arc<CachedResponse>, NoResponse> {
         let deadline = call.deadline;
-        let Answering { response, connection, mut running } = self.send(call).await?;
+        let TargetResponse { response, connection, mut running } = self.send(call).await?;
         let (mut head, incoming) = response.into_parts();
-        let collect = body::collect(incoming, MAX_KEPT_BODY_BYTES, self.idle_body_timeout());
+        let collect = body::collect(incoming, MAX_CACHED_BODY_BYTES, self.idle_body_timeout());
         match self.with_deadline(deadline, collect).await {
             Some(Ok(buf)) => {
                 headers::strip_hop_by_hop(&mut head.headers);
-                let kept = Arc::new(keep(head.status, &head.headers, buf));
+                let cached = Arc::new(cached_response(head.status, &head.headers, buf));
                 connection.release();
                 if let Some(slot) = running.take() {
-                    slot.end(End::Answered { cached: Some(kept.clone()) });
+                    slot.end(End::Answered { cached: Some(cached.clone()) });
                 }
-                Ok(kept)
+                Ok(cached)
             }
-            Some(Err(Code::CallerGone)) => Err(self.broken(running).await),
-            Some(Err(_)) => Err(Ended::unknown(Code::AnswerLost)),
-            None => Err(Ended::unknown(Code::DeadlinePassed)),
+            Some(Err(Code::CallerGone)) => Err(self.report_broken_connection(running).await),
+            Some(Err(_)) => Err(NoResponse::unknown(Code::AnswerLost)),
+            None => Err(NoResponse::unknown(Code::DeadlinePassed)),
         }
     }
 
     /// Sends a request to the target and waits for the head of the response.
-    async fn send(self: &Arc<GateAdapter>, call: Call) -> Result<Answering, Ended> {
+    async fn send(self: &Arc<GateAdapter>, call: Call) -> Result<TargetResponse, NoResponse> {
         let mut slot = Slot::new(self, call.key);
         let Some(address) = self.shared.settings.target_address else {
-            return Err(not_sent(slot));
+            return Err(report_not_sent(slot));
         };
         let max_idle = call.max_idle();
         let mut req = call.req;
-        self.finish_request(req.headers_mut(), &call.id, call.deadline);
+        self.set_request_headers(req.headers_mut(), &call.id, call.deadline);
         loop {
             let taken = self.pool.take_idle(address, max_idle).await;
-            let used = taken.is_some();
+            let reused = taken.is_some();
             let connection = match taken {
                 Some(connection) => Some(connection),
                 None => self.connect(address, call.deadline).await,
             };
             let Some(connection) = connection else {
-                return Err(not_sent(slot));
+                return Err(report_not_sent(slot));
             };
             let deferred_slot = connection.deferred_slot();
             let sent = AtomicBool::new(false);
-            let began = self.shared.clock.now();
+            let sent_at = self.shared.clock.now();
             // Dropped after `running`, so that the slot is attached before the connection closes
             // when this wait is cancelled.
             let mut send = pin!(connection.send(req, &sent));
@@ -191,26 +193,28 @@
             match self.with_deadline(call.deadline, send.as_mut()).await {
                 None => {
                     drop(running);
-                    return Err(Ended::unknown(Code::DeadlinePassed));
+                    return Err(NoResponse::unknown(Code::DeadlinePassed));
                 }
-                Some(Ok((response, connection))) if self.is_own(&response, &call.id) => {
-                    let took = self.shared.clock.now().since(began);
-                    Metrics::observe_time(&self.shared.metrics.run_seconds, call.class, took);
-                    return match self.rejected(&response) {
-                        None => Ok(Answering { response, connection, running }),
-                        Some(code) => Err(rejected(running, response, connection, code)),
+                Some(Ok((response, connection))) if self.matches_request(&response, &call.id) => {
+                    let elapsed = self.shared.clock.now().since(sent_at);
+                    Metrics::observe_time(&self.shared.metrics.run_seconds, call.class, elapsed);
+                    return match self.rejection_code(&response) {
+                        None => Ok(TargetResponse { response, connection, running }),
+                        Some(code) => Err(report_rejection(running, response, connection, code)),
                     };
                 }
-                Some(Ok(_) | Err(SendError::Broken)) => return Err(self.broken(running).await),
+                Some(Ok(_) | Err(SendError::Broken)) => {
+                    return Err(self.report_broken_connection(running).await);
+                }
                 Some(Err(SendError::NotSent(unsent))) => {
-                    let Some(kept) = running.take() else {
-                        return Err(Ended::unknown(Code::TargetFailed));
+                    let Some(reclaimed) = running.take() else {
+                        return Err(NoResponse::unknown(Code::TargetFailed));
                     };
                     // A new connection that cannot take a request counts as a failed connection.
-                    if !used {
-                        return Err(not_sent(kept));
+                    if !reused {
+                        return Err(report_not_sent(reclaimed));
                     }
-                    slot = kept;
+                    slot = reclaimed;
                     req = *unsent;
                 }
             }
@@ -220,8 +224,8 @@
     /// Opens a connection to the target, within its connection limit.
     async fn connect(&self, address: SocketAddr, deadline: Time) -> Option<Connection> {
         let limits = self.shared.own_limits();
-        let most = limits.map_or(1, |limits| limits.connections as usize);
-        while self.pool.open_count() >= most {
+        let max_connections = limits.map_or(1, |limits| limits.connections as usize);
+        while self.pool.open_count() >= max_connections {
             if self.shared.clock.now() >= deadline {
                 return None;
             }
@@ -231,12 +235,12 @@
     }
 
     /// Reports a connection that broke after a byte of the request may have been sent.
-    async fn broken(&self, mut running: RunningSlot) -> Ended {
+    async fn report_broken_connection(&self, mut running: RunningSlot) -> NoResponse {
         let target_gone = self.target_gone().await;
         let decision = running.take().and_then(|slot| slot.end(End::Broken { target_gone }));
         match decision {
-            Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-            _ => Ended::unknown(Code::TargetFailed),
+            Some(Decision::Refuse(outcome, crashes)) => NoResponse { outcome, crashes },
+            _ => NoResponse::unknown(Code::TargetFailed),
         }
     }
 
@@ -261,7 +265,7 @@
     }
 
     /// Sets the headers of the request to the target.
-    fn finish_request(&self, headers: &mut HeaderMap, id: &HeaderValue, deadline: Time) {
+    fn set_request_headers(&self, headers: &mut HeaderMap, id: &HeaderValue, deadline: Time) {
         let dialect = &self.shared.dialect;
         headers::strip_hop_by_hop(headers);
         headers.remove(headers::CRASHES);
@@ -271,8 +275,8 @@
                 headers.remove(name);
             }
         }
-        let left = deadline.since(self.shared.clock.now()).as_millis() as u64;
-        headers.insert(dialect.deadline.clone(), HeaderValue::from(left.max(1)));
+        let remaining_ms = deadline.since(self.shared.clock.now()).as_millis() as u64;
+        headers.insert(dialect.deadline.clone(), HeaderValue::from(remaining_ms.max(1)));
         headers.insert(dialect.request_id.clone(), id.clone());
         if !headers.contains_key(HOST) {
             headers.insert(HOST, HeaderValue::from_static("target"));
@@ -280,14 +284,14 @@
     }
 
     /// Whether the response belongs to this request, according to its request id.
-    fn is_own(&self, response: &Response<Incoming>, id: &HeaderValue) -> bool {
-        let named = response.headers().get(&self.shared.dialect.request_id);
-        named.is_none_or(|other| other == id)
-            && (named.is_some() || self.shared.dialect.is_native())
+    fn matches_request(&self, response: &Response<Incoming>, id: &HeaderValue) -> bool {
+        let response_id = response.headers().get(&self.shared.dialect.request_id);
+        response_id.is_none_or(|other| other == id)
+            && (response_id.is_some() || self.shared.dialect.is_native())
     }
 
     /// The code if the target reports that it did not run the request.
-    fn rejected(&self, response: &Response<Incoming>) -> Option<Code> {
+    fn rejection_code(&self, response: &Response<Incoming>) -> Option<Code> {
         let marker = self.shared.dialect.not_run.as_ref()?;
         response.headers().get(marker)?;
         Some(match response.status() {
@@ -298,34 +302,35 @@
 }
 
 /// Reports a response by which the target rejected the request without running it.
-fn rejected(
+fn report_rejection(
     mut running: RunningSlot,
     response: Response<Incoming>,
     connection: Connection,
     code: Code,
-) -> Ended {
+) -> NoResponse {
     let refused = running.take().and_then(|slot| slot.end(End::Rejected(code)));
     if response.body().is_end_stream() {
         connection.release();
     }
     match refused {
-        Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-        _ => Ended { outcome: rejection(code), crashes: 0 },
+        Some(Decision::Refuse(outcome, crashes)) => NoResponse { outcome, crashes },
+        _ => NoResponse { outcome: rejection(code), crashes: 0 },
     }
 }
 
 /// Reports a request of which no byte was sent.
-fn not_sent(slot: Slot) -> Ended {
+fn report_not_sent(slot: Slot) -> NoResponse {
     match slot.end(End::NotSent) {
-        Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-        _ => Ended { outcome: rejection(Code::TargetUnreachable), crashes: 0 },
+        Some(Decision::Refuse(outcome, crashes)) => NoResponse { outcome, crashes },
+        _ => NoResponse { outcome: rejection(Code::TargetUnreachable), crashes: 0 },
     }
 }
 
-fn keep(status: StatusCode, headers: &HeaderMap, body: bytes::Bytes) -> CachedResponse {
-    let own = headers.iter().filter(|(name, _)| **name != CONTENT_LENGTH);
+fn cached_response(status: StatusCode, headers: &HeaderMap, body: bytes::Bytes) -> CachedResponse {
+    let forwarded = headers.iter().filter(|(name, _)| **name != CONTENT_LENGTH);
     let copy = |bytes: &[u8]| bytes::Bytes::copy_from_slice(bytes);
-    let headers =
-        own.map(|(name, value)| (copy(name.as_str().as_bytes()), copy(value.as_bytes()))).collect();
+    let headers = forwarded
+        .map(|(name, value)| (copy(name.as_str().as_bytes()), copy(value.as_bytes())))
+        .collect();
     CachedResponse { status: status.as_u16(), headers, body }
 }
