--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -32,11 +32,11 @@
 use sycamore_core::{Code, Fault, Name, Result};
 
 /// Number of ticks between checks for expired connection timeouts.
-const SWEEP_TICKS: u32 = 2;
+const SWEEP_INTERVAL_TICKS: u32 = 2;
 
 /// Backlog of the listening sockets. Sized for many callers reconnecting at once: a SYN that does
 /// not fit is dropped and retransmitted only a second later.
-const BACKLOG: i32 = 4_096;
+const LISTEN_BACKLOG: i32 = 4_096;
 
 /// The listening sockets of the call path.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     let listener = Async::<TcpListener>::bind(address);
     let listening = listener.and_then(|listener| {
         // The standard library sets its own backlog; listening again replaces it.
-        rustix::net::listen(&listener, BACKLOG)?;
+        rustix::net::listen(&listener, LISTEN_BACKLOG)?;
         Ok(listener)
     });
     listening.map_err(|e| Fault::new(Code::ListenFailed).with_location(address).with_detail(e))
@@ -69,12 +69,12 @@
     shared: Arc<Shared>,
     entry: Arc<EntryAdapter>,
     gate: Arc<GateAdapter>,
-    seen: Arc<Mutex<Seen>>,
+    applied: Arc<Mutex<AppliedView>>,
 }
 
 /// The snapshot and the VM states last passed to the state machines.
 #[derive(Debug, Default)]
-struct Seen {
+struct AppliedView {
     snapshot: Option<Arc<Snapshot>>,
     members: Option<Arc<Members>>,
 }
@@ -84,14 +84,14 @@
     let seed = rendezvous_score(shared.settings.vm.as_bytes(), &shared.clock.now().0.to_le_bytes());
     let entry = Arc::new(EntryAdapter::new(shared.clone(), &executor, seed));
     let gate = Arc::new(GateAdapter::new(shared.clone(), &executor, seed));
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let calls = Calls { shared: shared.clone(), entry: entry.clone(), gate: gate.clone(), seen };
+    let applied = Arc::new(Mutex::new(AppliedView::default()));
+    let calls = Calls { shared: shared.clone(), entry: entry.clone(), gate: gate.clone(), applied };
     calls.view_changed();
-    let callers = Server::new(shared.clone(), executor.clone(), Adapter::Entry(entry));
-    let nodes = Server::new(shared, executor.clone(), Adapter::Gate(gate));
-    executor.spawn(callers.clone().accept(listeners.calls)).detach();
-    executor.spawn(nodes.clone().accept(listeners.gate)).detach();
-    executor.spawn(calls.clone().keep_time(vec![callers, nodes])).detach();
+    let caller_server = Server::new(shared.clone(), executor.clone(), Adapter::Entry(entry));
+    let node_server = Server::new(shared, executor.clone(), Adapter::Gate(gate));
+    executor.spawn(caller_server.clone().accept(listeners.calls)).detach();
+    executor.spawn(node_server.clone().accept(listeners.gate)).detach();
+    executor.spawn(calls.clone().run_ticks(vec![caller_server, node_server])).detach();
     calls
 }
 
@@ -103,22 +103,22 @@
 
     /// Applies a change of the version in force or of the VM states.
     pub fn view_changed(&self) {
-        let mut seen = self.seen.lock();
+        let mut applied = self.applied.lock();
         let members = self.shared.members();
-        if seen.members.as_ref().is_none_or(|known| !Arc::ptr_eq(known, &members)) {
+        if applied.members.as_ref().is_none_or(|known| !Arc::ptr_eq(known, &members)) {
             self.entry.set_members(&members);
             self.gate.set_members(&members);
-            seen.members = Some(members);
+            applied.members = Some(members);
         }
         let Some(snapshot) = self.shared.in_force() else {
             return;
         };
-        if seen.snapshot.as_ref().is_none_or(|known| !Arc::ptr_eq(known, &snapshot)) {
+        if applied.snapshot.as_ref().is_none_or(|known| !Arc::ptr_eq(known, &snapshot)) {
             // The gatekeeper first, so that it releases keys before they are routed to another
             // home.
             self.gate.configure(&snapshot);
             self.entry.configure(&snapshot);
-            seen.snapshot = Some(snapshot);
+            applied.snapshot = Some(snapshot);
         }
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Sends ticks to the state machines and closes connections that exceeded a timeout.
-    async fn keep_time(self, servers: Vec<Arc<Server>>) {
+    async fn run_ticks(self, servers: Vec<Arc<Server>>) {
         let mut ticks = 0;
         loop {
             self.shared.clock.sleep(TICK).await;
@@ -143,7 +143,7 @@
             self.gate.tick();
             self.entry.sweep();
             ticks += 1;
-            if ticks % SWEEP_TICKS == 0 {
+            if ticks % SWEEP_INTERVAL_TICKS == 0 {
                 servers.iter().for_each(|server| server.sweep());
             }
         }
