--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -57,8 +57,8 @@
             None
         };
         let early = future::or(async { Some(primary_exchange.as_mut().await) }, hedge_delay).await;
-        if let Some(sent) = early {
-            return sent.into_attempt();
+        if let Some(result) = early {
+            return result.into_attempt();
         }
         let Some(Output::Forward(hedge)) = self.decide(shard, Input::HedgeDue(key)) else {
             return primary_exchange.await.into_attempt();
@@ -70,13 +70,13 @@
             HedgeRace { adapter: self, key, shard, id: &id, primary: &primary, hedge: &hedge };
         let other = pin!(self.exchange(shard, &id, &hedge, req));
         let (attempt, winner) = match select(primary_exchange, other).await {
-            Either::Left((sent, other)) => {
+            Either::Left((result, other)) => {
                 let other = async { other.await.into_attempt() };
-                race.resolve(AttemptKind::Primary, sent.into_attempt(), other).await
+                race.resolve(AttemptKind::Primary, result.into_attempt(), other).await
             }
-            Either::Right((sent, first)) => {
-                let first = async { first.await.into_attempt() };
-                race.resolve(AttemptKind::Hedge, sent.into_attempt(), first).await
+            Either::Right((result, primary)) => {
+                let primary = async { primary.await.into_attempt() };
+                race.resolve(AttemptKind::Hedge, result.into_attempt(), primary).await
             }
         };
         if winner == AttemptKind::Hedge {
@@ -102,8 +102,8 @@
         req: Request<Body>,
     ) -> ExchangeResult {
         let sent = AtomicBool::new(false);
-        let primary_exchange = self.shards[shard].pool.send(forward.gate, req, &sent);
-        let attempt = match self.with_deadline(forward.deadline, primary_exchange).await {
+        let exchange = self.shards[shard].pool.send(forward.gate, req, &sent);
+        let attempt = match self.with_deadline(forward.deadline, exchange).await {
             None => AttemptResult::DeadlinePassed { sent: sent.load(Ordering::Acquire) },
             Some(Err(SendError::Broken)) => AttemptResult::Ended(AttemptEnd::ConnectionLost),
             Some(Err(SendError::NotSent(req))) => return ExchangeResult::Unsent(req.into_body()),
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -196,15 +196,15 @@
         let class = terms.as_ref().map_or(Class::Interactive, |terms| terms.class);
         let arrived = self.shared.clock.now();
         let host = headers::host(&req);
-        let (req, body_bytes) = match self.buffer_body(req, deadline).await {
-            Ok(body_bytes) => body_bytes,
+        let (req, buffered_body) = match self.buffer_body(req, deadline).await {
+            Ok(buffered) => buffered,
             Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
         if !self.shared.takes_forwards() && !self.drain_sent.swap(true, Ordering::AcqRel) {
             self.handle_input(Input::Drain);
         }
         let digest =
-            body_bytes.as_ref().filter(|_| head.key.is_some()).map(|buf| digest(&req, buf));
+            buffered_body.as_ref().filter(|_| head.key.is_some()).map(|buf| digest(&req, buf));
         let arrival = Arrival {
             call: key,
             host: &host,
@@ -212,7 +212,7 @@
             terms,
             key: head.key,
             digest,
-            fingerprint: self.fingerprint(&req, &host, &head, body_bytes.as_ref()),
+            fingerprint: self.fingerprint(&req, &host, &head, buffered_body.as_ref()),
             crashes: head.crashes,
             // The entry node has already counted itself.
             depth: head.depth.saturating_sub(1),
@@ -261,8 +261,8 @@
         let decision = future::or(async { granted.recv().await.ok() }, timeout).await;
         let decision = decision.or_else(|| {
             // A slot may have been granted at the moment of the timeout.
-            let refused = self.decide(call, Input::Expire(call));
-            granted.try_recv().ok().or(refused)
+            let rejected = self.decide(call, Input::Expire(call));
+            granted.try_recv().ok().or(rejected)
         });
         if decision.is_some() {
             queued_call.disarm();
