--- a/node/tests/calls_drain.rs
+++ b/node/tests/calls_drain.rs
@@ -10,7 +10,7 @@
 fn drain_in_flight() {
     // Guards against a drain that truncates a response in flight, or that does not reject a new
     // request as not run.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let stream = open(node.entry, &get("/idem/stream/20000000"));
     let held = open(node.entry, &get("/idem/hold"));
     eventually("both requests run", || target.log().len() == 2);
@@ -20,17 +20,17 @@
     assert_eq!(refused.header("connection"), Some("close"));
     target.release();
     let answer = read(&stream);
-    assert!(answer.whole && answer.body.len() == 20_000_000);
+    assert!(answer.complete && answer.body.len() == 20_000_000);
     assert_eq!(read(&held).outcome(), "answered");
     eventually("no call is open", || node.shared.calls_open() == 0);
-    assert_eq!(target.ran("new"), 0);
+    assert_eq!(target.run_count("new"), 0);
 }
 
 #[test]
 fn drain_last_bytes() {
     // Guards against a drain that counts a call as closed while the last bytes of its response are
     // still buffered in the node.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let stream = open(node.entry, &get("/idem/stream/30000000"));
     eventually("the target runs the request", || target.log().len() == 1);
     node.shared.start_draining();
@@ -38,7 +38,7 @@
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert!(node.shared.calls_open() > 0);
     let answer = read(&stream);
-    assert!(answer.whole, "{} bytes of {:?}", answer.body.len(), answer.headers);
+    assert!(answer.complete, "{} bytes of {:?}", answer.body.len(), answer.headers);
     eventually("no call is open", || node.shared.calls_open() == 0);
 }
 
@@ -67,7 +67,7 @@
 #[test]
 fn drain_idle_connection() {
     // Guards against a request lost on an idle connection to a draining node: it must be answered.
-    let (_target, node) = single("{}");
+    let (_target, node) = single_node("{}");
     let mut stream = open(node.entry, &get("/idem"));
     assert_eq!(read(&stream).outcome(), "answered");
     node.shared.start_draining();
--- a/node/tests/calls_fleet.rs
+++ b/node/tests/calls_fleet.rs
@@ -23,7 +23,7 @@
         let node = |(vm, target): (&&str, &Target)| Node::new(vm, Some(target.address));
         let nodes: Vec<Node> = VMS.iter().zip(&targets).map(node).collect();
         let fleet = Fleet { targets, nodes };
-        carry_notes(&fleet.nodes.iter().collect::<Vec<_>>());
+        forward_notes(&fleet.nodes.iter().collect::<Vec<_>>());
         fleet.configure(1, limits, &[0, 1, 2]);
         fleet
     }
@@ -34,15 +34,15 @@
         self.nodes.iter().for_each(|node| node.configure(version, &preset));
     }
 
-    fn ran(&self, part: &str) -> usize {
-        self.targets.iter().map(|target| target.ran(part)).sum()
+    fn run_count(&self, part: &str) -> usize {
+        self.targets.iter().map(|target| target.run_count(part)).sum()
     }
 
     /// Waits until every home accepts signings.
     fn wait_for_homes(&self) {
         for at in 0..VMS.len() {
             eventually("the home accepts signings", || {
-                let probe = sign("/once/probe", &key_at_home(&[0, 1, 2], at), "");
+                let probe = keyed_post("/once/probe", &key_at_home(&[0, 1, 2], at), "");
                 call(self.nodes[0].entry, &probe).outcome() == "answered"
             });
         }
@@ -54,7 +54,7 @@
     let vms = listed.iter().map(|at| Name::new(VMS[*at]).unwrap()).collect();
     let list = HomeList { version: 1, vms };
     loop {
-        let key = key();
+        let key = new_key();
         let parsed = RequestKey::parse(key.as_bytes()).unwrap();
         if list.home_of(parsed).unwrap().as_str() == VMS[home] {
             return key;
@@ -65,7 +65,7 @@
 #[test]
 fn retry_past_dead_node() {
     // Guards against lookups that fail because a node has died without notice.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     node.configure(2, &preset("{}", &[("a", node.gate), ("b", dead)]));
     for _ in 0..30 {
@@ -80,12 +80,12 @@
     let answer = call(fleet.nodes[0].entry, &get("/idem/break"));
     assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(461)));
     // Two targets broke; a third must not run it.
-    assert_eq!(fleet.ran("/idem/break"), 2);
+    assert_eq!(fleet.run_count("/idem/break"), 2);
     eventually("all gatekeepers quarantine the request", || {
         let answer = call(fleet.nodes[1].entry, &get("/idem/break"));
         (answer.outcome(), answer.code()) == ("not-run", Some(456))
     });
-    assert_eq!(fleet.ran("/idem/break"), 2);
+    assert_eq!(fleet.run_count("/idem/break"), 2);
     assert_eq!(call(fleet.nodes[1].entry, &get("/idem/other")).outcome(), "answered");
 }
 
@@ -95,16 +95,16 @@
     // after the first one has failed.
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
-    let key = key();
+    let key = new_key();
     let answers: Vec<String> = fleet
         .nodes
         .iter()
-        .map(|node| call(node.entry, &sign("/once/sign", &key, "bales")))
+        .map(|node| call(node.entry, &keyed_post("/once/sign", &key, "bales")))
         .map(|answer| format!("{} {}", answer.outcome(), answer.text()))
         .collect();
     assert!(answers[0].starts_with("answered"), "{answers:?}");
     assert!(answers.iter().all(|answer| *answer == answers[0]), "{answers:?}");
-    assert_eq!(fleet.ran("/once/sign"), 1);
+    assert_eq!(fleet.run_count("/once/sign"), 1);
 }
 
 #[test]
@@ -114,25 +114,25 @@
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
     let key = key_at_home(&[0, 1, 2], 2);
-    let first = call(fleet.nodes[0].entry, &sign("/once/sign", &key, ""));
+    let first = call(fleet.nodes[0].entry, &keyed_post("/once/sign", &key, ""));
     assert_eq!(first.outcome(), "answered");
     fleet.configure(2, "{}", &[0, 1]);
     eventually("the new home knows the key", || {
-        let again = call(fleet.nodes[0].entry, &sign("/once/sign", &key, ""));
+        let again = call(fleet.nodes[0].entry, &keyed_post("/once/sign", &key, ""));
         match (again.outcome(), again.code()) {
             ("unknown", Some(460)) => true,
             ("not-run", Some(458)) => false,
             other => panic!("{other:?}"),
         }
     });
-    assert_eq!(fleet.ran("/once/sign"), 1);
+    assert_eq!(fleet.run_count("/once/sign"), 1);
     for _ in 0..5 {
         let key = key_at_home(&[0, 1, 2], 2);
         eventually("the new home accepts new signings", || {
-            call(fleet.nodes[0].entry, &sign("/once/fresh", &key, "")).outcome() == "answered"
+            call(fleet.nodes[0].entry, &keyed_post("/once/fresh", &key, "")).outcome() == "answered"
         });
     }
-    assert_eq!(fleet.ran("/once/fresh"), 5);
+    assert_eq!(fleet.run_count("/once/fresh"), 5);
 }
 
 #[test]
@@ -145,11 +145,14 @@
     let preset = preset("{}", &targets);
     fleet.nodes[..2].iter().for_each(|node| node.configure(2, &preset));
     let key = key_at_home(&[0, 1, 2], 2);
-    let answer = call(fleet.nodes[0].entry, &sign("/once/sign", &key, ""));
+    let answer = call(fleet.nodes[0].entry, &keyed_post("/once/sign", &key, ""));
     assert_eq!((answer.outcome(), answer.code()), ("not-run", Some(458)));
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(call(fleet.nodes[2].entry, &sign("/once/sign", &key, "")).outcome(), "answered");
-    assert_eq!(fleet.ran("/once/sign"), 1);
+    assert_eq!(
+        call(fleet.nodes[2].entry, &keyed_post("/once/sign", &key, "")).outcome(),
+        "answered"
+    );
+    assert_eq!(fleet.run_count("/once/sign"), 1);
 }
 
 #[test]
@@ -163,13 +166,14 @@
             std::thread::spawn(move || call(entry, &get(&format!("/idem/hold/{n}"))))
         })
         .collect();
-    eventually("all slots are in use", || fleet.ran("/hold") == 6);
+    eventually("all slots are in use", || fleet.run_count("/hold") == 6);
     std::thread::sleep(std::time::Duration::from_millis(300));
     fleet.targets.iter().for_each(Target::release);
-    let answers: Vec<Answer> = callers.into_iter().map(|caller| caller.join().unwrap()).collect();
+    let answers: Vec<ClientResponse> =
+        callers.into_iter().map(|caller| caller.join().unwrap()).collect();
     let count = |outcome| answers.iter().filter(|answer| answer.outcome() == outcome).count();
     assert_eq!((count("answered"), count("not-run")), (6, 24));
-    assert!(fleet.targets.iter().all(|target| target.most_running() <= 2));
+    assert!(fleet.targets.iter().all(|target| target.max_running() <= 2));
     assert!(fleet.targets.iter().all(|target| target.connections() <= 4));
-    assert_eq!(fleet.ran("/hold"), 6);
+    assert_eq!(fleet.run_count("/hold"), 6);
 }
--- a/node/tests/calls_hedge.rs
+++ b/node/tests/calls_hedge.rs
@@ -28,7 +28,7 @@
     for _ in 0..10 {
         assert_eq!(call(nodes[0].entry, &get("/idem/hold")).outcome(), "answered");
     }
-    let held = targets[0].ran("/idem/hold");
+    let held = targets[0].run_count("/idem/hold");
     eventually("the slower attempts are cancelled", || targets[0].cancelled() == held);
 }
 
@@ -41,7 +41,7 @@
     let answer = std::thread::scope(|scope| {
         let asking = scope.spawn(|| call(nodes[0].entry, &get("/idem/hold/fail")));
         eventually("both targets run the request", || {
-            targets.iter().all(|target| target.ran("/hold/fail") == 1)
+            targets.iter().all(|target| target.run_count("/hold/fail") == 1)
         });
         targets[0].release();
         asking.join().unwrap()
--- a/node/tests/calls_input.rs
+++ b/node/tests/calls_input.rs
@@ -9,7 +9,7 @@
 
 /// Checks that `raw` is rejected with this status and code, and that the node still serves.
 fn refused(raw: &str, status: u16, code: u16) {
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let answer = call(node.entry, raw);
     let found = (answer.status, answer.code(), answer.outcome());
     assert_eq!(found, (status, Some(code), "not-run"), "{raw:.100}: {answer:?}");
@@ -48,7 +48,7 @@
 #[test]
 fn input_body_oversize_chunked() {
     // The size is known only while the body is streamed, so the connection is closed.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let head = "POST /idem HTTP/1.1\r\nhost: t\r\ntransfer-encoding: chunked\r\n\r\n";
     let mut stream = open(node.entry, head);
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
@@ -58,14 +58,14 @@
         }
     }
     assert_ne!(read(&stream).outcome(), "answered");
-    assert_eq!(target.ran(&"x".repeat(200_001)), 0);
+    assert_eq!(target.run_count(&"x".repeat(200_001)), 0);
     assert_eq!(call(node.entry, &get("/idem")).status, 200);
 }
 
 #[test]
 fn input_signing_oversize() {
-    let (target, node) = single("{}");
-    let answer = call(node.entry, &sign("/once", &key(), &"x".repeat(70_000)));
+    let (target, node) = single_node("{}");
+    let answer = call(node.entry, &keyed_post("/once", &new_key(), &"x".repeat(70_000)));
     assert_eq!((answer.status, answer.code()), (413, Some(404)));
     assert_eq!(target.log().len(), 0);
 }
@@ -94,7 +94,7 @@
 #[test]
 fn input_header_twice() {
     for header in ["idempotency-key", "x-sycamore-deadline-ms", "x-sycamore-request-id", "host"] {
-        let value = if header == "idempotency-key" { key() } else { "7".into() };
+        let value = if header == "idempotency-key" { new_key() } else { "7".into() };
         let twice = format!("{header}: {value}\r\n{header}: {value}\r\n");
         refused(&format!("GET /idem HTTP/1.1\r\n{twice}\r\n"), 400, 403);
     }
@@ -128,10 +128,10 @@
 fn input_headers_of_the_path_named_in_connection() {
     // Guards against a caller that lists the key in `connection` so that a proxy removes it; the
     // signing would then run without its key.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let raw =
         "GET /idem HTTP/1.1\r\nhost: test\r\nconnection: idempotency-key, x-drop\r\nx-drop: 1\r\n";
-    let raw = format!("{raw}idempotency-key: {}\r\n\r\n", key());
+    let raw = format!("{raw}idempotency-key: {}\r\n\r\n", new_key());
     let answer = call(node.entry, &raw);
     assert!(answer.text().contains("idempotency-key"), "{}", answer.text());
     assert!(!answer.text().contains("x-drop"), "{}", answer.text());
@@ -141,7 +141,7 @@
 #[test]
 fn input_outcome_not_from_target() {
     // Internal headers sent by a caller are ignored.
-    let (_target, node) = single("{}");
+    let (_target, node) = single_node("{}");
     let raw = "GET /idem HTTP/1.1\r\nhost: test\r\nx-sycamore-crashes: 9\r\n\r\n";
     assert_eq!(call(node.entry, raw).outcome(), "answered");
 }
@@ -177,7 +177,7 @@
     let stream = open(node.entry, &get("/idem/stream/50000000"));
     eventually("the target runs the ledger request", || target.log().len() == 1);
     eventually("the slot is free again", || call(node.entry, &get("/idem")).status == 200);
-    assert!(!read(&stream).whole);
+    assert!(!read(&stream).complete);
 }
 
 #[test]
--- a/node/tests/calls_path.rs
+++ b/node/tests/calls_path.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn path_whole() {
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let answer = call(node.entry, &get("/idem/a?b=c"));
     assert_eq!((answer.status, answer.outcome()), (200, "answered"), "{answer:?}");
     assert!(answer.text().starts_with("GET /idem/a?b=c HTTP/1.1"), "{}", answer.text());
@@ -23,7 +23,7 @@
 
 #[test]
 fn path_kept_alive() {
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let mut stream = open(node.entry, "");
     for n in 0..50 {
         stream.write_all(get(&format!("/idem/{n}")).as_bytes()).unwrap();
@@ -34,9 +34,9 @@
 
 #[test]
 fn path_streamed() {
-    let (_target, node) = single("{}");
+    let (_target, node) = single_node("{}");
     let answer = call(node.entry, &get("/idem/stream/5000000"));
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(answer.body.len(), 5_000_000);
 }
 
@@ -44,7 +44,7 @@
 /// route.
 fn narrow(target: &Target, mbps: u32, slots: u32) -> Node {
     let limits = format!(r#"{{"link_mbps":{mbps}}}"#);
-    let node = Node::with_gate_on("a", Some(target.address), &limits, "127.0.0.2");
+    let node = Node::with_gate_ip("a", Some(target.address), &limits, "127.0.0.2");
     let limits = format!(r#"{{"slots":{slots},"bulk_share_percent":100}}"#);
     let plain = preset(&limits, &[("a", node.gate)]);
     let bulk = "\"idempotent\":true,\"class\":\"bulk\"";
@@ -61,15 +61,15 @@
     let target = Target::new();
     let node = narrow(&target, 1, 1);
     let large = open(node.entry, &get("/idem/stream/200000"));
-    eventually("the target runs the large request", || target.ran("/idem/stream") == 1);
+    eventually("the target runs the large request", || target.run_count("/idem/stream") == 1);
     let short = call(node.entry, &get("/quick/short"));
-    assert_eq!((short.status, short.whole), (200, true), "{}", short.text());
+    assert_eq!((short.status, short.complete), (200, true), "{}", short.text());
     let mut first = [0; 1];
     let waits = node.shared.calls_open() > 0;
     assert!(waits, "the large response was sent before the short one arrived");
     assert!(large.peek(&mut first).is_ok());
     let answer = read(&large);
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(answer.body.len(), 200_000);
 }
 
@@ -81,7 +81,7 @@
     let node = narrow(&target, 40, 1);
     for _ in 0..2 {
         let answer = call(node.entry, &get("/idem/chunks-trailers"));
-        assert!(answer.whole);
+        assert!(answer.complete);
         assert_eq!(answer.text(), "whole");
     }
 }
@@ -90,10 +90,10 @@
 fn path_chunked_keeps_connection() {
     // Guards against responses without a length that count as incomplete, so that each one closes
     // its connection to the target.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     for _ in 0..5 {
         let answer = call(node.entry, &get("/idem/chunks-whole"));
-        assert_eq!((answer.whole, answer.text()), (true, "whole".to_owned()));
+        assert_eq!((answer.complete, answer.text()), (true, "whole".to_owned()));
         eventually("the slot is free", || node.shared.metrics.in_flight.get() == 0);
     }
     assert_eq!(target.connections(), 1);
@@ -105,19 +105,19 @@
     // unusable.
     let target = Target::new();
     let limits = r#"{"link_mbps":40}"#;
-    let node = Node::with_gate_on("a", Some(target.address), limits, "127.0.0.2");
+    let node = Node::with_gate_ip("a", Some(target.address), limits, "127.0.0.2");
     let plain = preset("{}", &[("a", node.gate)]);
     node.configure(
         1,
         &plain.replace("\"idempotent\":true", "\"idempotent\":true,\"class\":\"bulk\""),
     );
-    let (_other, unpaced) = single("{}");
+    let (_other, unpaced) = single_node("{}");
     let expected = call(unpaced.entry, &get("/idem/stream/300000"));
     let mut stream = open(node.entry, "");
     for _ in 0..2 {
         stream.write_all(get("/idem/stream/300000").as_bytes()).unwrap();
         let answer = read(&stream);
-        assert!(answer.whole);
+        assert!(answer.complete);
         assert!(answer.body == expected.body, "{} bytes", answer.body.len());
     }
     eventually("the slot is free", || node.shared.metrics.in_flight.get() == 0);
@@ -133,7 +133,7 @@
 
 #[test]
 fn path_no_route() {
-    let (_target, node) = single("{}");
+    let (_target, node) = single_node("{}");
     let answer = call(node.entry, &get("/other"));
     assert_eq!((answer.status, answer.code()), (404, Some(402)));
 }
@@ -142,33 +142,33 @@
 fn once_key_resent() {
     // Guards against a signing that runs again when it is resent with the same key after its
     // response was lost; the grower would be billed twice.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let key = key_when_home(&node);
-    let first = call(node.entry, &sign("/once", &key, "ten bales"));
+    let first = call(node.entry, &keyed_post("/once", &key, "ten bales"));
     assert_eq!(first.outcome(), "answered", "{first:?}");
-    let second = call(node.entry, &sign("/once", &key, "ten bales"));
+    let second = call(node.entry, &keyed_post("/once", &key, "ten bales"));
     assert_eq!((second.outcome(), second.text()), ("answered", first.text()));
-    let other = call(node.entry, &sign("/once", &key, "twelve bales"));
+    let other = call(node.entry, &keyed_post("/once", &key, "twelve bales"));
     assert_eq!((other.outcome(), other.code()), ("not-run", Some(466)));
-    assert_eq!(target.ran("bales"), 1);
+    assert_eq!(target.run_count("bales"), 1);
 }
 
 /// A key that the node accepts, created after the node has run for longer than the clock skew.
 fn key_when_home(node: &Node) -> String {
-    let mut key = key();
+    let mut key = new_key();
     eventually("the node accepts a key", || {
-        key = support::key();
-        call(node.entry, &sign("/once/probe", &key, "probe")).outcome() == "answered"
+        key = support::new_key();
+        call(node.entry, &keyed_post("/once/probe", &key, "probe")).outcome() == "answered"
     });
-    support::key()
+    support::new_key()
 }
 
 #[test]
 fn once_without_key() {
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let answer = call(node.entry, "POST /once HTTP/1.1\r\nhost: t\r\ncontent-length: 0\r\n\r\n");
     assert_eq!((answer.status, answer.code()), (400, Some(405)));
-    let answer = call(node.entry, &sign("/once", "0190b5c0-0000-4000-8000-000000000000", ""));
+    let answer = call(node.entry, &keyed_post("/once", "0190b5c0-0000-4000-8000-000000000000", ""));
     assert_eq!(answer.code(), Some(405));
     assert_eq!(target.log().len(), 0);
 }
@@ -177,48 +177,48 @@
 fn once_caller_gone() {
     // Guards against a second run of a signing whose caller disconnected and asks again with the
     // same key.
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let key = key_when_home(&node);
-    let stream = open(node.entry, &sign("/once/hold", &key, "x"));
-    eventually("the signing runs", || target.ran("/once/hold") == 1);
+    let stream = open(node.entry, &keyed_post("/once/hold", &key, "x"));
+    eventually("the signing runs", || target.run_count("/once/hold") == 1);
     drop(stream);
-    let again = call(node.entry, &sign("/once/hold", &key, "x"));
+    let again = call(node.entry, &keyed_post("/once/hold", &key, "x"));
     assert_eq!((again.outcome(), again.code()), ("unknown", Some(459)));
     target.release();
     eventually("the response is cached", || {
-        call(node.entry, &sign("/once/hold", &key, "x")).outcome() == "answered"
+        call(node.entry, &keyed_post("/once/hold", &key, "x")).outcome() == "answered"
     });
-    assert_eq!(target.ran("/once/hold"), 1);
+    assert_eq!(target.run_count("/once/hold"), 1);
 }
 
 #[test]
 fn once_target_broke() {
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let key = key_when_home(&node);
     for code in [461, 460, 460] {
-        let answer = call(node.entry, &sign("/once/break", &key, "x"));
+        let answer = call(node.entry, &keyed_post("/once/break", &key, "x"));
         assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(code)));
     }
-    assert_eq!(target.ran("/once/break"), 1);
+    assert_eq!(target.run_count("/once/break"), 1);
 }
 
 #[test]
 fn answer_cut() {
     // Guards against a truncated ledger that is delivered as complete when its target dies.
-    let (_target, node) = single("{}");
+    let (_target, node) = single_node("{}");
     // If the failure is detected before the head is sent, the caller gets an error instead.
     for n in 0..40 {
         let path = if n % 2 == 0 { "/idem/cut" } else { "/idem/chunks-cut" };
         let answer = call(node.entry, &get(path));
         let told = (answer.outcome(), answer.code()) == ("unknown", Some(464));
-        assert!(!answer.whole || told, "{answer:?}");
+        assert!(!answer.complete || told, "{answer:?}");
     }
 }
 
 #[test]
 fn answer_foreign() {
     // Guards against a target's response to another request that reaches this caller.
-    let (_target, node) = single("{}");
+    let (_target, node) = single_node("{}");
     let answer = call(node.entry, &get("/idem/foreign"));
     assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(461)), "{}", answer.text());
 }
@@ -238,9 +238,9 @@
 
 #[test]
 fn cancel_caller_gone() {
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let stream = open(node.entry, &get("/idem/hold"));
-    eventually("the request runs", || target.ran("/idem/hold") == 1);
+    eventually("the request runs", || target.run_count("/idem/hold") == 1);
     drop(stream);
     eventually("the target sees the cancellation", || target.cancelled() == 1);
     eventually("the call is closed", || node.shared.calls_open() == 0);
@@ -248,7 +248,7 @@
 
 #[test]
 fn cancel_deadline() {
-    let (target, node) = single("{}");
+    let (target, node) = single_node("{}");
     let raw = "GET /idem/hold HTTP/1.1\r\nhost: t\r\nx-sycamore-deadline-ms: 100\r\n\r\n";
     let answer = call(node.entry, raw);
     assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(406)), "{answer:?}");
@@ -258,9 +258,9 @@
 #[test]
 fn queue_cancelled() {
     // Guards against running a queued request whose caller has disconnected.
-    let (target, node) = single(r#"{"slots":1,"queue_wait_ms":20000}"#);
+    let (target, node) = single_node(r#"{"slots":1,"queue_wait_ms":20000}"#);
     let first = open(node.entry, &get("/idem/hold/first"));
-    eventually("the slot is taken", || target.ran("first") == 1);
+    eventually("the slot is taken", || target.run_count("first") == 1);
     let second = open(node.entry, &get("/idem/second"));
     eventually("the second request is queued", || node.shared.metrics.queued.get() == 1);
     drop(second);
@@ -268,27 +268,27 @@
     target.release();
     assert_eq!(read(&first).outcome(), "answered");
     assert_eq!(call(node.entry, &get("/idem/third")).outcome(), "answered");
-    assert_eq!(target.ran("second"), 0);
+    assert_eq!(target.run_count("second"), 0);
 }
 
 #[test]
 fn queue_full() {
-    let (target, node) = single(r#"{"slots":1,"queue":0}"#);
+    let (target, node) = single_node(r#"{"slots":1,"queue":0}"#);
     let first = open(node.entry, &get("/idem/hold/first"));
-    eventually("the slot is taken", || target.ran("first") == 1);
+    eventually("the slot is taken", || target.run_count("first") == 1);
     let answer = call(node.entry, &get("/idem/second"));
     assert_eq!((answer.status, answer.outcome(), answer.code()), (503, "not-run", Some(451)));
     assert!(answer.header("x-sycamore-retry-after-ms").is_some());
     target.release();
     assert_eq!(read(&first).outcome(), "answered");
-    assert_eq!(target.ran("second"), 0);
+    assert_eq!(target.run_count("second"), 0);
 }
 
 #[test]
 fn slots_exact() {
     // Guards against slots that are freed before the target has noticed a cancellation: the target
     // would run more requests than it has slots.
-    let (target, node) = single(r#"{"slots":2,"connections":8,"queue_wait_ms":20000}"#);
+    let (target, node) = single_node(r#"{"slots":2,"connections":8,"queue_wait_ms":20000}"#);
     let entry = node.entry;
     let callers: Vec<_> = (0..8)
         .map(|n| {
@@ -305,5 +305,5 @@
     callers.into_iter().for_each(|caller| caller.join().unwrap());
     eventually("all calls are closed", || node.shared.calls_open() == 0);
     assert!(target.cancelled() > 0);
-    assert!(target.most_running() <= 2, "{} concurrent requests", target.most_running());
+    assert!(target.max_running() <= 2, "{} concurrent requests", target.max_running());
 }
--- a/node/tests/support/calls.rs
+++ b/node/tests/support/calls.rs
@@ -16,7 +16,7 @@
 use sycamore_node::shared::Shared;
 
 /// Timeout of waits in tests.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A target whose behaviour is selected by the request path. It logs each request it runs.
 pub struct Target {
@@ -29,9 +29,9 @@
     log: Mutex<Vec<String>>,
     connections: AtomicUsize,
     running: AtomicUsize,
-    most_running: AtomicUsize,
+    max_running: AtomicUsize,
     cancelled: AtomicUsize,
-    hold: AtomicU64,
+    released: AtomicU64,
 }
 
 impl Target {
@@ -56,7 +56,7 @@
     }
 
     /// Number of requests it ran whose line or body contains `part`.
-    pub fn ran(&self, part: &str) -> usize {
+    pub fn run_count(&self, part: &str) -> usize {
         self.log().iter().filter(|line| line.contains(part)).count()
     }
 
@@ -64,17 +64,17 @@
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    pub fn most_running(&self) -> usize {
-        self.state.most_running.load(Ordering::SeqCst)
+    pub fn max_running(&self) -> usize {
+        self.state.max_running.load(Ordering::SeqCst)
     }
 
     pub fn cancelled(&self) -> usize {
         self.state.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Lets requests to `/hold` complete.
+    /// Lets requests to `/released` complete.
     pub fn release(&self) {
-        self.state.hold.store(1, Ordering::SeqCst);
+        self.state.released.store(1, Ordering::SeqCst);
     }
 }
 
@@ -91,13 +91,13 @@
         let body = String::from_utf8_lossy(&body).into_owned();
         self.log.lock().unwrap().push(format!("{line} {body}"));
         let now = self.running.fetch_add(1, Ordering::SeqCst) + 1;
-        self.most_running.fetch_max(now, Ordering::SeqCst);
-        let done = self.answer(stream, &line, &headers, &body);
+        self.max_running.fetch_max(now, Ordering::SeqCst);
+        let done = self.respond(stream, &line, &headers, &body);
         self.running.fetch_sub(1, Ordering::SeqCst);
         done
     }
 
-    fn answer(
+    fn respond(
         &self,
         mut stream: &TcpStream,
         line: &str,
@@ -106,7 +106,7 @@
     ) -> Option<()> {
         let path = line.split(' ').nth(1)?;
         if path.contains("/hold") {
-            while self.hold.load(Ordering::SeqCst) == 0 {
+            while self.released.load(Ordering::SeqCst) == 0 {
                 if is_closed(stream) {
                     self.cancelled.fetch_add(1, Ordering::SeqCst);
                     return None;
@@ -124,8 +124,8 @@
         }
         if path.contains("/foreign") {
             let head = "HTTP/1.1 200 OK\r\nx-sycamore-request-id: someone-else\r\n";
-            let answer = format!("{head}content-length: 6\r\n\r\nsecret");
-            stream.write_all(answer.as_bytes()).ok()?;
+            let response = format!("{head}content-length: 6\r\n\r\nsecret");
+            stream.write_all(response.as_bytes()).ok()?;
             return Some(());
         }
         if path.contains("/chunks-trailers") {
@@ -225,15 +225,15 @@
     }
 
     pub fn with_limits(vm: &str, target: Option<SocketAddr>, limits: &str) -> Node {
-        Node::with_gate_on(vm, target, limits, "127.0.0.1")
+        Node::with_gate_ip(vm, target, limits, "127.0.0.1")
     }
 
     /// A node whose gatekeeper listens on a different IP address than its caller socket.
-    pub fn with_gate_on(vm: &str, target: Option<SocketAddr>, limits: &str, gate: &str) -> Node {
+    pub fn with_gate_ip(vm: &str, target: Option<SocketAddr>, limits: &str, gate_ip: &str) -> Node {
         let target = target.map_or("null".into(), |address| format!("\"{address}\""));
         let text = format!(
             r#"{{"vm":"{vm}","region":"r","zone":"z","target_address":{target},
-            "listen":{{"calls":"127.0.0.1:0","gate":"{gate}:0","peers":"127.0.0.1:0",
+            "listen":{{"calls":"127.0.0.1:0","gate":"{gate_ip}:0","peers":"127.0.0.1:0",
             "admin":"127.0.0.1:0"}},"platform_address":"127.0.0.1:1","limits":{limits}}}"#
         );
         let settings = Settings::parse(text.as_bytes()).unwrap();
@@ -279,7 +279,7 @@
 }
 
 /// One configured node with one target.
-pub fn single(limits: &str) -> (Target, Node) {
+pub fn single_node(limits: &str) -> (Target, Node) {
     let target = Target::new();
     let node = Node::new("a", Some(target.address));
     node.configure(1, &preset(limits, &[("a", node.gate)]));
@@ -288,15 +288,15 @@
 
 /// A response as received by the caller.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct ClientResponse {
     pub status: u16,
     pub headers: Vec<String>,
     pub body: Vec<u8>,
     /// Whether the body was received completely.
-    pub whole: bool,
+    pub complete: bool,
 }
 
-impl Answer {
+impl ClientResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         let prefix = format!("{name}: ");
         self.headers.iter().find_map(|line| line.strip_prefix(&prefix))
@@ -318,31 +318,31 @@
 /// Connects and sends raw bytes.
 pub fn open(address: SocketAddr, raw: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(raw.as_bytes()).unwrap();
     stream
 }
 
-pub fn read(stream: &TcpStream) -> Answer {
+pub fn read(stream: &TcpStream) -> ClientResponse {
     let mut reader = BufReader::new(stream);
     let Some((line, headers)) = read_head(&mut reader) else {
-        return Answer::default();
+        return ClientResponse::default();
     };
     let status = line.split(' ').nth(1).unwrap().parse().unwrap();
-    let mut answer = Answer { status, headers, body: Vec::new(), whole: true };
-    if let Some(size) = answer.header("content-length").map(|size| size.parse::<u64>().unwrap()) {
-        let read = reader.take(size).read_to_end(&mut answer.body);
-        answer.whole = read.is_ok_and(|count| count as u64 == size);
-    } else if answer.header("transfer-encoding") == Some("chunked") {
+    let mut response = ClientResponse { status, headers, body: Vec::new(), complete: true };
+    if let Some(size) = response.header("content-length").map(|size| size.parse::<u64>().unwrap()) {
+        let read = reader.take(size).read_to_end(&mut response.body);
+        response.complete = read.is_ok_and(|count| count as u64 == size);
+    } else if response.header("transfer-encoding") == Some("chunked") {
         let body = read_chunks(&mut reader);
-        answer.whole = body.is_some();
-        answer.body = body.unwrap_or_default();
+        response.complete = body.is_some();
+        response.body = body.unwrap_or_default();
     }
-    answer
+    response
 }
 
 /// Sends one request and reads the response.
-pub fn call(address: SocketAddr, raw: &str) -> Answer {
+pub fn call(address: SocketAddr, raw: &str) -> ClientResponse {
     read(&open(address, raw))
 }
 
@@ -352,7 +352,7 @@
 }
 
 /// A `POST` request with a key and a body.
-pub fn sign(path: &str, key: &str, body: &str) -> String {
+pub fn keyed_post(path: &str, key: &str, body: &str) -> String {
     let size = body.len();
     format!(
         "POST {path} HTTP/1.1\r\nhost: test\r\nidempotency-key: {key}\r\n\
@@ -361,21 +361,21 @@
 }
 
 /// A key created now.
-pub fn key() -> String {
+pub fn new_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// Polls `holds` until it is true; fails the test after a timeout.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls `condition` until it is true; fails the test after a timeout.
+pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "timed out waiting until {what}");
+    while !condition() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Forwards notes between nodes until the test ends, as the spread does.
-pub fn carry_notes(nodes: &[&Node]) {
+pub fn forward_notes(nodes: &[&Node]) {
     let by_vm: Vec<(Name, Calls)> =
         nodes.iter().map(|node| (node.shared.settings.vm.clone(), node.calls.clone())).collect();
     for node in nodes {
