--- a/node/tests/calls_path.rs
+++ b/node/tests/calls_path.rs
@@ -13,11 +13,11 @@
 #[test]
 fn path_whole() {
     let (target, node) = single_node("{}");
-    let answer = call(node.entry, &get("/idem/a?b=c"));
-    assert_eq!((answer.status, answer.outcome()), (200, "answered"), "{answer:?}");
-    assert!(answer.text().starts_with("GET /idem/a?b=c HTTP/1.1"), "{}", answer.text());
-    assert!(answer.text().contains("x-sycamore-depth: 1"), "{}", answer.text());
-    assert!(answer.header("x-sycamore-request-id").is_some());
+    let response = call(node.entry, &get("/idem/a?b=c"));
+    assert_eq!((response.status, response.outcome()), (200, "answered"), "{response:?}");
+    assert!(response.text().starts_with("GET /idem/a?b=c HTTP/1.1"), "{}", response.text());
+    assert!(response.text().contains("x-sycamore-depth: 1"), "{}", response.text());
+    assert!(response.header("x-sycamore-request-id").is_some());
     assert_eq!(target.log().len(), 1);
 }
 
@@ -35,14 +35,14 @@
 #[test]
 fn path_streamed() {
     let (_target, node) = single_node("{}");
-    let answer = call(node.entry, &get("/idem/stream/5000000"));
-    assert!(answer.complete);
-    assert_eq!(answer.body.len(), 5_000_000);
+    let response = call(node.entry, &get("/idem/stream/5000000"));
+    assert!(response.complete);
+    assert_eq!(response.body.len(), 5_000_000);
 }
 
 /// A node on a VM with a link of `mbps` Mbit/s and a target with this many slots. `/idem` is a bulk
 /// route.
-fn narrow(target: &Target, mbps: u32, slots: u32) -> Node {
+fn narrow_link_node(target: &Target, mbps: u32, slots: u32) -> Node {
     let limits = format!(r#"{{"link_mbps":{mbps}}}"#);
     let node = Node::with_gate_ip("a", Some(target.address), &limits, "127.0.0.2");
     let limits = format!(r#"{{"slots":{slots},"bulk_share_percent":100}}"#);
@@ -59,7 +59,7 @@
     // Guards against a slot that stays occupied while a response, already read from the target, is
     // sent over a narrow link.
     let target = Target::new();
-    let node = narrow(&target, 1, 1);
+    let node = narrow_link_node(&target, 1, 1);
     let large = open(node.entry, &get("/idem/stream/200000"));
     eventually("the target runs the large request", || target.run_count("/idem/stream") == 1);
     let short = call(node.entry, &get("/quick/short"));
@@ -68,9 +68,9 @@
     let waits = node.shared.calls_open() > 0;
     assert!(waits, "the large response was sent before the short one arrived");
     assert!(large.peek(&mut first).is_ok());
-    let answer = read(&large);
-    assert!(answer.complete);
-    assert_eq!(answer.body.len(), 200_000);
+    let response = read(&large);
+    assert!(response.complete);
+    assert_eq!(response.body.len(), 200_000);
 }
 
 #[test]
@@ -78,11 +78,11 @@
     // Guards against a paced response with trailers whose end is never detected, so that the caller
     // waits until its deadline.
     let target = Target::new();
-    let node = narrow(&target, 40, 1);
+    let node = narrow_link_node(&target, 40, 1);
     for _ in 0..2 {
-        let answer = call(node.entry, &get("/idem/chunks-trailers"));
-        assert!(answer.complete);
-        assert_eq!(answer.text(), "whole");
+        let response = call(node.entry, &get("/idem/chunks-trailers"));
+        assert!(response.complete);
+        assert_eq!(response.text(), "whole");
     }
 }
 
@@ -92,8 +92,8 @@
     // its connection to the target.
     let (target, node) = single_node("{}");
     for _ in 0..5 {
-        let answer = call(node.entry, &get("/idem/chunks-whole"));
-        assert_eq!((answer.complete, answer.text()), (true, "whole".to_owned()));
+        let response = call(node.entry, &get("/idem/chunks-whole"));
+        assert_eq!((response.complete, response.text()), (true, "whole".to_owned()));
         eventually("the slot is free", || node.shared.metrics.in_flight.get() == 0);
     }
     assert_eq!(target.connections(), 1);
@@ -116,9 +116,9 @@
     let mut stream = open(node.entry, "");
     for _ in 0..2 {
         stream.write_all(get("/idem/stream/300000").as_bytes()).unwrap();
-        let answer = read(&stream);
-        assert!(answer.complete);
-        assert!(answer.body == expected.body, "{} bytes", answer.body.len());
+        let response = read(&stream);
+        assert!(response.complete);
+        assert!(response.body == expected.body, "{} bytes", response.body.len());
     }
     eventually("the slot is free", || node.shared.metrics.in_flight.get() == 0);
 }
@@ -126,16 +126,16 @@
 #[test]
 fn path_not_configured() {
     let node = Node::new("a", None);
-    let answer = call(node.entry, &get("/idem"));
-    assert_eq!((answer.status, answer.outcome(), answer.code()), (503, "not-run", Some(401)));
-    assert!(answer.header("retry-after").is_some());
+    let response = call(node.entry, &get("/idem"));
+    assert_eq!((response.status, response.outcome(), response.code()), (503, "not-run", Some(401)));
+    assert!(response.header("retry-after").is_some());
 }
 
 #[test]
 fn path_no_route() {
     let (_target, node) = single_node("{}");
-    let answer = call(node.entry, &get("/other"));
-    assert_eq!((answer.status, answer.code()), (404, Some(402)));
+    let response = call(node.entry, &get("/other"));
+    assert_eq!((response.status, response.code()), (404, Some(402)));
 }
 
 #[test]
@@ -143,7 +143,7 @@
     // Guards against a signing that runs again when it is resent with the same key after its
     // response was lost; the grower would be billed twice.
     let (target, node) = single_node("{}");
-    let key = key_when_home(&node);
+    let key = new_accepted_key(&node);
     let first = call(node.entry, &keyed_post("/once", &key, "ten bales"));
     assert_eq!(first.outcome(), "answered", "{first:?}");
     let second = call(node.entry, &keyed_post("/once", &key, "ten bales"));
@@ -154,7 +154,7 @@
 }
 
 /// A key that the node accepts, created after the node has run for longer than the clock skew.
-fn key_when_home(node: &Node) -> String {
+fn new_accepted_key(node: &Node) -> String {
     let mut key = new_key();
     eventually("the node accepts a key", || {
         key = support::new_key();
@@ -166,10 +166,11 @@
 #[test]
 fn once_without_key() {
     let (target, node) = single_node("{}");
-    let answer = call(node.entry, "POST /once HTTP/1.1\r\nhost: t\r\ncontent-length: 0\r\n\r\n");
-    assert_eq!((answer.status, answer.code()), (400, Some(405)));
-    let answer = call(node.entry, &keyed_post("/once", "0190b5c0-0000-4000-8000-000000000000", ""));
-    assert_eq!(answer.code(), Some(405));
+    let response = call(node.entry, "POST /once HTTP/1.1\r\nhost: t\r\ncontent-length: 0\r\n\r\n");
+    assert_eq!((response.status, response.code()), (400, Some(405)));
+    let response =
+        call(node.entry, &keyed_post("/once", "0190b5c0-0000-4000-8000-000000000000", ""));
+    assert_eq!(response.code(), Some(405));
     assert_eq!(target.log().len(), 0);
 }
 
@@ -178,7 +179,7 @@
     // Guards against a second run of a signing whose caller disconnected and asks again with the
     // same key.
     let (target, node) = single_node("{}");
-    let key = key_when_home(&node);
+    let key = new_accepted_key(&node);
     let stream = open(node.entry, &keyed_post("/once/hold", &key, "x"));
     eventually("the signing runs", || target.run_count("/once/hold") == 1);
     drop(stream);
@@ -194,10 +195,10 @@
 #[test]
 fn once_target_broke() {
     let (target, node) = single_node("{}");
-    let key = key_when_home(&node);
+    let key = new_accepted_key(&node);
     for code in [461, 460, 460] {
-        let answer = call(node.entry, &keyed_post("/once/break", &key, "x"));
-        assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(code)));
+        let response = call(node.entry, &keyed_post("/once/break", &key, "x"));
+        assert_eq!((response.outcome(), response.code()), ("unknown", Some(code)));
     }
     assert_eq!(target.run_count("/once/break"), 1);
 }
@@ -209,9 +210,9 @@
     // If the failure is detected before the head is sent, the caller gets an error instead.
     for n in 0..40 {
         let path = if n % 2 == 0 { "/idem/cut" } else { "/idem/chunks-cut" };
-        let answer = call(node.entry, &get(path));
-        let told = (answer.outcome(), answer.code()) == ("unknown", Some(464));
-        assert!(!answer.complete || told, "{answer:?}");
+        let response = call(node.entry, &get(path));
+        let reported = (response.outcome(), response.code()) == ("unknown", Some(464));
+        assert!(!response.complete || reported, "{response:?}");
     }
 }
 
@@ -219,8 +220,13 @@
 fn answer_foreign() {
     // Guards against a target's response to another request that reaches this caller.
     let (_target, node) = single_node("{}");
-    let answer = call(node.entry, &get("/idem/foreign"));
-    assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(461)), "{}", answer.text());
+    let response = call(node.entry, &get("/idem/foreign"));
+    assert_eq!(
+        (response.outcome(), response.code()),
+        ("unknown", Some(461)),
+        "{}",
+        response.text()
+    );
 }
 
 #[test]
@@ -250,8 +256,8 @@
 fn cancel_deadline() {
     let (target, node) = single_node("{}");
     let raw = "GET /idem/hold HTTP/1.1\r\nhost: t\r\nx-sycamore-deadline-ms: 100\r\n\r\n";
-    let answer = call(node.entry, raw);
-    assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(406)), "{answer:?}");
+    let response = call(node.entry, raw);
+    assert_eq!((response.outcome(), response.code()), ("unknown", Some(406)), "{response:?}");
     eventually("the target sees the cancellation", || target.cancelled() == 1);
 }
 
@@ -276,9 +282,9 @@
     let (target, node) = single_node(r#"{"slots":1,"queue":0}"#);
     let first = open(node.entry, &get("/idem/hold/first"));
     eventually("the slot is taken", || target.run_count("first") == 1);
-    let answer = call(node.entry, &get("/idem/second"));
-    assert_eq!((answer.status, answer.outcome(), answer.code()), (503, "not-run", Some(451)));
-    assert!(answer.header("x-sycamore-retry-after-ms").is_some());
+    let response = call(node.entry, &get("/idem/second"));
+    assert_eq!((response.status, response.outcome(), response.code()), (503, "not-run", Some(451)));
+    assert!(response.header("x-sycamore-retry-after-ms").is_some());
     target.release();
     assert_eq!(read(&first).outcome(), "answered");
     assert_eq!(target.run_count("second"), 0);
