--- a/node/tests/calls_input.rs
+++ b/node/tests/calls_input.rs
@@ -8,41 +8,41 @@
 use support::*;
 
 /// Checks that `raw` is rejected with this status and code, and that the node still serves.
-fn refused(raw: &str, status: u16, code: u16) {
+fn assert_rejected(raw: &str, status: u16, code: u16) {
     let (target, node) = single_node("{}");
-    let answer = call(node.entry, raw);
-    let found = (answer.status, answer.code(), answer.outcome());
-    assert_eq!(found, (status, Some(code), "not-run"), "{raw:.100}: {answer:?}");
+    let response = call(node.entry, raw);
+    let found = (response.status, response.code(), response.outcome());
+    assert_eq!(found, (status, Some(code), "not-run"), "{raw:.100}: {response:?}");
     assert_eq!(call(node.entry, &get("/idem")).status, 200);
     assert_eq!(target.log().len(), 1);
 }
 
 #[test]
 fn input_rubbish() {
-    refused("\x01\x02 rubbish\r\n\r\n", 400, 403);
+    assert_rejected("\x01\x02 rubbish\r\n\r\n", 400, 403);
 }
 
 #[test]
 fn input_header_malformed() {
-    refused("GET /idem HTTP/1.1\r\nhost test\r\n\r\n", 400, 403);
+    assert_rejected("GET /idem HTTP/1.1\r\nhost test\r\n\r\n", 400, 403);
 }
 
 #[test]
 fn input_head_oversize() {
     let long = "x".repeat(70_000);
-    refused(&format!("GET /idem HTTP/1.1\r\nhost: t\r\nx-long: {long}\r\n\r\n"), 431, 404);
+    assert_rejected(&format!("GET /idem HTTP/1.1\r\nhost: t\r\nx-long: {long}\r\n\r\n"), 431, 404);
 }
 
 #[test]
 fn input_headers_too_many() {
     let many: String = (0..200).map(|n| format!("x-{n}: 1\r\n")).collect();
-    refused(&format!("GET /idem HTTP/1.1\r\nhost: t\r\n{many}\r\n"), 431, 404);
+    assert_rejected(&format!("GET /idem HTTP/1.1\r\nhost: t\r\n{many}\r\n"), 431, 404);
 }
 
 #[test]
 fn input_body_oversize() {
     let head = "POST /idem HTTP/1.1\r\nhost: t\r\ncontent-length: 200001\r\n\r\n";
-    refused(head, 413, 404);
+    assert_rejected(head, 413, 404);
 }
 
 #[test]
@@ -65,20 +65,28 @@
 #[test]
 fn input_signing_oversize() {
     let (target, node) = single_node("{}");
-    let answer = call(node.entry, &keyed_post("/once", &new_key(), &"x".repeat(70_000)));
-    assert_eq!((answer.status, answer.code()), (413, Some(404)));
+    let response = call(node.entry, &keyed_post("/once", &new_key(), &"x".repeat(70_000)));
+    assert_eq!((response.status, response.code()), (413, Some(404)));
     assert_eq!(target.log().len(), 0);
 }
 
 #[test]
 fn input_length_twice() {
     // Guards against request smuggling through two different lengths.
-    refused("POST /idem HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nx", 400, 403);
+    assert_rejected(
+        "POST /idem HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nx",
+        400,
+        403,
+    );
 }
 
 #[test]
 fn input_length_twice_alike() {
-    refused("POST /idem HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\nx", 400, 403);
+    assert_rejected(
+        "POST /idem HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\nx",
+        400,
+        403,
+    );
 }
 
 #[test]
@@ -87,7 +95,11 @@
         "content-length: 1\r\ntransfer-encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 1",
     ] {
-        refused(&format!("POST /idem HTTP/1.1\r\n{head}\r\n\r\n1\r\nx\r\n0\r\n\r\n"), 400, 403);
+        assert_rejected(
+            &format!("POST /idem HTTP/1.1\r\n{head}\r\n\r\n1\r\nx\r\n0\r\n\r\n"),
+            400,
+            403,
+        );
     }
 }
 
@@ -96,7 +108,7 @@
     for header in ["idempotency-key", "x-sycamore-deadline-ms", "x-sycamore-request-id", "host"] {
         let value = if header == "idempotency-key" { new_key() } else { "7".into() };
         let twice = format!("{header}: {value}\r\n{header}: {value}\r\n");
-        refused(&format!("GET /idem HTTP/1.1\r\n{twice}\r\n"), 400, 403);
+        assert_rejected(&format!("GET /idem HTTP/1.1\r\n{twice}\r\n"), 400, 403);
     }
 }
 
@@ -104,24 +116,24 @@
 fn input_deadline_not_a_number() {
     for value in ["-1", "+5", "1.5", "", "soon", "99999999999999999999999"] {
         let raw = format!("GET /idem HTTP/1.1\r\nx-sycamore-deadline-ms: {value}\r\n\r\n");
-        refused(&raw, 400, 403);
+        assert_rejected(&raw, 400, 403);
     }
 }
 
 #[test]
 fn input_without_host() {
-    refused("GET /idem HTTP/1.1\r\n\r\n", 400, 403);
+    assert_rejected("GET /idem HTTP/1.1\r\n\r\n", 400, 403);
 }
 
 #[test]
 fn input_too_deep() {
-    refused("GET /idem HTTP/1.1\r\nhost: test\r\nx-sycamore-depth: 16\r\n\r\n", 400, 408);
+    assert_rejected("GET /idem HTTP/1.1\r\nhost: test\r\nx-sycamore-depth: 16\r\n\r\n", 400, 408);
 }
 
 #[test]
 fn input_connect_and_upgrade() {
-    refused("CONNECT host:1 HTTP/1.1\r\nhost: t\r\n\r\n", 400, 403);
-    refused("GET /idem HTTP/1.1\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n", 400, 403);
+    assert_rejected("CONNECT host:1 HTTP/1.1\r\nhost: t\r\n\r\n", 400, 403);
+    assert_rejected("GET /idem HTTP/1.1\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n", 400, 403);
 }
 
 #[test]
@@ -132,9 +144,9 @@
     let raw =
         "GET /idem HTTP/1.1\r\nhost: test\r\nconnection: idempotency-key, x-drop\r\nx-drop: 1\r\n";
     let raw = format!("{raw}idempotency-key: {}\r\n\r\n", new_key());
-    let answer = call(node.entry, &raw);
-    assert!(answer.text().contains("idempotency-key"), "{}", answer.text());
-    assert!(!answer.text().contains("x-drop"), "{}", answer.text());
+    let response = call(node.entry, &raw);
+    assert!(response.text().contains("idempotency-key"), "{}", response.text());
+    assert!(!response.text().contains("x-drop"), "{}", response.text());
     assert_eq!(target.log().len(), 1);
 }
 
@@ -162,8 +174,8 @@
     let node = Node::with_limits("a", Some(target.address), limits);
     node.configure(1, &preset("{}", &[("a", node.gate)]));
     let head = "POST /idem HTTP/1.1\r\nhost: t\r\ncontent-length: 10\r\n\r\nhalf";
-    let answer = call(node.entry, head);
-    assert_eq!((answer.outcome(), answer.code()), ("not-run", Some(406)));
+    let response = call(node.entry, head);
+    assert_eq!((response.outcome(), response.code()), ("not-run", Some(406)));
     assert_eq!(target.log().len(), 0);
 }
 
@@ -186,8 +198,8 @@
     let _first = open(node.entry, "");
     let _second = open(node.entry, "");
     eventually("a third connection is rejected", || {
-        let answer = read(&open(node.entry, ""));
-        (answer.outcome(), answer.code()) == ("not-run", Some(465))
+        let response = read(&open(node.entry, ""));
+        (response.outcome(), response.code()) == ("not-run", Some(465))
     });
     assert!(node.shared.metrics.connections_refused.get() > 0);
 }
