--- a/node/tests/calls_fleet.rs
+++ b/node/tests/calls_fleet.rs
@@ -29,7 +29,8 @@
     }
 
     fn configure(&self, version: u64, limits: &str, listed: &[usize]) {
-        let targets: Vec<_> = listed.iter().map(|at| (VMS[*at], self.nodes[*at].gate)).collect();
+        let targets: Vec<_> =
+            listed.iter().map(|index| (VMS[*index], self.nodes[*index].gate)).collect();
         let preset = preset(limits, &targets);
         self.nodes.iter().for_each(|node| node.configure(version, &preset));
     }
@@ -40,9 +41,9 @@
 
     /// Waits until every home accepts signings.
     fn wait_for_homes(&self) {
-        for at in 0..VMS.len() {
+        for index in 0..VMS.len() {
             eventually("the home accepts signings", || {
-                let probe = keyed_post("/once/probe", &key_at_home(&[0, 1, 2], at), "");
+                let probe = keyed_post("/once/probe", &new_key_with_home(&[0, 1, 2], index), "");
                 call(self.nodes[0].entry, &probe).outcome() == "answered"
             });
         }
@@ -50,8 +51,8 @@
 }
 
 /// A new key whose home is the VM at index `home`, given the listed VMs.
-fn key_at_home(listed: &[usize], home: usize) -> String {
-    let vms = listed.iter().map(|at| Name::new(VMS[*at]).unwrap()).collect();
+fn new_key_with_home(listed: &[usize], home: usize) -> String {
+    let vms = listed.iter().map(|index| Name::new(VMS[*index]).unwrap()).collect();
     let list = HomeList { version: 1, vms };
     loop {
         let key = new_key();
@@ -77,13 +78,13 @@
 #[test]
 fn retry_past_broken_target() {
     let fleet = Fleet::new("{}");
-    let answer = call(fleet.nodes[0].entry, &get("/idem/break"));
-    assert_eq!((answer.outcome(), answer.code()), ("unknown", Some(461)));
+    let response = call(fleet.nodes[0].entry, &get("/idem/break"));
+    assert_eq!((response.outcome(), response.code()), ("unknown", Some(461)));
     // Two targets broke; a third must not run it.
     assert_eq!(fleet.run_count("/idem/break"), 2);
     eventually("all gatekeepers quarantine the request", || {
-        let answer = call(fleet.nodes[1].entry, &get("/idem/break"));
-        (answer.outcome(), answer.code()) == ("not-run", Some(456))
+        let response = call(fleet.nodes[1].entry, &get("/idem/break"));
+        (response.outcome(), response.code()) == ("not-run", Some(456))
     });
     assert_eq!(fleet.run_count("/idem/break"), 2);
     assert_eq!(call(fleet.nodes[1].entry, &get("/idem/other")).outcome(), "answered");
@@ -96,14 +97,14 @@
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
     let key = new_key();
-    let answers: Vec<String> = fleet
+    let responses: Vec<String> = fleet
         .nodes
         .iter()
         .map(|node| call(node.entry, &keyed_post("/once/sign", &key, "bales")))
-        .map(|answer| format!("{} {}", answer.outcome(), answer.text()))
+        .map(|response| format!("{} {}", response.outcome(), response.text()))
         .collect();
-    assert!(answers[0].starts_with("answered"), "{answers:?}");
-    assert!(answers.iter().all(|answer| *answer == answers[0]), "{answers:?}");
+    assert!(responses[0].starts_with("answered"), "{responses:?}");
+    assert!(responses.iter().all(|response| *response == responses[0]), "{responses:?}");
     assert_eq!(fleet.run_count("/once/sign"), 1);
 }
 
@@ -113,7 +114,7 @@
     // that stay rejected after the old home has released the key.
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
-    let key = key_at_home(&[0, 1, 2], 2);
+    let key = new_key_with_home(&[0, 1, 2], 2);
     let first = call(fleet.nodes[0].entry, &keyed_post("/once/sign", &key, ""));
     assert_eq!(first.outcome(), "answered");
     fleet.configure(2, "{}", &[0, 1]);
@@ -127,7 +128,7 @@
     });
     assert_eq!(fleet.run_count("/once/sign"), 1);
     for _ in 0..5 {
-        let key = key_at_home(&[0, 1, 2], 2);
+        let key = new_key_with_home(&[0, 1, 2], 2);
         eventually("the new home accepts new signings", || {
             call(fleet.nodes[0].entry, &keyed_post("/once/fresh", &key, "")).outcome() == "answered"
         });
@@ -141,13 +142,14 @@
     // version. The rejection must say "not run" and when to retry.
     let fleet = Fleet::new("{}");
     fleet.wait_for_homes();
-    let targets: Vec<_> = [0, 1].iter().map(|at| (VMS[*at], fleet.nodes[*at].gate)).collect();
+    let targets: Vec<_> =
+        [0, 1].iter().map(|index| (VMS[*index], fleet.nodes[*index].gate)).collect();
     let preset = preset("{}", &targets);
     fleet.nodes[..2].iter().for_each(|node| node.configure(2, &preset));
-    let key = key_at_home(&[0, 1, 2], 2);
-    let answer = call(fleet.nodes[0].entry, &keyed_post("/once/sign", &key, ""));
-    assert_eq!((answer.outcome(), answer.code()), ("not-run", Some(458)));
-    assert!(answer.header("retry-after").is_some());
+    let key = new_key_with_home(&[0, 1, 2], 2);
+    let response = call(fleet.nodes[0].entry, &keyed_post("/once/sign", &key, ""));
+    assert_eq!((response.outcome(), response.code()), ("not-run", Some(458)));
+    assert!(response.header("retry-after").is_some());
     assert_eq!(
         call(fleet.nodes[2].entry, &keyed_post("/once/sign", &key, "")).outcome(),
         "answered"
@@ -169,9 +171,9 @@
     eventually("all slots are in use", || fleet.run_count("/hold") == 6);
     std::thread::sleep(std::time::Duration::from_millis(300));
     fleet.targets.iter().for_each(Target::release);
-    let answers: Vec<ClientResponse> =
+    let responses: Vec<ClientResponse> =
         callers.into_iter().map(|caller| caller.join().unwrap()).collect();
-    let count = |outcome| answers.iter().filter(|answer| answer.outcome() == outcome).count();
+    let count = |outcome| responses.iter().filter(|response| response.outcome() == outcome).count();
     assert_eq!((count("answered"), count("not-run")), (6, 24));
     assert!(fleet.targets.iter().all(|target| target.max_running() <= 2));
     assert!(fleet.targets.iter().all(|target| target.connections() <= 4));
