--- a/node/tests/calls_drain.rs
+++ b/node/tests/calls_drain.rs
@@ -19,8 +19,8 @@
     assert_eq!((refused.outcome(), refused.code()), ("not-run", Some(453)));
     assert_eq!(refused.header("connection"), Some("close"));
     target.release();
-    let answer = read(&stream);
-    assert!(answer.complete && answer.body.len() == 20_000_000);
+    let response = read(&stream);
+    assert!(response.complete && response.body.len() == 20_000_000);
     assert_eq!(read(&held).outcome(), "answered");
     eventually("no call is open", || node.shared.calls_open() == 0);
     assert_eq!(target.run_count("new"), 0);
@@ -37,8 +37,8 @@
     // The response exceeds the socket buffers, and nothing has been read yet.
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert!(node.shared.calls_open() > 0);
-    let answer = read(&stream);
-    assert!(answer.complete, "{} bytes of {:?}", answer.body.len(), answer.headers);
+    let response = read(&stream);
+    assert!(response.complete, "{} bytes of {:?}", response.body.len(), response.headers);
     eventually("no call is open", || node.shared.calls_open() == 0);
 }
 
@@ -73,7 +73,7 @@
     node.shared.start_draining();
     std::thread::sleep(std::time::Duration::from_millis(500));
     stream.write_all(get("/idem").as_bytes()).unwrap();
-    let answer = read(&stream);
-    assert_eq!((answer.outcome(), answer.code()), ("not-run", Some(453)));
-    assert_eq!(answer.header("connection"), Some("close"));
+    let response = read(&stream);
+    assert_eq!((response.outcome(), response.code()), ("not-run", Some(453)));
+    assert_eq!(response.header("connection"), Some("close"));
 }
--- a/node/tests/calls_hedge.rs
+++ b/node/tests/calls_hedge.rs
@@ -6,7 +6,7 @@
 use support::*;
 
 /// Nodes for these targets; the first node has collected response times.
-fn fleet(targets: &[Target]) -> Vec<Node> {
+fn nodes_with_response_times(targets: &[Target]) -> Vec<Node> {
     let vms = ["a", "b", "c"];
     let node = |(vm, target): (&&str, &Target)| Node::new(vm, Some(target.address));
     let nodes: Vec<Node> = vms.iter().zip(targets).map(node).collect();
@@ -23,13 +23,13 @@
 #[test]
 fn hedge_past_silent_target() {
     let targets = [Target::new(), Target::new(), Target::new()];
-    let nodes = fleet(&targets);
+    let nodes = nodes_with_response_times(&targets);
     targets[1..].iter().for_each(Target::release);
     for _ in 0..10 {
         assert_eq!(call(nodes[0].entry, &get("/idem/hold")).outcome(), "answered");
     }
-    let held = targets[0].run_count("/idem/hold");
-    eventually("the slower attempts are cancelled", || targets[0].cancelled() == held);
+    let cancelled = targets[0].run_count("/idem/hold");
+    eventually("the slower attempts are cancelled", || targets[0].cancelled() == cancelled);
 }
 
 /// Guards against an error response that is replaced by a timeout because the other attempt passes
@@ -37,15 +37,15 @@
 #[test]
 fn hedge_failure_beside_silence() {
     let targets = [Target::new(), Target::new()];
-    let nodes = fleet(&targets);
-    let answer = std::thread::scope(|scope| {
-        let asking = scope.spawn(|| call(nodes[0].entry, &get("/idem/hold/fail")));
+    let nodes = nodes_with_response_times(&targets);
+    let response = std::thread::scope(|scope| {
+        let caller = scope.spawn(|| call(nodes[0].entry, &get("/idem/hold/fail")));
         eventually("both targets run the request", || {
             targets.iter().all(|target| target.run_count("/hold/fail") == 1)
         });
         targets[0].release();
-        asking.join().unwrap()
+        caller.join().unwrap()
     });
-    assert_eq!((answer.status, answer.text().as_str()), (500, "failed"));
+    assert_eq!((response.status, response.text().as_str()), (500, "failed"));
     targets[1].release();
 }
