--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -66,7 +66,8 @@
         Body { content, guard: Guard::None }
     }
 
-    /// A body that is streamed. Fails if it exceeds `max_bytes` bytes or if no data arrives for `idle_timeout`.
+    /// A body that is streamed. Fails if it exceeds `max_bytes` or if no data arrives for
+    /// `idle_timeout`.
     pub fn stream(incoming: Incoming, max_bytes: u64, idle_timeout: Duration) -> Body {
         let stream = BodyStream {
             incoming,
@@ -266,7 +267,7 @@
     }
 }
 
-/// Buffers a body of at most `max_bytes` bytes.
+/// Buffers a body of at most `max_bytes`.
 pub async fn collect(
     mut incoming: Incoming,
     max_bytes: u64,
