--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -103,8 +103,8 @@
         ActiveResponse { running, unsent_response: None, lease, conn }
     }
 
-    /// Frees the slot and the connection after the response was read from the target; `unsent` bytes
-    /// of it are still unsent.
+    /// Frees the slot and the connection after the response was read from the target; `unsent`
+    /// bytes of it have not been sent yet.
     pub fn mark_read(&mut self, unsent: u64) {
         if let Some(slot) = self.running.take() {
             self.unsent_response =
