--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -46,10 +46,7 @@
 pub(super) enum AttemptResult {
     Response(Response<Incoming>, Connection),
     Ended(AttemptEnd),
-    /// The deadline passed.
-    DeadlinePassed {
-        sent: bool,
-    },
+    DeadlinePassed { sent: bool },
 }
 
 /// Code of a failed attempt, and whether the target may have run the request.
