--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -65,7 +65,7 @@
     Run { once: bool },
     Queue(Time, Receiver<Decision>),
     Replay(Arc<CachedResponse>),
-    Refuse(Outcome, u32),
+    Reject(Outcome, u32),
 }
 
 impl GateAdapter {
@@ -224,7 +224,7 @@
                 self.wait_for_slot(key, until, granted).await
             }
             Some(decision) => decision,
-            None => Decision::Refuse(rejection(Code::NoTarget), 0),
+            None => Decision::Reject(rejection(Code::NoTarget), 0),
         };
         let waited = self.shared.clock.now().since(arrived);
         if matches!(decision, Decision::Run { .. }) {
@@ -236,7 +236,7 @@
             Decision::Run { once: true } => self.run_once(&conn, call).await,
             Decision::Run { once: false } => self.run(&conn, call).await,
             Decision::Replay(cached) => self.replay(&conn, &call.id, &cached, &self.load()),
-            Decision::Refuse(outcome, crashes) => self.reject(&conn, &call.id, outcome, crashes),
+            Decision::Reject(outcome, crashes) => self.reject(&conn, &call.id, outcome, crashes),
             Decision::Queue(..) => self.reject(&conn, &call.id, rejection(Code::QueueTimeout), 0),
         }
     }
@@ -267,7 +267,7 @@
         if decision.is_some() {
             queued_call.disarm();
         }
-        decision.unwrap_or(Decision::Refuse(rejection(Code::QueueTimeout), 0))
+        decision.unwrap_or(Decision::Reject(rejection(Code::QueueTimeout), 0))
     }
 
     /// Buffers a small body for the fingerprint and digest of the request.
@@ -419,7 +419,7 @@
                 }
                 Output::Replay(call, cached) => (call, Decision::Replay(cached)),
                 Output::Refuse { call, outcome, crashes } => {
-                    (call, Decision::Refuse(outcome, crashes))
+                    (call, Decision::Reject(outcome, crashes))
                 }
                 Output::Send(_) | Output::Record(_) => {
                     effects.push(output);
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -239,7 +239,7 @@
         let target_gone = self.target_gone().await;
         let decision = running.take().and_then(|slot| slot.end(End::Broken { target_gone }));
         match decision {
-            Some(Decision::Refuse(outcome, crashes)) => NoResponse { outcome, crashes },
+            Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
             _ => NoResponse::unknown(Code::TargetFailed),
         }
     }
@@ -308,12 +308,12 @@
     connection: Connection,
     code: Code,
 ) -> NoResponse {
-    let refused = running.take().and_then(|slot| slot.end(End::Rejected(code)));
+    let decision = running.take().and_then(|slot| slot.end(End::Rejected(code)));
     if response.body().is_end_stream() {
         connection.release();
     }
-    match refused {
-        Some(Decision::Refuse(outcome, crashes)) => NoResponse { outcome, crashes },
+    match decision {
+        Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
         _ => NoResponse { outcome: rejection(code), crashes: 0 },
     }
 }
@@ -321,7 +321,7 @@
 /// Reports a request of which no byte was sent.
 fn report_not_sent(slot: Slot) -> NoResponse {
     match slot.end(End::NotSent) {
-        Some(Decision::Refuse(outcome, crashes)) => NoResponse { outcome, crashes },
+        Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
         _ => NoResponse { outcome: rejection(Code::TargetUnreachable), crashes: 0 },
     }
 }
