--- a/node/src/calls/body.rs
+++ b/node/src/calls/body.rs
@@ -1,8 +1,8 @@
-//! Bodies on their way through a node.
+//! Request and response bodies that pass through a node.
 
-use super::pace::Pace;
+use super::conn_state::{ConnectionState, Phase};
+use super::pacer::Pacer;
 use super::pool::Connection;
-use super::watch::{Phase, Watch};
 use super::{entry, gate};
 use async_io::Timer;
 use bytes::{Bytes, BytesMut};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use sycamore_core::Code;
 
-/// A body that goes out: of a request towards a target, or of an answer towards a caller.
+/// An outgoing body: of a request to a target, or of a response to a caller.
 #[derive(Debug)]
 pub struct Body {
     content: Content,
@@ -27,88 +27,85 @@
 #[derive(Debug)]
 enum Content {
     Empty,
-    Whole(Bytes),
-    Relay(Box<Relay>),
+    Buffered(Bytes),
+    Stream(Box<BodyStream>),
 }
 
 #[derive(Debug)]
-struct Relay {
+struct BodyStream {
     incoming: Incoming,
-    left: u64,
-    idle: Duration,
-    timer: Option<Timer>,
-    // The other side has said that nothing more comes; of a body of unknown length only that shows
-    // its end.
-    ended: bool,
+    remaining: u64,
+    idle_timeout: Duration,
+    idle_timer: Option<Timer>,
+    // The sender signalled the end of the body. Required for bodies of unknown length.
+    end_received: bool,
     failed: bool,
-    pace: Option<Pace>,
+    pacer: Option<Pacer>,
 }
 
-/// Who is told that a body is over.
+/// What to notify when a body completes or is dropped.
 #[derive(Debug)]
 pub enum Guard {
-    /// Nobody.
     None,
-    /// The connection that it goes out on.
-    Watch(Arc<Watch>),
-    /// An entry node's call.
-    Entry(entry::Answer),
-    /// A gatekeeper's call.
-    Gate(gate::Answer),
+    /// The connection on which the body is sent.
+    Connection(Arc<ConnectionState>),
+    /// A call at the entry node.
+    Entry(entry::ActiveResponse),
+    /// A call at the gatekeeper.
+    Gate(gate::ActiveResponse),
 }
 
 impl Body {
-    /// No body.
     pub fn empty() -> Body {
         Body { content: Content::Empty, guard: Guard::None }
     }
 
-    /// A body that is held whole.
-    pub fn whole(buf: Bytes) -> Body {
-        let content = if buf.is_empty() { Content::Empty } else { Content::Whole(buf) };
+    /// A body that is buffered in memory.
+    pub fn buffered(buf: Bytes) -> Body {
+        let content = if buf.is_empty() { Content::Empty } else { Content::Buffered(buf) };
         Body { content, guard: Guard::None }
     }
 
-    /// A body that is passed on as it comes, up to `most` bytes, and given up if nothing comes
-    /// for `idle`.
-    pub fn relay(incoming: Incoming, most: u64, idle: Duration) -> Body {
-        let relay = Relay {
+    /// A body that is streamed. Fails if it exceeds `max_bytes` or if no data arrives for
+    /// `idle_timeout`.
+    pub fn stream(incoming: Incoming, max_bytes: u64, idle_timeout: Duration) -> Body {
+        let stream = BodyStream {
             incoming,
-            left: most,
-            idle,
-            timer: None,
-            ended: false,
+            remaining: max_bytes,
+            idle_timeout,
+            idle_timer: None,
+            end_received: false,
             failed: false,
-            pace: None,
+            pacer: None,
         };
-        Body { content: Content::Relay(Box::new(relay)), guard: Guard::None }
+        Body { content: Content::Stream(Box::new(stream)), guard: Guard::None }
     }
 
-    /// The same body, its bytes given to the VM's link at the pace that it takes.
-    pub fn with_pace(mut self, pace: Pace) -> Body {
-        if let Content::Relay(relay) = &mut self.content {
-            relay.pace = Some(pace);
+    /// Limits the rate at which the body is sent to the bandwidth of the VM's link.
+    pub fn with_pacer(mut self, pacer: Pacer) -> Body {
+        if let Content::Stream(stream) = &mut self.content {
+            stream.pacer = Some(pacer);
         }
         self
     }
 
-    /// The same body; `guard` is told when it is over.
+    /// Notifies `guard` when the body completes or is dropped.
     pub fn with_guard(mut self, guard: Guard) -> Body {
         self.guard = guard;
         self
     }
 
-    /// Whether it can be sent again: it has been held whole.
-    pub fn is_whole(&self) -> bool {
-        !matches!(self.content, Content::Relay(_))
+    /// Whether the body is buffered and can be sent again.
+    pub fn is_buffered(&self) -> bool {
+        !matches!(self.content, Content::Stream(_))
     }
 
-    fn is_over(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match &self.content {
             Content::Empty => true,
-            // hyper takes it in one piece.
-            Content::Whole(_) => false,
-            Content::Relay(relay) => !relay.failed && relay.is_end_stream(),
+            // hyper takes a buffered body as a single frame.
+            Content::Buffered(_) => false,
+            Content::Stream(stream) => !stream.failed && stream.is_end_stream(),
         }
     }
 }
@@ -123,15 +120,17 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut self.content {
             Content::Empty => Poll::Ready(None),
-            Content::Whole(buf) => {
+            Content::Buffered(buf) => {
                 let buf = std::mem::take(buf);
                 self.content = Content::Empty;
                 Poll::Ready(Some(Ok(Frame::data(buf))))
             }
-            Content::Relay(relay) => {
-                let frame = relay.poll_frame(cx);
-                if let (Some(left), Guard::Gate(answer)) = (relay.read_whole(), &mut self.guard) {
-                    answer.read(left);
+            Content::Stream(stream) => {
+                let frame = stream.poll_frame(cx);
+                if let (Some(unsent), Guard::Gate(response)) =
+                    (stream.unsent_after_end(), &mut self.guard)
+                {
+                    response.mark_read(unsent);
                 }
                 frame
             }
@@ -141,76 +140,76 @@
     fn is_end_stream(&self) -> bool {
         match &self.content {
             Content::Empty => true,
-            Content::Whole(_) => false,
-            Content::Relay(relay) => relay.is_end_stream(),
+            Content::Buffered(_) => false,
+            Content::Stream(stream) => stream.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
             Content::Empty => SizeHint::with_exact(0),
-            Content::Whole(buf) => SizeHint::with_exact(buf.len() as u64),
-            Content::Relay(relay) => relay.size_hint(),
+            Content::Buffered(buf) => SizeHint::with_exact(buf.len() as u64),
+            Content::Stream(stream) => stream.size_hint(),
         }
     }
 }
 
 impl Drop for Body {
     fn drop(&mut self) {
-        let whole = self.is_over();
+        let complete = self.is_complete();
         match std::mem::replace(&mut self.guard, Guard::None) {
             Guard::None => {}
-            Guard::Watch(watch) => watch.set_phase(Phase::Flush),
-            Guard::Entry(answer) => answer.over(whole),
-            Guard::Gate(answer) => answer.over(whole),
+            Guard::Connection(conn) => conn.set_phase(Phase::Flush),
+            Guard::Entry(response) => response.finish(complete),
+            Guard::Gate(response) => response.finish(complete),
         }
     }
 }
 
-impl Relay {
+impl BodyStream {
     fn is_end_stream(&self) -> bool {
-        self.is_read() && self.held() == 0
+        self.is_received() && self.unsent_bytes() == 0
     }
 
     fn size_hint(&self) -> SizeHint {
         let incoming = self.incoming.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(incoming.lower() + self.held());
+        hint.set_lower(incoming.lower() + self.unsent_bytes());
         if let Some(upper) = incoming.upper() {
-            hint.set_upper(upper + self.held());
+            hint.set_upper(upper + self.unsent_bytes());
         }
         hint
     }
 
-    /// Bytes that have come and wait for the link.
-    fn held(&self) -> u64 {
-        self.pace.as_ref().map_or(0, Pace::held)
+    /// Bytes received but not yet sent over the link.
+    fn unsent_bytes(&self) -> u64 {
+        self.pacer.as_ref().map_or(0, Pacer::buffered_bytes)
     }
 
-    /// Bytes that wait for the link after the whole body has been read, if so.
-    fn read_whole(&self) -> Option<u64> {
-        let read = !self.failed && self.is_read();
-        (read && self.held() > 0).then(|| self.held())
+    /// Number of unsent bytes once the incoming body has been read to its end.
+    fn unsent_after_end(&self) -> Option<u64> {
+        let read = !self.failed && self.is_received();
+        (read && self.unsent_bytes() > 0).then(|| self.unsent_bytes())
     }
 
-    fn is_read(&self) -> bool {
-        self.ended || self.incoming.is_end_stream()
+    fn is_received(&self) -> bool {
+        self.end_received || self.incoming.is_end_stream()
     }
 
     fn poll_frame(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.pace.is_none() {
+        if self.pacer.is_none() {
             return self.poll_incoming(cx);
         }
-        // What the link has no room for yet is read all the same.
-        while self.pace.as_ref().is_some_and(Pace::has_room) && !self.is_read() {
+        // Reads ahead of the link, up to the buffer limit.
+        while self.pacer.as_ref().is_some_and(Pacer::has_room) && !self.is_received() {
             match self.poll_incoming(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers are dropped: the header by which a caller asks for them is, too.
-                    if let (Ok(data), Some(pace)) = (frame.into_data(), &mut self.pace) {
-                        pace.hold(data);
+                    // Trailers are dropped, as is the `te` header by which a caller requests them.
+                    if let (Ok(data), Some(pacer)) = (frame.into_data(), &mut self.pacer) {
+                        pacer.push(data);
                     }
                 }
                 Poll::Ready(None) => {}
@@ -218,45 +217,45 @@
                 Poll::Pending => break,
             }
         }
-        let read = self.is_read();
-        match self.pace.as_mut().filter(|pace| pace.held() > 0) {
-            Some(pace) => pace.poll_piece(cx).map(|piece| Some(Ok(Frame::data(piece)))),
+        let read = self.is_received();
+        match self.pacer.as_mut().filter(|pacer| pacer.buffered_bytes() > 0) {
+            Some(pacer) => pacer.poll_chunk(cx).map(|chunk| Some(Ok(Frame::data(chunk)))),
             None if read => Poll::Ready(None),
             None => Poll::Pending,
         }
     }
 
-    /// An error here makes hyper break the connection off, so that the reader can't take what it
-    /// got for the whole body.
+    /// Polls the incoming body. An error makes hyper close the connection, so that the receiver
+    /// cannot mistake a truncated body for a complete one.
     fn poll_incoming(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match Pin::new(&mut self.incoming).poll_frame(cx) {
             Poll::Ready(None) => {
-                self.ended = true;
+                self.end_received = true;
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Ok(frame))) => {
-                self.timer = None;
+                self.idle_timer = None;
                 let size = frame.data_ref().map_or(0, |buf| buf.len() as u64);
-                if size > self.left {
+                if size > self.remaining {
                     return self.fail(io::ErrorKind::InvalidData);
                 }
-                self.left -= size;
+                self.remaining -= size;
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(_))) => self.fail(io::ErrorKind::ConnectionAborted),
-            Poll::Pending => self.poll_timer(cx),
+            Poll::Pending => self.poll_idle_timeout(cx),
         }
     }
 
-    fn poll_timer(
+    fn poll_idle_timeout(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let timer = self.timer.get_or_insert_with(|| Timer::after(self.idle));
-        match Pin::new(timer).poll(cx) {
+        let idle_timer = self.idle_timer.get_or_insert_with(|| Timer::after(self.idle_timeout));
+        match Pin::new(idle_timer).poll(cx) {
             Poll::Ready(_) => self.fail(io::ErrorKind::TimedOut),
             Poll::Pending => Poll::Pending,
         }
@@ -268,16 +267,20 @@
     }
 }
 
-/// Reads a body of at most `most` bytes whole.
-pub async fn collect(mut incoming: Incoming, most: u64, idle: Duration) -> Result<Bytes, Code> {
-    let stated = incoming.size_hint().lower().min(most) as usize;
+/// Buffers a body of at most `max_bytes`.
+pub async fn collect(
+    mut incoming: Incoming,
+    max_bytes: u64,
+    idle_timeout: Duration,
+) -> Result<Bytes, Code> {
+    let declared_bytes = incoming.size_hint().lower().min(max_bytes) as usize;
     let mut first: Option<Bytes> = None;
     let mut buf = BytesMut::new();
     let mut size = 0;
     loop {
         let frame = async { Some(incoming.frame().await) };
         let timeout = async {
-            Timer::after(idle).await;
+            Timer::after(idle_timeout).await;
             None
         };
         let Some(frame) = future::or(frame, timeout).await else {
@@ -290,11 +293,11 @@
             continue;
         };
         size += data.len() as u64;
-        if size > most {
+        if size > max_bytes {
             return Err(Code::RequestTooLarge);
         }
-        // Most bodies come in one piece, which is kept as it is.
-        if first.is_none() && buf.is_empty() && data.len() >= stated {
+        // Most bodies arrive in a single frame, which is used without copying.
+        if first.is_none() && buf.is_empty() && data.len() >= declared_bytes {
             first = Some(data);
             continue;
         }
@@ -306,22 +309,21 @@
     Ok(first.unwrap_or_else(|| buf.freeze()))
 }
 
-/// The connection that an answer comes in on; goes back to its pool once the answer is whole.
+/// The connection on which a response arrives. Returned to the pool once the response is complete.
 #[derive(Debug)]
 pub struct Lease {
     connection: Option<Connection>,
 }
 
 impl Lease {
-    /// Holds the connection while its answer comes in.
     pub fn new(connection: Connection) -> Lease {
         Lease { connection: Some(connection) }
     }
 
-    /// The answer is over. A connection whose answer was cut is closed.
-    pub fn over(&mut self, whole: bool) {
-        if let Some(connection) = self.connection.take().filter(|_| whole) {
-            connection.give_back();
+    /// Ends the lease. The connection of an incomplete response is closed.
+    pub fn finish(&mut self, complete: bool) {
+        if let Some(connection) = self.connection.take().filter(|_| complete) {
+            connection.release();
         }
     }
 }
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -1,17 +1,17 @@
-//! The entry node's adapter: takes calls from callers and forwards them to gatekeepers.
+//! Adapter of the entry node: accepts requests from callers and forwards them to gatekeepers.
 
 mod attempt;
 mod hedge;
 
 use super::body::{self, Body, Guard, Lease};
+use super::conn_state::{ConnectionState, Phase};
 use super::headers::{self, CallHead};
 use super::pool::{Connection, Pool};
 use super::trace::{self, Fields, Step};
-use super::watch::{Phase, Watch};
 use crate::metrics::Metrics;
 use crate::shared::Shared;
 use async_executor::Executor;
-use attempt::{Attempt, HeldBody, answering, failure};
+use attempt::{AttemptResult, RequestBody, classify_response, failure_of};
 use futures_lite::future;
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONNECTION, HOST, HeaderMap, HeaderValue};
@@ -26,71 +26,71 @@
 use sycamore_core::config::Snapshot;
 use sycamore_core::{Code, Time};
 
-/// Largest request body that is held in memory so that it can be sent again.
-pub const MAX_HELD_BODY_BYTES: u64 = 65_536;
+/// Maximum size of a request body that is buffered so that it can be sent again.
+pub const MAX_BUFFERED_BODY_BYTES: u64 = 65_536;
 
-/// When to come back to a node that is leaving.
-const COME_BACK_SOON: Duration = Duration::from_millis(200);
+/// `Retry-After` of rejections that are not caused by load.
+const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
 
-/// The entry side of a node.
+/// Adapter of the entry node's state machine.
 #[derive(Debug)]
-pub struct EntrySide {
+pub struct EntryAdapter {
     shared: Arc<Shared>,
     shards: Vec<Shard>,
     next_call: AtomicU64,
     id_prefix: String,
 }
 
-/// A part of the calls with its own lock and connections.
+/// A subset of the calls with its own lock and connection pool.
 #[derive(Debug)]
 struct Shard {
     entry: Mutex<Entry>,
     pool: Arc<Pool>,
 }
 
-/// A request as it is sent, perhaps more than once.
+/// A request that is forwarded, possibly more than once.
 #[derive(Debug)]
 struct Call {
-    open: OpenEntry,
-    began: Time,
-    watch: Arc<Watch>,
+    guard: CallGuard,
+    started: Time,
+    conn: Arc<ConnectionState>,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     id: HeaderValue,
     depth: u8,
-    body: HeldBody,
+    body: RequestBody,
 }
 
 /// A call whose body has not been read yet.
 #[derive(Debug)]
 struct NewCall {
-    open: OpenEntry,
-    began: Time,
-    watch: Arc<Watch>,
+    guard: CallGuard,
+    started: Time,
+    conn: Arc<ConnectionState>,
     id: HeaderValue,
     depth: u8,
 }
 
-/// An answer on its way to the caller.
+/// A response that is being sent to the caller.
 #[derive(Debug)]
-pub struct Answer {
-    open: OpenEntry,
+pub struct ActiveResponse {
+    guard: CallGuard,
     lease: Lease,
-    watch: Arc<Watch>,
+    conn: Arc<ConnectionState>,
 }
 
-/// A call that the decider knows; closed when dropped, so also when the caller goes away.
+/// A call that is open in the state machine. Closed on drop, including when the caller disconnects.
 #[derive(Debug)]
-struct OpenEntry {
-    side: Arc<EntrySide>,
+struct CallGuard {
+    adapter: Arc<EntryAdapter>,
     shard: usize,
     call: CallKey,
 }
 
-impl EntrySide {
-    /// An entry side with one shard a thread.
-    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> EntrySide {
+impl EntryAdapter {
+    /// Creates an adapter with one shard per thread.
+    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> EntryAdapter {
         let place = shared.settings.place();
         let shard = |index: usize| Shard {
             entry: Mutex::new(Entry::new(place.clone(), seed.wrapping_add(index as u64))),
@@ -98,39 +98,38 @@
         };
         let shards = (0..shared.settings.limits.threads).map(shard).collect();
         let id_prefix = format!("{}-{:x}", shared.settings.vm, shared.clock.now().0);
-        EntrySide { shards, next_call: AtomicU64::new(1), id_prefix, shared }
+        EntryAdapter { shards, next_call: AtomicU64::new(1), id_prefix, shared }
     }
 
-    /// How many shards there are.
     pub fn shards(&self) -> usize {
         self.shards.len()
     }
 
-    /// A version came into force.
+    /// Applies a version that came into force.
     pub fn configure(&self, snapshot: &Arc<Snapshot>) {
-        self.tell_all(|| Input::Configure(snapshot.clone()));
+        self.broadcast(|| Input::Configure(snapshot.clone()));
     }
 
-    /// The states of VMs changed.
-    pub fn view(&self, members: &Arc<Members>) {
-        self.tell_all(|| Input::View(members.clone()));
+    /// Applies a change of VM states.
+    pub fn set_members(&self, members: &Arc<Members>) {
+        self.broadcast(|| Input::View(members.clone()));
     }
 
-    /// Closes connections that were not used for long.
+    /// Closes connections that exceeded their idle timeout.
     pub fn sweep(&self) {
         for shard in &self.shards {
             shard.pool.sweep();
         }
     }
 
-    fn tell_all<'a>(&self, input: impl Fn() -> Input<'a>) {
+    fn broadcast<'a>(&self, input: impl Fn() -> Input<'a>) {
         for shard in &self.shards {
             let mut out = Vec::new();
             shard.entry.lock().handle(self.shared.clock.now(), input(), &mut out);
         }
     }
 
-    /// One decision about one call; what follows from it is for this call alone.
+    /// Passes an input for a single call to the state machine and returns its output.
     fn decide(&self, shard: usize, input: Input<'_>) -> Option<Output> {
         let now = self.shared.clock.now();
         let mut out = Vec::with_capacity(1);
@@ -138,24 +137,24 @@
         out.pop()
     }
 
-    /// Serves one request of a caller.
+    /// Serves a request from a caller.
     pub async fn serve(
-        self: Arc<EntrySide>,
+        self: Arc<EntryAdapter>,
         shard: usize,
-        watch: Arc<Watch>,
+        conn: Arc<ConnectionState>,
         req: Request<Incoming>,
     ) -> Response<Body> {
-        watch.begin(self.shared.track_call());
-        let began = self.shared.clock.now();
+        conn.begin_request(self.shared.track_call());
+        let started = self.shared.clock.now();
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
-        let read = self.read_head(&watch, &req);
+        let read = self.read_head(&conn, &req);
         let id = self.request_id(number, read.as_ref().ok());
         let head = match read {
             Ok(head) => head,
-            Err(code) => return self.refuse(&watch, &id, refusal(code)),
+            Err(code) => return self.reject(&conn, &id, rejection(code)),
         };
         if !self.shared.accepts_calls() {
-            return self.refuse(&watch, &id, refusal(Code::Draining));
+            return self.reject(&conn, &id, rejection(Code::Draining));
         }
         let call = CallKey(number);
         let host = headers::host(&req);
@@ -171,80 +170,90 @@
         };
         match self.decide(shard, Input::Arrive(arrival)) {
             Some(Output::Forward(forward)) => {
-                watch.set_deadline(forward.deadline);
-                let open = OpenEntry { side: self.clone(), shard, call };
-                let new = NewCall { open, began, watch, id, depth: head.depth };
-                self.take(new, req, forward).await
+                conn.set_deadline(forward.deadline);
+                let guard = CallGuard { adapter: self.clone(), shard, call };
+                let new = NewCall { guard, started, conn, id, depth: head.depth };
+                self.start_forwarding(new, req, forward).await
             }
-            Some(Output::Finish { outcome, .. }) => self.refuse(&watch, &id, outcome),
-            None => self.refuse(&watch, &id, refusal(Code::NoTarget)),
+            Some(Output::Finish { outcome, .. }) => self.reject(&conn, &id, outcome),
+            None => self.reject(&conn, &id, rejection(Code::NoTarget)),
         }
     }
 
-    /// Reads the head. One that states no host, though its version asks for it, is malformed.
-    fn read_head(&self, watch: &Watch, req: &Request<Incoming>) -> Result<CallHead, Code> {
+    /// Parses the request head. An HTTP/1.1 request without a `host` header is malformed.
+    fn read_head(&self, conn: &ConnectionState, req: &Request<Incoming>) -> Result<CallHead, Code> {
         let without_host = req.version() == Version::HTTP_11 && !req.headers().contains_key(HOST);
-        if watch.ambiguous() || without_host {
+        if conn.has_ambiguous_length() || without_host {
             return Err(Code::RequestInvalid);
         }
         CallHead::read(req, &self.shared.dialect)
     }
 
-    async fn take(&self, new: NewCall, req: Request<Incoming>, forward: Forward) -> Response<Body> {
-        let NewCall { open, began, watch, id, depth } = new;
+    async fn start_forwarding(
+        &self,
+        new: NewCall,
+        req: Request<Incoming>,
+        forward: Forward,
+    ) -> Response<Body> {
+        let NewCall { guard, started, conn, id, depth } = new;
         let (head, incoming) = req.into_parts();
-        let body = match self.hold(incoming, &forward).await {
+        let body = match self.buffer_body(incoming, &forward).await {
             Ok(body) => body,
-            Err(code) => return self.refuse(&watch, &id, refusal(code)),
+            Err(code) => return self.reject(&conn, &id, rejection(code)),
         };
         let mut headers = head.headers;
-        headers::strip(&mut headers);
+        headers::strip_hop_by_hop(&mut headers);
         let uri = origin_form(head.uri);
         let depth = depth.saturating_add(1);
         let method = head.method;
-        let call = Call { open, began, watch, method, uri, headers, id, depth, body };
+        let call = Call { guard, started, conn, method, uri, headers, id, depth, body };
         self.forward(call, forward).await
     }
 
-    /// Sends a request until it is answered or the decider ends it.
+    /// Forwards a request until it is answered or the state machine ends the call.
     async fn forward(&self, mut call: Call, mut forward: Forward) -> Response<Body> {
         loop {
             let attempt = self.attempt(&mut call, &mut forward).await;
-            let (key, replayable) = (call.open.call, call.body.is_whole());
+            let (key, replayable) = (call.guard.call, call.body.is_replayable());
             let input = match attempt {
-                Attempt::Answer(response, connection) => {
-                    let end = answering(&response);
+                AttemptResult::Response(response, connection) => {
+                    let end = classify_response(&response);
                     let input = Input::Attempt { call: key, end, replayable };
-                    match self.decide(call.open.shard, input) {
+                    match self.decide(call.guard.shard, input) {
                         Some(Output::Forward(next)) => forward = next,
                         _ => {
-                            let took = self.shared.clock.now().since(call.began);
+                            let elapsed = self.shared.clock.now().since(call.started);
                             let times = &self.shared.metrics.call_seconds;
-                            Metrics::observe_duration(times, forward.terms.class, took);
-                            return self.pass_on(call, response, connection);
+                            Metrics::observe_duration(times, forward.terms.class, elapsed);
+                            return self.forward_response(call, response, connection);
                         }
                     }
                     continue;
                 }
-                Attempt::Ended(end) => Input::Attempt { call: key, end, replayable },
-                Attempt::Late { sent } => Input::Expire { call: key, sent },
+                AttemptResult::Ended(end) => Input::Attempt { call: key, end, replayable },
+                AttemptResult::DeadlinePassed { sent } => Input::Expire { call: key, sent },
             };
-            self.note_failure(&call.id, &forward, failure(&input));
-            match self.decide(call.open.shard, input) {
+            self.record_failed_attempt(&call.id, &forward, failure_of(&input));
+            match self.decide(call.guard.shard, input) {
                 Some(Output::Forward(next)) => forward = next,
                 Some(Output::Finish { outcome, .. }) => {
-                    return self.refuse(&call.watch, &call.id, outcome);
+                    return self.reject(&call.conn, &call.id, outcome);
                 }
                 None => {
                     let outcome = Outcome::Unknown { code: Code::AnswerLost };
-                    return self.refuse(&call.watch, &call.id, outcome);
+                    return self.reject(&call.conn, &call.id, outcome);
                 }
             }
         }
     }
 
-    /// Records an attempt without an answer: its code, and whether a byte of it may have left.
-    fn note_failure(&self, id: &HeaderValue, forward: &Forward, (code, sent): (Code, bool)) {
+    /// Records a failed attempt: its code, and whether the target may have run the request.
+    fn record_failed_attempt(
+        &self,
+        id: &HeaderValue,
+        forward: &Forward,
+        (code, sent): (Code, bool),
+    ) {
         if matches!(code, Code::GatekeeperUnreachable | Code::AnswerLost) {
             self.shared.lost_gates.send(forward.gate);
         }
@@ -255,10 +264,10 @@
             sent: Some(sent),
             ..Fields::default()
         };
-        trace::line(&self.shared, id, Step::AttemptFailed, fields);
+        trace::log_step(&self.shared, id, Step::AttemptFailed, fields);
     }
 
-    /// The request as the gatekeeper gets it. `None` if its body has been used up.
+    /// Builds the request to the gatekeeper. Returns `None` if the body is already consumed.
     fn request(&self, call: &mut Call, forward: &Forward) -> Option<Request<Body>> {
         let mut req = Request::new(call.body.take()?);
         *req.method_mut() = call.method.clone();
@@ -266,9 +275,9 @@
         let headers = req.headers_mut();
         *headers = call.headers.clone();
         let now = self.shared.clock.now();
-        let left = forward.deadline.since(now).as_millis() as u64;
-        self.write_parties(headers, forward);
-        headers.insert(headers::DEADLINE, HeaderValue::from(left.max(1)));
+        let remaining_ms = forward.deadline.since(now).as_millis() as u64;
+        self.write_party_headers(headers, forward);
+        headers.insert(headers::DEADLINE, HeaderValue::from(remaining_ms.max(1)));
         if let Some(terms) = headers::write_terms(&forward.terms, now) {
             headers.insert(headers::TERMS, terms);
         }
@@ -282,9 +291,9 @@
         Some(req)
     }
 
-    /// Names the service that asks and the run of the target that is meant, whatever the caller
-    /// has sent under these names.
-    fn write_parties(&self, headers: &mut HeaderMap, forward: &Forward) {
+    /// Sets the headers for the calling service and the target's incarnation. Values sent by the
+    /// caller are discarded.
+    fn write_party_headers(&self, headers: &mut HeaderMap, forward: &Forward) {
         let dialect = &self.shared.dialect;
         headers.remove(&dialect.deadline);
         let incarnation = forward.incarnation.as_ref();
@@ -294,7 +303,7 @@
         for (header, name) in parties {
             let Some(header) = header else { continue };
             headers.remove(header);
-            // A name is printable ASCII, so that it always fits.
+            // A name is printable ASCII, so the conversion succeeds.
             let value = name.and_then(|name| HeaderValue::from_bytes(name.as_bytes()).ok());
             if let Some(value) = value {
                 headers.insert(header.clone(), value);
@@ -302,36 +311,42 @@
         }
     }
 
-    /// Holds a small body in memory; a larger one is passed on as it comes.
-    async fn hold(&self, incoming: Incoming, forward: &Forward) -> Result<HeldBody, Code> {
+    /// Buffers a small body; a larger one is streamed.
+    async fn buffer_body(
+        &self,
+        incoming: Incoming,
+        forward: &Forward,
+    ) -> Result<RequestBody, Code> {
         if incoming.is_end_stream() {
-            return Ok(HeldBody::Whole(bytes::Bytes::new()));
+            return Ok(RequestBody::Buffered(bytes::Bytes::new()));
         }
-        let idle = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
-        let stated = incoming.size_hint().upper();
-        let small = stated.is_some_and(|bytes| bytes <= MAX_HELD_BODY_BYTES);
-        // Only a key needs the whole body: it must always stand for the same request.
+        let idle_timeout = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
+        let declared_bytes = incoming.size_hint().upper();
+        let small = declared_bytes.is_some_and(|bytes| bytes <= MAX_BUFFERED_BODY_BYTES);
+        // Keyed requests are always buffered, because a key must identify one body.
         if !forward.terms.is_keyed() && !small {
-            let body = Body::relay(incoming, forward.max_body_bytes, idle);
-            return Ok(HeldBody::Stream(Some(Box::new(body))));
+            let body = Body::stream(incoming, forward.max_body_bytes, idle_timeout);
+            return Ok(RequestBody::Stream(Some(Box::new(body))));
         }
-        let most = forward.max_body_bytes.min(MAX_HELD_BODY_BYTES);
-        let read = self.before(forward.deadline, body::collect(incoming, most, idle)).await;
-        read.unwrap_or(Err(Code::DeadlinePassed)).map(HeldBody::Whole)
+        let max_bytes = forward.max_body_bytes.min(MAX_BUFFERED_BODY_BYTES);
+        let read = self
+            .with_deadline(forward.deadline, body::collect(incoming, max_bytes, idle_timeout))
+            .await;
+        read.unwrap_or(Err(Code::DeadlinePassed)).map(RequestBody::Buffered)
     }
 
-    fn pass_on(
+    fn forward_response(
         &self,
         call: Call,
         response: Response<Incoming>,
         connection: Connection,
     ) -> Response<Body> {
         let (mut head, incoming) = response.into_parts();
-        headers::strip(&mut head.headers);
+        headers::strip_hop_by_hop(&mut head.headers);
         head.headers.remove(headers::LOAD);
         head.headers.remove(headers::WAITED);
         head.headers.remove(headers::CRASHES);
-        if !self.shared.dialect.is_own() {
+        if !self.shared.dialect.is_native() {
             head.headers.remove(headers::OUTCOME);
             head.headers.remove(headers::REQUEST_ID);
         }
@@ -339,22 +354,27 @@
             head.headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         let fields = Fields { status: Some(head.status.as_u16()), ..Fields::default() };
-        trace::line(&self.shared, &call.id, Step::Answered, fields);
-        call.watch.set_phase(Phase::Answer);
+        trace::log_step(&self.shared, &call.id, Step::Answered, fields);
+        call.conn.set_phase(Phase::Response);
         let lease = Lease::new(connection);
-        let answer = Answer { open: call.open, lease, watch: call.watch };
-        let idle = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
-        let body = Body::relay(incoming, u64::MAX, idle).with_guard(Guard::Entry(answer));
+        let active = ActiveResponse { guard: call.guard, lease, conn: call.conn };
+        let idle_timeout = Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms);
+        let body = Body::stream(incoming, u64::MAX, idle_timeout).with_guard(Guard::Entry(active));
         Response::from_parts(head, body)
     }
 
-    fn refuse(&self, watch: &Arc<Watch>, id: &HeaderValue, outcome: Outcome) -> Response<Body> {
-        self.count(outcome);
+    fn reject(
+        &self,
+        conn: &Arc<ConnectionState>,
+        id: &HeaderValue,
+        outcome: Outcome,
+    ) -> Response<Body> {
+        self.count_outcome(outcome);
         let fields = Fields {
             version: self.shared.in_force().map(|snapshot| snapshot.version()),
             ..Fields::of_outcome(outcome)
         };
-        trace::line(&self.shared, id, Step::Ended, fields);
+        trace::log_step(&self.shared, id, Step::Ended, fields);
         let mut head = Response::new(());
         headers::write_outcome(&mut head, outcome);
         let dialect = &self.shared.dialect;
@@ -362,14 +382,14 @@
         if dialect.fractional_retry_after {
             headers::write_fractional_retry_after(head.headers_mut());
         }
-        if self.shared.draining() || watch.ambiguous() {
+        if self.shared.draining() || conn.has_ambiguous_length() {
             head.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        watch.set_phase(Phase::Answer);
-        head.map(|()| Body::empty().with_guard(Guard::Watch(watch.clone())))
+        conn.set_phase(Phase::Response);
+        head.map(|()| Body::empty().with_guard(Guard::Connection(conn.clone())))
     }
 
-    fn count(&self, outcome: Outcome) {
+    fn count_outcome(&self, outcome: Outcome) {
         let outcomes = &self.shared.metrics.outcomes;
         let (name, code) = match outcome {
             Outcome::Answered => ("answered", None),
@@ -380,7 +400,7 @@
         outcomes.with_label_values(&[name, &number]).inc();
     }
 
-    /// The request's id, or a new one.
+    /// Returns the request id sent by the caller, or generates one.
     fn request_id(&self, number: u64, head: Option<&CallHead>) -> HeaderValue {
         let given = head.and_then(|head| head.request_id.clone());
         given.unwrap_or_else(|| {
@@ -389,8 +409,8 @@
         })
     }
 
-    /// `None` if the deadline passes first.
-    async fn before<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
+    /// Returns `None` if the deadline passes first.
+    async fn with_deadline<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
         let timeout = async {
             self.shared.clock.sleep_until(deadline).await;
             None
@@ -399,28 +419,28 @@
     }
 }
 
-impl Answer {
-    /// The answer's body is over: to its end, or cut.
-    pub fn over(mut self, whole: bool) {
-        self.lease.over(whole);
+impl ActiveResponse {
+    /// Ends the response; `complete` is false if the body was truncated.
+    pub fn finish(mut self, complete: bool) {
+        self.lease.finish(complete);
         let outcome =
-            if whole { Outcome::Answered } else { Outcome::Unknown { code: Code::AnswerLost } };
-        self.open.side.count(outcome);
-        self.watch.set_phase(Phase::Flush);
+            if complete { Outcome::Answered } else { Outcome::Unknown { code: Code::AnswerLost } };
+        self.guard.adapter.count_outcome(outcome);
+        self.conn.set_phase(Phase::Flush);
     }
 }
 
-impl Drop for OpenEntry {
+impl Drop for CallGuard {
     fn drop(&mut self) {
-        self.side.decide(self.shard, Input::Close(self.call));
+        self.adapter.decide(self.shard, Input::Close(self.call));
     }
 }
 
-fn refusal(code: Code) -> Outcome {
-    Outcome::not_run(code, COME_BACK_SOON)
+fn rejection(code: Code) -> Outcome {
+    Outcome::not_run(code, RETRY_AFTER_SHORT)
 }
 
-/// The form of a target that a server expects: path and query alone.
+/// Converts to origin form: path and query only.
 fn origin_form(uri: Uri) -> Uri {
     if uri.authority().is_none() {
         return uri;
--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call: the body that it sends, and what it comes to.
+//! A single attempt of a call: its request body and its result.
 
 use crate::calls::body::Body;
 use crate::calls::headers::{self, Verdict};
@@ -10,50 +10,47 @@
 use sycamore_core::call::entry::{AttemptEnd, Input};
 
 #[derive(Debug)]
-pub(super) enum HeldBody {
-    /// In memory: can be sent again.
-    Whole(bytes::Bytes),
-    /// Passed on as it comes: absent once it has been sent.
+pub(super) enum RequestBody {
+    /// Buffered: can be sent again.
+    Buffered(bytes::Bytes),
+    /// Streamed: `None` once it has been sent.
     Stream(Option<Box<Body>>),
 }
 
-impl HeldBody {
-    pub(super) fn is_whole(&self) -> bool {
-        !matches!(self, HeldBody::Stream(None))
+impl RequestBody {
+    pub(super) fn is_replayable(&self) -> bool {
+        !matches!(self, RequestBody::Stream(None))
     }
 
-    /// Whether it can be sent while another attempt sends it.
-    pub(super) fn is_held(&self) -> bool {
-        matches!(self, HeldBody::Whole(_))
+    /// Whether it can be sent by two attempts at the same time.
+    pub(super) fn is_buffered(&self) -> bool {
+        matches!(self, RequestBody::Buffered(_))
     }
 
     pub(super) fn take(&mut self) -> Option<Body> {
         match self {
-            HeldBody::Whole(buf) => Some(Body::whole(buf.clone())),
-            HeldBody::Stream(body) => body.take().map(|body| *body),
+            RequestBody::Buffered(buf) => Some(Body::buffered(buf.clone())),
+            RequestBody::Stream(body) => body.take().map(|body| *body),
         }
     }
 
-    pub(super) fn put_back(&mut self, unsent: Body) {
-        if let HeldBody::Stream(body) = self {
+    pub(super) fn restore(&mut self, unsent: Body) {
+        if let RequestBody::Stream(body) = self {
             *body = Some(Box::new(unsent));
         }
     }
 }
 
-/// What one attempt came to.
+/// Result of an attempt.
 #[derive(Debug)]
-pub(super) enum Attempt {
-    Answer(Response<Incoming>, Connection),
+pub(super) enum AttemptResult {
+    Response(Response<Incoming>, Connection),
     Ended(AttemptEnd),
-    /// The deadline passed.
-    Late {
-        sent: bool,
-    },
+    DeadlinePassed { sent: bool },
 }
 
-/// Code of an attempt without an answer, and whether a byte of it may have left.
-pub(super) fn failure(input: &Input<'_>) -> (Code, bool) {
+/// Code of a failed attempt, and whether the target may have run the request.
+pub(super) fn failure_of(input: &Input<'_>) -> (Code, bool) {
     match input {
         Input::Attempt { end, .. } => end_code(end),
         Input::Expire { sent, .. } => (Code::DeadlinePassed, *sent),
@@ -61,7 +58,7 @@
     }
 }
 
-/// The same by what the attempt came to.
+/// Code of an attempt's end, and whether the target may have run the request.
 pub(super) fn end_code(end: &AttemptEnd) -> (Code, bool) {
     match end {
         AttemptEnd::Refused { code, .. } => (*code, false),
@@ -75,8 +72,8 @@
     }
 }
 
-/// What the head of a target's answer says.
-pub(super) fn answering(response: &Response<Incoming>) -> AttemptEnd {
+/// Classifies a target's response by its head.
+pub(super) fn classify_response(response: &Response<Incoming>) -> AttemptEnd {
     let load = headers::load(response.headers());
     let failed = response.status().is_server_error();
     match failed && response.status() != StatusCode::GATEWAY_TIMEOUT {
@@ -85,25 +82,25 @@
     }
 }
 
-/// Takes a gatekeeper's answer apart.
-pub(super) fn judge(
+/// Converts a gatekeeper's response to the result of the attempt.
+pub(super) fn parse_response(
     id: &HeaderValue,
     response: Response<Incoming>,
     connection: Connection,
-) -> Attempt {
-    let crashes = headers::number(response.headers(), &headers::CRASHES).ok().flatten();
+) -> AttemptResult {
+    let crashes = headers::parse_number(response.headers(), &headers::CRASHES).ok().flatten();
     let crashes = crashes.unwrap_or(0).min(u32::MAX.into()) as u32;
     let load = headers::load(response.headers());
     let end = match headers::verdict(&response, id) {
-        Verdict::Answered => return Attempt::Answer(response, connection),
+        Verdict::Answered => return AttemptResult::Response(response, connection),
         Verdict::NotRun(code, retry_after) => {
             AttemptEnd::Refused { code, retry_after, load, crashes }
         }
         Verdict::Unknown(code) => AttemptEnd::Failed { code, crashes },
-        Verdict::Foreign => return Attempt::Ended(AttemptEnd::ConnectionLost),
+        Verdict::Foreign => return AttemptResult::Ended(AttemptEnd::ConnectionLost),
     };
     if response.body().is_end_stream() {
-        connection.give_back();
+        connection.release();
     }
-    Attempt::Ended(end)
+    AttemptResult::Ended(end)
 }
--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -1,7 +1,7 @@
-//! One step of a call: an attempt, and a hedge beside it if it is slow.
+//! One round of a call: an attempt, and a hedged attempt if the first one is slow.
 
-use super::attempt::{Attempt, answering, end_code, judge};
-use super::{Call, EntrySide};
+use super::attempt::{AttemptResult, classify_response, end_code, parse_response};
+use super::{Call, EntryAdapter};
 use crate::calls::body::Body;
 use crate::calls::pool::SendError;
 use crate::calls::trace::{self, Fields, Step};
@@ -16,78 +16,79 @@
 use sycamore_core::call::CallKey;
 use sycamore_core::call::entry::{AttemptEnd, Forward, Input, Output};
 
-/// What became of a request that was sent to a gatekeeper.
-enum Sent {
-    Ended(Attempt),
-    /// Nothing has left, and the body is still whole.
+/// Result of sending a request to a gatekeeper.
+enum ExchangeResult {
+    Ended(AttemptResult),
+    /// No byte was sent; the body is unused.
     Unsent(Body),
 }
 
-impl Sent {
-    /// The end of an attempt whose body is held anyway.
-    fn into_attempt(self) -> Attempt {
+impl ExchangeResult {
+    /// Drops the unsent body, which is buffered elsewhere.
+    fn into_attempt(self) -> AttemptResult {
         match self {
-            Sent::Ended(attempt) => attempt,
-            Sent::Unsent(_) => Attempt::Ended(AttemptEnd::NotSent),
+            ExchangeResult::Ended(attempt) => attempt,
+            ExchangeResult::Unsent(_) => AttemptResult::Ended(AttemptEnd::NotSent),
         }
     }
 }
 
-impl EntrySide {
-    /// Sends a request, and a hedge if that takes longer than nearly all do. `forward` becomes the
-    /// attempt that the result is of.
-    pub(super) async fn attempt(&self, call: &mut Call, forward: &mut Forward) -> Attempt {
+impl EntryAdapter {
+    /// Sends a request, and a hedge if no response arrives within the hedge delay. Sets `forward`
+    /// to the attempt that produced the result.
+    pub(super) async fn attempt(&self, call: &mut Call, forward: &mut Forward) -> AttemptResult {
         let Some(req) = self.begin_attempt(call, forward) else {
-            return Attempt::Ended(AttemptEnd::ConnectionLost);
+            return AttemptResult::Ended(AttemptEnd::ConnectionLost);
         };
-        let Some(patience) = forward.hedge_delay_ms.filter(|_| call.body.is_held()) else {
-            return match self.exchange(call.open.shard, &call.id, forward, req).await {
-                Sent::Ended(attempt) => attempt,
-                Sent::Unsent(body) => {
-                    call.body.put_back(body);
-                    Attempt::Ended(AttemptEnd::NotSent)
+        let Some(delay_ms) = forward.hedge_delay_ms.filter(|_| call.body.is_buffered()) else {
+            return match self.exchange(call.guard.shard, &call.id, forward, req).await {
+                ExchangeResult::Ended(attempt) => attempt,
+                ExchangeResult::Unsent(body) => {
+                    call.body.restore(body);
+                    AttemptResult::Ended(AttemptEnd::NotSent)
                 }
             };
         };
-        let first = forward.clone();
-        let (key, shard, id) = (call.open.call, call.open.shard, call.id.clone());
-        let mut sending = pin!(self.exchange(shard, &id, &first, req));
-        let slow = async {
-            self.shared.clock.sleep(Duration::from_millis(patience.into())).await;
+        let primary = forward.clone();
+        let (key, shard, id) = (call.guard.call, call.guard.shard, call.id.clone());
+        let mut primary_exchange = pin!(self.exchange(shard, &id, &primary, req));
+        let hedge_delay = async {
+            self.shared.clock.sleep(Duration::from_millis(delay_ms.into())).await;
             None
         };
-        let quick = future::or(async { Some(sending.as_mut().await) }, slow).await;
-        if let Some(sent) = quick {
-            return sent.into_attempt();
+        let early = future::or(async { Some(primary_exchange.as_mut().await) }, hedge_delay).await;
+        if let Some(result) = early {
+            return result.into_attempt();
         }
         let Some(Output::Forward(hedge)) = self.decide(shard, Input::HedgeDue(key)) else {
-            return sending.await.into_attempt();
+            return primary_exchange.await.into_attempt();
         };
         let Some(req) = self.begin_attempt(call, &hedge) else {
-            return sending.await.into_attempt();
+            return primary_exchange.await.into_attempt();
         };
-        let race = Race { side: self, key, shard, id: &id, first: &first, hedge: &hedge };
+        let race =
+            HedgeRace { adapter: self, key, shard, id: &id, primary: &primary, hedge: &hedge };
         let other = pin!(self.exchange(shard, &id, &hedge, req));
-        let (attempt, by) = match select(sending, other).await {
-            Either::Left((sent, other)) => {
+        let (attempt, winner) = match select(primary_exchange, other).await {
+            Either::Left((result, other)) => {
                 let other = async { other.await.into_attempt() };
-                race.settle(Attempted::First, sent.into_attempt(), other).await
+                race.resolve(AttemptKind::Primary, result.into_attempt(), other).await
             }
-            Either::Right((sent, first)) => {
-                let first = async { first.await.into_attempt() };
-                race.settle(Attempted::Hedge, sent.into_attempt(), first).await
+            Either::Right((result, primary)) => {
+                let primary = async { primary.await.into_attempt() };
+                race.resolve(AttemptKind::Hedge, result.into_attempt(), primary).await
             }
         };
-        if by == Attempted::Hedge {
+        if winner == AttemptKind::Hedge {
             *forward = hedge.clone();
         }
         attempt
     }
 
-    /// The request of an attempt, which is recorded. `None` if its body has been used up.
+    /// Records an attempt and builds its request. Returns `None` if the body is already consumed.
     fn begin_attempt(&self, call: &mut Call, forward: &Forward) -> Option<Request<Body>> {
         let fields = Fields::of_forward(&self.shared, forward);
-        trace::line(&self.shared, &call.id, Step::Forwarded, fields);
+        trace::log_step(&self.shared, &call.id, Step::Forwarded, fields);
         let kind = if forward.attempt > 1 { "retry" } else { "first" };
         self.shared.metrics.attempts.with_label_values(&[kind]).inc();
         self.request(call, forward)
@@ -99,122 +100,122 @@
         id: &HeaderValue,
         forward: &Forward,
         req: Request<Body>,
-    ) -> Sent {
+    ) -> ExchangeResult {
         let sent = AtomicBool::new(false);
-        let sending = self.shards[shard].pool.send(forward.gate, req, &sent);
-        let attempt = match self.before(forward.deadline, sending).await {
-            None => Attempt::Late { sent: sent.load(Ordering::Acquire) },
-            Some(Err(SendError::Broken)) => Attempt::Ended(AttemptEnd::ConnectionLost),
-            Some(Err(SendError::NotSent(req))) => return Sent::Unsent(req.into_body()),
-            Some(Ok((response, connection))) => judge(id, response, connection),
+        let exchange = self.shards[shard].pool.send(forward.gate, req, &sent);
+        let attempt = match self.with_deadline(forward.deadline, exchange).await {
+            None => AttemptResult::DeadlinePassed { sent: sent.load(Ordering::Acquire) },
+            Some(Err(SendError::Broken)) => AttemptResult::Ended(AttemptEnd::ConnectionLost),
+            Some(Err(SendError::NotSent(req))) => return ExchangeResult::Unsent(req.into_body()),
+            Some(Ok((response, connection))) => parse_response(id, response, connection),
         };
-        Sent::Ended(attempt)
+        ExchangeResult::Ended(attempt)
     }
 }
 
-/// An attempt and its hedge, one of which has ended.
-struct Race<'a> {
-    side: &'a EntrySide,
+/// An attempt and its hedge, one of which has completed.
+struct HedgeRace<'a> {
+    adapter: &'a EntryAdapter,
     key: CallKey,
     shard: usize,
     id: &'a HeaderValue,
-    first: &'a Forward,
+    primary: &'a Forward,
     hedge: &'a Forward,
 }
 
-/// Which of the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Attempted {
-    First,
+enum AttemptKind {
+    Primary,
     Hedge,
 }
 
-impl Attempted {
-    fn other(self) -> Attempted {
+impl AttemptKind {
+    fn other(self) -> AttemptKind {
         match self {
-            Attempted::First => Attempted::Hedge,
-            Attempted::Hedge => Attempted::First,
+            AttemptKind::Primary => AttemptKind::Hedge,
+            AttemptKind::Hedge => AttemptKind::Primary,
         }
     }
 }
 
-impl Race<'_> {
-    /// One of the two has ended. Returns the result for the caller, and which of them it is of.
-    async fn settle(
+impl HedgeRace<'_> {
+    /// Handles the completion of one of the two attempts. Returns the result for the caller and the
+    /// attempt that produced it.
+    async fn resolve(
         &self,
-        ended: Attempted,
-        attempt: Attempt,
-        other: impl Future<Output = Attempt>,
-    ) -> (Attempt, Attempted) {
-        match rank(&attempt) {
-            Usable::Yes => {
-                self.over(ended.other(), None);
+        ended: AttemptKind,
+        attempt: AttemptResult,
+        other: impl Future<Output = AttemptResult>,
+    ) -> (AttemptResult, AttemptKind) {
+        match usability(&attempt) {
+            Usability::Final => {
+                self.report_end(ended.other(), None);
                 (attempt, ended)
             }
-            Usable::LastResort => match other.await {
-                better @ Attempt::Answer(..) => {
-                    self.over(ended, Some(end_of(attempt)));
+            Usability::Fallback => match other.await {
+                better @ AttemptResult::Response(..) => {
+                    self.report_end(ended, Some(into_end(attempt)));
                     (better, ended.other())
                 }
-                Attempt::Ended(end) => {
-                    self.over(ended.other(), Some(end));
+                AttemptResult::Ended(end) => {
+                    self.report_end(ended.other(), Some(end));
                     (attempt, ended)
                 }
-                Attempt::Late { .. } => {
-                    self.over(ended.other(), None);
+                AttemptResult::DeadlinePassed { .. } => {
+                    self.report_end(ended.other(), None);
                     (attempt, ended)
                 }
             },
-            Usable::No => {
-                self.over(ended, Some(end_of(attempt)));
+            Usability::Unusable => {
+                self.report_end(ended, Some(into_end(attempt)));
                 (other.await, ended.other())
             }
         }
     }
 
-    /// One of the two is over; without an end it was given up.
-    fn over(&self, which: Attempted, end: Option<AttemptEnd>) {
+    /// Reports the end of one of the attempts; `None` means that it was cancelled.
+    fn report_end(&self, which: AttemptKind, end: Option<AttemptEnd>) {
         let forward = match which {
-            Attempted::First => self.first,
-            Attempted::Hedge => self.hedge,
+            AttemptKind::Primary => self.primary,
+            AttemptKind::Hedge => self.hedge,
         };
-        let noted = end.as_ref().map_or((Code::Overtaken, true), end_code);
-        self.side.note_failure(self.id, forward, noted);
+        let failure = end.as_ref().map_or((Code::Overtaken, true), end_code);
+        self.adapter.record_failed_attempt(self.id, forward, failure);
         let call = self.key;
         let input = match which {
-            Attempted::First => {
+            AttemptKind::Primary => {
                 Input::PrimaryEnded { call, end: end.unwrap_or(AttemptEnd::LostToHedge) }
             }
-            Attempted::Hedge => Input::HedgeEnded { call, end },
+            AttemptKind::Hedge => Input::HedgeEnded { call, end },
         };
-        self.side.decide(self.shard, input);
+        self.adapter.decide(self.shard, input);
     }
 }
 
-/// Whether an attempt's end is what the caller gets while another goes on.
-enum Usable {
-    Yes,
-    /// A failure of the target's own, unless the other attempt is answered better.
-    LastResort,
-    No,
+/// Whether an attempt's result is returned to the caller while the other attempt is in flight.
+enum Usability {
+    Final,
+    /// An error response of the target, used unless the other attempt succeeds.
+    Fallback,
+    Unusable,
 }
 
-fn rank(attempt: &Attempt) -> Usable {
+fn usability(attempt: &AttemptResult) -> Usability {
     match attempt {
-        Attempt::Answer(response, _) => match answering(response) {
-            AttemptEnd::ErrorResponseStarted { .. } => Usable::LastResort,
-            _ => Usable::Yes,
+        AttemptResult::Response(response, _) => match classify_response(response) {
+            AttemptEnd::ErrorResponseStarted { .. } => Usability::Fallback,
+            _ => Usability::Final,
         },
-        // The deadline is the same for both.
-        Attempt::Late { .. } => Usable::Yes,
-        Attempt::Ended(_) => Usable::No,
+        // Both attempts have the same deadline.
+        AttemptResult::DeadlinePassed { .. } => Usability::Final,
+        AttemptResult::Ended(_) => Usability::Unusable,
     }
 }
 
-fn end_of(attempt: Attempt) -> AttemptEnd {
+fn into_end(attempt: AttemptResult) -> AttemptEnd {
     match attempt {
-        Attempt::Answer(response, _) => answering(&response),
-        Attempt::Ended(end) => end,
-        Attempt::Late { .. } => AttemptEnd::ConnectionLost,
+        AttemptResult::Response(response, _) => classify_response(&response),
+        AttemptResult::Ended(end) => end,
+        AttemptResult::DeadlinePassed { .. } => AttemptEnd::ConnectionLost,
     }
 }
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -1,17 +1,17 @@
-//! The gatekeeper's adapter: the only one that opens connections to the local target.
+//! Adapter of the gatekeeper, the only component that opens connections to the local target.
 
 mod slot;
 mod target;
 
-pub use slot::{Answer, Slot};
+pub use slot::{ActiveResponse, Slot};
 
 use super::body::{self, Body, Guard};
+use super::conn_state::{ConnectionState, Phase};
 use super::dialect::Dialect;
-use super::entry::MAX_HELD_BODY_BYTES;
+use super::entry::MAX_BUFFERED_BODY_BYTES;
 use super::headers::{self, CallHead};
 use super::pool::Pool;
 use super::trace::{self, Fields, Step};
-use super::watch::{Phase, Watch};
 use crate::metrics::Metrics;
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
@@ -23,7 +23,7 @@
 use hyper::{Request, Response, StatusCode};
 use indexmap::IndexMap;
 use parking_lot::Mutex;
-use slot::Wait;
+use slot::QueuedCall;
 use std::future::Future;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -39,18 +39,18 @@
 use sycamore_core::{Code, Name, Time};
 use target::Call;
 
-/// When to come back after a refusal by the adapter itself.
-const COME_BACK_SOON: Duration = Duration::from_millis(200);
+/// `Retry-After` of rejections by the adapter.
+const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
 
-/// The gatekeeper side of a node.
+/// Adapter of the gatekeeper's state machine.
 #[derive(Debug)]
-pub struct GateSide {
+pub struct GateAdapter {
     shared: Arc<Shared>,
     executor: Arc<Executor<'static>>,
     pool: Arc<Pool>,
     state: Mutex<State>,
     next_call: AtomicU64,
-    drain_told: AtomicBool,
+    drain_sent: AtomicBool,
 }
 
 #[derive(Debug)]
@@ -59,18 +59,17 @@
     waiting: IndexMap<CallKey, Sender<Decision>>,
 }
 
-/// What the decider says to one call.
+/// Decision of the state machine about a call.
 #[derive(Debug)]
 enum Decision {
     Run { once: bool },
     Queue(Time, Receiver<Decision>),
     Replay(Arc<CachedResponse>),
-    Refuse(Outcome, u32),
+    Reject(Outcome, u32),
 }
 
-impl GateSide {
-    /// The gatekeeper side of a node.
-    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> GateSide {
+impl GateAdapter {
+    pub fn new(shared: Arc<Shared>, executor: &Arc<Executor<'static>>, seed: u64) -> GateAdapter {
         let settings = &shared.settings;
         let link = settings.limits.link_mbps.map(|rate| rate.kbps);
         let mut gatekeeper =
@@ -78,47 +77,47 @@
         if let Some(service) = &settings.service {
             gatekeeper = gatekeeper.with_discovered_target(settings.listen.gate, service.clone());
         }
-        GateSide {
+        GateAdapter {
             pool: Pool::new(shared.clock.clone(), executor.clone()),
             executor: executor.clone(),
             state: Mutex::new(State { gatekeeper, waiting: IndexMap::new() }),
             next_call: AtomicU64::new(1),
-            drain_told: AtomicBool::new(false),
+            drain_sent: AtomicBool::new(false),
             shared,
         }
     }
 
-    /// A version came into force.
+    /// Applies a version that came into force.
     pub fn configure(&self, snapshot: &Arc<Snapshot>) {
-        self.tell(Input::Configure(snapshot.clone()));
+        self.handle_input(Input::Configure(snapshot.clone()));
     }
 
-    /// The states of VMs changed.
-    pub fn view(&self, members: &Arc<Members>) {
-        self.tell(Input::View(members.clone()));
+    /// Applies a change of VM states.
+    pub fn set_members(&self, members: &Arc<Members>) {
+        self.handle_input(Input::View(members.clone()));
     }
 
-    /// The version in force is confirmed to be the newest.
+    /// Reports that the version in force is confirmed to be the newest.
     pub fn confirm(&self) {
-        self.tell(Input::Confirm);
+        self.handle_input(Input::Confirm);
     }
 
-    /// Takes a note from another gatekeeper.
+    /// Handles a note from another gatekeeper.
     pub fn take_note(&self, from: &Name, note: &Note) {
-        self.tell(Input::Note { from, note });
+        self.handle_input(Input::Note { from, note });
     }
 
-    /// Time passes.
+    /// Sends a tick to the state machine, preceded by a drain input if draining has started.
     pub fn tick(&self) {
-        if !self.shared.accepts_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
-            self.tell(Input::Drain);
+        if !self.shared.accepts_forwards() && !self.drain_sent.swap(true, Ordering::AcqRel) {
+            self.handle_input(Input::Drain);
         }
-        self.tell(Input::Tick);
+        self.handle_input(Input::Tick);
         self.pool.sweep();
     }
 
-    /// Makes a decision that is not about a call of the present task.
-    fn tell(&self, input: Input<'_>) {
+    /// Passes an input to the state machine that does not belong to a call of the current task.
+    fn handle_input(&self, input: Input<'_>) {
         let mut out = Vec::new();
         let now = self.shared.clock.now();
         let mut state = self.state.lock();
@@ -126,11 +125,11 @@
         let (load, runs) = (state.gatekeeper.load(now), state.gatekeeper.runs());
         let (_, effects) = state.dispatch(None, out);
         drop(state);
-        self.show_load(load, runs);
-        self.carry_out(effects);
+        self.publish_load(load, runs);
+        self.execute(effects);
     }
 
-    /// Makes a decision about `call` and returns what it says to that call.
+    /// Passes an input about `call` to the state machine and returns the decision for that call.
     fn decide(&self, call: CallKey, input: Input<'_>) -> Option<Decision> {
         let mut out = Vec::with_capacity(2);
         let now = self.shared.clock.now();
@@ -139,18 +138,18 @@
         let (load, runs) = (state.gatekeeper.load(now), state.gatekeeper.runs());
         let (own, effects) = state.dispatch(Some(call), out);
         drop(state);
-        self.show_load(load, runs);
-        self.carry_out(effects);
+        self.publish_load(load, runs);
+        self.execute(effects);
         own
     }
 
-    fn show_load(&self, load: Load, runs: Runs) {
+    fn publish_load(&self, load: Load, runs: Runs) {
         self.shared.set_own_runs(runs);
         self.shared.metrics.in_flight.set(load.in_flight.into());
         self.shared.metrics.queued.set(load.queued.into());
     }
 
-    fn carry_out(&self, effects: Vec<Output>) {
+    fn execute(&self, effects: Vec<Output>) {
         for output in effects {
             match output {
                 Output::Send(note) => {
@@ -165,46 +164,47 @@
         }
     }
 
-    /// For how long the next bytes of the answer to `call` must wait for the link.
-    pub(super) fn wait_for_link(&self, call: CallKey, bytes: u64) -> Duration {
+    /// Delay before the next `bytes` of the response to `call` may be sent over the link.
+    pub(super) fn link_delay(&self, call: CallKey, bytes: u64) -> Duration {
         let now = self.shared.clock.now();
         self.state.lock().gatekeeper.schedule_chunk(now, call, bytes).since(now)
     }
 
-    /// Serves one request that another node forwards.
+    /// Serves a request forwarded by another node.
     pub async fn serve(
-        self: Arc<GateSide>,
-        watch: Arc<Watch>,
+        self: Arc<GateAdapter>,
+        conn: Arc<ConnectionState>,
         req: Request<Incoming>,
     ) -> Response<Body> {
-        watch.begin(self.shared.track_call());
+        conn.begin_request(self.shared.track_call());
         let read = CallHead::read(&req, &Dialect::new());
         let id = req.headers().get(headers::REQUEST_ID).cloned();
         let id = id.unwrap_or_else(|| HeaderValue::from_static("none"));
         let head = match read {
-            Ok(head) if head.request_id.is_some() && !watch.ambiguous() => head,
-            Ok(_) => return self.refuse(&watch, &id, refusal(Code::RequestInvalid), 0),
-            Err(code) => return self.refuse(&watch, &id, refusal(code), 0),
+            Ok(head) if head.request_id.is_some() && !conn.has_ambiguous_length() => head,
+            Ok(_) => return self.reject(&conn, &id, rejection(Code::RequestInvalid), 0),
+            Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
         let key = CallKey(self.next_call.fetch_add(1, Ordering::Relaxed));
         let deadline = self.shared.clock.now() + head.time_left.unwrap_or_default();
-        watch.set_deadline(deadline);
+        conn.set_deadline(deadline);
         let terms = match headers::read_terms(req.headers(), self.shared.clock.now()) {
             Ok(terms) => terms,
-            Err(code) => return self.refuse(&watch, &id, refusal(code), 0),
+            Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
         let idempotent = terms.as_ref().is_none_or(|terms| terms.idempotent);
         let class = terms.as_ref().map_or(Class::Interactive, |terms| terms.class);
-        let came = self.shared.clock.now();
+        let arrived = self.shared.clock.now();
         let host = headers::host(&req);
-        let (req, held) = match self.hold(req, deadline).await {
-            Ok(held) => held,
-            Err(code) => return self.refuse(&watch, &id, refusal(code), 0),
+        let (req, buffered_body) = match self.buffer_body(req, deadline).await {
+            Ok(buffered) => buffered,
+            Err(code) => return self.reject(&conn, &id, rejection(code), 0),
         };
-        if !self.shared.accepts_forwards() && !self.drain_told.swap(true, Ordering::AcqRel) {
-            self.tell(Input::Drain);
+        if !self.shared.accepts_forwards() && !self.drain_sent.swap(true, Ordering::AcqRel) {
+            self.handle_input(Input::Drain);
         }
-        let digest = held.as_ref().filter(|_| head.key.is_some()).map(|buf| digest(&req, buf));
+        let digest =
+            buffered_body.as_ref().filter(|_| head.key.is_some()).map(|buf| digest(&req, buf));
         let arrival = Arrival {
             call: key,
             host: &host,
@@ -212,66 +212,66 @@
             terms,
             key: head.key,
             digest,
-            fingerprint: self.fingerprint(&req, &host, &head, held.as_ref()),
+            fingerprint: self.fingerprint(&req, &host, &head, buffered_body.as_ref()),
             crashes: head.crashes,
-            // The entry node has counted itself.
+            // The entry node has already counted itself.
             depth: head.depth.saturating_sub(1),
             deadline,
         };
         let decision = match self.decide(key, Input::Arrive(arrival)) {
             Some(Decision::Queue(until, granted)) => {
                 self.trace(&id, Step::GateQueued);
-                self.wait(key, until, granted).await
+                self.wait_for_slot(key, until, granted).await
             }
             Some(decision) => decision,
-            None => Decision::Refuse(refusal(Code::NoTarget), 0),
+            None => Decision::Reject(rejection(Code::NoTarget), 0),
         };
-        let waited = self.shared.clock.now().since(came);
+        let waited = self.shared.clock.now().since(arrived);
         if matches!(decision, Decision::Run { .. }) {
             self.trace(&id, Step::GateRun);
             Metrics::observe_duration(&self.shared.metrics.wait_seconds, class, waited);
         }
         let call = Call { key, id, deadline, class, idempotent, waited, req };
         match decision {
-            Decision::Run { once: true } => self.run_once(&watch, call).await,
-            Decision::Run { once: false } => self.run(&watch, call).await,
-            Decision::Replay(answer) => self.replay(&watch, &call.id, &answer, &self.load()),
-            Decision::Refuse(outcome, crashes) => self.refuse(&watch, &call.id, outcome, crashes),
-            Decision::Queue(..) => self.refuse(&watch, &call.id, refusal(Code::QueueTimeout), 0),
+            Decision::Run { once: true } => self.run_once(&conn, call).await,
+            Decision::Run { once: false } => self.run(&conn, call).await,
+            Decision::Replay(cached) => self.replay(&conn, &call.id, &cached, &self.load()),
+            Decision::Reject(outcome, crashes) => self.reject(&conn, &call.id, outcome, crashes),
+            Decision::Queue(..) => self.reject(&conn, &call.id, rejection(Code::QueueTimeout), 0),
         }
     }
 
     fn trace(&self, id: &HeaderValue, step: Step) {
         let load = self.state.lock().gatekeeper.load(self.shared.clock.now());
-        trace::line(&self.shared, id, step, Fields::default().with_load(load));
+        trace::log_step(&self.shared, id, step, Fields::default().with_load(load));
     }
 
-    /// Waits for a slot.
-    async fn wait(
-        self: &Arc<GateSide>,
+    /// Waits for a slot of the target.
+    async fn wait_for_slot(
+        self: &Arc<GateAdapter>,
         call: CallKey,
         until: Time,
         granted: Receiver<Decision>,
     ) -> Decision {
-        let wait = Wait::new(self, call);
+        let queued_call = QueuedCall::new(self, call);
         let timeout = async {
             self.shared.clock.sleep_until(until).await;
             None
         };
         let decision = future::or(async { granted.recv().await.ok() }, timeout).await;
         let decision = decision.or_else(|| {
-            // A slot may have been given in the very moment of the timeout.
-            let refused = self.decide(call, Input::Expire(call));
-            granted.try_recv().ok().or(refused)
+            // A slot may have been granted at the moment of the timeout.
+            let rejected = self.decide(call, Input::Expire(call));
+            granted.try_recv().ok().or(rejected)
         });
         if decision.is_some() {
-            wait.over();
+            queued_call.disarm();
         }
-        decision.unwrap_or(Decision::Refuse(refusal(Code::QueueTimeout), 0))
+        decision.unwrap_or(Decision::Reject(rejection(Code::QueueTimeout), 0))
     }
 
-    /// Holds a small body in memory, so that the request can be told from others.
-    async fn hold(
+    /// Buffers a small body for the fingerprint and digest of the request.
+    async fn buffer_body(
         &self,
         req: Request<Incoming>,
         deadline: Time,
@@ -280,44 +280,46 @@
         if incoming.is_end_stream() {
             return Ok((Request::from_parts(head, Body::empty()), Some(Bytes::new())));
         }
-        let small = incoming.size_hint().upper().is_some_and(|size| size <= MAX_HELD_BODY_BYTES);
+        let small =
+            incoming.size_hint().upper().is_some_and(|size| size <= MAX_BUFFERED_BODY_BYTES);
         if !small {
-            let body = Body::relay(incoming, u64::MAX, self.idle());
+            let body = Body::stream(incoming, u64::MAX, self.idle_body_timeout());
             return Ok((Request::from_parts(head, body), None));
         }
-        let collect = body::collect(incoming, MAX_HELD_BODY_BYTES, self.idle());
-        let buf = self.before(deadline, collect).await.unwrap_or(Err(Code::DeadlinePassed))?;
-        Ok((Request::from_parts(head, Body::whole(buf.clone())), Some(buf)))
+        let collect = body::collect(incoming, MAX_BUFFERED_BODY_BYTES, self.idle_body_timeout());
+        let buf =
+            self.with_deadline(deadline, collect).await.unwrap_or(Err(Code::DeadlinePassed))?;
+        Ok((Request::from_parts(head, Body::buffered(buf.clone())), Some(buf)))
     }
 
-    /// Gives an answer that is held whole.
+    /// Builds a response from a buffered one.
     fn replay(
         &self,
-        watch: &Arc<Watch>,
+        conn: &Arc<ConnectionState>,
         id: &HeaderValue,
-        answer: &CachedResponse,
+        cached: &CachedResponse,
         load: &HeaderValue,
     ) -> Response<Body> {
         let mut response = Response::new(Body::empty());
-        *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or_default();
+        *response.status_mut() = StatusCode::from_u16(cached.status).unwrap_or_default();
         let headers = response.headers_mut();
-        for (name, value) in &answer.headers {
+        for (name, value) in &cached.headers {
             let name = HeaderName::from_bytes(name);
             let value = HeaderValue::from_maybe_shared(value.clone());
             if let (Ok(name), Ok(value)) = (name, value) {
                 headers.append(name, value);
             }
         }
-        self.finish_head(headers, id, load.clone());
-        watch.set_phase(Phase::Answer);
+        self.set_response_headers(headers, id, load.clone());
+        conn.set_phase(Phase::Response);
         *response.body_mut() =
-            Body::whole(answer.body.clone()).with_guard(Guard::Watch(watch.clone()));
+            Body::buffered(cached.body.clone()).with_guard(Guard::Connection(conn.clone()));
         response
     }
 
-    fn refuse(
+    fn reject(
         &self,
-        watch: &Arc<Watch>,
+        conn: &Arc<ConnectionState>,
         id: &HeaderValue,
         outcome: Outcome,
         crashes: u32,
@@ -328,7 +330,7 @@
         }
         let load = self.state.lock().gatekeeper.load(self.shared.clock.now());
         let fields = Fields::of_outcome(outcome).with_load(load);
-        trace::line(&self.shared, id, Step::GateRefused, fields);
+        trace::log_step(&self.shared, id, Step::GateRefused, fields);
         let mut head = Response::new(());
         headers::write_outcome(&mut head, outcome);
         let headers = head.headers_mut();
@@ -338,13 +340,13 @@
         if self.shared.draining() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        watch.set_phase(Phase::Answer);
-        head.map(|()| Body::empty().with_guard(Guard::Watch(watch.clone())))
+        conn.set_phase(Phase::Response);
+        head.map(|()| Body::empty().with_guard(Guard::Connection(conn.clone())))
     }
 
-    /// Marks the head of a target's answer as one.
-    fn finish_head(&self, headers: &mut HeaderMap, id: &HeaderValue, load: HeaderValue) {
-        headers::strip(headers);
+    /// Sets the headers of a response from the target.
+    fn set_response_headers(&self, headers: &mut HeaderMap, id: &HeaderValue, load: HeaderValue) {
+        headers::strip_hop_by_hop(headers);
         headers.remove(headers::CODE);
         headers.insert(headers::OUTCOME, HeaderValue::from_static("answered"));
         headers.insert(headers::REQUEST_ID, id.clone());
@@ -354,8 +356,8 @@
         }
     }
 
-    /// Equal for a request that is sent again, whatever id it has. A key tells requests apart;
-    /// else the body does, if it is held.
+    /// Identifies a request across retries, independently of its request id. Includes the
+    /// idempotency key or, without a key, the body if it is buffered.
     fn fingerprint(
         &self,
         req: &Request<Body>,
@@ -368,13 +370,13 @@
         let caller = caller.and_then(|name| req.headers().get(name));
         let caller = caller.map_or(&[][..], HeaderValue::as_bytes);
         let key = head.key.map(RequestKey::to_bytes);
-        let last = match (&key, body) {
+        let identity = match (&key, body) {
             (Some(key), _) => &key[..],
             (None, Some(body)) => body,
             (None, None) => &[],
         };
         let method = req.method().as_str().as_bytes();
-        Fingerprint::of(&[method, host.as_bytes(), target.as_bytes(), caller, last])
+        Fingerprint::of(&[method, host.as_bytes(), target.as_bytes(), caller, identity])
     }
 
     fn load(&self) -> HeaderValue {
@@ -383,12 +385,12 @@
         HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static("0/0/0"))
     }
 
-    fn idle(&self) -> Duration {
+    fn idle_body_timeout(&self) -> Duration {
         Duration::from_millis(self.shared.settings.limits.idle_body_timeout_ms)
     }
 
-    /// `None` if the deadline passes first.
-    async fn before<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
+    /// Returns `None` if the deadline passes first.
+    async fn with_deadline<T>(&self, deadline: Time, work: impl Future<Output = T>) -> Option<T> {
         let timeout = async {
             self.shared.clock.sleep_until(deadline).await;
             None
@@ -398,14 +400,14 @@
 }
 
 impl State {
-    /// Passes on what the decider says to other calls. Returns what it says to `own` and what
-    /// concerns no call.
+    /// Sends decisions to the waiting calls. Returns the decision for `own` and the outputs that do
+    /// not belong to a call.
     fn dispatch(
         &mut self,
         own: Option<CallKey>,
         out: Vec<Output>,
     ) -> (Option<Decision>, Vec<Output>) {
-        let mut to_own = None;
+        let mut own_decision = None;
         let mut effects = Vec::new();
         for output in out {
             let (call, decision) = match output {
@@ -415,9 +417,9 @@
                     self.waiting.insert(call, tx);
                     (call, Decision::Queue(until, rx))
                 }
-                Output::Replay(call, answer) => (call, Decision::Replay(answer)),
+                Output::Replay(call, cached) => (call, Decision::Replay(cached)),
                 Output::Refuse { call, outcome, crashes } => {
-                    (call, Decision::Refuse(outcome, crashes))
+                    (call, Decision::Reject(outcome, crashes))
                 }
                 Output::Send(_) | Output::Record(_) => {
                     effects.push(output);
@@ -427,21 +429,21 @@
             let queued = matches!(decision, Decision::Queue(..));
             let waiting = if queued { None } else { self.waiting.swap_remove(&call) };
             if own == Some(call) {
-                to_own = Some(decision);
+                own_decision = Some(decision);
             } else if let Some(waiting) = waiting {
-                // Whoever stopped listening withdraws the call.
+                // Fails if the receiver was dropped, which withdraws the call.
                 let _ = waiting.try_send(decision);
             }
         }
-        (to_own, effects)
+        (own_decision, effects)
     }
 }
 
-fn refusal(code: Code) -> Outcome {
-    Outcome::not_run(code, COME_BACK_SOON)
+fn rejection(code: Code) -> Outcome {
+    Outcome::not_run(code, RETRY_AFTER_SHORT)
 }
 
-/// Equal for the same request, whoever sends it.
+/// Digest of method, target and body. Equal for equal requests from any caller.
 fn digest(req: &Request<Body>, body: &Bytes) -> Hash {
     let target = req.uri().path_and_query().map_or("", |path| path.as_str());
     let parts = [req.method().as_str().as_bytes(), b" ", target.as_bytes(), b"\n", body];
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -1,149 +1,150 @@
-//! Slots of the target and waits for them, each given back when dropped.
+//! Guards for the target's slots and for queued requests.
 
-use super::GateSide;
+use super::GateAdapter;
 use crate::calls::body::Lease;
-use crate::calls::pool::Linger;
-use crate::calls::watch::{Phase, Watch};
+use crate::calls::conn_state::{ConnectionState, Phase};
+use crate::calls::pool::DeferredSlot;
 use std::sync::Arc;
 use sycamore_core::call::CallKey;
 use sycamore_core::call::gatekeeper::{End, Input};
 
-/// A slot of the target; freed when dropped, as cancelled unless it was ended before.
+/// A slot of the target. Freed on drop; the call then counts as cancelled unless it was ended.
 #[derive(Debug)]
 pub struct Slot {
-    side: Arc<GateSide>,
+    adapter: Arc<GateAdapter>,
     call: CallKey,
     ended: bool,
 }
 
-/// A slot in use on a connection. If it is dropped early, the connection keeps the slot until the
-/// target has closed it too, so that the target never runs more than its slots.
+/// A slot in use on a connection. If dropped before the slot is taken, the connection keeps the
+/// slot until the target has closed its side, so that the target never exceeds its slots.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningSlot {
     slot: Option<Slot>,
-    linger: Arc<Linger>,
+    deferred_slot: Arc<DeferredSlot>,
 }
 
-/// An answer on its way to the entry node.
+/// A response that is being sent to the entry node.
 #[derive(Debug)]
-pub struct Answer {
-    running: Running,
-    // Read from the target to its end while bytes of it wait for the link.
-    leaving: Option<Leaving>,
+pub struct ActiveResponse {
+    running: RunningSlot,
+    // Set once the response was read from the target, while part of it waits for the link.
+    unsent_response: Option<UnsentResponse>,
     lease: Lease,
-    watch: Arc<Watch>,
+    conn: Arc<ConnectionState>,
 }
 
-/// A waiting request; withdrawn when dropped, so that it never reaches the target once the caller
-/// has gone.
+/// A queued request. Withdrawn on drop, so that it does not reach the target after its caller has
+/// disconnected.
 #[derive(Debug)]
-pub struct Wait {
-    side: Arc<GateSide>,
+pub struct QueuedCall {
+    adapter: Arc<GateAdapter>,
     call: CallKey,
-    over: bool,
+    decided: bool,
 }
 
-/// An answer that the target is done with; the decider hears when it has left.
+/// A response that was read from the target. Reports on drop that it was sent.
 #[derive(Debug)]
-struct Leaving {
-    side: Arc<GateSide>,
+struct UnsentResponse {
+    adapter: Arc<GateAdapter>,
     call: CallKey,
 }
 
-impl Drop for Leaving {
+impl Drop for UnsentResponse {
     fn drop(&mut self) {
-        self.side.tell(Input::ResponseSent(self.call));
+        self.adapter.handle_input(Input::ResponseSent(self.call));
     }
 }
 
 impl Slot {
-    /// The slot of a call that the decider has just let run.
-    pub fn new(side: &Arc<GateSide>, call: CallKey) -> Slot {
-        Slot { side: side.clone(), call, ended: false }
+    /// The slot of a call that the state machine allowed to run.
+    pub fn new(adapter: &Arc<GateAdapter>, call: CallKey) -> Slot {
+        Slot { adapter: adapter.clone(), call, ended: false }
     }
 
-    /// Frees the slot and says how the run ended. Returns what the decider says of it.
+    /// Frees the slot and reports how the run ended. Returns the decision for the call.
     pub(super) fn end(mut self, end: End) -> Option<super::Decision> {
         self.ended = true;
-        self.side.decide(self.call, Input::End { call: self.call, end })
+        self.adapter.decide(self.call, Input::End { call: self.call, end })
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         if !self.ended {
-            self.side.tell(Input::End { call: self.call, end: End::Cancelled });
+            self.adapter.handle_input(Input::End { call: self.call, end: End::Cancelled });
         }
     }
 }
 
-impl Running {
-    /// A slot in use on the connection that `linger` belongs to.
-    pub fn new(slot: Slot, linger: Arc<Linger>) -> Running {
-        Running { slot: Some(slot), linger }
+impl RunningSlot {
+    /// A slot in use on the connection that owns `deferred_slot`.
+    pub fn new(slot: Slot, deferred_slot: Arc<DeferredSlot>) -> RunningSlot {
+        RunningSlot { slot: Some(slot), deferred_slot }
     }
 
-    /// Takes the slot off the connection.
+    /// Detaches the slot from the connection.
     pub fn take(&mut self) -> Option<Slot> {
         self.slot.take()
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningSlot {
     fn drop(&mut self) {
         if let Some(slot) = self.slot.take() {
-            *self.linger.lock() = Some(slot);
+            *self.deferred_slot.lock() = Some(slot);
         }
     }
 }
 
-impl Answer {
-    /// An answer whose body goes out now.
-    pub fn new(running: Running, lease: Lease, watch: Arc<Watch>) -> Answer {
-        Answer { running, leaving: None, lease, watch }
+impl ActiveResponse {
+    /// A response whose body is about to be sent.
+    pub fn new(running: RunningSlot, lease: Lease, conn: Arc<ConnectionState>) -> ActiveResponse {
+        ActiveResponse { running, unsent_response: None, lease, conn }
     }
 
-    /// The answer has been read from the target to its end, and `left` bytes of it have not left:
-    /// the slot and the connection are free for the next request.
-    pub fn read(&mut self, left: u64) {
+    /// Frees the slot and the connection after the response was read from the target; `unsent`
+    /// bytes of it have not been sent yet.
+    pub fn mark_read(&mut self, unsent: u64) {
         if let Some(slot) = self.running.take() {
-            self.leaving = Some(Leaving { side: slot.side.clone(), call: slot.call });
-            slot.end(End::ResponseRead { unsent: left });
-            self.lease.over(true);
+            self.unsent_response =
+                Some(UnsentResponse { adapter: slot.adapter.clone(), call: slot.call });
+            slot.end(End::ResponseRead { unsent });
+            self.lease.finish(true);
         }
     }
 
-    /// The answer's body is over: to its end, or cut.
-    pub fn over(mut self, whole: bool) {
-        if whole {
+    /// Ends the response; `complete` is false if the body was truncated.
+    pub fn finish(mut self, complete: bool) {
+        if complete {
             if let Some(slot) = self.running.take() {
                 slot.end(End::Answered { cached: None });
             }
         }
-        // The connection holds the slot before it is closed.
+        // Attach the slot to the connection before closing it.
         drop(self.running);
-        self.lease.over(whole);
-        self.watch.set_phase(Phase::Flush);
+        self.lease.finish(complete);
+        self.conn.set_phase(Phase::Flush);
     }
 }
 
-impl Wait {
-    /// A call that the decider has just queued.
-    pub fn new(side: &Arc<GateSide>, call: CallKey) -> Wait {
-        Wait { side: side.clone(), call, over: false }
+impl QueuedCall {
+    /// A call that the state machine queued.
+    pub fn new(adapter: &Arc<GateAdapter>, call: CallKey) -> QueuedCall {
+        QueuedCall { adapter: adapter.clone(), call, decided: false }
     }
 
-    /// The decider has answered, and the answer was taken.
-    pub fn over(mut self) {
-        self.over = true;
+    /// Marks the decision as received, so that the call is not withdrawn.
+    pub fn disarm(mut self) {
+        self.decided = true;
     }
 }
 
-impl Drop for Wait {
+impl Drop for QueuedCall {
     fn drop(&mut self) {
-        if !self.over {
-            self.side.state.lock().waiting.swap_remove(&self.call);
-            self.side.tell(Input::Withdraw(self.call));
+        if !self.decided {
+            self.adapter.state.lock().waiting.swap_remove(&self.call);
+            self.adapter.handle_input(Input::Withdraw(self.call));
         }
     }
 }
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -1,12 +1,12 @@
-//! What goes to the local target and what comes back.
+//! Requests to the local target and its responses.
 
-use super::slot::{Answer, Running, Slot};
-use super::{Decision, GateSide, refusal};
+use super::slot::{ActiveResponse, RunningSlot, Slot};
+use super::{Decision, GateAdapter, rejection};
 use crate::calls::body::{self, Body, Guard, Lease};
+use crate::calls::conn_state::{ConnectionState, Phase};
 use crate::calls::headers;
-use crate::calls::pace::Pace;
+use crate::calls::pacer::Pacer;
 use crate::calls::pool::{Connection, SendError};
-use crate::calls::watch::{Phase, Watch};
 use crate::metrics::Metrics;
 use futures_lite::future;
 use hyper::body::{Body as _, Incoming};
@@ -24,196 +24,208 @@
 use sycamore_core::config::Class;
 use sycamore_core::{Code, Time};
 
-/// Largest answer to a request that runs only once; it is read whole before it goes out, so that
-/// it can be given again.
-const MAX_KEPT_BODY_BYTES: u64 = 1_048_576;
+/// Maximum size of the response to a request that may run only once. The response is buffered so
+/// that it can be replayed.
+const MAX_CACHED_BODY_BYTES: u64 = 1_048_576;
 
-/// How long a broken target is given to show that it still takes connections.
+/// Timeout of the connection attempt that checks whether a target still accepts connections.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest time for which a connection may have been unused that a request goes out on which may
-/// run only once. Opening one takes about a millisecond; targets close idle ones after seconds.
-const FRESH: Duration = Duration::from_millis(500);
+/// Maximum idle time of a connection used for a request that may run only once. Targets
+/// usually close idle connections after seconds, so such a connection is still open.
+const MAX_IDLE_BEFORE_SINGLE_RUN: Duration = Duration::from_millis(500);
 
-/// How often a free connection to the target is looked for when all it takes are in use.
+/// Interval at which a request waits for a free connection while the connection limit is reached.
 const CONNECTION_POLL: Duration = Duration::from_millis(2);
 
-/// A request as the target will get it.
+/// A request to the target.
 #[derive(Debug)]
 pub struct Call {
-    /// The call.
     pub key: CallKey,
-    /// Request id.
     pub id: HeaderValue,
-    /// When its caller stops waiting.
     pub deadline: Time,
     /// Class of its route.
     pub class: Class,
-    /// Whether it may be run more than once.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// How long it has waited for a slot.
+    /// Time spent waiting for a slot.
     pub waited: Duration,
-    /// The request.
     pub req: Request<Body>,
 }
 
 impl Call {
-    /// For how long a connection may have been unused that the request goes out on.
+    /// Maximum idle time of the connection used for this request.
     ///
-    /// A request sent on an idle connection that the target has dropped is reset, and may have run,
-    /// so one that may run only once needs a fresh connection.
-    fn freshness(&self) -> Duration {
+    /// A request on an idle connection that the target has closed is reset and may have run, so a
+    /// request that may run only once needs a recently used connection.
+    fn max_idle(&self) -> Duration {
         match self.idempotent {
             true => Duration::MAX,
-            false => FRESH,
+            false => MAX_IDLE_BEFORE_SINGLE_RUN,
         }
     }
 }
 
-/// An answer of the target, its body still to come.
+/// Head of a target's response; the body follows.
 #[derive(Debug)]
-struct Answering {
+struct TargetResponse {
     response: Response<Incoming>,
     connection: Connection,
-    running: Running,
+    running: RunningSlot,
 }
 
-/// A request that got no answer.
+/// A request without a response.
 #[derive(Debug)]
-struct Ended {
+struct NoResponse {
     outcome: Outcome,
     crashes: u32,
 }
 
-impl Ended {
-    fn unknown(code: Code) -> Ended {
-        Ended { outcome: Outcome::Unknown { code }, crashes: 0 }
+impl NoResponse {
+    fn unknown(code: Code) -> NoResponse {
+        NoResponse { outcome: Outcome::Unknown { code }, crashes: 0 }
     }
 }
 
-impl GateSide {
-    /// Runs a request whose answer is passed on as it comes.
-    pub async fn run(self: &Arc<GateSide>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
+impl GateAdapter {
+    /// Runs a request and streams its response.
+    pub async fn run(
+        self: &Arc<GateAdapter>,
+        conn: &Arc<ConnectionState>,
+        call: Call,
+    ) -> Response<Body> {
         let (id, key, waited) = (call.id.clone(), call.key, call.waited);
-        let answering = match self.send(call).await {
-            Ok(answering) => answering,
-            Err(ended) => return self.refuse(watch, &id, ended.outcome, ended.crashes),
+        let target_response = match self.send(call).await {
+            Ok(target_response) => target_response,
+            Err(no_response) => {
+                return self.reject(conn, &id, no_response.outcome, no_response.crashes);
+            }
         };
-        let (mut head, incoming) = answering.response.into_parts();
-        self.finish_head(&mut head.headers, &id, self.load());
+        let (mut head, incoming) = target_response.response.into_parts();
+        self.set_response_headers(&mut head.headers, &id, self.load());
         let waited = HeaderValue::from(waited.as_millis() as u64);
         head.headers.insert(headers::WAITED, waited);
-        watch.set_phase(Phase::Answer);
-        let lease = Lease::new(answering.connection);
-        let answer = Answer::new(answering.running, lease, watch.clone());
-        let mut body = Body::relay(incoming, u64::MAX, self.idle()).with_guard(Guard::Gate(answer));
-        // An answer to a caller on this VM does not use the link.
-        if !watch.is_local() {
-            body = body.with_pace(Pace::new(self.clone(), key));
+        conn.set_phase(Phase::Response);
+        let lease = Lease::new(target_response.connection);
+        let active = ActiveResponse::new(target_response.running, lease, conn.clone());
+        let mut body = Body::stream(incoming, u64::MAX, self.idle_body_timeout())
+            .with_guard(Guard::Gate(active));
+        // Traffic on the same VM does not use the link.
+        if !conn.is_local() {
+            body = body.with_pacer(Pacer::new(self.clone(), key));
         }
         Response::from_parts(head, body)
     }
 
-    /// Runs a request that may run only once, to its end even if its caller goes away: the caller
-    /// may ask again with the same key, through another node.
-    pub async fn run_once(self: &Arc<GateSide>, watch: &Arc<Watch>, call: Call) -> Response<Body> {
+    /// Runs a request that may run only once, to completion even if the caller disconnects: the
+    /// caller may repeat it with the same key through another node.
+    pub async fn run_once(
+        self: &Arc<GateAdapter>,
+        conn: &Arc<ConnectionState>,
+        call: Call,
+    ) -> Response<Body> {
         let (tx, rx) = async_channel::bounded(1);
         let id = call.id.clone();
-        let side = self.clone();
-        let open = self.shared.track_call();
+        let adapter = self.clone();
+        let open_call = self.shared.track_call();
         let task = async move {
-            // The caller may be gone, which is no concern of the run.
-            let _ = tx.try_send(side.answer_once(call).await);
-            drop(open);
+            // Fails if the caller has disconnected.
+            let _ = tx.try_send(adapter.execute_once(call).await);
+            drop(open_call);
         };
         self.executor.spawn(task).detach();
-        match rx.recv().await.unwrap_or(Err(Ended::unknown(Code::AnswerLost))) {
-            Ok(answer) => self.replay(watch, &id, &answer, &self.load()),
-            Err(ended) => self.refuse(watch, &id, ended.outcome, ended.crashes),
+        match rx.recv().await.unwrap_or(Err(NoResponse::unknown(Code::AnswerLost))) {
+            Ok(cached) => self.replay(conn, &id, &cached, &self.load()),
+            Err(no_response) => self.reject(conn, &id, no_response.outcome, no_response.crashes),
         }
     }
 
-    async fn answer_once(self: &Arc<GateSide>, call: Call) -> Result<Arc<CachedResponse>, Ended> {
+    async fn execute_once(
+        self: &Arc<GateAdapter>,
+        call: Call,
+    ) -> Result<Arc<CachedResponse>, NoResponse> {
         let deadline = call.deadline;
-        let Answering { response, connection, mut running } = self.send(call).await?;
+        let TargetResponse { response, connection, mut running } = self.send(call).await?;
         let (mut head, incoming) = response.into_parts();
-        let collect = body::collect(incoming, MAX_KEPT_BODY_BYTES, self.idle());
-        match self.before(deadline, collect).await {
+        let collect = body::collect(incoming, MAX_CACHED_BODY_BYTES, self.idle_body_timeout());
+        match self.with_deadline(deadline, collect).await {
             Some(Ok(buf)) => {
-                headers::strip(&mut head.headers);
-                let kept = Arc::new(keep(head.status, &head.headers, buf));
-                connection.give_back();
+                headers::strip_hop_by_hop(&mut head.headers);
+                let cached = Arc::new(cached_response(head.status, &head.headers, buf));
+                connection.release();
                 if let Some(slot) = running.take() {
-                    slot.end(End::Answered { cached: Some(kept.clone()) });
+                    slot.end(End::Answered { cached: Some(cached.clone()) });
                 }
-                Ok(kept)
+                Ok(cached)
             }
-            Some(Err(Code::CallerGone)) => Err(self.broken(running).await),
-            Some(Err(_)) => Err(Ended::unknown(Code::AnswerLost)),
-            None => Err(Ended::unknown(Code::DeadlinePassed)),
+            Some(Err(Code::CallerGone)) => Err(self.report_broken_connection(running).await),
+            Some(Err(_)) => Err(NoResponse::unknown(Code::AnswerLost)),
+            None => Err(NoResponse::unknown(Code::DeadlinePassed)),
         }
     }
 
-    /// Sends a request to the target and waits for the head of its answer.
-    async fn send(self: &Arc<GateSide>, call: Call) -> Result<Answering, Ended> {
+    /// Sends a request to the target and waits for the head of the response.
+    async fn send(self: &Arc<GateAdapter>, call: Call) -> Result<TargetResponse, NoResponse> {
         let mut slot = Slot::new(self, call.key);
         let Some(address) = self.shared.settings.target_address else {
-            return Err(not_sent(slot));
+            return Err(report_not_sent(slot));
         };
-        let freshness = call.freshness();
+        let max_idle = call.max_idle();
         let mut req = call.req;
-        self.finish_request(req.headers_mut(), &call.id, call.deadline);
+        self.set_request_headers(req.headers_mut(), &call.id, call.deadline);
         loop {
-            let taken = self.pool.take(address, freshness).await;
-            let used = taken.is_some();
+            let taken = self.pool.take_idle(address, max_idle).await;
+            let reused = taken.is_some();
             let connection = match taken {
                 Some(connection) => Some(connection),
                 None => self.connect(address, call.deadline).await,
             };
             let Some(connection) = connection else {
-                return Err(not_sent(slot));
+                return Err(report_not_sent(slot));
             };
-            let linger = connection.linger();
+            let deferred_slot = connection.deferred_slot();
             let sent = AtomicBool::new(false);
-            let began = self.shared.clock.now();
-            // Dropped after `running`, so that a connection that closes because this wait is
-            // given up already holds the slot.
+            let sent_at = self.shared.clock.now();
+            // Dropped after `running`, so that the slot is attached before the connection closes
+            // when this wait is cancelled.
             let mut send = pin!(connection.send(req, &sent));
-            let mut running = Running::new(slot, linger);
-            match self.before(call.deadline, send.as_mut()).await {
+            let mut running = RunningSlot::new(slot, deferred_slot);
+            match self.with_deadline(call.deadline, send.as_mut()).await {
                 None => {
                     drop(running);
-                    return Err(Ended::unknown(Code::DeadlinePassed));
+                    return Err(NoResponse::unknown(Code::DeadlinePassed));
                 }
-                Some(Ok((response, connection))) if self.is_own(&response, &call.id) => {
-                    let took = self.shared.clock.now().since(began);
-                    Metrics::observe_duration(&self.shared.metrics.run_seconds, call.class, took);
-                    return match self.rejected(&response) {
-                        None => Ok(Answering { response, connection, running }),
-                        Some(code) => Err(rejected(running, response, connection, code)),
+                Some(Ok((response, connection))) if self.matches_request(&response, &call.id) => {
+                    let elapsed = self.shared.clock.now().since(sent_at);
+                    Metrics::observe_duration(&self.shared.metrics.run_seconds, call.class, elapsed);
+                    return match self.rejection_code(&response) {
+                        None => Ok(TargetResponse { response, connection, running }),
+                        Some(code) => Err(report_rejection(running, response, connection, code)),
                     };
                 }
-                Some(Ok(_) | Err(SendError::Broken)) => return Err(self.broken(running).await),
+                Some(Ok(_) | Err(SendError::Broken)) => {
+                    return Err(self.report_broken_connection(running).await);
+                }
                 Some(Err(SendError::NotSent(unsent))) => {
-                    let Some(kept) = running.take() else {
-                        return Err(Ended::unknown(Code::TargetFailed));
+                    let Some(reclaimed) = running.take() else {
+                        return Err(NoResponse::unknown(Code::TargetFailed));
                     };
-                    // A new connection that can't take a request is as good as none.
-                    if !used {
-                        return Err(not_sent(kept));
+                    // A new connection that cannot take a request counts as a failed connection.
+                    if !reused {
+                        return Err(report_not_sent(reclaimed));
                     }
-                    slot = kept;
+                    slot = reclaimed;
                     req = *unsent;
                 }
             }
         }
     }
 
-    /// Opens a connection to the target, within the connections that it takes.
+    /// Opens a connection to the target, within its connection limit.
     async fn connect(&self, address: SocketAddr, deadline: Time) -> Option<Connection> {
         let limits = self.shared.own_limits();
-        let most = limits.map_or(1, |limits| limits.connections as usize);
-        while self.pool.open() >= most {
+        let max_connections = limits.map_or(1, |limits| limits.connections as usize);
+        while self.pool.open_count() >= max_connections {
             if self.shared.clock.now() >= deadline {
                 return None;
             }
@@ -222,17 +234,17 @@
         self.pool.connect(address).await.ok()
     }
 
-    /// Reports a connection that broke after a byte of the request may have left.
-    async fn broken(&self, mut running: Running) -> Ended {
+    /// Reports a connection that broke after a byte of the request may have been sent.
+    async fn report_broken_connection(&self, mut running: RunningSlot) -> NoResponse {
         let target_gone = self.target_gone().await;
         let decision = running.take().and_then(|slot| slot.end(End::Broken { target_gone }));
         match decision {
-            Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-            _ => Ended::unknown(Code::TargetFailed),
+            Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
+            _ => NoResponse::unknown(Code::TargetFailed),
         }
     }
 
-    /// Whether the target's process has ended: its address refuses connections.
+    /// Whether the target's process has exited, that is, its address refuses connections.
     async fn target_gone(&self) -> bool {
         let Some(address) = self.shared.settings.target_address else {
             return true;
@@ -244,7 +256,7 @@
         };
         match future::or(probe, timeout).await {
             Some(Ok(connection)) => {
-                connection.give_back();
+                connection.release();
                 false
             }
             Some(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
@@ -252,33 +264,34 @@
         }
     }
 
-    /// Writes the headers that the target gets.
-    fn finish_request(&self, headers: &mut HeaderMap, id: &HeaderValue, deadline: Time) {
+    /// Sets the headers of the request to the target.
+    fn set_request_headers(&self, headers: &mut HeaderMap, id: &HeaderValue, deadline: Time) {
         let dialect = &self.shared.dialect;
-        headers::strip(headers);
+        headers::strip_hop_by_hop(headers);
         headers.remove(headers::CRASHES);
         headers.remove(headers::TERMS);
-        if !dialect.is_own() {
-            for name in &headers::BETWEEN_NODES {
+        if !dialect.is_native() {
+            for name in &headers::INTERNAL {
                 headers.remove(name);
             }
         }
-        let left = deadline.since(self.shared.clock.now()).as_millis() as u64;
-        headers.insert(dialect.deadline.clone(), HeaderValue::from(left.max(1)));
+        let remaining_ms = deadline.since(self.shared.clock.now()).as_millis() as u64;
+        headers.insert(dialect.deadline.clone(), HeaderValue::from(remaining_ms.max(1)));
         headers.insert(dialect.request_id.clone(), id.clone());
         if !headers.contains_key(HOST) {
             headers.insert(HOST, HeaderValue::from_static("target"));
         }
     }
 
-    /// Whether an answer is to this request, if the target says to which it is.
-    fn is_own(&self, response: &Response<Incoming>, id: &HeaderValue) -> bool {
-        let named = response.headers().get(&self.shared.dialect.request_id);
-        named.is_none_or(|other| other == id) && (named.is_some() || self.shared.dialect.is_own())
+    /// Whether the response belongs to this request, according to its request id.
+    fn matches_request(&self, response: &Response<Incoming>, id: &HeaderValue) -> bool {
+        let response_id = response.headers().get(&self.shared.dialect.request_id);
+        response_id.is_none_or(|other| other == id)
+            && (response_id.is_some() || self.shared.dialect.is_native())
     }
 
-    /// Why the target has not run the request, if it says so.
-    fn rejected(&self, response: &Response<Incoming>) -> Option<Code> {
+    /// The code if the target reports that it did not run the request.
+    fn rejection_code(&self, response: &Response<Incoming>) -> Option<Code> {
         let marker = self.shared.dialect.not_run.as_ref()?;
         response.headers().get(marker)?;
         Some(match response.status() {
@@ -288,35 +301,36 @@
     }
 }
 
-/// A refusal by the target, which says that it has not run the request.
-fn rejected(
-    mut running: Running,
+/// Reports a response by which the target rejected the request without running it.
+fn report_rejection(
+    mut running: RunningSlot,
     response: Response<Incoming>,
     connection: Connection,
     code: Code,
-) -> Ended {
-    let refused = running.take().and_then(|slot| slot.end(End::Rejected(code)));
+) -> NoResponse {
+    let decision = running.take().and_then(|slot| slot.end(End::Rejected(code)));
     if response.body().is_end_stream() {
-        connection.give_back();
+        connection.release();
     }
-    match refused {
-        Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-        _ => Ended { outcome: refusal(code), crashes: 0 },
+    match decision {
+        Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
+        _ => NoResponse { outcome: rejection(code), crashes: 0 },
     }
 }
 
-/// A refusal that is true: the slot's request has not left this node.
-fn not_sent(slot: Slot) -> Ended {
+/// Reports a request of which no byte was sent.
+fn report_not_sent(slot: Slot) -> NoResponse {
     match slot.end(End::NotSent) {
-        Some(Decision::Refuse(outcome, crashes)) => Ended { outcome, crashes },
-        _ => Ended { outcome: refusal(Code::TargetUnreachable), crashes: 0 },
+        Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
+        _ => NoResponse { outcome: rejection(Code::TargetUnreachable), crashes: 0 },
     }
 }
 
-fn keep(status: StatusCode, headers: &HeaderMap, body: bytes::Bytes) -> CachedResponse {
-    let own = headers.iter().filter(|(name, _)| **name != CONTENT_LENGTH);
+fn cached_response(status: StatusCode, headers: &HeaderMap, body: bytes::Bytes) -> CachedResponse {
+    let forwarded = headers.iter().filter(|(name, _)| **name != CONTENT_LENGTH);
     let copy = |bytes: &[u8]| bytes::Bytes::copy_from_slice(bytes);
-    let headers =
-        own.map(|(name, value)| (copy(name.as_str().as_bytes()), copy(value.as_bytes()))).collect();
+    let headers = forwarded
+        .map(|(name, value)| (copy(name.as_str().as_bytes()), copy(value.as_bytes())))
+        .collect();
     CachedResponse { status: status.as_u16(), headers, body }
 }
--- a/node/src/calls/pool.rs
+++ b/node/src/calls/pool.rs
@@ -1,9 +1,9 @@
-//! Connections that this node opens: to gatekeepers, and to the local target.
+//! Pool of outgoing connections: to gatekeepers and to the local target.
 
 use super::body::Body;
 use super::gate::Slot;
 use super::headers;
-use super::quiet::Quiet;
+use super::readiness::ReadinessStream;
 use crate::clock::Clock;
 use async_executor::Executor;
 use async_io::Async;
@@ -21,98 +21,96 @@
 use std::time::Duration;
 use sycamore_core::Time;
 
-/// Longest wait for a connection to be opened. Regions are 40 ms apart there and back; an
-/// opening packet that was lost is sent again only after a second, and another target answers
-/// sooner.
+/// Timeout for opening a connection. Well above the 40 ms round trip between regions and below the
+/// one-second SYN retransmission, so that a retry on another target is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long an unused connection is kept; shorter than a listener keeps it, so that it is not
-/// closed on the other side just as a request goes out on it.
-const IDLE_LIFE: Duration = Duration::from_secs(30);
+/// Idle timeout of pooled connections. Shorter than that of the listeners, so that the remote side
+/// does not close a connection while a request is being sent.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Share of the time that the other side states for idle connections after which one is no longer
-/// used, so that it is not closed there while a request is on its way.
-const KEEP_ALIVE_SHARE: f64 = 0.7;
+/// Fraction of the remote side's keep-alive timeout after which a connection is no longer reused.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
-/// Unused connections kept to one address.
-const MAX_IDLE: usize = 128;
+/// Maximum idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 128;
 
-/// Longest wait for a connection that was given back to be usable again.
+/// Maximum wait for a returned connection to become ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Longest wait for the target to close its side after a request was cancelled.
-const LINGER: Duration = Duration::from_millis(500);
+/// Maximum wait for the target to close its side after a cancelled request.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request that did not get an answer.
+/// A request without a response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it left this node; here it is again.
+    /// No byte was sent; contains the request.
     NotSent(Box<Request<Body>>),
-    /// A byte of it may have left.
+    /// Part of the request may have been sent.
     Broken,
 }
 
-/// Unused connections by address.
+/// Idle connections by address.
 #[derive(Debug)]
 pub struct Pool {
     clock: Clock,
     executor: Arc<Executor<'static>>,
     connect_timeout: Duration,
-    idle: Mutex<IndexMap<SocketAddr, Vec<Idle>>>,
-    open: AtomicUsize,
+    idle: Mutex<IndexMap<SocketAddr, Vec<IdleConnection>>>,
+    open_count: AtomicUsize,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Time,
 }
 
-/// A slot of the target that is not free before the connection has ended.
-pub type Linger = Mutex<Option<Slot>>;
+/// A slot of the target that is freed only when the connection has ended.
+pub type DeferredSlot = Mutex<Option<Slot>>;
 
-/// An open connection, on which one request at a time is under way.
+/// An open connection with at most one request in flight.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Body>,
-    // How long the other side says that it keeps the connection without a request.
-    idle_life: Duration,
+    // Idle timeout, derived from the remote side's keep-alive timeout.
+    idle_timeout: Duration,
     address: SocketAddr,
     pool: Arc<Pool>,
-    linger: Arc<Linger>,
+    deferred_slot: Arc<DeferredSlot>,
 }
 
 impl Pool {
-    /// No connections yet; their tasks will run on `executor`.
+    /// Creates an empty pool whose connection tasks run on `executor`.
     pub fn new(clock: Clock, executor: Arc<Executor<'static>>) -> Arc<Pool> {
         Pool::with_connect_timeout(clock, executor, CONNECT_TIMEOUT)
     }
 
-    /// The same with another longest wait for a connection to be opened, where there is no other
-    /// side to turn to.
+    /// Creates an empty pool with a different connect timeout, for callers without an alternative
+    /// address.
     pub fn with_connect_timeout(
         clock: Clock,
         executor: Arc<Executor<'static>>,
         connect_timeout: Duration,
     ) -> Arc<Pool> {
-        let (idle, open) = (Mutex::new(IndexMap::new()), AtomicUsize::new(0));
-        Arc::new(Pool { clock, executor, connect_timeout, idle, open })
+        let (idle, open_count) = (Mutex::new(IndexMap::new()), AtomicUsize::new(0));
+        Arc::new(Pool { clock, executor, connect_timeout, idle, open_count })
     }
 
-    /// Connections that are open, used or not.
-    pub fn open(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+    /// Number of open connections, idle or in use.
+    pub fn open_count(&self) -> usize {
+        self.open_count.load(Ordering::Acquire)
     }
 
-    /// Sends a request over an unused connection, or a new one. `sent` tells, also to whoever
-    /// gives the wait up, whether a byte of the request may have left.
+    /// Sends a request over an idle connection or a new one. `sent` is set while any byte of the
+    /// request may have been sent, and stays valid if this future is dropped.
     pub async fn send(
         self: &Arc<Pool>,
         address: SocketAddr,
         mut req: Request<Body>,
         sent: &AtomicBool,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
-        while let Some(connection) = self.take(address, Duration::MAX).await {
+        while let Some(connection) = self.take_idle(address, Duration::MAX).await {
             match connection.send(req, sent).await {
                 Err(SendError::NotSent(unsent)) => req = *unsent,
                 result => return result,
@@ -124,7 +122,6 @@
         }
     }
 
-    /// Opens a connection.
     pub async fn connect(self: &Arc<Pool>, address: SocketAddr) -> io::Result<Connection> {
         let timeout = async {
             self.clock.sleep(self.connect_timeout).await;
@@ -132,36 +129,44 @@
         };
         let stream = future::or(Async::<TcpStream>::connect(address), timeout).await?;
         stream.get_ref().set_nodelay(true)?;
-        let (sender, driver) =
-            http1::handshake(FuturesIo::new(Quiet::new(stream))).await.map_err(io::Error::other)?;
-        let linger = Arc::new(Linger::default());
+        let (sender, driver) = http1::handshake(FuturesIo::new(ReadinessStream::new(stream)))
+            .await
+            .map_err(io::Error::other)?;
+        let deferred_slot = Arc::new(DeferredSlot::default());
         let pool = self.clone();
-        pool.open.fetch_add(1, Ordering::AcqRel);
-        let held = linger.clone();
+        pool.open_count.fetch_add(1, Ordering::AcqRel);
+        let held_slot = deferred_slot.clone();
         let task = async move {
             if let Ok(parts) = driver.without_shutdown().await {
-                let cancelled = held.lock().is_some();
+                let cancelled = held_slot.lock().is_some();
                 if cancelled {
                     let stream = parts.io.into_inner().into_inner();
                     let timeout = async {
-                        pool.clock.sleep(LINGER).await;
+                        pool.clock.sleep(CLOSE_TIMEOUT).await;
                     };
                     future::or(wait_for_close(stream), timeout).await;
                 }
             }
-            pool.open.fetch_sub(1, Ordering::AcqRel);
-            // Dropped outside the lock: its end may start another request.
-            let slot = held.lock().take();
+            pool.open_count.fetch_sub(1, Ordering::AcqRel);
+            // Dropped after the lock is released, because freeing the slot may start another
+            // request.
+            let slot = held_slot.lock().take();
             drop(slot);
         };
         self.executor.spawn(task).detach();
-        Ok(Connection { sender, idle_life: IDLE_LIFE, address, pool: self.clone(), linger })
+        Ok(Connection {
+            sender,
+            idle_timeout: IDLE_TIMEOUT,
+            address,
+            pool: self.clone(),
+            deferred_slot,
+        })
     }
 
-    /// An unused connection that can take a request, unused for `freshness` at most.
-    pub async fn take(&self, address: SocketAddr, freshness: Duration) -> Option<Connection> {
+    /// Returns an idle connection that is ready and was idle for at most `max_idle`.
+    pub async fn take_idle(&self, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
         loop {
-            let mut connection = self.pop(address, freshness)?;
+            let mut connection = self.pop_idle(address, max_idle)?;
             if connection.sender.is_ready() {
                 return Some(connection);
             }
@@ -176,7 +181,7 @@
         }
     }
 
-    fn pop(&self, address: SocketAddr, freshness: Duration) -> Option<Connection> {
+    fn pop_idle(&self, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
         let now = self.clock.now();
         let mut stale = Vec::new();
         let mut idle = self.idle.lock();
@@ -184,7 +189,7 @@
         if unused.first().is_some_and(|oldest| oldest.is_stale(now)) {
             stale.push(unused.remove(0));
         }
-        if unused.last().is_some_and(|newest| now.since(newest.since) > freshness) {
+        if unused.last().is_some_and(|newest| now.since(newest.since) > max_idle) {
             return None;
         }
         let newest = unused.pop().filter(|newest| !newest.is_stale(now));
@@ -195,13 +200,13 @@
         newest.map(|newest| newest.connection)
     }
 
-    /// Closes connections that were not used for long.
+    /// Closes connections that exceeded their idle timeout.
     pub fn sweep(&self) {
         let now = self.clock.now();
         let mut stale = Vec::new();
         let mut idle = self.idle.lock();
         idle.retain(|_, unused| {
-            let (old, kept): (Vec<Idle>, Vec<Idle>) =
+            let (old, kept): (Vec<IdleConnection>, Vec<IdleConnection>) =
                 unused.drain(..).partition(|entry| entry.is_stale(now));
             stale.extend(old);
             *unused = kept;
@@ -210,20 +215,20 @@
     }
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_stale(&self, now: Time) -> bool {
-        now.since(self.since) > self.connection.idle_life
+        now.since(self.since) > self.connection.idle_timeout
     }
 }
 
 impl Connection {
-    /// What is held until the connection has ended.
-    pub fn linger(&self) -> Arc<Linger> {
-        self.linger.clone()
+    /// The slot that is held until the connection ends.
+    pub fn deferred_slot(&self) -> Arc<DeferredSlot> {
+        self.deferred_slot.clone()
     }
 
-    /// Lets the next request have the connection.
-    pub fn give_back(self) {
+    /// Returns the connection to the pool.
+    pub fn release(self) {
         if self.sender.is_closed() {
             return;
         }
@@ -231,12 +236,11 @@
         let since = pool.clock.now();
         let mut idle = pool.idle.lock();
         let unused = idle.entry(self.address).or_default();
-        if unused.len() < MAX_IDLE {
-            unused.push(Idle { connection: self, since });
+        if unused.len() < MAX_IDLE_PER_ADDRESS {
+            unused.push(IdleConnection { connection: self, since });
         }
     }
 
-    /// Sends a request.
     pub async fn send(
         mut self,
         req: Request<Body>,
@@ -245,12 +249,12 @@
         sent.store(true, Ordering::Release);
         match self.sender.try_send_request(req).await {
             Ok(response) => {
-                if let Some(life) = headers::keep_alive(response.headers()) {
-                    self.idle_life = life.mul_f64(KEEP_ALIVE_SHARE).min(IDLE_LIFE);
+                if let Some(timeout) = headers::keep_alive_timeout(response.headers()) {
+                    self.idle_timeout = timeout.mul_f64(KEEP_ALIVE_FRACTION).min(IDLE_TIMEOUT);
                 }
                 Ok((response, self))
             }
-            // hyper gives the request back only if it has written no byte of it.
+            // hyper returns the request only if it has written no byte of it.
             Err(mut error) => Err(match error.take_message() {
                 Some(req) => {
                     sent.store(false, Ordering::Release);
@@ -262,8 +266,8 @@
     }
 }
 
-/// Tells the other side that nothing more comes, and waits until it has closed too: a target has
-/// noticed a cancellation by then, so that its slot is free in truth.
+/// Shuts down the write side and waits until the target has closed the connection. By then the
+/// target has noticed the cancellation, so its slot is free.
 async fn wait_for_close(mut stream: Async<TcpStream>) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
--- a/node/tests/support/calls.rs
+++ b/node/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! A small target, nodes on loopback sockets, and a caller that speaks raw HTTP/1.1.
+//! A test target, nodes on loopback sockets, and a raw HTTP/1.1 client.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use async_executor::Executor;
@@ -15,10 +15,10 @@
 use sycamore_node::settings::Settings;
 use sycamore_node::shared::Shared;
 
-/// Longest wait of a test for anything.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of waits in tests.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A target whose path says what it does. It logs each request it runs.
+/// A target whose behaviour is selected by the request path. It logs each request it runs.
 pub struct Target {
     pub address: SocketAddr,
     state: Arc<TargetState>,
@@ -29,9 +29,9 @@
     log: Mutex<Vec<String>>,
     connections: AtomicUsize,
     running: AtomicUsize,
-    most_running: AtomicUsize,
+    max_running: AtomicUsize,
     cancelled: AtomicUsize,
-    hold: AtomicU64,
+    released: AtomicU64,
 }
 
 impl Target {
@@ -50,13 +50,13 @@
         Target { address, state }
     }
 
-    /// Request lines and bodies of what it ran.
+    /// Request lines and bodies of the requests it ran.
     pub fn log(&self) -> Vec<String> {
         self.state.log.lock().unwrap().clone()
     }
 
-    /// How often it ran requests whose line or body contains `part`.
-    pub fn ran(&self, part: &str) -> usize {
+    /// Number of requests it ran whose line or body contains `part`.
+    pub fn run_count(&self, part: &str) -> usize {
         self.log().iter().filter(|line| line.contains(part)).count()
     }
 
@@ -64,17 +64,17 @@
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    pub fn most_running(&self) -> usize {
-        self.state.most_running.load(Ordering::SeqCst)
+    pub fn max_running(&self) -> usize {
+        self.state.max_running.load(Ordering::SeqCst)
     }
 
     pub fn cancelled(&self) -> usize {
         self.state.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Lets requests to `/hold` end.
+    /// Lets requests to `/released` complete.
     pub fn release(&self) {
-        self.state.hold.store(1, Ordering::SeqCst);
+        self.state.released.store(1, Ordering::SeqCst);
     }
 }
 
@@ -91,13 +91,13 @@
         let body = String::from_utf8_lossy(&body).into_owned();
         self.log.lock().unwrap().push(format!("{line} {body}"));
         let now = self.running.fetch_add(1, Ordering::SeqCst) + 1;
-        self.most_running.fetch_max(now, Ordering::SeqCst);
-        let done = self.answer(stream, &line, &headers, &body);
+        self.max_running.fetch_max(now, Ordering::SeqCst);
+        let done = self.respond(stream, &line, &headers, &body);
         self.running.fetch_sub(1, Ordering::SeqCst);
         done
     }
 
-    fn answer(
+    fn respond(
         &self,
         mut stream: &TcpStream,
         line: &str,
@@ -106,7 +106,7 @@
     ) -> Option<()> {
         let path = line.split(' ').nth(1)?;
         if path.contains("/hold") {
-            while self.hold.load(Ordering::SeqCst) == 0 {
+            while self.released.load(Ordering::SeqCst) == 0 {
                 if is_closed(stream) {
                     self.cancelled.fetch_add(1, Ordering::SeqCst);
                     return None;
@@ -124,14 +124,14 @@
         }
         if path.contains("/foreign") {
             let head = "HTTP/1.1 200 OK\r\nx-sycamore-request-id: someone-else\r\n";
-            let answer = format!("{head}content-length: 6\r\n\r\nsecret");
-            stream.write_all(answer.as_bytes()).ok()?;
+            let response = format!("{head}content-length: 6\r\n\r\nsecret");
+            stream.write_all(response.as_bytes()).ok()?;
             return Some(());
         }
         if path.contains("/chunks-trailers") {
             let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\ntrailer: x-sum\r\n\r\n";
             stream.write_all(format!("{head}5\r\nwhole\r\n").as_bytes()).ok()?;
-            // Late enough that what came before has been passed on.
+            // Long enough for the preceding data to be forwarded.
             std::thread::sleep(Duration::from_millis(50));
             stream.write_all(b"0\r\nx-sum: 1\r\n\r\n").ok()?;
             return Some(());
@@ -210,7 +210,7 @@
     }
 }
 
-/// The call path of one node, without a spread.
+/// The call path of one node, without the spread.
 pub struct Node {
     pub shared: Arc<Shared>,
     pub calls: Calls,
@@ -225,15 +225,15 @@
     }
 
     pub fn with_limits(vm: &str, target: Option<SocketAddr>, limits: &str) -> Node {
-        Node::with_gate_on(vm, target, limits, "127.0.0.1")
+        Node::with_gate_ip(vm, target, limits, "127.0.0.1")
     }
 
-    /// A node whose gatekeeper listens on an address that differs from its callers'.
-    pub fn with_gate_on(vm: &str, target: Option<SocketAddr>, limits: &str, gate: &str) -> Node {
+    /// A node whose gatekeeper listens on a different IP address than its caller socket.
+    pub fn with_gate_ip(vm: &str, target: Option<SocketAddr>, limits: &str, gate_ip: &str) -> Node {
         let target = target.map_or("null".into(), |address| format!("\"{address}\""));
         let text = format!(
             r#"{{"vm":"{vm}","region":"r","zone":"z","target_address":{target},
-            "listen":{{"calls":"127.0.0.1:0","gate":"{gate}:0","peers":"127.0.0.1:0",
+            "listen":{{"calls":"127.0.0.1:0","gate":"{gate_ip}:0","peers":"127.0.0.1:0",
             "admin":"127.0.0.1:0"}},"platform_address":"127.0.0.1:1","limits":{limits}}}"#
         );
         let settings = Settings::parse(text.as_bytes()).unwrap();
@@ -263,7 +263,7 @@
     }
 }
 
-/// A preset with one service, `/idem` and `/once` routes, and these targets.
+/// A preset with one service, the routes `/idem` and `/once`, and these targets.
 pub fn preset(limits: &str, targets: &[(&str, SocketAddr)]) -> String {
     let target = |(vm, gate): &(&str, SocketAddr)| {
         format!(r#"{{"vm":"{vm}","region":"r","zone":"z","gate":"{gate}","peers":"127.0.0.1:9"}}"#)
@@ -278,25 +278,25 @@
     )
 }
 
-/// One node in front of one target, configured and past the time in which its keys are unknown.
-pub fn single(limits: &str) -> (Target, Node) {
+/// One configured node with one target.
+pub fn single_node(limits: &str) -> (Target, Node) {
     let target = Target::new();
     let node = Node::new("a", Some(target.address));
     node.configure(1, &preset(limits, &[("a", node.gate)]));
     (target, node)
 }
 
-/// An answer as the caller sees it.
+/// A response as received by the caller.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct ClientResponse {
     pub status: u16,
     pub headers: Vec<String>,
     pub body: Vec<u8>,
-    /// The body came to its stated end.
-    pub whole: bool,
+    /// Whether the body was received completely.
+    pub complete: bool,
 }
 
-impl Answer {
+impl ClientResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         let prefix = format!("{name}: ");
         self.headers.iter().find_map(|line| line.strip_prefix(&prefix))
@@ -318,42 +318,41 @@
 /// Connects and sends raw bytes.
 pub fn open(address: SocketAddr, raw: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(raw.as_bytes()).unwrap();
     stream
 }
 
-/// Reads one answer.
-pub fn read(stream: &TcpStream) -> Answer {
+pub fn read(stream: &TcpStream) -> ClientResponse {
     let mut reader = BufReader::new(stream);
     let Some((line, headers)) = read_head(&mut reader) else {
-        return Answer::default();
+        return ClientResponse::default();
     };
     let status = line.split(' ').nth(1).unwrap().parse().unwrap();
-    let mut answer = Answer { status, headers, body: Vec::new(), whole: true };
-    if let Some(size) = answer.header("content-length").map(|size| size.parse::<u64>().unwrap()) {
-        let read = reader.take(size).read_to_end(&mut answer.body);
-        answer.whole = read.is_ok_and(|count| count as u64 == size);
-    } else if answer.header("transfer-encoding") == Some("chunked") {
+    let mut response = ClientResponse { status, headers, body: Vec::new(), complete: true };
+    if let Some(size) = response.header("content-length").map(|size| size.parse::<u64>().unwrap()) {
+        let read = reader.take(size).read_to_end(&mut response.body);
+        response.complete = read.is_ok_and(|count| count as u64 == size);
+    } else if response.header("transfer-encoding") == Some("chunked") {
         let body = read_chunks(&mut reader);
-        answer.whole = body.is_some();
-        answer.body = body.unwrap_or_default();
+        response.complete = body.is_some();
+        response.body = body.unwrap_or_default();
     }
-    answer
+    response
 }
 
-/// Sends one request and reads its answer.
-pub fn call(address: SocketAddr, raw: &str) -> Answer {
+/// Sends one request and reads the response.
+pub fn call(address: SocketAddr, raw: &str) -> ClientResponse {
     read(&open(address, raw))
 }
 
-/// `GET` of a path.
+/// A `GET` request for a path.
 pub fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: test\r\n\r\n")
 }
 
-/// `POST` with a key and a body.
-pub fn sign(path: &str, key: &str, body: &str) -> String {
+/// A `POST` request with a key and a body.
+pub fn keyed_post(path: &str, key: &str, body: &str) -> String {
     let size = body.len();
     format!(
         "POST {path} HTTP/1.1\r\nhost: test\r\nidempotency-key: {key}\r\n\
@@ -361,22 +360,22 @@
     )
 }
 
-/// A key minted now.
-pub fn key() -> String {
+/// A key created now.
+pub fn new_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// Waits until `holds` or fails the test.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls `condition` until it is true; fails the test after a timeout.
+pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+    while !condition() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Carries notes between nodes until the test ends, as the spread does.
-pub fn carry_notes(nodes: &[&Node]) {
+/// Forwards notes between nodes until the test ends, as the spread does.
+pub fn forward_notes(nodes: &[&Node]) {
     let by_vm: Vec<(Name, Calls)> =
         nodes.iter().map(|node| (node.shared.settings.vm.clone(), node.calls.clone())).collect();
     for node in nodes {
