--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -18,7 +18,7 @@
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = Infallible>>>;
 
 /// A whole answer held in memory.
-pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
+pub fn response(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Box::pin(Full::new(body.into())) as Body);
     *response.status_mut() = status;
     response
@@ -26,63 +26,63 @@
 
 /// Ends the connections that wait on it once it is dropped.
 #[derive(Debug)]
-pub struct Cutter {
-    _alive: Sender<()>,
-    cut: Receiver<()>,
+pub struct ShutdownSignal {
+    _sender: Sender<()>,
+    receiver: Receiver<()>,
 }
 
-impl Cutter {
+impl ShutdownSignal {
     /// A cutter that no connection waits on.
-    pub fn new() -> Cutter {
-        let (alive, cut) = async_channel::bounded(1);
-        Cutter { _alive: alive, cut }
+    pub fn new() -> ShutdownSignal {
+        let (sender, receiver) = async_channel::bounded(1);
+        ShutdownSignal { _sender: sender, receiver }
     }
 
     /// What a connection waits on.
-    pub fn watch(&self) -> Receiver<()> {
-        self.cut.clone()
+    pub fn subscribe(&self) -> Receiver<()> {
+        self.receiver.clone()
     }
 }
 
-impl Default for Cutter {
-    fn default() -> Cutter {
-        Cutter::new()
+impl Default for ShutdownSignal {
+    fn default() -> ShutdownSignal {
+        ShutdownSignal::new()
     }
 }
 
 /// Serves one connection until its client closes it or it is cut.
-pub async fn serve<H, F>(stream: Async<TcpStream>, cut: Receiver<()>, handle: H)
+pub async fn serve<H, F>(stream: Async<TcpStream>, shutdown: Receiver<()>, handle: H)
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = Option<Response<Body>>>,
 {
     let service = hyper::service::service_fn(move |req| {
-        let answer = handle(req);
+        let response = handle(req);
         // No answer closes the connection.
-        async move { answer.await.ok_or_else(|| std::io::Error::other("no answer")) }
+        async move { response.await.ok_or_else(|| std::io::Error::other("no answer")) }
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .serve_connection(FuturesIo::new(stream), service);
     let serve = async {
         let _ = connection.await;
     };
-    let cut = async {
-        let _ = cut.recv().await;
+    let shutdown = async {
+        let _ = shutdown.recv().await;
     };
-    future::or(serve, cut).await;
+    future::or(serve, shutdown).await;
 }
 
 /// Listens on `address` and hands every connection to `take`, until it is dropped.
 pub async fn listen(
     listener: Async<std::net::TcpListener>,
-    mut take: impl FnMut(Async<TcpStream>, SocketAddr),
+    mut on_connection: impl FnMut(Async<TcpStream>, SocketAddr),
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 // Answers would otherwise wait for the acknowledgement of earlier ones.
                 let _ = stream.get_ref().set_nodelay(true);
-                take(stream, peer);
+                on_connection(stream, peer);
             }
             // Out of file descriptors: wait for connections to close.
             Err(_) => {
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -7,7 +7,7 @@
 pub use control::{Counts, Faults};
 pub use store::Store;
 
-use crate::http::{self, Body, Cutter};
+use crate::http::{self, Body, ShutdownSignal};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use bytes::Bytes;
@@ -96,11 +96,11 @@
         }
         let state = self.state.clone();
         let connections = executor.clone();
-        let never = Cutter::new();
+        let no_shutdown = ShutdownSignal::new();
         let control = http::listen(self.control, move |stream, _| {
             let state = state.clone();
             let handle = move |req| control::handle(state.clone(), req);
-            connections.spawn(http::serve(stream, never.watch(), handle)).detach();
+            connections.spawn(http::serve(stream, no_shutdown.subscribe(), handle)).detach();
         });
         executor.run(control).await;
     }
@@ -113,10 +113,10 @@
     at: Option<SocketAddr>,
 ) {
     http::listen(listener, move |stream, peer| {
-        let Some(cut) = state.borrow_mut().admit([at.unwrap_or(peer).ip(), peer.ip()]) else {
+        let Some(shutdown) = state.borrow_mut().admit([at.unwrap_or(peer).ip(), peer.ip()]) else {
             return;
         };
-        executor.spawn(serve(state.clone(), stream, cut)).detach();
+        executor.spawn(serve(state.clone(), stream, shutdown)).detach();
     })
     .await;
 }
@@ -124,21 +124,21 @@
 async fn serve(
     state: Rc<RefCell<State>>,
     stream: Async<TcpStream>,
-    cut: async_channel::Receiver<()>,
+    shutdown: async_channel::Receiver<()>,
 ) {
-    http::serve(stream, cut, move |req| read(state.clone(), req)).await;
+    http::serve(stream, shutdown, move |req| read(state.clone(), req)).await;
 }
 
 /// Answers one read or blocking query.
 async fn read(state: Rc<RefCell<State>>, req: Request<Incoming>) -> Option<Response<Body>> {
     if !state.borrow_mut().count_call() {
-        return Some(http::answer(StatusCode::TOO_MANY_REQUESTS, "too many calls"));
+        return Some(http::response(StatusCode::TOO_MANY_REQUESTS, "too many calls"));
     }
     if state.borrow().faults.rubbish {
         return Some(rubbish());
     }
     let Some(key) = req.uri().path().strip_prefix("/v1/kv/").map(str::to_string) else {
-        return Some(http::answer(StatusCode::NOT_FOUND, ""));
+        return Some(http::response(StatusCode::NOT_FOUND, ""));
     };
     let query = Query::parse(req.uri().query().unwrap_or_default());
     let end = Instant::now() + query.wait;
@@ -152,7 +152,7 @@
         let wanted = query.index.is_none_or(|known| index > known);
         if wanted || Instant::now() >= end {
             return Some(found.map_or_else(
-                || http::answer(StatusCode::NOT_FOUND, ""),
+                || http::response(StatusCode::NOT_FOUND, ""),
                 |value| with_index(value.body, value.index),
             ));
         }
@@ -198,7 +198,7 @@
 }
 
 fn with_index(body: Bytes, index: u64) -> Response<Body> {
-    let mut response = http::answer(StatusCode::OK, body);
+    let mut response = http::response(StatusCode::OK, body);
     response.headers_mut().insert("x-index", index.into());
     response
 }
--- a/standins/src/platform/control.rs
+++ b/standins/src/platform/control.rs
@@ -31,16 +31,16 @@
 
 impl Faults {
     /// Whether a connection between these addresses can't be.
-    fn cuts(&self, ends: &[IpAddr]) -> bool {
-        self.down || ends.iter().any(|ip| self.cut.contains(ip))
+    fn cuts(&self, endpoints: &[IpAddr]) -> bool {
+        self.down || endpoints.iter().any(|ip| self.cut.contains(ip))
     }
 }
 
 /// A connection of a reader; it ends when this is dropped.
 #[derive(Debug)]
 struct Connection {
-    ends: [IpAddr; 2],
-    alive: Sender<()>,
+    endpoints: [IpAddr; 2],
+    shutdown: Sender<()>,
 }
 
 /// What the stand-in has counted.
@@ -88,14 +88,14 @@
     }
 
     /// Takes a new connection, unless its ends are cut off. It ends when the result does.
-    pub fn admit(&mut self, ends: [IpAddr; 2]) -> Option<Receiver<()>> {
-        if self.faults.cuts(&ends) {
+    pub fn admit(&mut self, endpoints: [IpAddr; 2]) -> Option<Receiver<()>> {
+        if self.faults.cuts(&endpoints) {
             return None;
         }
-        let (alive, cut) = async_channel::bounded(1);
-        self.connections.retain(|connection| !connection.alive.is_closed());
-        self.connections.push(Connection { ends, alive });
-        Some(cut)
+        let (shutdown, closed) = async_channel::bounded(1);
+        self.connections.retain(|connection| !connection.shutdown.is_closed());
+        self.connections.push(Connection { endpoints, shutdown });
+        Some(closed)
     }
 
     /// Counts a call. Returns false if there were too many in this second.
@@ -131,7 +131,7 @@
 
     /// Sets the faults, also for callers that wait. Connections of others stay as they are.
     fn set_faults(&mut self, faults: Faults) {
-        self.connections.retain(|connection| !faults.cuts(&connection.ends));
+        self.connections.retain(|connection| !faults.cuts(&connection.endpoints));
         self.faults = faults;
         self.waiting.clear();
     }
@@ -149,19 +149,19 @@
     Some(match (&head.method, key, head.uri.path()) {
         (&Method::PUT, Some(key), _) => {
             let index = state.borrow_mut().put(key, body);
-            http::answer(StatusCode::OK, index.to_string())
+            http::response(StatusCode::OK, index.to_string())
         }
         (&Method::PUT, None, "/faults") => match serde_json::from_slice(&body) {
             Ok(faults) => {
                 state.borrow_mut().set_faults(faults);
-                http::answer(StatusCode::OK, "")
+                http::response(StatusCode::OK, "")
             }
-            Err(e) => http::answer(StatusCode::BAD_REQUEST, e.to_string()),
+            Err(e) => http::response(StatusCode::BAD_REQUEST, e.to_string()),
         },
         (&Method::GET, None, "/counts") => {
             let counts = state.borrow().counts();
-            http::answer(StatusCode::OK, serde_json::to_vec(&counts).unwrap_or_default())
+            http::response(StatusCode::OK, serde_json::to_vec(&counts).unwrap_or_default())
         }
-        _ => http::answer(StatusCode::NOT_FOUND, ""),
+        _ => http::response(StatusCode::NOT_FOUND, ""),
     })
 }
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -10,7 +10,7 @@
 
 pub use control::{Counts, Habits};
 
-use crate::http::{self, Body, Cutter};
+use crate::http::{self, Body, ShutdownSignal};
 use answer::Answer;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -129,12 +129,12 @@
             targets.push(target);
         }
         let targets = Rc::new(targets);
-        let never = Cutter::new();
+        let no_shutdown = ShutdownSignal::new();
         let connections = executor.clone();
         let control = http::listen(self.control, move |stream, _| {
             let targets = targets.clone();
             let handle = move |req| control::handle(targets.clone(), req);
-            connections.spawn(http::serve(stream, never.watch(), handle)).detach();
+            connections.spawn(http::serve(stream, no_shutdown.subscribe(), handle)).detach();
         });
         executor.run(control).await;
     }
@@ -189,13 +189,13 @@
 
 async fn handle(target: Rc<Target>, req: Request<Incoming>) -> Option<Response<Body>> {
     if req.uri().path() == "/health" {
-        return Some(http::answer(StatusCode::OK, ""));
+        return Some(http::response(StatusCode::OK, ""));
     }
     let call = Call::new(&req);
     // A request whose body is cut is not run.
     req.into_body().collect().await.ok()?;
     if !target.state.borrow_mut().take_slot(target.cfg.slots) {
-        return Some(http::answer(StatusCode::SERVICE_UNAVAILABLE, "no slot is free"));
+        return Some(http::response(StatusCode::SERVICE_UNAVAILABLE, "no slot is free"));
     }
     let run = run_log::Run::start(target.clone(), &call);
     let response = execute(&target, &call, run).await?;
@@ -218,7 +218,7 @@
     }
     if !answered {
         run.finish();
-        return Some(http::answer(StatusCode::FAILED_DEPENDENCY, "a call of its own failed"));
+        return Some(http::response(StatusCode::FAILED_DEPENDENCY, "a call of its own failed"));
     }
     let load = target.state.borrow_mut().load(target.cfg.slots);
     let mut response =
--- a/standins/src/target/control.rs
+++ b/standins/src/target/control.rs
@@ -2,7 +2,7 @@
 
 use super::load::Reported;
 use super::{RESTART, Target};
-use crate::http::{self, Body, Cutter};
+use crate::http::{self, Body, ShutdownSignal};
 use async_channel::Receiver;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -52,7 +52,7 @@
     connections: u32,
     reported: Reported,
     started: Instant,
-    cutter: Cutter,
+    shutdown: ShutdownSignal,
     away: Option<Duration>,
 }
 
@@ -71,7 +71,7 @@
             connections: 0,
             reported: Reported::default(),
             started: Instant::now(),
-            cutter: Cutter::new(),
+            shutdown: ShutdownSignal::new(),
             away: None,
         }
     }
@@ -121,14 +121,14 @@
 
     /// Ends when the target crashes.
     pub fn crashed(&self) -> Receiver<()> {
-        self.cutter.watch()
+        self.shutdown.subscribe()
     }
 
     /// Ends every connection and run, and stays away for a while.
     pub fn crash(&mut self, away: Duration) {
         self.counts.crashes += 1;
         self.away = Some(away);
-        self.cutter = Cutter::new();
+        self.shutdown = ShutdownSignal::new();
     }
 
     /// How long the crashed target stays away.
@@ -173,7 +173,7 @@
     match what {
         "habits" => match serde_json::from_slice(&body) {
             Ok(habits) => state.habits = habits,
-            Err(e) => return Some(http::answer(StatusCode::BAD_REQUEST, e.to_string())),
+            Err(e) => return Some(http::response(StatusCode::BAD_REQUEST, e.to_string())),
         },
         "crash" => {
             let away = std::str::from_utf8(&body).ok().and_then(|text| text.parse().ok());
@@ -181,15 +181,15 @@
         }
         _ => return Some(not_found()),
     }
-    Some(http::answer(StatusCode::OK, ""))
+    Some(http::response(StatusCode::OK, ""))
 }
 
 fn counts(targets: &[Rc<Target>]) -> Response<Body> {
     let counts: IndexMap<&str, Counts> =
         targets.iter().map(|target| (&target.cfg.vm[..], target.state.borrow().counts)).collect();
-    http::answer(StatusCode::OK, serde_json::to_vec(&counts).unwrap_or_default())
+    http::response(StatusCode::OK, serde_json::to_vec(&counts).unwrap_or_default())
 }
 
 fn not_found() -> Response<Body> {
-    http::answer(StatusCode::NOT_FOUND, "")
+    http::response(StatusCode::NOT_FOUND, "")
 }
