--- a/bench/src/demo/plan.rs
+++ b/bench/src/demo/plan.rs
@@ -147,8 +147,8 @@
 
     fn cut_zone(&self, zone: usize) -> io::Result<()> {
         let (_, name, number) = self.stack.deployment.zones()[zone].clone();
-        let cut = vec![self.stack.deployment.platform(number).ip()];
-        self.stack.set_faults(&Faults { cut, ..Faults::default() })?;
+        let blocked = vec![self.stack.deployment.platform(number).ip()];
+        self.stack.set_faults(&Faults { blocked, ..Faults::default() })?;
         self.say(&format!("cut zone {name} from the platform"));
         Ok(())
     }
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -195,12 +195,12 @@
             Fault::CutPlatform { zone } => {
                 let deployment = &self.stack.deployment;
                 let number = deployment.zones()[zone].2;
-                self.faults.cut.push(deployment.platform(number).ip());
+                self.faults.blocked.push(deployment.platform(number).ip());
                 self.stack.set_faults(&self.faults)
             }
             Fault::Down => self.with_faults(|faults| faults.down = true),
-            Fault::Silent => self.with_faults(|faults| faults.silent = true),
-            Fault::Rubbish => self.with_faults(|faults| faults.rubbish = true),
+            Fault::Silent => self.with_faults(|faults| faults.unresponsive = true),
+            Fault::Rubbish => self.with_faults(|faults| faults.malformed = true),
             Fault::Back { changes } => {
                 let control = self.stack.deployment.platform_control();
                 let counts: Counts = serde_json::from_slice(&http::get(control, "/counts")?)?;
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -90,8 +90,8 @@
     pub async fn run(self) {
         let executor = http::executor();
         for listener in self.readers {
-            let at = listener.get_ref().local_addr();
-            let task = listen(executor.clone(), self.state.clone(), listener, at.ok());
+            let local_addr = listener.get_ref().local_addr();
+            let task = listen(executor.clone(), self.state.clone(), listener, local_addr.ok());
             executor.spawn(task).detach();
         }
         let state = self.state.clone();
@@ -110,10 +110,11 @@
     executor: Rc<LocalExecutor<'static>>,
     state: Rc<RefCell<State>>,
     listener: Async<TcpListener>,
-    at: Option<SocketAddr>,
+    local_addr: Option<SocketAddr>,
 ) {
     http::listen(listener, move |stream, peer| {
-        let Some(shutdown) = state.borrow_mut().admit([at.unwrap_or(peer).ip(), peer.ip()]) else {
+        let Some(shutdown) = state.borrow_mut().admit([local_addr.unwrap_or(peer).ip(), peer.ip()])
+        else {
             return;
         };
         executor.spawn(serve(state.clone(), stream, shutdown)).detach();
@@ -126,41 +127,41 @@
     stream: Async<TcpStream>,
     shutdown: async_channel::Receiver<()>,
 ) {
-    http::serve(stream, shutdown, move |req| read(state.clone(), req)).await;
+    http::serve(stream, shutdown, move |req| handle_read(state.clone(), req)).await;
 }
 
 /// Answers one read or blocking query.
-async fn read(state: Rc<RefCell<State>>, req: Request<Incoming>) -> Option<Response<Body>> {
+async fn handle_read(state: Rc<RefCell<State>>, req: Request<Incoming>) -> Option<Response<Body>> {
     if !state.borrow_mut().count_call() {
         return Some(http::response(StatusCode::TOO_MANY_REQUESTS, "too many calls"));
     }
-    if state.borrow().faults.rubbish {
-        return Some(rubbish());
+    if state.borrow().faults.malformed {
+        return Some(malformed_response());
     }
     let Some(key) = req.uri().path().strip_prefix("/v1/kv/").map(str::to_string) else {
         return Some(http::response(StatusCode::NOT_FOUND, ""));
     };
     let query = Query::parse(req.uri().query().unwrap_or_default());
-    let end = Instant::now() + query.wait;
+    let deadline = Instant::now() + query.wait;
     loop {
-        let (found, changed) = state.borrow_mut().look_up(&key);
-        if state.borrow().faults.silent {
-            let _ = changed.recv().await;
+        let (found, change_signal) = state.borrow_mut().look_up(&key);
+        if state.borrow().faults.unresponsive {
+            let _ = change_signal.recv().await;
             continue;
         }
         let index = found.as_ref().map_or(0, |value| value.index);
-        let wanted = query.index.is_none_or(|known| index > known);
-        if wanted || Instant::now() >= end {
+        let is_newer = query.index.is_none_or(|known| index > known);
+        if is_newer || Instant::now() >= deadline {
             return Some(found.map_or_else(
                 || http::response(StatusCode::NOT_FOUND, ""),
                 |value| with_index(value.body, value.index),
             ));
         }
         let timeout = async {
-            async_io::Timer::at(end).await;
+            async_io::Timer::at(deadline).await;
         };
         let change = async {
-            let _ = changed.recv().await;
+            let _ = change_signal.recv().await;
         };
         future::or(change, timeout).await;
     }
@@ -204,6 +205,6 @@
 }
 
 /// What a broken platform says: a status that promises a value, and no value.
-fn rubbish() -> Response<Body> {
+fn malformed_response() -> Response<Body> {
     with_index(Bytes::from_static(b"\x00\xff{\"version\":"), u64::MAX)
 }
--- a/standins/src/platform/control.rs
+++ b/standins/src/platform/control.rs
@@ -19,11 +19,14 @@
     /// Closes every connection at once.
     pub down: bool,
     /// Takes requests and answers none while it lasts.
-    pub silent: bool,
+    #[serde(rename = "silent")]
+    pub unresponsive: bool,
     /// Answers what is no value.
-    pub rubbish: bool,
+    #[serde(rename = "rubbish")]
+    pub malformed: bool,
     /// Callers cut off: by their own address, or by the address that they connect to.
-    pub cut: Vec<IpAddr>,
+    #[serde(rename = "cut")]
+    pub blocked: Vec<IpAddr>,
     /// Answers as of this index: the present one for a stale replica, an earlier one for a
     /// restored backup.
     pub as_of: Option<u64>,
@@ -31,8 +34,8 @@
 
 impl Faults {
     /// Whether a connection between these addresses can't be.
-    fn cuts(&self, endpoints: &[IpAddr]) -> bool {
-        self.down || endpoints.iter().any(|ip| self.cut.contains(ip))
+    fn blocks(&self, endpoints: &[IpAddr]) -> bool {
+        self.down || endpoints.iter().any(|ip| self.blocked.contains(ip))
     }
 }
 
@@ -63,10 +66,10 @@
     pub faults: Faults,
     store: Store,
     connections: Vec<Connection>,
-    waiting: Vec<Sender<()>>,
+    watchers: Vec<Sender<()>>,
     counts: Counts,
     max_calls_per_second: u64,
-    second: u64,
+    current_second: u64,
     calls_in_second: u64,
     started: Instant,
 }
@@ -78,10 +81,10 @@
             faults: Faults::default(),
             store,
             connections: Vec::new(),
-            waiting: Vec::new(),
+            watchers: Vec::new(),
             counts: Counts::default(),
             max_calls_per_second,
-            second: 0,
+            current_second: 0,
             calls_in_second: 0,
             started: Instant::now(),
         }
@@ -89,7 +92,7 @@
 
     /// Takes a new connection, unless its ends are cut off. It ends when the result does.
     pub fn admit(&mut self, endpoints: [IpAddr; 2]) -> Option<Receiver<()>> {
-        if self.faults.cuts(&endpoints) {
+        if self.faults.blocks(&endpoints) {
             return None;
         }
         let (shutdown, closed) = async_channel::bounded(1);
@@ -101,39 +104,39 @@
     /// Counts a call. Returns false if there were too many in this second.
     pub fn count_call(&mut self) -> bool {
         let second = self.started.elapsed().as_secs();
-        if second != self.second {
-            self.second = second;
+        if second != self.current_second {
+            self.current_second = second;
             self.calls_in_second = 0;
         }
         self.calls_in_second += 1;
         self.counts.calls += 1;
         let peak = self.counts.peak_calls_per_second.max(self.calls_in_second);
         self.counts.peak_calls_per_second = peak;
-        let fits = self.calls_in_second <= self.max_calls_per_second;
-        self.counts.refused += u64::from(!fits);
-        fits
+        let within_limit = self.calls_in_second <= self.max_calls_per_second;
+        self.counts.refused += u64::from(!within_limit);
+        within_limit
     }
 
     /// The value of a key, and what ends when anything changes.
     pub fn look_up(&mut self, key: &str) -> (Option<Value>, Receiver<()>) {
         let (tx, rx) = async_channel::bounded(1);
-        self.waiting.retain(|waiting| !waiting.is_closed());
-        self.waiting.push(tx);
+        self.watchers.retain(|watcher| !watcher.is_closed());
+        self.watchers.push(tx);
         let as_of = self.faults.as_of.unwrap_or(u64::MAX);
         (self.store.get(key, as_of), rx)
     }
 
     fn put(&mut self, key: &str, body: bytes::Bytes) -> u64 {
         let index = self.store.put(key, body);
-        self.waiting.clear();
+        self.watchers.clear();
         index
     }
 
     /// Sets the faults, also for callers that wait. Connections of others stay as they are.
     fn set_faults(&mut self, faults: Faults) {
-        self.connections.retain(|connection| !faults.cuts(&connection.endpoints));
+        self.connections.retain(|connection| !faults.blocks(&connection.endpoints));
         self.faults = faults;
-        self.waiting.clear();
+        self.watchers.clear();
     }
 
     fn counts(&self) -> Counts {
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -36,17 +36,17 @@
     /// Reads a directory of values: `preset/peak.json` holds the key `preset/peak`.
     pub fn read_directory(directory: &Path) -> std::io::Result<Store> {
         let mut store = Store::new();
-        store.read_below(directory, "")?;
+        store.read_recursive(directory, "")?;
         Ok(store)
     }
 
-    fn read_below(&mut self, directory: &Path, prefix: &str) -> std::io::Result<()> {
+    fn read_recursive(&mut self, directory: &Path, prefix: &str) -> std::io::Result<()> {
         let mut entries: Vec<_> = std::fs::read_dir(directory)?.collect::<Result<_, _>>()?;
         entries.sort_by_key(std::fs::DirEntry::file_name);
         for entry in entries {
             let name = entry.file_name().to_string_lossy().into_owned();
             if entry.file_type()?.is_dir() {
-                self.read_below(&entry.path(), &format!("{prefix}{name}/"))?;
+                self.read_recursive(&entry.path(), &format!("{prefix}{name}/"))?;
             } else if let Some(key) = name.strip_suffix(SUFFIX) {
                 self.put(&format!("{prefix}{key}"), std::fs::read(entry.path())?.into());
             }
@@ -68,7 +68,7 @@
 
     /// The value of a key, as of an index.
     pub fn get(&self, key: &str, as_of: u64) -> Option<Value> {
-        let seen = &self.changes[..as_of.min(self.index()) as usize];
-        seen.iter().rev().find(|change| change.key == key).map(|change| change.value.clone())
+        let visible = &self.changes[..as_of.min(self.index()) as usize];
+        visible.iter().rev().find(|change| change.key == key).map(|change| change.value.clone())
     }
 }
