--- a/bench/src/calls/overload.rs
+++ b/bench/src/calls/overload.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
-use sycamore_standins::target::{Habits, run_log};
+use sycamore_standins::target::{Behaviour, run_log};
 use sycamore_tools::load::caller::Resend;
 use sycamore_tools::load::history::{self, History, Record, Send, SendResult, now_us};
 use sycamore_tools::load::mix::Mix;
@@ -226,10 +226,10 @@
     }
 
     /// Makes the first targets work so many times as long.
-    fn slow(&self, targets: usize, slow: f64) -> io::Result<()> {
-        let habits = serde_json::to_string(&Habits { slow, ..Habits::default() })?;
+    fn slow(&self, targets: usize, work_factor: f64) -> io::Result<()> {
+        let behaviour = serde_json::to_string(&Behaviour { work_factor, ..Behaviour::default() })?;
         for vm in DEPLOYMENT.vms().iter().take(targets) {
-            self.cluster.stack.drive_target("habits", &vm.name, habits.clone())?;
+            self.cluster.stack.drive_target("habits", &vm.name, behaviour.clone())?;
         }
         Ok(())
     }
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -8,7 +8,7 @@
 mod request;
 pub mod run_log;
 
-pub use control::{Counts, Habits};
+pub use control::{Behaviour, Counts};
 
 use crate::http::{self, Body, ShutdownSignal};
 use answer::Answer;
--- a/standins/src/target/control.rs
+++ b/standins/src/target/control.rs
@@ -15,15 +15,19 @@
 /// How a target behaves, set by a test.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Habits {
+pub struct Behaviour {
     /// Work takes so many times as long.
-    pub slow: f64,
+    #[serde(rename = "slow")]
+    pub work_factor: f64,
     /// Work takes so many times as long at first.
-    pub cold: f64,
+    #[serde(rename = "cold")]
+    pub warm_up_work_factor: f64,
     /// How long "at first" lasts, after a start; in milliseconds.
-    pub cold_ms: u64,
+    #[serde(rename = "cold_ms")]
+    pub warm_up_ms: u64,
     /// Reports an idle target whatever runs.
-    pub lies: bool,
+    #[serde(rename = "lies")]
+    pub reports_idle: bool,
 }
 
 /// What a target has counted.
@@ -46,7 +50,7 @@
 /// State of one target.
 #[derive(Debug)]
 pub struct State {
-    habits: Habits,
+    behaviour: Behaviour,
     counts: Counts,
     in_flight: u32,
     connections: u32,
@@ -56,16 +60,16 @@
     away: Option<Duration>,
 }
 
-impl Default for Habits {
-    fn default() -> Habits {
-        Habits { slow: 1.0, cold: 1.0, cold_ms: 0, lies: false }
+impl Default for Behaviour {
+    fn default() -> Behaviour {
+        Behaviour { work_factor: 1.0, warm_up_work_factor: 1.0, warm_up_ms: 0, reports_idle: false }
     }
 }
 
 impl Default for State {
     fn default() -> State {
         State {
-            habits: Habits::default(),
+            behaviour: Behaviour::default(),
             counts: Counts::default(),
             in_flight: 0,
             connections: 0,
@@ -108,14 +112,18 @@
 
     /// How many times as long work takes now.
     pub fn work_factor(&self, now: Instant) -> f64 {
-        let cold = now - self.started < Duration::from_millis(self.habits.cold_ms);
-        if cold { self.habits.slow * self.habits.cold } else { self.habits.slow }
+        let warming_up = now - self.started < Duration::from_millis(self.behaviour.warm_up_ms);
+        if warming_up {
+            self.behaviour.work_factor * self.behaviour.warm_up_work_factor
+        } else {
+            self.behaviour.work_factor
+        }
     }
 
     /// Value of the header `x-load`.
     pub fn load(&mut self, slots: u32) -> String {
         let in_flight = self.reported.get(self.in_flight, Instant::now());
-        let in_flight = if self.habits.lies { 0 } else { in_flight };
+        let in_flight = if self.behaviour.reports_idle { 0 } else { in_flight };
         format!("{in_flight}/{slots}")
     }
 
@@ -165,14 +173,14 @@
         return Some(counts(&targets));
     }
     let mut path = head.uri.path().trim_start_matches('/').split('/');
-    let (Some(what), Some(vm)) = (path.next(), path.next()) else { return Some(not_found()) };
+    let (Some(action), Some(vm)) = (path.next(), path.next()) else { return Some(not_found()) };
     let Some(target) = targets.iter().find(|target| target.cfg.vm == vm) else {
         return Some(not_found());
     };
     let mut state = target.state.borrow_mut();
-    match what {
+    match action {
         "habits" => match serde_json::from_slice(&body) {
-            Ok(habits) => state.habits = habits,
+            Ok(behaviour) => state.behaviour = behaviour,
             Err(e) => return Some(http::response(StatusCode::BAD_REQUEST, e.to_string())),
         },
         "crash" => {
