--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -29,10 +29,10 @@
 use std::time::{Duration, Instant};
 
 /// What a new connection costs a target before it answers on it.
-const CONNECTION_COST: Duration = Duration::from_millis(1);
+const ACCEPT_DELAY: Duration = Duration::from_millis(1);
 
 /// How long a crashed target stays away.
-const RESTART: Duration = Duration::from_millis(500);
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 /// The targets of one process, as read from a file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -157,32 +157,36 @@
     loop {
         let crashed = target.state.borrow().crashed();
         if let Some(listener) = listener.take() {
-            let take = |stream, _| take(&executor, &target, stream);
+            let on_connection = |stream, _| spawn_connection(&executor, &target, stream);
             let crash = async {
                 let _ = crashed.recv().await;
             };
             // Dropping the listener makes new connections fail, as on a crashed process.
-            future::or(http::listen(listener, take), crash).await;
+            future::or(http::listen(listener, on_connection), crash).await;
         }
-        let away = target.state.borrow().away().unwrap_or(RESTART);
-        Timer::after(away).await;
+        let downtime = target.state.borrow().downtime().unwrap_or(RESTART_DELAY);
+        Timer::after(downtime).await;
         listener = Async::<TcpListener>::bind(target.cfg.address).ok();
         target.state.borrow_mut().restart();
     }
 }
 
-fn take(executor: &Rc<LocalExecutor<'static>>, target: &Rc<Target>, stream: Async<TcpStream>) {
+fn spawn_connection(
+    executor: &Rc<LocalExecutor<'static>>,
+    target: &Rc<Target>,
+    stream: Async<TcpStream>,
+) {
     let crashed = target.state.borrow().crashed();
     let target = target.clone();
     let task = async move {
         if !target.state.borrow_mut().open_connection(target.cfg.connections) {
             return;
         }
-        let closed = control::ConnectionGuard(target.clone());
-        Timer::after(CONNECTION_COST).await;
+        let open_connection = control::ConnectionGuard(target.clone());
+        Timer::after(ACCEPT_DELAY).await;
         let handled = target.clone();
         http::serve(stream, crashed, move |req| handle(handled.clone(), req)).await;
-        drop(closed);
+        drop(open_connection);
     };
     executor.spawn(task).detach();
 }
@@ -205,10 +209,10 @@
 /// Runs one request: its own calls first, then its work, then the answer.
 async fn execute(target: &Rc<Target>, call: &Call, run: run_log::Run) -> Option<Response<Body>> {
     if call.crash {
-        target.state.borrow_mut().crash(RESTART);
+        target.state.borrow_mut().crash(RESTART_DELAY);
         return None;
     }
-    let answered = match call.next() {
+    let nested_call_succeeded = match call.next() {
         Some(next) => target.caller.call(next, call.deadline).await,
         None => true,
     };
@@ -216,7 +220,7 @@
     if !work.is_zero() {
         Timer::after(work).await;
     }
-    if !answered {
+    if !nested_call_succeeded {
         run.finish();
         return Some(http::response(StatusCode::FAILED_DEPENDENCY, "a call of its own failed"));
     }
--- a/standins/src/target/control.rs
+++ b/standins/src/target/control.rs
@@ -1,7 +1,7 @@
 //! State of one target, and the control port that a test drives it by.
 
-use super::load::Reported;
-use super::{RESTART, Target};
+use super::load::ReportedLoad;
+use super::{RESTART_DELAY, Target};
 use crate::http::{self, Body, ShutdownSignal};
 use async_channel::Receiver;
 use http_body_util::BodyExt;
@@ -54,10 +54,10 @@
     counts: Counts,
     in_flight: u32,
     connections: u32,
-    reported: Reported,
+    reported_load: ReportedLoad,
     started: Instant,
     shutdown: ShutdownSignal,
-    away: Option<Duration>,
+    downtime: Option<Duration>,
 }
 
 impl Default for Behaviour {
@@ -73,10 +73,10 @@
             counts: Counts::default(),
             in_flight: 0,
             connections: 0,
-            reported: Reported::default(),
+            reported_load: ReportedLoad::default(),
             started: Instant::now(),
             shutdown: ShutdownSignal::new(),
-            away: None,
+            downtime: None,
         }
     }
 }
@@ -122,7 +122,7 @@
 
     /// Value of the header `x-load`.
     pub fn load(&mut self, slots: u32) -> String {
-        let in_flight = self.reported.get(self.in_flight, Instant::now());
+        let in_flight = self.reported_load.get(self.in_flight, Instant::now());
         let in_flight = if self.behaviour.reports_idle { 0 } else { in_flight };
         format!("{in_flight}/{slots}")
     }
@@ -133,20 +133,20 @@
     }
 
     /// Ends every connection and run, and stays away for a while.
-    pub fn crash(&mut self, away: Duration) {
+    pub fn crash(&mut self, downtime: Duration) {
         self.counts.crashes += 1;
-        self.away = Some(away);
+        self.downtime = Some(downtime);
         self.shutdown = ShutdownSignal::new();
     }
 
     /// How long the crashed target stays away.
-    pub fn away(&self) -> Option<Duration> {
-        self.away
+    pub fn downtime(&self) -> Option<Duration> {
+        self.downtime
     }
 
     /// Starts again, cold.
     pub fn restart(&mut self) {
-        self.away = None;
+        self.downtime = None;
         self.started = Instant::now();
     }
 }
@@ -184,8 +184,8 @@
             Err(e) => return Some(http::response(StatusCode::BAD_REQUEST, e.to_string())),
         },
         "crash" => {
-            let away = std::str::from_utf8(&body).ok().and_then(|text| text.parse().ok());
-            state.crash(away.map_or(RESTART, Duration::from_millis));
+            let downtime = std::str::from_utf8(&body).ok().and_then(|text| text.parse().ok());
+            state.crash(downtime.map_or(RESTART_DELAY, Duration::from_millis));
         }
         _ => return Some(not_found()),
     }
--- a/standins/src/target/load.rs
+++ b/standins/src/target/load.rs
@@ -3,21 +3,21 @@
 use std::time::{Duration, Instant};
 
 /// How old a reported load may be.
-const LAG: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The load as last reported.
 #[derive(Debug, Default)]
-pub struct Reported {
+pub struct ReportedLoad {
     in_flight: u32,
-    at: Option<Instant>,
+    sampled_at: Option<Instant>,
 }
 
-impl Reported {
+impl ReportedLoad {
     /// The load to report while `in_flight` requests run.
     pub fn get(&mut self, in_flight: u32, now: Instant) -> u32 {
-        if self.at.is_none_or(|at| now - at >= LAG) {
+        if self.sampled_at.is_none_or(|sampled_at| now - sampled_at >= REPORT_INTERVAL) {
             self.in_flight = in_flight;
-            self.at = Some(now);
+            self.sampled_at = Some(now);
         }
         self.in_flight
     }
