--- a/standins/src/example/files.rs
+++ b/standins/src/example/files.rs
@@ -132,10 +132,11 @@
 
 /// Peers to ask first: the others of the zone, and one VM of every other zone.
 fn seeds(deployment: &Deployment, vm: &Vm) -> Vec<SocketAddr> {
-    let all = deployment.vms();
-    let near = all.iter().filter(|other| other.zone == vm.zone && other.name != vm.name);
-    let far = all.iter().filter(|other| other.zone != vm.zone && other.service == vm.service);
-    near.chain(far).map(|other| other.at(PEERS_PORT)).collect()
+    let vms = deployment.vms();
+    let same_zone = vms.iter().filter(|other| other.zone == vm.zone && other.name != vm.name);
+    let other_zones =
+        vms.iter().filter(|other| other.zone != vm.zone && other.service == vm.service);
+    same_zone.chain(other_zones).map(|other| other.at(PEERS_PORT)).collect()
 }
 
 fn targets(deployment: &Deployment) -> TargetsConfig {
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -11,7 +11,7 @@
 pub use control::{Behaviour, Counts};
 
 use crate::http::{self, Body, ShutdownSignal};
-use answer::Answer;
+use answer::ResponseBody;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use control::State;
@@ -212,8 +212,8 @@
         target.state.borrow_mut().crash(RESTART_DELAY);
         return None;
     }
-    let nested_call_succeeded = match call.next() {
-        Some(next) => target.caller.call(next, call.deadline).await,
+    let nested_call_succeeded = match call.nested_call() {
+        Some(nested) => target.caller.call(nested, call.deadline).await,
         None => true,
     };
     let work = call.work.mul_f64(target.state.borrow_mut().work_factor(Instant::now()));
@@ -226,7 +226,7 @@
     }
     let load = target.state.borrow_mut().load(target.cfg.slots);
     let mut response =
-        Response::new(Box::pin(Answer::new(&call.id, call.answer_bytes, run)) as Body);
+        Response::new(Box::pin(ResponseBody::new(&call.id, call.answer_bytes, run)) as Body);
     if let Ok(load) = load.parse() {
         response.headers_mut().insert("x-load", load);
     }
--- a/standins/src/target/answer.rs
+++ b/standins/src/target/answer.rs
@@ -13,25 +13,25 @@
 
 /// The rest of an answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ResponseBody {
     pattern: Pattern,
-    left: usize,
-    streamed: bool,
+    remaining: usize,
+    chunked: bool,
     run: Option<Run>,
 }
 
-impl Answer {
+impl ResponseBody {
     /// The whole answer to the request with this id.
-    pub fn new(id: &[u8], len: usize, run: Run) -> Answer {
+    pub fn new(id: &[u8], len: usize, run: Run) -> ResponseBody {
         let mut run = Some(run);
         if len == 0 {
             run.take().into_iter().for_each(Run::finish);
         }
-        Answer { pattern: Pattern::new(id), left: len, streamed: len > CHUNK_BYTES, run }
+        ResponseBody { pattern: Pattern::new(id), remaining: len, chunked: len > CHUNK_BYTES, run }
     }
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -39,14 +39,14 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.left == 0 {
+        if self.remaining == 0 {
             self.run.take().into_iter().for_each(Run::finish);
             return Poll::Ready(None);
         }
-        let mut buf = BytesMut::zeroed(self.left.min(CHUNK_BYTES));
+        let mut buf = BytesMut::zeroed(self.remaining.min(CHUNK_BYTES));
         self.pattern.fill(&mut buf);
-        self.left -= buf.len();
-        if self.left == 0 && !self.streamed {
+        self.remaining -= buf.len();
+        if self.remaining == 0 && !self.chunked {
             // hyper doesn't poll a body again whose length is known and reached.
             self.run.take().into_iter().for_each(Run::finish);
         }
@@ -54,10 +54,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == 0 && self.run.is_none()
+        self.remaining == 0 && self.run.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.streamed { SizeHint::default() } else { SizeHint::with_exact(self.left as u64) }
+        if self.chunked { SizeHint::default() } else { SizeHint::with_exact(self.remaining as u64) }
     }
 }
--- a/standins/src/target/nested.rs
+++ b/standins/src/target/nested.rs
@@ -46,9 +46,9 @@
             let Ok(exchange) = self.pool.send(req).await else { return false };
             let (response, connection) = (exchange.response, exchange.connection);
             if outcome(&response) != "not-run" {
-                let whole = read(call, response).await;
+                let expected = is_expected_response(call, response).await;
                 self.pool.keep(connection);
-                return whole;
+                return expected;
             }
             Timer::after(retry_after(&response)).await;
             let _ = response.into_body().collect().await;
@@ -59,14 +59,14 @@
 }
 
 fn request(call: &Call, deadline: Instant) -> Option<Outgoing> {
-    let left = deadline.saturating_duration_since(Instant::now()).as_millis();
+    let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
     let method = if call.at_most_once() { "POST" } else { "GET" };
     let mut req = Request::builder()
         .method(method)
         .uri(call.path())
         .header("host", "node")
         .header("x-sycamore-request-id", &call.id[..])
-        .header("x-sycamore-deadline-ms", left.to_string());
+        .header("x-sycamore-deadline-ms", remaining_ms.to_string());
     if let Some(key) = &call.key {
         req = req.header("idempotency-key", &key[..]);
     }
@@ -90,7 +90,7 @@
 }
 
 /// Whether the answer is a success and the whole answer to this very call.
-async fn read(call: &Call, response: Response<hyper::body::Incoming>) -> bool {
+async fn is_expected_response(call: &Call, response: Response<hyper::body::Incoming>) -> bool {
     let success = response.status().is_success();
     let Ok(body) = response.into_body().collect().await else { return false };
     let body = body.to_bytes();
--- a/standins/src/target/request.rs
+++ b/standins/src/target/request.rs
@@ -38,13 +38,14 @@
     /// Reads a request's head.
     pub fn new<B>(req: &Request<B>) -> Call {
         let headers = req.headers();
-        let left = text(headers, "x-sycamore-deadline-ms").and_then(|text| text.parse().ok());
-        let left = left.map_or(DEFAULT_DEADLINE, Duration::from_millis);
+        let remaining_ms =
+            header_text(headers, "x-sycamore-deadline-ms").and_then(|text| text.parse().ok());
+        let remaining_ms = remaining_ms.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let bytes = |name| headers.get(name).map(|value| Bytes::copy_from_slice(value.as_bytes()));
         let mut call = Call {
             id: bytes("x-sycamore-request-id").unwrap_or_default(),
             key: bytes("idempotency-key"),
-            deadline: Instant::now() + left,
+            deadline: Instant::now() + remaining_ms,
             depth: headers.get("x-sycamore-depth").cloned(),
             work: Duration::ZERO,
             answer_bytes: 0,
@@ -68,15 +69,15 @@
     }
 
     /// The call that this one makes, if it makes one.
-    pub fn next(&self) -> Option<Call> {
-        let mut next = self.clone();
-        if next.chain.is_empty() {
+    pub fn nested_call(&self) -> Option<Call> {
+        let mut nested = self.clone();
+        if nested.chain.is_empty() {
             return None;
         }
-        next.id = Bytes::from([&self.id[..], b".1"].concat());
-        next.key = self.key.as_ref().map(derive_key).filter(|_| next.at_most_once());
-        next.crash = false;
-        Some(next)
+        nested.id = Bytes::from([&self.id[..], b".1"].concat());
+        nested.key = self.key.as_ref().map(derive_key).filter(|_| nested.at_most_once());
+        nested.crash = false;
+        Some(nested)
     }
 
     /// Whether the call at the front of the chain may run only once.
@@ -113,6 +114,6 @@
     *uuid = uuid::Uuid::from_bytes(raw);
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
