--- a/bench/src/demo/report.rs
+++ b/bench/src/demo/report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::fmt;
 use sycamore_core::Code;
-use sycamore_standins::target::run_log::{Line, Mark};
+use sycamore_standins::target::run_log::{Line, RunEvent};
 use sycamore_tools::load::history::{Outcome, Record, SendResult};
 
 /// Significant digits of latencies.
@@ -114,7 +114,7 @@
 
     fn push(&mut self, record: &Record, runs: &[&Line]) {
         self.sent += 1;
-        let starts = runs.iter().filter(|run| run.mark == Mark::Start).count();
+        let starts = runs.iter().filter(|run| run.event == RunEvent::Start).count();
         self.run_twice += usize::from(record.key.is_some() && starts > 1);
         match record.outcome {
             Outcome::Answered => self.answered += 1,
--- a/bench/src/demo/rules.rs
+++ b/bench/src/demo/rules.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 use sycamore_core::Code;
-use sycamore_standins::target::run_log::{Line, Mark};
+use sycamore_standins::target::run_log::{Line, RunEvent};
 use sycamore_tools::load::history::{Outcome, Record, SendResult};
 
 /// How long after a planned stop or a deadline its effects still show.
@@ -159,7 +159,7 @@
 /// Whoever sends a key again must get its first run's answer. A second run bills a grower twice.
 fn run_twice(runs: &[Line]) -> usize {
     let mut starts: IndexMap<&str, usize> = IndexMap::new();
-    for run in runs.iter().filter(|run| run.mark == Mark::Start) {
+    for run in runs.iter().filter(|run| run.event == RunEvent::Start) {
         if let Some(key) = &run.key {
             *starts.entry(key).or_default() += 1;
         }
@@ -232,7 +232,7 @@
     let cut = evidence.runs.iter().filter(|run| {
         let during = (drain.at_us..=drain.until_us + SETTLE_US).contains(&run.at_us);
         let awaited = deadlines.get(run.id.as_str()).is_none_or(|deadline| run.at_us < *deadline);
-        run.mark == Mark::Cut && run.vm == drain.vm && during && awaited
+        run.event == RunEvent::Aborted && run.vm == drain.vm && during && awaited
     });
     let unanswered = cut.filter(|run| !answered_before(evidence, run));
     unanswered.map(|run| run.id.as_str()).collect()
@@ -242,6 +242,6 @@
 fn answered_before(evidence: &Evidence, cut: &Line) -> bool {
     evidence.runs.iter().any(|run| {
         let same = run.id == cut.id && run.run != cut.run;
-        same && run.mark == Mark::Completed && run.at_us <= cut.at_us
+        same && run.event == RunEvent::Completed && run.at_us <= cut.at_us
     })
 }
--- a/bench/src/process_history/findings.rs
+++ b/bench/src/process_history/findings.rs
@@ -2,7 +2,7 @@
 
 use crate::demo::rules::{Evidence, Violations};
 use indexmap::IndexMap;
-use sycamore_standins::target::run_log::{Line, Mark};
+use sycamore_standins::target::run_log::{Line, RunEvent};
 
 /// Start of the ids of requests that crash targets.
 pub const DEATH_ID: &str = "death-";
@@ -41,7 +41,7 @@
 }
 
 fn starts(runs: &[Line]) -> impl Iterator<Item = &Line> {
-    runs.iter().filter(|run| run.mark == Mark::Start)
+    runs.iter().filter(|run| run.event == RunEvent::Start)
 }
 
 fn third_crash(runs: &[Line]) -> usize {
--- a/bench/tests/demo.rs
+++ b/bench/tests/demo.rs
@@ -5,7 +5,7 @@
     Evidence, Publication, Sample, Stop, Violations, convergence, unknown,
 };
 use sycamore_core::Code;
-use sycamore_standins::target::run_log::{Line, Mark};
+use sycamore_standins::target::run_log::{Line, RunEvent};
 use sycamore_tools::load::history::{Outcome, Record, Send, SendResult};
 
 const ENTRY: &str = "127.0.0.1:7000";
@@ -38,9 +38,9 @@
     }
 }
 
-fn run(number: u64, id: &str, at_us: u64, mark: Mark) -> Line {
+fn run(number: u64, id: &str, at_us: u64, event: RunEvent) -> Line {
     let (vm, key) = ("vm-1".to_string(), Some(format!("key-{id}")));
-    Line { run: number, at_us, vm, id: id.into(), key, mark }
+    Line { run: number, at_us, vm, id: id.into(), key, event }
 }
 
 fn sample(vm: &str, at_us: u64, version: u64) -> Sample {
@@ -52,10 +52,10 @@
     Evidence {
         records: vec![record("a"), record("b")],
         runs: vec![
-            run(1, "a", 1_010_000, Mark::Start),
-            run(1, "a", 1_090_000, Mark::Completed),
-            run(2, "b", 1_010_000, Mark::Start),
-            run(2, "b", 1_090_000, Mark::Completed),
+            run(1, "a", 1_010_000, RunEvent::Start),
+            run(1, "a", 1_090_000, RunEvent::Completed),
+            run(2, "b", 1_010_000, RunEvent::Start),
+            run(2, "b", 1_090_000, RunEvent::Completed),
         ],
         samples: vec![
             sample("vm-1", 500_000, 1),
@@ -101,14 +101,14 @@
 
 #[test]
 fn find_run_twice() {
-    let again = run(3, "a", 1_060_000, Mark::Start);
+    let again = run(3, "a", 1_060_000, RunEvent::Start);
     let expected = Violations { run_twice: 1, ..Violations::default() };
     check(|evidence| evidence.runs.push(again), expected);
 }
 
 #[test]
 fn find_repeat_of_idempotent() {
-    let again = Line { key: None, ..run(3, "a", 1_060_000, Mark::Start) };
+    let again = Line { key: None, ..run(3, "a", 1_060_000, RunEvent::Start) };
     let change = |evidence: &mut Evidence| {
         evidence.runs[0].key = None;
         evidence.runs.push(again);
@@ -169,16 +169,16 @@
 fn find_cut_by_drain_on_way_and_at_target() {
     let expected = Violations { cut_by_drain: 1, ..Violations::default() };
     check(|evidence| evidence.records[0].sends[0].result = SendResult::BodyCut, expected);
-    check(|evidence| evidence.runs[1].mark = Mark::Cut, expected);
+    check(|evidence| evidence.runs[1].event = RunEvent::Aborted, expected);
 }
 
 /// Guards against a run that counts as cut though its caller had the answer of another target.
 #[test]
 fn find_cut_by_drain_overtaken_run() {
     let second = |evidence: &mut Evidence, answered_at: u64| {
-        evidence.runs[1].mark = Mark::Cut;
-        evidence.runs.push(run(3, "a", 1_020_000, Mark::Start));
-        evidence.runs.push(run(3, "a", answered_at, Mark::Completed));
+        evidence.runs[1].event = RunEvent::Aborted;
+        evidence.runs.push(run(3, "a", 1_020_000, RunEvent::Start));
+        evidence.runs.push(run(3, "a", answered_at, RunEvent::Completed));
     };
     let mut evidence = clean();
     second(&mut evidence, 1_080_000);
@@ -193,7 +193,7 @@
     let change = |evidence: &mut Evidence| {
         evidence.records[0].sends[0].result = SendResult::Broken;
         evidence.records[0].sends[0].entry = "127.0.0.2:7000".parse().unwrap();
-        evidence.runs[1].mark = Mark::Cut;
+        evidence.runs[1].event = RunEvent::Aborted;
         evidence.runs[1].vm = "vm-2".into();
     };
     check(change, Violations::default());
--- a/bench/tests/history_findings.rs
+++ b/bench/tests/history_findings.rs
@@ -2,12 +2,12 @@
 
 use sycamore_bench::demo::rules::{Evidence, Stop};
 use sycamore_bench::process_history::findings::Findings;
-use sycamore_standins::target::run_log::{Line, Mark};
+use sycamore_standins::target::run_log::{Line, RunEvent};
 
 const SECOND_US: u64 = 1_000_000;
 
 fn start(run: u64, vm: &str, id: &str, at_us: u64) -> Line {
-    Line { run, at_us, vm: vm.into(), id: id.into(), key: None, mark: Mark::Start }
+    Line { run, at_us, vm: vm.into(), id: id.into(), key: None, event: RunEvent::Start }
 }
 
 /// A request of death that crashed two targets, and a planned stop of six seconds.
--- a/standins/src/target/run_log.rs
+++ b/standins/src/target/run_log.rs
@@ -24,19 +24,21 @@
     /// Its key, if it has one.
     pub key: Option<String>,
     /// Start or end.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub event: RunEvent,
 }
 
 /// What a line says of its run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Mark {
+pub enum RunEvent {
     /// It started.
     Start,
     /// Its answer was handed over whole.
     Completed,
     /// It ended before that.
-    Cut,
+    #[serde(rename = "cut")]
+    Aborted,
 }
 
 /// Where runs are written; clones share one file.
@@ -101,7 +103,7 @@
             vm: target.cfg.vm.clone(),
             id: text(&call.id),
             key: call.key.as_ref().map(text),
-            mark: Mark::Start,
+            event: RunEvent::Start,
         };
         target.log.write(&line);
         Run { target, line, completed: false }
@@ -115,7 +117,7 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        self.line.mark = if self.completed { Mark::Completed } else { Mark::Cut };
+        self.line.event = if self.completed { RunEvent::Completed } else { RunEvent::Aborted };
         self.line.at_us = now_us();
         self.target.log.write(&self.line);
         self.target.state.borrow_mut().free_slot();
--- a/standins/tests/target.rs
+++ b/standins/tests/target.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use sycamore_standins::target::run_log::{self, Line, Mark, RunLog};
+use sycamore_standins::target::run_log::{self, Line, RunEvent, RunLog};
 use sycamore_standins::target::{TargetConfig, Targets, TargetsConfig};
 use sycamore_tools::load::client::Pool;
 use sycamore_tools::load::pattern::Pattern;
@@ -45,13 +45,13 @@
 }
 
 /// The marks of a run in the log, once its end is there.
-async fn marks(log: &Path, id: &str) -> Vec<Mark> {
+async fn events(log: &Path, id: &str) -> Vec<RunEvent> {
     loop {
         let lines = run_log::read(log).unwrap();
-        let marks: Vec<Mark> =
-            lines.iter().filter(|line| line.id == id).map(|line: &Line| line.mark).collect();
-        if marks.len() >= 2 {
-            return marks;
+        let events: Vec<RunEvent> =
+            lines.iter().filter(|line| line.id == id).map(|line: &Line| line.event).collect();
+        if events.len() >= 2 {
+            return events;
         }
         Timer::after(Duration::from_millis(5)).await;
     }
@@ -65,7 +65,7 @@
             let (status, body) = get(target.address, id, &format!("bytes={len}")).await.unwrap();
             assert_eq!((status, body.len()), (200, len));
             assert!(Pattern::new(id.as_bytes()).matches(&body));
-            assert_eq!(marks(&target.log, id).await, [Mark::Start, Mark::Completed]);
+            assert_eq!(events(&target.log, id).await, [RunEvent::Start, RunEvent::Completed]);
         }
     });
 }
@@ -93,7 +93,7 @@
     let target = start("crash_cuts_runs_and_restarts", 4);
     future::block_on(async {
         assert_eq!(get(target.address, "death", "crash=1").await, None);
-        assert_eq!(marks(&target.log, "death").await, [Mark::Start, Mark::Cut]);
+        assert_eq!(events(&target.log, "death").await, [RunEvent::Start, RunEvent::Aborted]);
         while get(target.address, "after", "bytes=1").await.is_none() {
             Timer::after(Duration::from_millis(20)).await;
         }
