--- a/bench/src/calls/cluster.rs
+++ b/bench/src/calls/cluster.rs
@@ -100,7 +100,7 @@
 
     fn start_proxies(&mut self) -> io::Result<()> {
         let targets: Vec<String> =
-            DEPLOYMENT.vms().iter().map(|vm| vm.at(TARGET_PORT).to_string()).collect();
+            DEPLOYMENT.vms().iter().map(|vm| vm.socket_addr(TARGET_PORT).to_string()).collect();
         for entry in self.entries() {
             let listen = entry.to_string();
             let mut args = vec!["naive", "--listen", &listen];
--- a/bench/src/calls/latency.rs
+++ b/bench/src/calls/latency.rs
@@ -115,7 +115,7 @@
     let mut deployment = DEPLOYMENT;
     deployment.network = DIRECT_NETWORK;
     let vms = deployment.vms();
-    let address = |index: usize| vms[index % vms.len()].at(TARGET_PORT);
+    let address = |index: usize| vms[index % vms.len()].socket_addr(TARGET_PORT);
     let target = |index: usize| TargetConfig {
         vm: vms[index].name.clone(),
         address: address(index),
--- a/bench/src/demo/plan.rs
+++ b/bench/src/demo/plan.rs
@@ -147,7 +147,7 @@
 
     fn cut_zone(&self, zone: usize) -> io::Result<()> {
         let (_, name, number) = self.stack.deployment.zones()[zone].clone();
-        let blocked = vec![self.stack.deployment.platform(number).ip()];
+        let blocked = vec![self.stack.deployment.platform_address(number).ip()];
         self.stack.set_faults(&Faults { blocked, ..Faults::default() })?;
         self.say(&format!("cut zone {name} from the platform"));
         Ok(())
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -195,7 +195,7 @@
             Fault::CutPlatform { zone } => {
                 let deployment = &self.stack.deployment;
                 let number = deployment.zones()[zone].2;
-                self.faults.blocked.push(deployment.platform(number).ip());
+                self.faults.blocked.push(deployment.platform_address(number).ip());
                 self.stack.set_faults(&self.faults)
             }
             Fault::Down => self.with_faults(|faults| faults.down = true),
--- a/bench/src/stack.rs
+++ b/bench/src/stack.rs
@@ -101,7 +101,7 @@
         let control = self.deployment.platform_control().to_string();
         let zones = self.deployment.zones();
         let readers: Vec<String> =
-            zones.iter().map(|zone| self.deployment.platform(zone.2).to_string()).collect();
+            zones.iter().map(|zone| self.deployment.platform_address(zone.2).to_string()).collect();
         let mut args = vec!["--values", &published, "--control", &control];
         args.extend(readers.iter().flat_map(|address| ["--listen", address.as_str()]));
         self.standins.push(self.launcher.start("standin-platform", &args, "platform.log")?);
--- a/standins/src/bin/example-maker.rs
+++ b/standins/src/bin/example-maker.rs
@@ -3,7 +3,7 @@
 use getopts::Options;
 use std::path::Path;
 use std::process::ExitCode;
-use sycamore_standins::command::{self, failed};
+use sycamore_standins::command::{self, run_error};
 use sycamore_standins::example::{COOPERATIVE, FRANCHISE_OFFICE, write};
 
 fn main() -> ExitCode {
@@ -16,7 +16,7 @@
     let directory = matches.opt_str("directory").unwrap_or_else(|| "examples".into());
     for deployment in [FRANCHISE_OFFICE, COOPERATIVE] {
         if let Err(e) = write(&deployment, &Path::new(&directory).join(deployment.name)) {
-            return failed(e);
+            return run_error(e);
         }
     }
     ExitCode::SUCCESS
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
-use sycamore_standins::command::{self, failed, usage};
+use sycamore_standins::command::{self, run_error, usage_error};
 use sycamore_standins::platform::{Platform, PlatformConfig, Store};
 
 /// What the users' platform bears.
@@ -32,14 +32,14 @@
     let control = matches.opt_get_default("control", SocketAddr::from(([127, 0, 0, 1], 0)));
     let max_calls = matches.opt_get_default("max-calls-per-second", MAX_CALLS_PER_SECOND);
     let store = match matches.opt_str("values") {
-        Some(directory) => Store::read_directory(Path::new(&directory)).map_err(failed)?,
+        Some(directory) => Store::read_directory(Path::new(&directory)).map_err(run_error)?,
         None => Store::new(),
     };
     let cfg = PlatformConfig {
-        listen: listen.map_err(usage)?,
-        control: control.map_err(usage)?,
-        max_calls_per_second: max_calls.map_err(usage)?,
+        listen: listen.map_err(usage_error)?,
+        control: control.map_err(usage_error)?,
+        max_calls_per_second: max_calls.map_err(usage_error)?,
         store,
     };
-    Platform::bind(cfg).map_err(failed)
+    Platform::bind(cfg).map_err(run_error)
 }
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -3,7 +3,7 @@
 use getopts::Options;
 use std::path::Path;
 use std::process::ExitCode;
-use sycamore_standins::command::{self, failed, usage};
+use sycamore_standins::command::{self, run_error, usage_error};
 use sycamore_standins::target::Targets;
 use sycamore_standins::target::run_log::RunLog;
 
@@ -22,11 +22,12 @@
     options.optopt("t", "targets", "the targets, in JSON", "FILE");
     options.optopt("r", "run-log", "where to write what they run", "FILE");
     let matches = command::parse(options, "Usage: standin-target --targets FILE [options]")?;
-    let path = matches.opt_str("targets").ok_or_else(|| usage("--targets FILE is required"))?;
-    let cfg = Targets::read(Path::new(&path)).map_err(failed)?;
+    let path =
+        matches.opt_str("targets").ok_or_else(|| usage_error("--targets FILE is required"))?;
+    let cfg = Targets::read(Path::new(&path)).map_err(run_error)?;
     let log = match matches.opt_str("run-log") {
-        Some(path) => RunLog::create(Path::new(&path)).map_err(failed)?,
+        Some(path) => RunLog::create(Path::new(&path)).map_err(run_error)?,
         None => RunLog::discard(),
     };
-    Targets::bind(cfg, log).map_err(failed)
+    Targets::bind(cfg, log).map_err(run_error)
 }
--- a/standins/src/command.rs
+++ b/standins/src/command.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 /// Exit code of a command line that is not valid.
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 /// Parses the arguments. `Err` holds the exit code after `--help` or a mistake.
 pub fn parse(mut options: Options, brief: &str) -> Result<Matches, ExitCode> {
@@ -16,18 +16,18 @@
             Err(ExitCode::SUCCESS)
         }
         Ok(matches) => Ok(matches),
-        Err(e) => Err(usage(e)),
+        Err(e) => Err(usage_error(e)),
     }
 }
 
 /// Says what is wrong with the command line.
-pub fn usage(detail: impl std::fmt::Display) -> ExitCode {
+pub fn usage_error(detail: impl std::fmt::Display) -> ExitCode {
     let _ = writeln!(std::io::stderr(), "{detail}");
-    ExitCode::from(USAGE)
+    ExitCode::from(EXIT_USAGE)
 }
 
 /// Says why the run failed.
-pub fn failed(detail: impl std::fmt::Display) -> ExitCode {
+pub fn run_error(detail: impl std::fmt::Display) -> ExitCode {
     let _ = writeln!(std::io::stderr(), "{detail}");
     ExitCode::FAILURE
 }
--- a/standins/src/example/deployment.rs
+++ b/standins/src/example/deployment.rs
@@ -127,7 +127,7 @@
 
 impl Vm {
     /// One of its ports.
-    pub fn at(&self, port: u16) -> SocketAddr {
+    pub fn socket_addr(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip, port)
     }
 }
@@ -164,7 +164,7 @@
     }
 
     /// Address on which the platform answers a zone.
-    pub fn platform(&self, zone_number: u8) -> SocketAddr {
+    pub fn platform_address(&self, zone_number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(zone_number, PLATFORM_HOST), PLATFORM_PORT)
     }
 
--- a/standins/src/example/files.rs
+++ b/standins/src/example/files.rs
@@ -50,7 +50,7 @@
 
 /// Every file of a deployment but its mix of calls, which is written by hand.
 pub fn files(deployment: &Deployment) -> Vec<File> {
-    let mut files = published(deployment);
+    let mut files = published_files(deployment);
     for vm in deployment.vms() {
         files.push(File::new(format!("nodes/{}.json", vm.name), &settings(deployment, &vm)));
     }
@@ -78,7 +78,7 @@
     }
 }
 
-fn published(deployment: &Deployment) -> Vec<File> {
+fn published_files(deployment: &Deployment) -> Vec<File> {
     let mut files = Vec::new();
     for name in presets::NAMES {
         let preset = presets::preset(deployment, name);
@@ -106,8 +106,8 @@
         vm: to_name(&vm.name),
         region: to_name(vm.region),
         zone: to_name(&vm.zone),
-        peers: vm.at(PEERS_PORT),
-        admin: vm.at(ADMIN_PORT),
+        peers: vm.socket_addr(PEERS_PORT),
+        admin: vm.socket_addr(ADMIN_PORT),
         state: VmState::Live,
     };
     VmList { vms: vms.map(member).collect() }
@@ -119,13 +119,13 @@
         region: vm.region,
         zone: vm.zone.clone(),
         listen: Listen {
-            calls: vm.at(CALLS_PORT),
-            gate: vm.at(GATE_PORT),
-            peers: vm.at(PEERS_PORT),
-            admin: vm.at(ADMIN_PORT),
+            calls: vm.socket_addr(CALLS_PORT),
+            gate: vm.socket_addr(GATE_PORT),
+            peers: vm.socket_addr(PEERS_PORT),
+            admin: vm.socket_addr(ADMIN_PORT),
         },
-        target_address: vm.at(TARGET_PORT),
-        platform_address: deployment.platform(vm.zone_number),
+        target_address: vm.socket_addr(TARGET_PORT),
+        platform_address: deployment.platform_address(vm.zone_number),
         seeds: seeds(deployment, vm),
     }
 }
@@ -136,13 +136,13 @@
     let same_zone = vms.iter().filter(|other| other.zone == vm.zone && other.name != vm.name);
     let other_zones =
         vms.iter().filter(|other| other.zone != vm.zone && other.service == vm.service);
-    same_zone.chain(other_zones).map(|other| other.at(PEERS_PORT)).collect()
+    same_zone.chain(other_zones).map(|other| other.socket_addr(PEERS_PORT)).collect()
 }
 
 fn targets(deployment: &Deployment) -> TargetsConfig {
     let target = |vm: Vm| TargetConfig {
-        address: vm.at(TARGET_PORT),
-        calls: vm.at(CALLS_PORT),
+        address: vm.socket_addr(TARGET_PORT),
+        calls: vm.socket_addr(CALLS_PORT),
         vm: vm.name,
         slots: deployment.slots,
         connections: deployment.connections,
--- a/standins/src/example/presets.rs
+++ b/standins/src/example/presets.rs
@@ -17,7 +17,7 @@
             .insert(to_name(service), Service { limits, targets: targets(deployment, service) });
     }
     let routes =
-        deployment.routes.iter().map(|row| (to_name(row.name), published(row, name))).collect();
+        deployment.routes.iter().map(|row| (to_name(row.name), route(row, name))).collect();
     Preset { name: to_name(name), services, routes, parts: Vec::new() }
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-fn published(row: &RouteRow, preset: &str) -> Route {
+fn route(row: &RouteRow, preset: &str) -> Route {
     let (deadline_ms, max_attempts) = match (preset, row.class) {
         ("peak", Class::Bulk) => (row.deadline_ms, 1),
         ("peak", _) => (row.deadline_ms * 3 / 4, 2),
@@ -97,8 +97,8 @@
             vm: to_name(&vm.name),
             region: to_name(vm.region),
             zone: to_name(&vm.zone),
-            gate: vm.at(GATE_PORT),
-            peers: vm.at(PEERS_PORT),
+            gate: vm.socket_addr(GATE_PORT),
+            peers: vm.socket_addr(PEERS_PORT),
             incarnation: None,
             slots: None,
             leaving: false,
