--- a/bench/src/calls/latency.rs
+++ b/bench/src/calls/latency.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use sycamore_standins::example::TARGET_PORT;
 use sycamore_standins::target::{TargetConfig, TargetsConfig};
-use sycamore_tools::load::caller::Resend;
+use sycamore_tools::load::caller::RetryPolicy;
 use sycamore_tools::load::history::History;
 use sycamore_tools::load::mix::Mix;
 use sycamore_tools::load::plan::Plan;
@@ -102,7 +102,7 @@
         duration: WARM_UP,
         threads: 1,
         seed: 1,
-        resend: Resend::AsTold,
+        retry_policy: RetryPolicy::HonourRetryAfter,
     };
     let history = Arc::new(History::new(None)?);
     plan.run(&history);
--- a/bench/src/calls/overload.rs
+++ b/bench/src/calls/overload.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use sycamore_standins::target::{Behaviour, run_log};
-use sycamore_tools::load::caller::Resend;
+use sycamore_tools::load::caller::RetryPolicy;
 use sycamore_tools::load::history::{self, History, Record, Send, SendResult, now_us};
 use sycamore_tools::load::mix::Mix;
 use sycamore_tools::load::plan::Plan;
@@ -111,7 +111,7 @@
         evidence: Evidence::default(),
         count: 0,
     };
-    bench.run(0.5, Duration::from_secs(1), Resend::AsTold)?;
+    bench.run(0.5, Duration::from_secs(1), RetryPolicy::HonourRetryAfter)?;
     let loads: io::Result<Vec<_>> = LOADS.iter().map(|load| bench.goodput(*load, span)).collect();
     let loads = loads?;
     let faults: io::Result<Vec<_>> = Fault::ALL.iter().map(|fault| bench.fault(*fault)).collect();
@@ -132,7 +132,7 @@
 }
 
 impl Bench {
-    fn plan(&self, load: f64, duration: Duration, resend: Resend) -> Plan {
+    fn plan(&self, load: f64, duration: Duration, retry_policy: RetryPolicy) -> Plan {
         Plan {
             mix: Mix { classes: vec![class("work", 4, WORK), class("once", 1, WORK)] },
             entries: self.cluster.entries(),
@@ -140,13 +140,18 @@
             duration,
             threads: THREADS,
             seed: 1,
-            resend,
+            retry_policy,
         }
     }
 
     /// Offers a load and returns what callers were told.
-    fn run(&mut self, load: f64, span: Duration, resend: Resend) -> io::Result<Vec<Record>> {
-        let plan = self.plan(load, span, resend);
+    fn run(
+        &mut self,
+        load: f64,
+        span: Duration,
+        retry_policy: RetryPolicy,
+    ) -> io::Result<Vec<Record>> {
+        let plan = self.plan(load, span, retry_policy);
         self.run_while(&plan, |_| Ok(())).map(|(records, ())| records)
     }
 
@@ -173,7 +178,7 @@
 
     fn goodput(&mut self, load: f64, span: Duration) -> io::Result<Goodput> {
         let before = self.cluster.hits()?;
-        let records = self.run(load, span, Resend::AsTold)?;
+        let records = self.run(load, span, RetryPolicy::HonourRetryAfter)?;
         let hits = self.cluster.hits()? - before;
         let per_second = goodput_per_second(&records, span);
         let sends = || records.iter().flat_map(|record| &record.sends);
@@ -191,11 +196,11 @@
     }
 
     fn fault(&mut self, fault: Fault) -> io::Result<FaultResult> {
-        let resend = match fault {
-            Fault::RetryStorm => Resend::AtOnce,
-            Fault::SlowTarget | Fault::ZoneLoss => Resend::AsTold,
+        let retry_policy = match fault {
+            Fault::RetryStorm => RetryPolicy::Immediate,
+            Fault::SlowTarget | Fault::ZoneLoss => RetryPolicy::HonourRetryAfter,
         };
-        let plan = self.plan(FAULT_LOAD, BEFORE + FAULT + AFTER, resend);
+        let plan = self.plan(FAULT_LOAD, BEFORE + FAULT + AFTER, retry_policy);
         let (records, (start_us, end_us)) = self.run_while(&plan, |bench| {
             std::thread::sleep(BEFORE);
             let start_us = now_us();
--- a/bench/src/process_history/callers.rs
+++ b/bench/src/process_history/callers.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use sycamore_tools::load::caller::{Job, Resend, call_with_grace};
+use sycamore_tools::load::caller::{Job, RetryPolicy, call_with_grace};
 use sycamore_tools::load::client::{Outgoing, Pool};
 use sycamore_tools::load::history::{Outcome, Record};
 use sycamore_tools::load::mix::{Mix, MixClass};
@@ -98,7 +98,13 @@
         }
         let class = &mix.classes[mix.class_at(rng.random_range(0..mix.shares()))];
         let number = rng.random_range(1..=MAX_NUMBER);
-        let job = Job { class, number, due: Instant::now(), first_entry, resend: Resend::AsTold };
+        let job = Job {
+            class,
+            number,
+            due: Instant::now(),
+            first_entry,
+            retry_policy: RetryPolicy::HonourRetryAfter,
+        };
         let record = call_with_grace(&job, &entries, GRACE).await;
         signed.extend(Signed::new(class, number, &record));
         records.borrow_mut().push(record);
--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -16,21 +16,21 @@
 
 /// How long after its deadline a caller still takes an answer. A caller that holds none by then
 /// has lost its request.
-const GRACE: Duration = Duration::from_secs(1);
+const GRACE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Wait before a resend after a broken connection, and once no entry node can be reached.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Wait before a resend of an impatient caller.
-const AT_ONCE: Duration = Duration::from_millis(1);
+const IMMEDIATE_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 /// When callers send again what was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Resend {
+pub enum RetryPolicy {
     /// When the refusal says so.
-    AsTold,
+    HonourRetryAfter,
     /// At once, whatever the refusal says, and after failures too: what makes a retry storm.
-    AtOnce,
+    Immediate,
 }
 
 /// A request to make.
@@ -45,7 +45,7 @@
     /// The entry node that it goes to first, by index.
     pub first_entry: usize,
     /// When it is sent again.
-    pub resend: Resend,
+    pub retry_policy: RetryPolicy,
 }
 
 /// The state of one request.
@@ -57,20 +57,20 @@
 }
 
 /// What a send came to, as far as the caller goes on from it.
-enum Next {
+enum NextStep {
     Final,
-    Resend(Duration),
+    Retry(Duration),
 }
 
 /// Makes a request and returns its record, at the latest `GRACE` after its deadline.
 pub async fn call(job: &Job<'_>, entries: &[Pool]) -> Record {
-    call_with_grace(job, entries, GRACE).await
+    call_with_grace(job, entries, GRACE_PERIOD).await
 }
 
 /// The same for a caller that takes an answer until `grace` after its deadline.
-pub async fn call_with_grace(job: &Job<'_>, entries: &[Pool], grace: Duration) -> Record {
+pub async fn call_with_grace(job: &Job<'_>, entries: &[Pool], grace_period: Duration) -> Record {
     let mut attempts = Attempts::new(job, entries);
-    let end = attempts.deadline + grace;
+    let end = attempts.deadline + grace_period;
     attempts.run(end).await;
     attempts.record.final_us = now_us();
     attempts.record
@@ -102,8 +102,8 @@
         for index in 0.. {
             let entry = (self.job.first_entry + index) % self.entries.len();
             let wait = match self.send(&self.entries[entry], end).await {
-                Next::Final => break,
-                Next::Resend(wait) => wait,
+                NextStep::Final => break,
+                NextStep::Retry(wait) => wait,
             };
             if Instant::now() + wait >= self.deadline {
                 self.record.outcome = self.outcome_of_failures();
@@ -131,26 +131,26 @@
         }
     }
 
-    async fn send(&mut self, entry: &Pool, end: Instant) -> Next {
+    async fn send(&mut self, entry: &Pool, end: Instant) -> NextStep {
         let at_us = now_us();
         self.record.code = None;
         let Some(permit) = before(self.deadline, entry.permit()).await else {
             // Too many of the caller's own requests are under way.
             self.record.outcome = Outcome::NotRun;
-            return self.push(entry, at_us, SendResult::NotSent, Next::Final);
+            return self.push(entry, at_us, SendResult::NotSent, NextStep::Final);
         };
         let req = self.request();
         let exchange = before(end, entry.send_with(permit, req));
         let (result, next) = match exchange.await {
             Some(Ok(exchange)) => self.take(entry, exchange, end).await,
             Some(Err(SendError::NotSent)) => (SendResult::NotSent, self.next_entry()),
-            Some(Err(SendError::Broken)) => resend(SendResult::Broken),
-            None => (SendResult::TimedOut, Next::Final),
+            Some(Err(SendError::Broken)) => retry(SendResult::Broken),
+            None => (SendResult::TimedOut, NextStep::Final),
         };
         self.push(entry, at_us, result, next)
     }
 
-    fn push(&mut self, entry: &Pool, at_us: u64, result: SendResult, next: Next) -> Next {
+    fn push(&mut self, entry: &Pool, at_us: u64, result: SendResult, next: NextStep) -> NextStep {
         let code = self.record.code;
         let send = Send { entry: entry.address(), at_us, end_us: now_us(), result, code };
         self.record.sends.push(send);
@@ -158,9 +158,9 @@
     }
 
     /// A caller that can't reach one entry node tries the next at once, until it has tried all.
-    fn next_entry(&self) -> Next {
+    fn next_entry(&self) -> NextStep {
         let tried_all = self.record.sends.len() + 1 >= self.entries.len();
-        Next::Resend(if tried_all { DEFAULT_RETRY_AFTER } else { Duration::ZERO })
+        NextStep::Retry(if tried_all { DEFAULT_RETRY_AFTER } else { Duration::ZERO })
     }
 
     fn request(&self) -> Outgoing {
@@ -180,7 +180,12 @@
         req.body(Full::new(body)).expect("paths of the mix are valid")
     }
 
-    async fn take(&mut self, entry: &Pool, exchange: Exchange, end: Instant) -> (SendResult, Next) {
+    async fn take(
+        &mut self,
+        entry: &Pool,
+        exchange: Exchange,
+        end: Instant,
+    ) -> (SendResult, NextStep) {
         let Exchange { response, connection } = exchange;
         self.record.status = Some(response.status().as_u16());
         self.record.code = number(&response, "x-sycamore-code").map(|code| code as u16);
@@ -192,20 +197,22 @@
                 }
                 // A refusal that doesn't say when to come back would come again.
                 self.record.outcome = Outcome::NotRun;
-                let next = match (self.job.resend, wait) {
-                    (Resend::AtOnce, _) => Next::Resend(AT_ONCE),
-                    (Resend::AsTold, Some(ms)) => Next::Resend(Duration::from_millis(ms)),
-                    (Resend::AsTold, None) => Next::Final,
+                let next = match (self.job.retry_policy, wait) {
+                    (RetryPolicy::Immediate, _) => NextStep::Retry(IMMEDIATE_RETRY_DELAY),
+                    (RetryPolicy::HonourRetryAfter, Some(ms)) => {
+                        NextStep::Retry(Duration::from_millis(ms))
+                    }
+                    (RetryPolicy::HonourRetryAfter, None) => NextStep::Final,
                 };
                 (SendResult::NotRun, next)
             }
             Some("unknown") => {
                 self.record.outcome = Outcome::Unknown;
-                (SendResult::Unknown, Next::Final)
+                (SendResult::Unknown, NextStep::Final)
             }
             _ => {
                 let read = before(end, self.read(entry, response, connection)).await;
-                read.unwrap_or((SendResult::TimedOut, Next::Final))
+                read.unwrap_or((SendResult::TimedOut, NextStep::Final))
             }
         }
     }
@@ -216,14 +223,14 @@
         entry: &Pool,
         response: Response<Incoming>,
         connection: Connection,
-    ) -> (SendResult, Next) {
+    ) -> (SendResult, NextStep) {
         let success = response.status().is_success();
         let mut pattern = Pattern::new(self.record.id.as_bytes());
         let mut body = response.into_body();
         let mut bytes = 0;
         let mut correct = true;
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return resend(SendResult::BodyCut) };
+            let Ok(frame) = frame else { return retry(SendResult::BodyCut) };
             let Ok(data) = frame.into_data() else { continue };
             bytes += data.len();
             correct = correct && pattern.matches(&data);
@@ -235,9 +242,11 @@
         self.record.body_correct = whole || !success;
         self.record.outcome = Outcome::Answered;
         let failed = self.record.status.is_some_and(|status| status >= 500);
-        match self.job.resend {
-            Resend::AtOnce if failed => (SendResult::Answered, Next::Resend(AT_ONCE)),
-            _ => (SendResult::Answered, Next::Final),
+        match self.job.retry_policy {
+            RetryPolicy::Immediate if failed => {
+                (SendResult::Answered, NextStep::Retry(IMMEDIATE_RETRY_DELAY))
+            }
+            _ => (SendResult::Answered, NextStep::Final),
         }
     }
 }
@@ -251,8 +260,8 @@
     future::or(async { Some(work.await) }, timeout).await
 }
 
-fn resend(result: SendResult) -> (SendResult, Next) {
-    (result, Next::Resend(DEFAULT_RETRY_AFTER))
+fn retry(result: SendResult) -> (SendResult, NextStep) {
+    (result, NextStep::Retry(DEFAULT_RETRY_AFTER))
 }
 
 fn header<'a, B>(response: &'a Response<B>, name: &str) -> Option<&'a str> {
--- a/tools/src/load/config.rs
+++ b/tools/src/load/config.rs
@@ -1,6 +1,6 @@
 //! The command line of `sycamore-load`, parsed once.
 
-use super::caller::Resend;
+use super::caller::RetryPolicy;
 use super::mix::Mix;
 use super::plan::Plan;
 use crate::command_line::{self, CommandLine, usage};
@@ -77,6 +77,10 @@
     let seed = command_line::value(matches, "seed")?.unwrap_or(1);
     let duration = Duration::from_secs_f64(seconds);
     let mix = Mix::read(Path::new(&mix))?;
-    let resend = if matches.opt_present("impatient") { Resend::AtOnce } else { Resend::AsTold };
-    Ok(Plan { mix, entries, rate, duration, threads, seed, resend })
+    let retry_policy = if matches.opt_present("impatient") {
+        RetryPolicy::Immediate
+    } else {
+        RetryPolicy::HonourRetryAfter
+    };
+    Ok(Plan { mix, entries, rate, duration, threads, seed, retry_policy })
 }
--- a/tools/src/load/plan.rs
+++ b/tools/src/load/plan.rs
@@ -1,7 +1,7 @@
 //! A run at a constant rate: requests go out when they are due, whether or not earlier ones have
 //! been answered, and their latency counts from when they were due.
 
-use super::caller::{Job, Resend, call};
+use super::caller::{Job, RetryPolicy, call};
 use super::client::Pool;
 use super::history::History;
 use super::mix::Mix;
@@ -39,7 +39,7 @@
     /// Decides classes, numbers and entry nodes.
     pub seed: u64,
     /// When callers send again.
-    pub resend: Resend,
+    pub retry_policy: RetryPolicy,
 }
 
 impl Plan {
@@ -127,7 +127,7 @@
     async fn make(self: Rc<Callers>, draw: Draw, due: Instant) {
         let class = &self.plan.mix.classes[draw.class];
         let Draw { number, first_entry, .. } = draw;
-        let job = Job { class, number, due, first_entry, resend: self.plan.resend };
+        let job = Job { class, number, due, first_entry, retry_policy: self.plan.retry_policy };
         let record = call(&job, &self.pools).await;
         self.history.push(&record);
         self.summary.borrow_mut().push(draw.class, &record);
--- a/tools/tests/load.rs
+++ b/tools/tests/load.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Instant;
-use sycamore_tools::load::caller::{Job, Resend, call};
+use sycamore_tools::load::caller::{Job, RetryPolicy, call};
 use sycamore_tools::load::client::Pool;
 use sycamore_tools::load::history::{Outcome, Record, SendResult};
 use sycamore_tools::load::mix::{Mix, MixClass};
@@ -92,7 +92,13 @@
     let pools = [Pool::new(start(steps), executor.clone())];
     let class = class(deadline_ms);
     let due = Instant::now();
-    let job = Job { class: &class, number: 1, due, first_entry: 0, resend: Resend::AsTold };
+    let job = Job {
+        class: &class,
+        number: 1,
+        due,
+        first_entry: 0,
+        retry_policy: RetryPolicy::HonourRetryAfter,
+    };
     future::block_on(executor.run(call(&job, &pools)))
 }
 
