--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -79,8 +79,8 @@
 impl<'a> Attempts<'a> {
     fn new(job: &'a Job<'a>, entries: &'a [Pool]) -> Attempts<'a> {
         let deadline = Duration::from_millis(job.class.deadline_ms);
-        let late = job.due.elapsed().as_micros() as u64;
-        let invoked_us = now_us() - late;
+        let delay_us = job.due.elapsed().as_micros() as u64;
+        let invoked_us = now_us() - delay_us;
         let record = Record {
             id: Uuid::now_v7().to_string(),
             key: job.class.at_most_once.then(|| Uuid::now_v7().to_string()),
@@ -106,23 +106,23 @@
                 NextStep::Retry(wait) => wait,
             };
             if Instant::now() + wait >= self.deadline {
-                self.record.outcome = self.outcome_of_failures();
+                self.record.outcome = self.outcome_after_failures();
                 return;
             }
             Timer::after(wait).await;
         }
         if self.record.outcome == Outcome::NotRun {
-            self.record.outcome = self.outcome_of_failures();
+            self.record.outcome = self.outcome_after_failures();
         }
     }
 
     /// What the caller knows once it sends no more. A refusal speaks for its own send alone, so
     /// that the request has not run only if no other send may have reached a target.
-    fn outcome_of_failures(&self) -> Outcome {
-        let harmless =
+    fn outcome_after_failures(&self) -> Outcome {
+        let did_not_run =
             |send: &Send| matches!(send.result, SendResult::NotRun | SendResult::NotSent);
         let answered = |send: &Send| send.result == SendResult::Answered;
-        if self.record.sends.iter().all(harmless) {
+        if self.record.sends.iter().all(did_not_run) {
             Outcome::NotRun
         } else if self.record.sends.last().is_some_and(answered) {
             Outcome::Answered
@@ -134,16 +134,16 @@
     async fn send(&mut self, entry: &Pool, end: Instant) -> NextStep {
         let at_us = now_us();
         self.record.code = None;
-        let Some(permit) = before(self.deadline, entry.permit()).await else {
+        let Some(permit) = with_timeout(self.deadline, entry.permit()).await else {
             // Too many of the caller's own requests are under way.
             self.record.outcome = Outcome::NotRun;
             return self.push(entry, at_us, SendResult::NotSent, NextStep::Final);
         };
         let req = self.request();
-        let exchange = before(end, entry.send_with(permit, req));
+        let exchange = with_timeout(end, entry.send_with(permit, req));
         let (result, next) = match exchange.await {
-            Some(Ok(exchange)) => self.take(entry, exchange, end).await,
-            Some(Err(SendError::NotSent)) => (SendResult::NotSent, self.next_entry()),
+            Some(Ok(exchange)) => self.handle_response(entry, exchange, end).await,
+            Some(Err(SendError::NotSent)) => (SendResult::NotSent, self.fail_over()),
             Some(Err(SendError::Broken)) => retry(SendResult::Broken),
             None => (SendResult::TimedOut, NextStep::Final),
         };
@@ -158,21 +158,21 @@
     }
 
     /// A caller that can't reach one entry node tries the next at once, until it has tried all.
-    fn next_entry(&self) -> NextStep {
+    fn fail_over(&self) -> NextStep {
         let tried_all = self.record.sends.len() + 1 >= self.entries.len();
         NextStep::Retry(if tried_all { DEFAULT_RETRY_AFTER } else { Duration::ZERO })
     }
 
     fn request(&self) -> Outgoing {
         let class = self.job.class;
-        let left = self.deadline.saturating_duration_since(Instant::now()).as_millis();
+        let remaining_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis();
         let method = if class.at_most_once { "POST" } else { "GET" };
         let mut req = hyper::Request::builder()
             .method(method)
             .uri(class.target(self.job.number))
             .header("host", "sycamore")
             .header("x-sycamore-request-id", &self.record.id)
-            .header("x-sycamore-deadline-ms", left.max(1).to_string());
+            .header("x-sycamore-deadline-ms", remaining_ms.max(1).to_string());
         if let Some(key) = &self.record.key {
             req = req.header("idempotency-key", key);
         }
@@ -180,7 +180,7 @@
         req.body(Full::new(body)).expect("paths of the mix are valid")
     }
 
-    async fn take(
+    async fn handle_response(
         &mut self,
         entry: &Pool,
         exchange: Exchange,
@@ -188,10 +188,10 @@
     ) -> (SendResult, NextStep) {
         let Exchange { response, connection } = exchange;
         self.record.status = Some(response.status().as_u16());
-        self.record.code = number(&response, "x-sycamore-code").map(|code| code as u16);
+        self.record.code = numeric_header(&response, "x-sycamore-code").map(|code| code as u16);
         match header(&response, "x-sycamore-outcome") {
             Some("not-run") => {
-                let wait = number(&response, "x-sycamore-retry-after-ms");
+                let wait = numeric_header(&response, "x-sycamore-retry-after-ms");
                 if response.into_body().collect().await.is_ok() {
                     entry.keep(connection);
                 }
@@ -211,14 +211,14 @@
                 (SendResult::Unknown, NextStep::Final)
             }
             _ => {
-                let read = before(end, self.read(entry, response, connection)).await;
+                let read = with_timeout(end, self.read_body(entry, response, connection)).await;
                 read.unwrap_or((SendResult::TimedOut, NextStep::Final))
             }
         }
     }
 
     /// Reads an answer to its end and holds it against what belongs to this request.
-    async fn read(
+    async fn read_body(
         &mut self,
         entry: &Pool,
         response: Response<Incoming>,
@@ -237,9 +237,9 @@
         }
         entry.keep(connection);
         self.record.bytes = bytes as u64;
-        let whole = correct && bytes == self.job.class.answer_bytes;
+        let complete = correct && bytes == self.job.class.answer_bytes;
         // The body of an error is the target's own; nothing can be held against it.
-        self.record.body_correct = whole || !success;
+        self.record.body_correct = complete || !success;
         self.record.outcome = Outcome::Answered;
         let failed = self.record.status.is_some_and(|status| status >= 500);
         match self.job.retry_policy {
@@ -252,7 +252,7 @@
 }
 
 /// The output of a future, if it comes before a time.
-async fn before<T>(end: Instant, work: impl Future<Output = T>) -> Option<T> {
+async fn with_timeout<T>(end: Instant, work: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::at(end).await;
         None
@@ -268,6 +268,6 @@
     response.headers().get(name)?.to_str().ok()
 }
 
-fn number<B>(response: &Response<B>, name: &str) -> Option<u64> {
+fn numeric_header<B>(response: &Response<B>, name: &str) -> Option<u64> {
     header(response, name)?.parse().ok()
 }
