--- a/bench/src/calls/naive.rs
+++ b/bench/src/calls/naive.rs
@@ -75,7 +75,7 @@
     let exchange = pool.send(req).await.ok()?;
     let (head, body) = exchange.response.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
-    pool.keep(exchange.connection);
+    pool.release(exchange.connection);
     let failed = head.status.is_server_error();
     (!failed).then(|| Response::from_parts(head, Full::new(body)))
 }
--- a/bench/src/http.rs
+++ b/bench/src/http.rs
@@ -45,7 +45,7 @@
     let exchange = pool.send(req).await.map_err(unreachable)?;
     let status = exchange.response.status();
     let body = exchange.response.into_body().collect().await.map_err(io::Error::other)?;
-    pool.keep(exchange.connection);
+    pool.release(exchange.connection);
     if status.is_success() {
         return Ok(body.to_bytes());
     }
--- a/bench/src/process_history/callers.rs
+++ b/bench/src/process_history/callers.rs
@@ -17,7 +17,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use sycamore_tools::load::caller::{Job, RetryPolicy, call_with_grace};
-use sycamore_tools::load::client::{Outgoing, Pool};
+use sycamore_tools::load::client::{OutgoingRequest, Pool};
 use sycamore_tools::load::history::{Outcome, Record};
 use sycamore_tools::load::mix::{Mix, MixClass};
 
@@ -130,7 +130,7 @@
         Some(Signed { id: record.id.clone(), key, target: class.target(number), body })
     }
 
-    fn request(&self) -> Option<Outgoing> {
+    fn request(&self) -> Option<OutgoingRequest> {
         let req = Request::post(&self.target)
             .header("host", "sycamore")
             .header("x-sycamore-request-id", &self.id)
@@ -145,7 +145,7 @@
         let send = async {
             if let Ok(exchange) = entry.send(req).await {
                 if exchange.response.into_body().collect().await.is_ok() {
-                    entry.keep(exchange.connection);
+                    entry.release(exchange.connection);
                 }
             }
         };
--- a/standins/src/target/nested.rs
+++ b/standins/src/target/nested.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use sycamore_tools::load::client::{Outgoing, Pool};
+use sycamore_tools::load::client::{OutgoingRequest, Pool};
 use sycamore_tools::load::pattern::Pattern;
 
 /// Sends of one call: the first, and resends after a refusal.
@@ -47,18 +47,18 @@
             let (response, connection) = (exchange.response, exchange.connection);
             if outcome(&response) != "not-run" {
                 let expected = is_expected_response(call, response).await;
-                self.pool.keep(connection);
+                self.pool.release(connection);
                 return expected;
             }
             Timer::after(retry_after(&response)).await;
             let _ = response.into_body().collect().await;
-            self.pool.keep(connection);
+            self.pool.release(connection);
         }
         false
     }
 }
 
-fn request(call: &Call, deadline: Instant) -> Option<Outgoing> {
+fn request(call: &Call, deadline: Instant) -> Option<OutgoingRequest> {
     let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
     let method = if call.at_most_once() { "POST" } else { "GET" };
     let mut req = Request::builder()
--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -1,7 +1,7 @@
 //! One request of a caller: sent, sent again after a broken connection or a refusal, until its
 //! outcome is final or its deadline has passed.
 
-use super::client::{Connection, Exchange, Outgoing, Pool, SendError};
+use super::client::{Connection, Exchange, OutgoingRequest, Pool, SendError};
 use super::history::{Outcome, Record, Send, SendResult, now_us};
 use super::mix::MixClass;
 use super::pattern::Pattern;
@@ -163,7 +163,7 @@
         NextStep::Retry(if tried_all { DEFAULT_RETRY_AFTER } else { Duration::ZERO })
     }
 
-    fn request(&self) -> Outgoing {
+    fn request(&self) -> OutgoingRequest {
         let class = self.job.class;
         let remaining_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis();
         let method = if class.at_most_once { "POST" } else { "GET" };
@@ -193,7 +193,7 @@
             Some("not-run") => {
                 let wait = numeric_header(&response, "x-sycamore-retry-after-ms");
                 if response.into_body().collect().await.is_ok() {
-                    entry.keep(connection);
+                    entry.release(connection);
                 }
                 // A refusal that doesn't say when to come back would come again.
                 self.record.outcome = Outcome::NotRun;
@@ -235,7 +235,7 @@
             bytes += data.len();
             correct = correct && pattern.matches(&data);
         }
-        entry.keep(connection);
+        entry.release(connection);
         self.record.bytes = bytes as u64;
         let complete = correct && bytes == self.job.class.answer_bytes;
         // The body of an error is the target's own; nothing can be held against it.
--- a/tools/src/load/client.rs
+++ b/tools/src/load/client.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// Requests that the client sends: their bodies are small and held in memory.
-pub type Outgoing = Request<Full<Bytes>>;
+pub type OutgoingRequest = Request<Full<Bytes>>;
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,8 +34,8 @@
     address: SocketAddr,
     executor: Rc<LocalExecutor<'static>>,
     idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
-    take_permit: Sender<()>,
-    give_permit: Receiver<()>,
+    permit_tx: Sender<()>,
+    permit_rx: Receiver<()>,
 }
 
 /// An answer whose body is still to be read, and the connection that it comes on.
@@ -67,8 +67,8 @@
 impl Pool {
     /// No connection yet; `executor` carries those to come.
     pub fn new(address: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> Pool {
-        let (take_permit, give_permit) = async_channel::bounded(MAX_EXCHANGES);
-        Pool { address, executor, idle: RefCell::new(Vec::new()), take_permit, give_permit }
+        let (permit_tx, permit_rx) = async_channel::bounded(MAX_EXCHANGES);
+        Pool { address, executor, idle: RefCell::new(Vec::new()), permit_tx, permit_rx }
     }
 
     /// The address that the connections go to.
@@ -79,12 +79,12 @@
     /// Waits until one more exchange may begin.
     pub async fn permit(&self) -> Permit {
         // Sending fails only on a closed channel, and the pool holds both of its ends.
-        let _ = self.take_permit.send(()).await;
-        Permit(self.give_permit.clone())
+        let _ = self.permit_tx.send(()).await;
+        Permit(self.permit_rx.clone())
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub async fn send(&self, req: Outgoing) -> Result<Exchange, SendError> {
+    pub async fn send(&self, req: OutgoingRequest) -> Result<Exchange, SendError> {
         self.send_with(self.permit().await, req).await
     }
 
@@ -92,7 +92,11 @@
     ///
     /// A kept connection that the other side has closed hands the request back unsent; it then
     /// goes out on a fresh one.
-    pub async fn send_with(&self, permit: Permit, req: Outgoing) -> Result<Exchange, SendError> {
+    pub async fn send_with(
+        &self,
+        permit: Permit,
+        req: OutgoingRequest,
+    ) -> Result<Exchange, SendError> {
         let mut req = req;
         while let Some(sender) = self.take_idle() {
             match exchange(sender, req).await {
@@ -109,7 +113,7 @@
     }
 
     /// Keeps the connection of an answer whose body has been read to its end.
-    pub fn keep(&self, connection: Connection) {
+    pub fn release(&self, connection: Connection) {
         if !connection.sender.is_closed() {
             self.idle.borrow_mut().push(connection.sender);
         }
@@ -128,11 +132,11 @@
         let _ = stream.get_ref().set_nodelay(true);
         let handshake = http1::handshake(FuturesIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| SendError::NotSent)?;
-        let drive = async move {
+        let connection_task = async move {
             // A broken connection shows at the request that is on it.
             let _ = connection.await;
         };
-        self.executor.spawn(drive).detach();
+        self.executor.spawn(connection_task).detach();
         Ok(sender)
     }
 }
@@ -150,8 +154,8 @@
 /// Sends on one connection. A failure holds the request if none of it was written.
 async fn exchange(
     mut sender: SendRequest<Full<Bytes>>,
-    req: Outgoing,
-) -> Result<(Response<Incoming>, SendRequest<Full<Bytes>>), Option<Outgoing>> {
+    req: OutgoingRequest,
+) -> Result<(Response<Incoming>, SendRequest<Full<Bytes>>), Option<OutgoingRequest>> {
     if sender.ready().await.is_err() {
         return Err(Some(req));
     }
