--- a/bench/src/process_history/callers.rs
+++ b/bench/src/process_history/callers.rs
@@ -100,7 +100,7 @@
         let number = rng.random_range(1..=MAX_NUMBER);
         let job = Job {
             class,
-            number,
+            resource_id: number,
             due: Instant::now(),
             first_entry,
             retry_policy: RetryPolicy::HonourRetryAfter,
@@ -127,7 +127,7 @@
         }
         let key = record.key.clone()?;
         let body = vec![b'.'; class.request_bytes].into();
-        Some(Signed { id: record.id.clone(), key, target: class.target(number), body })
+        Some(Signed { id: record.id.clone(), key, target: class.path_and_query(number), body })
     }
 
     fn request(&self) -> Option<OutgoingRequest> {
--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -39,7 +39,7 @@
     /// Its class.
     pub class: &'a MixClass,
     /// Number of the thing that it is about.
-    pub number: u32,
+    pub resource_id: u32,
     /// When it is due.
     pub due: Instant,
     /// The entry node that it goes to first, by index.
@@ -169,7 +169,7 @@
         let method = if class.at_most_once { "POST" } else { "GET" };
         let mut req = hyper::Request::builder()
             .method(method)
-            .uri(class.target(self.job.number))
+            .uri(class.path_and_query(self.job.resource_id))
             .header("host", "sycamore")
             .header("x-sycamore-request-id", &self.record.id)
             .header("x-sycamore-deadline-ms", remaining_ms.max(1).to_string());
--- a/tools/src/load/mix.rs
+++ b/tools/src/load/mix.rs
@@ -60,22 +60,22 @@
     /// Index of the class at a point from 0 to the sum of all shares, exclusive.
     pub fn class_at(&self, point: u32) -> usize {
         let mut end = 0;
-        let holds = |class: &MixClass| {
+        let contains = |class: &MixClass| {
             end += class.share;
             point < end
         };
-        self.classes.iter().position(holds).unwrap_or_default()
+        self.classes.iter().position(contains).unwrap_or_default()
     }
 }
 
 impl MixClass {
     /// Path and query of a request about the thing with this number.
-    pub fn target(&self, number: u32) -> String {
+    pub fn path_and_query(&self, resource_id: u32) -> String {
         let MixClass { path, work_us, answer_bytes, .. } = self;
-        let mut text = format!("{path}/{number}?work_us={work_us}&bytes={answer_bytes}");
+        let mut text = format!("{path}/{resource_id}?work_us={work_us}&bytes={answer_bytes}");
         for (index, path) in self.chain.iter().enumerate() {
             text += if index == 0 { "&chain=" } else { "," };
-            text += &format!("{path}/{number}");
+            text += &format!("{path}/{resource_id}");
         }
         text
     }
--- a/tools/src/load/plan.rs
+++ b/tools/src/load/plan.rs
@@ -18,10 +18,10 @@
 use std::time::{Duration, Instant};
 
 /// Highest number of a thing that requests are about.
-const MAX_NUMBER: u32 = 10_000;
+const MAX_RESOURCE_ID: u32 = 10_000;
 
 /// Requests started in a row before answers are looked at again, when the run is late.
-const BURST: usize = 32;
+const MAX_BURST: usize = 32;
 
 /// What to run.
 #[derive(Clone, Debug)]
@@ -55,8 +55,8 @@
                 })
                 .collect();
             for thread in threads {
-                if let Ok(part) = thread.join() {
-                    summary.add(&part);
+                if let Ok(thread_summary) = thread.join() {
+                    summary.merge(&thread_summary);
                 }
             }
         });
@@ -76,21 +76,21 @@
         let mut rng = StdRng::seed_from_u64(self.seed.wrapping_add(thread as u64));
         let total = (self.rate * self.duration.as_secs_f64()) as u64;
         async_io::block_on(executor.run(async {
-            let mut running = Vec::new();
+            let mut tasks = Vec::new();
             for (count, index) in (thread as u64..total).step_by(self.threads).enumerate() {
                 let due = start + Duration::from_secs_f64(index as f64 / self.rate);
                 if due > Instant::now() {
                     Timer::at(due).await;
-                } else if count % BURST == 0 {
+                } else if count % MAX_BURST == 0 {
                     future::yield_now().await;
                 }
-                let draw = Draw::new(&mut rng, &self.mix, self.entries.len());
-                running.push(executor.spawn(callers.clone().make(draw, due)));
-                if running.len() >= 1_024 {
-                    running.retain(|task| !task.is_finished());
+                let choice = RequestChoice::new(&mut rng, &self.mix, self.entries.len());
+                tasks.push(executor.spawn(callers.clone().run_request(choice, due)));
+                if tasks.len() >= 1_024 {
+                    tasks.retain(|task| !task.is_finished());
                 }
             }
-            for task in running {
+            for task in tasks {
                 task.await;
             }
         }));
@@ -99,17 +99,17 @@
 }
 
 /// What chance decides of a request.
-struct Draw {
+struct RequestChoice {
     class: usize,
-    number: u32,
+    resource_id: u32,
     first_entry: usize,
 }
 
-impl Draw {
-    fn new(rng: &mut StdRng, mix: &Mix, entries: usize) -> Draw {
-        Draw {
+impl RequestChoice {
+    fn new(rng: &mut StdRng, mix: &Mix, entries: usize) -> RequestChoice {
+        RequestChoice {
             class: mix.class_at(rng.random_range(0..mix.shares())),
-            number: rng.random_range(1..=MAX_NUMBER),
+            resource_id: rng.random_range(1..=MAX_RESOURCE_ID),
             first_entry: rng.random_range(0..entries),
         }
     }
@@ -124,12 +124,13 @@
 }
 
 impl Callers {
-    async fn make(self: Rc<Callers>, draw: Draw, due: Instant) {
-        let class = &self.plan.mix.classes[draw.class];
-        let Draw { number, first_entry, .. } = draw;
-        let job = Job { class, number, due, first_entry, retry_policy: self.plan.retry_policy };
+    async fn run_request(self: Rc<Callers>, choice: RequestChoice, due: Instant) {
+        let class = &self.plan.mix.classes[choice.class];
+        let RequestChoice { resource_id, first_entry, .. } = choice;
+        let job =
+            Job { class, resource_id, due, first_entry, retry_policy: self.plan.retry_policy };
         let record = call(&job, &self.pools).await;
         self.history.push(&record);
-        self.summary.borrow_mut().push(draw.class, &record);
+        self.summary.borrow_mut().record_request(choice.class, &record);
     }
 }
--- a/tools/src/load/summary.rs
+++ b/tools/src/load/summary.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 /// Significant digits of latencies.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Counts and latencies of a run.
 #[derive(Clone, Debug)]
@@ -73,14 +73,14 @@
     }
 
     /// Adds a request of the class with this index.
-    pub fn push(&mut self, class: usize, record: &Record) {
-        self.classes[class].push(record);
+    pub fn record_request(&mut self, class: usize, record: &Record) {
+        self.classes[class].record_request(record);
     }
 
     /// Adds what another thread measured of the same mix.
-    pub fn add(&mut self, other: &Summary) {
+    pub fn merge(&mut self, other: &Summary) {
         for (class, other) in self.classes.iter_mut().zip(&other.classes) {
-            class.add(other);
+            class.merge(other);
         }
     }
 
@@ -88,7 +88,7 @@
     pub fn rows(&self) -> Vec<Row> {
         let mut all = ClassSummary::new("all");
         for class in &self.classes {
-            all.add(class);
+            all.merge(class);
         }
         self.classes.iter().chain([&all]).map(ClassSummary::row).collect()
     }
@@ -101,11 +101,11 @@
 
 impl ClassSummary {
     fn new(name: &str) -> ClassSummary {
-        let latency = Histogram::new(DIGITS).expect("the number of digits is valid");
+        let latency = Histogram::new(SIGNIFICANT_DIGITS).expect("the number of digits is valid");
         ClassSummary { name: name.to_string(), counts: Counts::default(), latency }
     }
 
-    fn push(&mut self, record: &Record) {
+    fn record_request(&mut self, record: &Record) {
         let counts = &mut self.counts;
         counts.sent += 1;
         counts.resends += record.sends.len().saturating_sub(1) as u64;
@@ -127,17 +127,17 @@
         }
     }
 
-    fn add(&mut self, other: &ClassSummary) {
-        let (counts, more) = (&mut self.counts, &other.counts);
-        counts.sent += more.sent;
-        counts.answered += more.answered;
-        counts.errors += more.errors;
-        counts.in_time += more.in_time;
-        counts.not_run += more.not_run;
-        counts.unknown += more.unknown;
-        counts.lost += more.lost;
-        counts.incorrect += more.incorrect;
-        counts.resends += more.resends;
+    fn merge(&mut self, other: &ClassSummary) {
+        let (counts, others) = (&mut self.counts, &other.counts);
+        counts.sent += others.sent;
+        counts.answered += others.answered;
+        counts.errors += others.errors;
+        counts.in_time += others.in_time;
+        counts.not_run += others.not_run;
+        counts.unknown += others.unknown;
+        counts.lost += others.lost;
+        counts.incorrect += others.incorrect;
+        counts.resends += others.resends;
         // A histogram that grows by itself takes any other.
         let _ = self.latency.add(&other.latency);
     }
--- a/tools/tests/load.rs
+++ b/tools/tests/load.rs
@@ -94,7 +94,7 @@
     let due = Instant::now();
     let job = Job {
         class: &class,
-        number: 1,
+        resource_id: 1,
         due,
         first_entry: 0,
         retry_policy: RetryPolicy::HonourRetryAfter,
@@ -159,8 +159,8 @@
 
 #[test]
 fn mix_target_and_class() {
-    let target = "/contracts/7?work_us=0&bytes=100&chain=/a/7,/b/7";
-    assert_eq!(class(1).target(7), target);
+    let path_and_query = "/contracts/7?work_us=0&bytes=100&chain=/a/7,/b/7";
+    assert_eq!(class(1).path_and_query(7), path_and_query);
     let with_share = |share| MixClass { share, ..class(1) };
     let mix = Mix { classes: vec![with_share(2), with_share(0), with_share(1)] };
     let classes: Vec<_> = (0..3).map(|point| mix.class_at(point)).collect();
