--- a/tools/src/check.rs
+++ b/tools/src/check.rs
@@ -26,7 +26,7 @@
     let in_force_now = previous.as_ref().and_then(|previous| previous.in_force.clone());
     let in_force = in_force(cfg, &candidate, in_force_now.as_ref());
     let report = Report::new(&candidate)
-        .with_verdict(in_force, in_force_now, floor(previous.as_ref()))
+        .with_evaluation(in_force, in_force_now, floor(previous.as_ref()))
         .with_difference(previous.as_ref().and_then(|previous| difference(previous, &candidate)));
     output::write(&report, cfg.format, out)?;
     Ok(report.accepted)
--- a/tools/src/check/config.rs
+++ b/tools/src/check/config.rs
@@ -99,8 +99,8 @@
 }
 
 fn part_file(option: &str, text: &str) -> Result<PartFile> {
-    let wrong = || usage(format!("--{option}: found {text:?}, allowed KEY=FILE"));
-    let (key, path) = text.split_once('=').ok_or_else(wrong)?;
-    let key = Name::new(key.to_owned()).ok_or_else(wrong)?;
+    let invalid = || usage(format!("--{option}: found {text:?}, allowed KEY=FILE"));
+    let (key, path) = text.split_once('=').ok_or_else(invalid)?;
+    let key = Name::new(key.to_owned()).ok_or_else(invalid)?;
     Ok(PartFile { key, path: path.into() })
 }
--- a/tools/src/check/difference.rs
+++ b/tools/src/check/difference.rs
@@ -101,12 +101,12 @@
     /// Compares two presets.
     pub fn new(before: &Preset, after: &Preset) -> Difference {
         Difference {
-            services: names(&before.services, &after.services)
+            services: union_of_names(&before.services, &after.services)
                 .filter_map(|name| {
                     service(name, before.services.get(name), after.services.get(name))
                 })
                 .collect(),
-            routes: names(&before.routes, &after.routes)
+            routes: union_of_names(&before.routes, &after.routes)
                 .filter_map(|name| route(name, before.routes.get(name), after.routes.get(name)))
                 .collect(),
             resources: resources(before, after),
@@ -120,14 +120,14 @@
 }
 
 /// The names in either map, the old ones first.
-fn names<'a, T>(
+fn union_of_names<'a, T>(
     before: &'a IndexMap<Name, T>,
     after: &'a IndexMap<Name, T>,
 ) -> impl Iterator<Item = &'a Name> {
     before.keys().chain(after.keys()).collect::<IndexSet<_>>().into_iter()
 }
 
-fn change<T: PartialEq>(before: Option<&T>, after: Option<&T>) -> Option<Change> {
+fn change_kind<T: PartialEq>(before: Option<&T>, after: Option<&T>) -> Option<Change> {
     match (before, after) {
         (None, Some(_)) => Some(Change::Added),
         (Some(_), None) => Some(Change::Removed),
@@ -141,44 +141,47 @@
     before: Option<&Service>,
     after: Option<&Service>,
 ) -> Option<ServiceChange> {
-    let change = change(before, after)?;
+    let change = change_kind(before, after)?;
     let old = before.map_or(&[][..], |service| &service.targets);
     let new = after.map_or(&[][..], |service| &service.targets);
     Some(ServiceChange {
         name: name.clone(),
         change,
-        limits: fields(before.map(|s| &s.limits), after.map(|s| &s.limits)),
-        targets_added: missing(new, old),
-        targets_removed: missing(old, new),
-        targets_moved: moved(old, new),
+        limits: changed_fields(before.map(|s| &s.limits), after.map(|s| &s.limits)),
+        targets_added: targets_missing_from(new, old),
+        targets_removed: targets_missing_from(old, new),
+        targets_moved: moved_targets(old, new),
         moved_keys_percent: moved_keys_percent(old, new),
     })
 }
 
 fn route(name: &Name, before: Option<&Route>, after: Option<&Route>) -> Option<RouteChange> {
-    let change = change(before, after)?;
-    Some(RouteChange { name: name.clone(), change, fields: fields(before, after) })
+    let change = change_kind(before, after)?;
+    Some(RouteChange { name: name.clone(), change, fields: changed_fields(before, after) })
 }
 
 /// Targets of `of` on VMs that no target of `from` is on.
-fn missing(of: &[Target], from: &[Target]) -> Vec<Target> {
-    let known: IndexSet<_> = from.iter().map(|target| &target.vm).collect();
-    of.iter().filter(|target| !known.contains(&target.vm)).cloned().collect()
+fn targets_missing_from(targets: &[Target], reference: &[Target]) -> Vec<Target> {
+    let known: IndexSet<_> = reference.iter().map(|target| &target.vm).collect();
+    targets.iter().filter(|target| !known.contains(&target.vm)).cloned().collect()
 }
 
-fn moved(before: &[Target], after: &[Target]) -> Vec<TargetMove> {
+fn moved_targets(before: &[Target], after: &[Target]) -> Vec<TargetMove> {
     let old: IndexMap<_, _> = before.iter().map(|target| (&target.vm, target)).collect();
     let pairs = after.iter().filter_map(|new| Some((*old.get(&new.vm)?, new)));
     pairs
         .filter(|(old, new)| old != new)
-        .map(|(old, new)| TargetMove { vm: new.vm.clone(), fields: fields(Some(old), Some(new)) })
+        .map(|(old, new)| TargetMove {
+            vm: new.vm.clone(),
+            fields: changed_fields(Some(old), Some(new)),
+        })
         .collect()
 }
 
 /// Fields with different values, by their JSON form.
-fn fields<T: Serialize>(before: Option<&T>, after: Option<&T>) -> Vec<FieldChange> {
-    let before = object(before);
-    let after = object(after);
+fn changed_fields<T: Serialize>(before: Option<&T>, after: Option<&T>) -> Vec<FieldChange> {
+    let before = json_object(before);
+    let after = json_object(after);
     let names: IndexSet<_> = before.keys().chain(after.keys()).cloned().collect();
     names
         .into_iter()
@@ -191,7 +194,7 @@
         .collect()
 }
 
-fn object<T: Serialize>(content: Option<&T>) -> serde_json::Map<String, Value> {
+fn json_object<T: Serialize>(content: Option<&T>) -> serde_json::Map<String, Value> {
     match serde_json::to_value(content) {
         Ok(Value::Object(fields)) => fields,
         _ => serde_json::Map::new(),
@@ -203,8 +206,8 @@
     if before.is_empty() || after.is_empty() {
         return 0.0;
     }
-    let moves = |key: &u32| home(before, *key) != home(after, *key);
-    let moved = (0..SAMPLE_KEYS).filter(moves).count();
+    let home_differs = |key: &u32| home(before, *key) != home(after, *key);
+    let moved = (0..SAMPLE_KEYS).filter(home_differs).count();
     100.0 * moved as f64 / f64::from(SAMPLE_KEYS)
 }
 
--- a/tools/src/check/output.rs
+++ b/tools/src/check/output.rs
@@ -71,7 +71,7 @@
 }
 
 fn write_service(f: &mut Formatter<'_>, service: &ServiceChange) -> fmt::Result {
-    writeln!(f, "  {} service {}", mark(service.change), service.name)?;
+    writeln!(f, "  {} service {}", symbol(service.change), service.name)?;
     if service.change == Change::Changed {
         write_fields(f, "limits.", &service.limits)?;
     }
@@ -93,7 +93,7 @@
 }
 
 fn write_route(f: &mut Formatter<'_>, route: &RouteChange) -> fmt::Result {
-    writeln!(f, "  {} route {}", mark(route.change), route.name)?;
+    writeln!(f, "  {} route {}", symbol(route.change), route.name)?;
     if route.change == Change::Changed {
         write_fields(f, "", &route.fields)?;
     }
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-fn mark(change: Change) -> char {
+fn symbol(change: Change) -> char {
     match change {
         Change::Added => '+',
         Change::Removed => '-',
--- a/tools/src/check/publication.rs
+++ b/tools/src/check/publication.rs
@@ -38,37 +38,37 @@
             preset: None,
             findings: Vec::new(),
         };
-        publication.take_body(&files.preset, &body);
+        publication.parse_body(&files.preset, &body);
         if let Some(path) = &files.in_force {
-            publication.take_in_force(path, &files.preset, &body)?;
+            publication.parse_in_force(path, &files.preset, &body)?;
         }
-        publication.take_parts(&files.preset, &files.parts)?;
-        publication.check_content(&files.preset);
+        publication.parse_parts(&files.preset, &files.parts)?;
+        publication.validate_content(&files.preset);
         Ok(publication)
     }
 
-    fn take_body(&mut self, path: &Path, body: &Bytes) {
+    fn parse_body(&mut self, path: &Path, body: &Bytes) {
         match validate::parse_body(body) {
             Ok(preset) => self.preset = Some(preset),
-            Err(fault) => self.find(path, fault),
+            Err(fault) => self.add_finding(path, fault),
         }
     }
 
-    fn take_in_force(&mut self, path: &Path, preset: &Path, body: &Bytes) -> Result<()> {
+    fn parse_in_force(&mut self, path: &Path, preset: &Path, body: &Bytes) -> Result<()> {
         match validate::parse_in_force(&input::read(path)?) {
             Ok(in_force) => {
                 // Parses the body once more, as nodes do, which finds a wrong digest or name.
                 if let Err(fault) = validate::parse_preset(body, &in_force) {
-                    self.find(preset, fault);
+                    self.add_finding(preset, fault);
                 }
                 self.in_force = Some(in_force);
             }
-            Err(fault) => self.find(path, fault),
+            Err(fault) => self.add_finding(path, fault),
         }
         Ok(())
     }
 
-    fn take_parts(&mut self, path: &Path, files: &[PartFile]) -> Result<()> {
+    fn parse_parts(&mut self, path: &Path, files: &[PartFile]) -> Result<()> {
         let Some(preset) = &self.preset else {
             return Ok(());
         };
@@ -79,30 +79,30 @@
         }
         for (index, part) in refs.iter().enumerate() {
             match files.iter().find(|file| file.key == part.key) {
-                Some(file) => self.take_part(part, file)?,
+                Some(file) => self.parse_part(part, file)?,
                 None => {
                     let fault = Fault::new(Code::PartMissing).with_detail(&part.key);
-                    self.find(path, fault.with_location(format!("parts[{index}].key")));
+                    self.add_finding(path, fault.with_location(format!("parts[{index}].key")));
                 }
             }
         }
         Ok(())
     }
 
-    fn take_part(&mut self, part: &PartRef, file: &PartFile) -> Result<()> {
+    fn parse_part(&mut self, part: &PartRef, file: &PartFile) -> Result<()> {
         let buf = input::read(&file.path)?;
         let Some(preset) = &mut self.preset else {
             return Ok(());
         };
-        let taken = validate::parse_part(&buf, &part.digest)
+        let result = validate::parse_part(&buf, &part.digest)
             .and_then(|part| validate::add_part(preset, part));
-        if let Err(fault) = taken {
-            self.find(&file.path, fault);
+        if let Err(fault) = result {
+            self.add_finding(&file.path, fault);
         }
         Ok(())
     }
 
-    fn check_content(&mut self, path: &Path) {
+    fn validate_content(&mut self, path: &Path) {
         let Some(preset) = &self.preset else {
             return;
         };
@@ -112,11 +112,11 @@
             faults.extend(Snapshot::new(in_force, preset).err());
         }
         for fault in faults {
-            self.find(path, fault);
+            self.add_finding(path, fault);
         }
     }
 
-    fn find(&mut self, path: &Path, fault: Fault) {
+    fn add_finding(&mut self, path: &Path, fault: Fault) {
         let finding = Finding::new(path, &fault);
         if !self.findings.contains(&finding) {
             self.findings.push(finding);
--- a/tools/src/check/report.rs
+++ b/tools/src/check/report.rs
@@ -80,19 +80,19 @@
     }
 
     /// The same report with the judgement of a node that holds `in_force_now`.
-    pub fn with_verdict(
+    pub fn with_evaluation(
         mut self,
         in_force: Option<InForce>,
         in_force_now: Option<InForce>,
         mut floor: VersionFloor,
     ) -> Report {
-        let verdict = in_force.as_ref().map(|in_force| floor.evaluate(in_force, None));
+        let decision = in_force.as_ref().map(|in_force| floor.evaluate(in_force, None));
         if let (Some(Decision::Reject(code)), Some(now), Some(new)) =
-            (&verdict, &in_force_now, &in_force)
+            (&decision, &in_force_now, &in_force)
         {
-            self.refuse(*code, now, new);
+            self.reject(*code, now, new);
         }
-        self.in_force_already = verdict == Some(Decision::AlreadyKnown);
+        self.in_force_already = decision == Some(Decision::AlreadyKnown);
         self.in_force = in_force.filter(|_| self.accepted);
         self.judged_against = in_force_now;
         self
@@ -104,7 +104,7 @@
         self
     }
 
-    fn refuse(&mut self, code: Code, now: &InForce, new: &InForce) {
+    fn reject(&mut self, code: Code, now: &InForce, new: &InForce) {
         let detail = match code {
             Code::VersionConflict => {
                 format!("version {} is in force with digest {}", now.version, now.digest)
