--- a/tools/src/command_line.rs
+++ b/tools/src/command_line.rs
@@ -9,10 +9,10 @@
 
 /// Exit code of a run whose answer is no: a document refused, a fleet behind, an output not
 /// written.
-pub const FAILED: u8 = 1;
+pub const EXIT_FAILURE: u8 = 1;
 
 /// Exit code of a command line or input file that is not valid: the question was not answered.
-pub const USAGE: u8 = 2;
+pub const EXIT_USAGE: u8 = 2;
 
 /// The options of one tool.
 #[derive(Debug)]
@@ -57,9 +57,9 @@
         tool: impl FnOnce(&C, &mut dyn Write) -> Result<bool>,
     ) -> ExitCode {
         let mut stdout = std::io::stdout().lock();
-        match self.answer(parse, tool, &mut stdout) {
+        match self.execute(parse, tool, &mut stdout) {
             Ok(true) => ExitCode::SUCCESS,
-            Ok(false) => ExitCode::from(FAILED),
+            Ok(false) => ExitCode::from(EXIT_FAILURE),
             Err(fault) => {
                 // Standard error is the last place left to report to.
                 let _ = writeln!(std::io::stderr(), "{}: {fault}", self.name);
@@ -68,7 +68,7 @@
         }
     }
 
-    fn answer<C>(
+    fn execute<C>(
         &self,
         parse: impl FnOnce(&Matches) -> Result<C>,
         tool: impl FnOnce(&C, &mut dyn Write) -> Result<bool>,
@@ -90,8 +90,8 @@
 /// The exit code for a run that ended with a failure.
 fn exit_code(code: Code) -> u8 {
     match code {
-        Code::UsageInvalid | Code::InputUnreadable | Code::InputInvalid => USAGE,
-        _ => FAILED,
+        Code::UsageInvalid | Code::InputUnreadable | Code::InputInvalid => EXIT_USAGE,
+        _ => EXIT_FAILURE,
     }
 }
 
--- a/tools/src/input.rs
+++ b/tools/src/input.rs
@@ -21,8 +21,8 @@
 pub fn parse_json<T: DeserializeOwned>(buf: &[u8], code: Code) -> Result<T> {
     let deserializer = &mut serde_json::Deserializer::from_slice(buf);
     let value = serde_path_to_error::deserialize(&mut *deserializer).map_err(|e| {
-        let place = e.path().to_string();
-        Fault::new(code).with_location(place).with_detail(e.into_inner())
+        let location = e.path().to_string();
+        Fault::new(code).with_location(location).with_detail(e.into_inner())
     })?;
     deserializer.end().map_err(|e| Fault::new(code).with_detail(e))?;
     Ok(value)
@@ -30,9 +30,9 @@
 
 /// The same failure with the file in front of its place.
 pub fn in_file(path: &Path, fault: Fault) -> Fault {
-    let place = match fault.location.is_empty() {
+    let location = match fault.location.is_empty() {
         true => path.display().to_string(),
         false => format!("{}: {}", path.display(), fault.location),
     };
-    fault.with_location(place)
+    fault.with_location(location)
 }
