--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -10,7 +10,8 @@
 use sycamore_standins::platform::{Addresses, Platform, PlatformConfig, Store};
 use sycamore_tools::load::client::Pool;
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const LOOPBACK_ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 #[derive(Debug, PartialEq)]
 struct Answer {
@@ -22,7 +23,12 @@
 fn start(max_calls_per_second: u64) -> Addresses {
     let mut store = Store::new();
     store.put("in-force", Bytes::from_static(b"first"));
-    let cfg = PlatformConfig { listen: vec![ANY], control: ANY, max_calls_per_second, store };
+    let cfg = PlatformConfig {
+        listen: vec![LOOPBACK_ANY_PORT],
+        control: LOOPBACK_ANY_PORT,
+        max_calls_per_second,
+        store,
+    };
     Platform::spawn(cfg).unwrap()
 }
 
@@ -81,17 +87,18 @@
     // the cut would look like an outage of the whole platform.
     let mut store = Store::new();
     store.put("in-force", Bytes::from_static(b"first"));
-    let listen = vec![ANY, "127.0.0.2:0".parse().unwrap()];
-    let cfg = PlatformConfig { listen, control: ANY, max_calls_per_second: 100, store };
+    let listen = vec![LOOPBACK_ANY_PORT, "127.0.0.2:0".parse().unwrap()];
+    let cfg =
+        PlatformConfig { listen, control: LOOPBACK_ANY_PORT, max_calls_per_second: 100, store };
     let at = Platform::spawn(cfg).unwrap();
     future::block_on(async {
         let path = "/v1/kv/in-force?index=1&wait=30s";
         let watches = future::zip(get(at.readers[0], path), get(at.readers[1], path));
-        let act = async {
+        let change = async {
             put(at.control, "/faults", r#"{"cut":["127.0.0.2"]}"#).await;
             put(at.control, "/v1/kv/in-force", "second").await;
         };
-        let ((other, cut), ()) = future::zip(watches, act).await;
+        let ((other, cut), ()) = future::zip(watches, change).await;
         assert_eq!((other, cut), (value("second", "2"), None));
     });
 }
--- a/standins/tests/target.rs
+++ b/standins/tests/target.rs
@@ -15,20 +15,26 @@
 use sycamore_tools::load::client::Pool;
 use sycamore_tools::load::pattern::Pattern;
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const LOOPBACK_ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-struct Running {
+struct RunningTarget {
     address: SocketAddr,
     log: PathBuf,
 }
 
-fn start(test: &str, slots: u32) -> Running {
+fn start(test: &str, slots: u32) -> RunningTarget {
     let log = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}.jsonl"));
-    let target =
-        TargetConfig { vm: "vm-1".into(), address: ANY, calls: ANY, slots, connections: 8 };
-    let cfg = TargetsConfig { control: ANY, targets: vec![target] };
+    let target = TargetConfig {
+        vm: "vm-1".into(),
+        address: LOOPBACK_ANY_PORT,
+        calls: LOOPBACK_ANY_PORT,
+        slots,
+        connections: 8,
+    };
+    let cfg = TargetsConfig { control: LOOPBACK_ANY_PORT, targets: vec![target] };
     let (_, addresses) = Targets::spawn(cfg, RunLog::create(&log).unwrap()).unwrap();
-    Running { address: addresses[0], log }
+    RunningTarget { address: addresses[0], log }
 }
 
 /// Sends one request on a connection of its own: its status and body, if it was answered whole.
--- a/tools/tests/configuration_doc.rs
+++ b/tools/tests/configuration_doc.rs
@@ -19,43 +19,44 @@
 
 /// A kind of document: its section in the page, its shortest valid form, one with every field,
 /// and how the programs read it. The reader returns the document as they hold it.
-struct Kind {
+struct DocumentKind {
     section: &'static str,
-    shortest: Value,
+    minimal: Value,
     full: Value,
     read: fn(&[u8]) -> Result<Value, String>,
 }
 
-fn text<E: Debug>(error: E) -> String {
+fn debug_text<E: Debug>(error: E) -> String {
     format!("{error:?}")
 }
 
 fn read_settings(buf: &[u8]) -> Result<Value, String> {
-    serde_json::to_value(Settings::parse(buf).map_err(text)?).map_err(text)
+    serde_json::to_value(Settings::parse(buf).map_err(debug_text)?).map_err(debug_text)
 }
 
 fn read_in_force(buf: &[u8]) -> Result<Value, String> {
-    serde_json::to_value(validate::parse_in_force(buf).map_err(text)?).map_err(text)
+    serde_json::to_value(validate::parse_in_force(buf).map_err(debug_text)?).map_err(debug_text)
 }
 
 fn read_preset(buf: &[u8]) -> Result<Value, String> {
-    let preset = validate::parse_body(buf).map_err(text)?;
-    validate::preset(&preset).map_err(text)?;
-    serde_json::to_value(preset).map_err(text)
+    let preset = validate::parse_body(buf).map_err(debug_text)?;
+    validate::preset(&preset).map_err(debug_text)?;
+    serde_json::to_value(preset).map_err(debug_text)
 }
 
 fn read_vms(buf: &[u8]) -> Result<Value, String> {
-    serde_json::to_value(serde_json::from_slice::<VmList>(buf).map_err(text)?).map_err(text)
+    serde_json::to_value(serde_json::from_slice::<VmList>(buf).map_err(debug_text)?)
+        .map_err(debug_text)
 }
 
-fn settings() -> Kind {
-    let shortest = json!({
+fn settings() -> DocumentKind {
+    let minimal = json!({
         "vm": "a", "region": "r", "zone": "z",
         "listen": {"calls": "127.0.0.1:1", "gate": "127.0.0.1:2", "peers": "127.0.0.1:3",
             "admin": "127.0.0.1:4"},
         "platform_address": "127.0.0.1:9"
     });
-    let mut full = shortest.clone();
+    let mut full = minimal.clone();
     full["target_address"] = "127.0.0.1:5".into();
     full["platform_region"] = "r".into();
     full["seeds"] = json!(["127.0.0.1:6"]);
@@ -67,24 +68,24 @@
     full["bounds"] = json!({});
     full["zones"] = json!({"NAME": "r"});
     full["listen"]["ready"] = "127.0.0.1:7".into();
-    Kind { section: "Settings of a node", shortest, full, read: read_settings }
+    DocumentKind { section: "Settings of a node", minimal, full, read: read_settings }
 }
 
-fn in_force() -> Kind {
-    let shortest = json!({"version": 1, "preset": "p", "digest": Hash::of(b"")});
-    let full = shortest.clone();
-    Kind { section: "The publication in force", shortest, full, read: read_in_force }
+fn in_force() -> DocumentKind {
+    let minimal = json!({"version": 1, "preset": "p", "digest": Hash::of(b"")});
+    let full = minimal.clone();
+    DocumentKind { section: "The publication in force", minimal, full, read: read_in_force }
 }
 
-fn preset() -> Kind {
+fn preset() -> DocumentKind {
     let target = json!({"vm": "a", "region": "r", "zone": "z", "gate": "127.0.0.1:2", "peers": "127.0.0.1:9"});
     let route = json!({"path_prefix": "/", "service": "NAME", "idempotent": true});
-    let shortest = json!({
+    let minimal = json!({
         "name": "p",
         "services": {"NAME": {"targets": [target]}},
         "routes": {"NAME": route}
     });
-    let mut full = shortest.clone();
+    let mut full = minimal.clone();
     full["services"]["NAME"]["limits"] = json!({});
     full["services"]["NAME"]["limits"] = json!({"retry_reserve": 1});
     let target = &mut full["services"]["NAME"]["targets"][0];
@@ -95,22 +96,22 @@
     route["host"] = "h".into();
     route["split"] = json!([{"service": "NAME", "weight": 1}]);
     full["parts"] = json!([{"key": "part/1", "digest": Hash::of(b"")}]);
-    Kind { section: "A preset", shortest, full, read: read_preset }
+    DocumentKind { section: "A preset", minimal, full, read: read_preset }
 }
 
-fn vms() -> Kind {
+fn vms() -> DocumentKind {
     let vm = json!({"vm": "a", "region": "r", "zone": "z", "peers": "127.0.0.1:3",
         "admin": "127.0.0.1:4", "state": "live"});
-    let shortest = json!({"vms": [vm]});
-    let full = shortest.clone();
-    Kind { section: "The VM lists", shortest, full, read: read_vms }
+    let minimal = json!({"vms": [vm]});
+    let full = minimal.clone();
+    DocumentKind { section: "The VM lists", minimal, full, read: read_vms }
 }
 
-fn kinds() -> [Kind; 4] {
+fn kinds() -> [DocumentKind; 4] {
     [settings(), in_force(), preset(), vms()]
 }
 
-impl Kind {
+impl DocumentKind {
     fn rows(&self) -> Vec<Row> {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/CONFIGURATION.md");
         let page = std::fs::read_to_string(path).unwrap();
@@ -184,12 +185,12 @@
 #[test]
 fn page_lists_every_field() {
     for kind in kinds() {
-        let held = kind.read(&kind.full).unwrap();
-        let mut known = BTreeSet::new();
-        fields("", &held, &mut known);
+        let parsed = kind.read(&kind.full).unwrap();
+        let mut expected = BTreeSet::new();
+        fields("", &parsed, &mut expected);
         let rows = kind.rows();
         let listed: BTreeSet<_> = rows.iter().map(|row| row.field.clone()).collect();
-        assert_eq!(listed, known, "{}", kind.section);
+        assert_eq!(listed, expected, "{}", kind.section);
         assert_eq!(rows.len(), listed.len(), "{}: a field stands twice", kind.section);
     }
 }
@@ -197,9 +198,9 @@
 #[test]
 fn page_states_defaults() {
     for kind in kinds() {
-        let held = kind.read(&kind.shortest).unwrap();
+        let parsed = kind.read(&kind.minimal).unwrap();
         for row in kind.rows() {
-            let found = held.pointer(&pointer(&row.field));
+            let found = parsed.pointer(&pointer(&row.field));
             let value = found.filter(|value| !value.is_null());
             let expected = match row.default.as_str() {
                 // An element has no default, but its list does.
@@ -220,7 +221,7 @@
     }
 }
 
-fn assert_required(kind: &Kind, field: &str) {
+fn assert_required(kind: &DocumentKind, field: &str) {
     let mut document = kind.full.clone();
     let path = pointer(field);
     let (parent, name) = path.rsplit_once('/').unwrap();
--- a/tools/tests/load.rs
+++ b/tools/tests/load.rs
@@ -21,14 +21,14 @@
 /// What the server does on one connection.
 #[derive(Clone, Copy)]
 enum Step {
-    Say(&'static str),
-    Break,
+    Respond(&'static str),
+    Disconnect,
     /// Answers with the first bytes of the body that belongs to the request, or to another one.
     Answer {
         own: bool,
         bytes: usize,
     },
-    Silent,
+    NoResponse,
 }
 
 /// A server that takes one step a connection, then goes away.
@@ -36,7 +36,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut open_streams = Vec::new();
         for step in steps {
             let (mut stream, _) = listener.accept().unwrap();
             let mut buf = Vec::new();
@@ -46,15 +46,15 @@
                 buf.push(byte[0]);
             }
             match step {
-                Step::Say(text) => stream.write_all(text.as_bytes()).unwrap(),
-                Step::Break => {}
+                Step::Respond(text) => stream.write_all(text.as_bytes()).unwrap(),
+                Step::Disconnect => {}
                 Step::Answer { own, bytes } => {
                     stream.write_all(&answer(&buf, own, bytes)).unwrap();
                 }
-                Step::Silent => kept.push(stream),
+                Step::NoResponse => open_streams.push(stream),
             }
         }
-        kept.into_iter().for_each(|mut stream| {
+        open_streams.into_iter().for_each(|mut stream| {
             let _ = stream.read(&mut [0]);
         });
     });
@@ -106,11 +106,11 @@
     record.sends.iter().map(|send| send.result).collect()
 }
 
-const WHOLE: Step = Step::Answer { own: true, bytes: BODY_BYTES };
+const COMPLETE_ANSWER: Step = Step::Answer { own: true, bytes: BODY_BYTES };
 
 #[test]
 fn call_answered_after_refusal_and_break() {
-    let record = run(vec![Step::Say(REFUSAL), Step::Break, WHOLE], 60_000);
+    let record = run(vec![Step::Respond(REFUSAL), Step::Disconnect, COMPLETE_ANSWER], 60_000);
     let expected = [SendResult::NotRun, SendResult::Broken, SendResult::Answered];
     assert_eq!(results(&record), expected);
     assert_eq!((record.outcome, record.body_correct), (Outcome::Answered, true));
@@ -119,7 +119,7 @@
 
 #[test]
 fn call_body_cut_is_sent_again() {
-    let record = run(vec![Step::Answer { own: true, bytes: 40 }, WHOLE], 60_000);
+    let record = run(vec![Step::Answer { own: true, bytes: 40 }, COMPLETE_ANSWER], 60_000);
     assert_eq!(results(&record), [SendResult::BodyCut, SendResult::Answered]);
     assert_eq!((record.bytes, record.body_correct), (BODY_BYTES as u64, true));
 }
@@ -132,14 +132,14 @@
 
 #[test]
 fn call_unknown_is_final() {
-    let record = run(vec![Step::Say(UNKNOWN)], 60_000);
+    let record = run(vec![Step::Respond(UNKNOWN)], 60_000);
     assert_eq!((record.outcome, record.code), (Outcome::Unknown, Some(464)));
 }
 
 #[test]
 fn call_refused_until_deadline() {
     // The server goes away after its refusals; what was never sent has not run either.
-    let record = run(vec![Step::Say(REFUSAL); 3], 300);
+    let record = run(vec![Step::Respond(REFUSAL); 3], 300);
     assert_eq!(record.outcome, Outcome::NotRun);
 }
 
@@ -147,13 +147,13 @@
 fn call_break_then_refusals_is_unknown() {
     // Story: the connection breaks after the request went out, and every later send is refused
     // until the deadline. A refusal speaks for its own send, so the first may still have run.
-    let record = run(vec![Step::Break, Step::Say(REFUSAL)], 300);
+    let record = run(vec![Step::Disconnect, Step::Respond(REFUSAL)], 300);
     assert_eq!(record.outcome, Outcome::Unknown);
 }
 
 #[test]
 fn call_never_answered_is_lost() {
-    let record = run(vec![Step::Silent], 10);
+    let record = run(vec![Step::NoResponse], 10);
     assert_eq!((record.outcome, results(&record)), (Outcome::None, vec![SendResult::TimedOut]));
 }
 
