--- a/standins/src/target/request.rs
+++ b/standins/src/target/request.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Time that a request gets that states no deadline.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Marks calls of a chain that may run only once.
 const AT_MOST_ONCE: char = '!';
@@ -40,12 +40,12 @@
         let headers = req.headers();
         let remaining_ms =
             header_text(headers, "x-sycamore-deadline-ms").and_then(|text| text.parse().ok());
-        let remaining_ms = remaining_ms.map_or(DEFAULT_DEADLINE, Duration::from_millis);
+        let timeout = remaining_ms.map_or(DEFAULT_TIMEOUT, Duration::from_millis);
         let bytes = |name| headers.get(name).map(|value| Bytes::copy_from_slice(value.as_bytes()));
         let mut call = Call {
             id: bytes("x-sycamore-request-id").unwrap_or_default(),
             key: bytes("idempotency-key"),
-            deadline: Instant::now() + remaining_ms,
+            deadline: Instant::now() + timeout,
             depth: headers.get("x-sycamore-depth").cloned(),
             work: Duration::ZERO,
             answer_bytes: 0,
