--- a/standins/src/bin/example-maker.rs
+++ b/standins/src/bin/example-maker.rs
@@ -1,4 +1,4 @@
-//! `example-maker`: writes the files under `examples/` anew.
+//! `example-maker`: regenerates the files under `examples/`.
 
 use getopts::Options;
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 fn main() -> ExitCode {
     let mut options = Options::new();
-    options.optopt("d", "directory", "where they go; examples by default", "DIRECTORY");
+    options.optopt("d", "directory", "output directory (default: examples)", "DIRECTORY");
     let matches = match command::parse(options, "Usage: example-maker [options]") {
         Ok(matches) => matches,
         Err(code) => return code,
