--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! `standin-platform`: the platform's configuration service, for tests and demonstrations.
+//! `standin-platform`: simulates the platform's configuration service in tests and demonstrations.
 
 use getopts::Options;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use sycamore_standins::command::{self, run_error, usage_error};
 use sycamore_standins::platform::{Platform, PlatformConfig, Store};
 
-/// What the users' platform bears.
+/// Call limit of the users' platform.
 const MAX_CALLS_PER_SECOND: u64 = 2_000;
 
 fn main() -> ExitCode {
@@ -22,10 +22,15 @@
 
 fn start() -> Result<Platform, ExitCode> {
     let mut options = Options::new();
-    options.optmulti("l", "listen", "address for readers; may be repeated", "IP:PORT");
-    options.optopt("c", "control", "address for tests that drive it", "IP:PORT");
-    options.optopt("d", "values", "directory of values", "DIRECTORY");
-    options.optopt("m", "max-calls-per-second", "more get 429; 2000 by default", "N");
+    options.optmulti("l", "listen", "address that serves reads; may be repeated", "IP:PORT");
+    options.optopt("c", "control", "address of the control port", "IP:PORT");
+    options.optopt("d", "values", "directory with the initial values", "DIRECTORY");
+    options.optopt(
+        "m",
+        "max-calls-per-second",
+        "further calls get status 429 (default: 2000)",
+        "N",
+    );
     let matches = command::parse(options, "Usage: standin-platform [options]")?;
     let listen: Result<Vec<SocketAddr>, _> =
         matches.opt_strs("listen").iter().map(|text| text.parse()).collect();
