--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -1,4 +1,4 @@
-//! `standin-target`: several targets in one process, for tests and demonstrations.
+//! `standin-target`: simulates several targets in one process for tests and demonstrations.
 
 use getopts::Options;
 use std::path::Path;
@@ -19,8 +19,8 @@
 
 fn start() -> Result<Targets, ExitCode> {
     let mut options = Options::new();
-    options.optopt("t", "targets", "the targets, in JSON", "FILE");
-    options.optopt("r", "run-log", "where to write what they run", "FILE");
+    options.optopt("t", "targets", "JSON file that configures the targets", "FILE");
+    options.optopt("r", "run-log", "file for the run log (default: no log)", "FILE");
     let matches = command::parse(options, "Usage: standin-target --targets FILE [options]")?;
     let path =
         matches.opt_str("targets").ok_or_else(|| usage_error("--targets FILE is required"))?;
