--- a/standins/src/command.rs
+++ b/standins/src/command.rs
@@ -1,13 +1,14 @@
-//! What the command lines of the stand-ins have in common.
+//! Command-line parsing and exit codes shared by the stand-in programs.
 
 use getopts::{Matches, Options};
 use std::io::Write;
 use std::process::ExitCode;
 
-/// Exit code of a command line that is not valid.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// Parses the arguments. `Err` holds the exit code after `--help` or a mistake.
+/// Parses the process arguments. Returns the exit code as `Err` after `--help` or an invalid
+/// argument.
 pub fn parse(mut options: Options, brief: &str) -> Result<Matches, ExitCode> {
     options.optflag("h", "help", "print this help");
     match options.parse(std::env::args().skip(1)) {
@@ -20,13 +21,13 @@
     }
 }
 
-/// Says what is wrong with the command line.
+/// Prints a command-line error to standard error and returns its exit code.
 pub fn usage_error(detail: impl std::fmt::Display) -> ExitCode {
     let _ = writeln!(std::io::stderr(), "{detail}");
     ExitCode::from(EXIT_USAGE)
 }
 
-/// Says why the run failed.
+/// Prints a runtime error to standard error and returns its exit code.
 pub fn run_error(detail: impl std::fmt::Display) -> ExitCode {
     let _ = writeln!(std::io::stderr(), "{detail}");
     ExitCode::FAILURE
