--- a/standins/src/example.rs
+++ b/standins/src/example.rs
@@ -1,4 +1,4 @@
-//! Makes the files under `examples/`: both deployments of the users at their sizes of today.
+//! Generates the files under `examples/`, which describe both deployments at their current size.
 
 mod deployment;
 mod files;
