--- a/standins/src/example/deployment.rs
+++ b/standins/src/example/deployment.rs
@@ -1,35 +1,35 @@
-//! The two deployments: their zones, services, VMs and addresses.
+//! Topology of the two example deployments: zones, services, VMs and addresses.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use sycamore_core::config::Class;
 
-/// Port of a node for callers.
+/// Port on which a node serves callers.
 pub const CALLS_PORT: u16 = 7000;
-/// Port of a node for other nodes' forwarded calls.
+/// Port on which a node serves calls forwarded by other nodes.
 pub const GATE_PORT: u16 = 7001;
-/// Port of a node for messages from peers.
+/// Port on which a node receives messages from its peers.
 pub const PEERS_PORT: u16 = 7002;
-/// Port of a node for operators.
+/// Port of a node's admin interface.
 pub const ADMIN_PORT: u16 = 7003;
-/// Port of a target.
+/// Port on which a target serves its node.
 pub const TARGET_PORT: u16 = 7010;
-/// Port of the platform.
+/// Port on which the platform serves reads.
 pub const PLATFORM_PORT: u16 = 7080;
-/// Port of the stand-ins that tests drive them by.
+/// Control port of the stand-ins.
 pub const CONTROL_PORT: u16 = 7081;
 
-/// A route as the users' mix needs it, before a preset changes it.
+/// A route of a deployment, before a preset adjusts its limits.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRow {
-    /// Its name, and its path after the `/`.
+    /// Name of the route; its path prefix is `/` and the name.
     pub name: &'static str,
-    /// The service that answers.
+    /// Service that handles the requests.
     pub service: &'static str,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
-    /// Its order of admission.
+    /// Admission priority.
     pub class: Class,
-    /// Its deadline on ordinary days, in milliseconds.
+    /// Deadline in the preset `ordinary`, in milliseconds.
     pub deadline_ms: u32,
 }
 
@@ -59,31 +59,29 @@
     RouteRow { name, service, idempotent, class, deadline_ms }
 }
 
-/// Host on which the platform answers a zone.
+/// Last octet of the platform's addresses.
 const PLATFORM_HOST: u8 = 250;
-/// Host of the targets' control port.
+/// Last octet of the address of the targets' control port.
 const TARGETS_HOST: u8 = 251;
 
-/// A deployment of the users.
+/// An example deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Name of its directory.
+    /// Name of the directory below `examples/`.
     pub name: &'static str,
-    /// Second number of its loopback addresses.
+    /// Second octet of the loopback addresses.
     pub network: u8,
-    /// Its regions; each has two availability zones.
+    /// Regions; each has two availability zones.
     pub regions: &'static [&'static str],
-    /// Its services; each has one target in each zone.
+    /// Services; each has one target in every zone.
     pub services: &'static [&'static str],
-    /// Its routes.
     pub routes: &'static [RouteRow],
-    /// Slots of each target.
+    /// Concurrent requests that each target accepts.
     pub slots: u32,
-    /// Connections of each target.
+    /// Connections that each target accepts.
     pub connections: u32,
 }
 
-/// The Franchise Office.
 pub const FRANCHISE_OFFICE: Deployment = Deployment {
     name: "franchise-office",
     network: 20,
@@ -94,7 +92,6 @@
     connections: 110,
 };
 
-/// The Cooperative.
 pub const COOPERATIVE: Deployment = Deployment {
     name: "cooperative",
     network: 30,
@@ -105,35 +102,31 @@
     connections: 110,
 };
 
-/// Availability zones of each region.
 const ZONES_PER_REGION: u8 = 2;
 
-/// A VM of a deployment.
+/// A VM of a deployment, with its node and its target.
 #[derive(Clone, Debug)]
 pub struct Vm {
-    /// Its name.
     pub name: String,
-    /// Its region.
     pub region: &'static str,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Number of that zone, from 1.
+    /// Number of the zone within the deployment, starting at 1.
     pub zone_number: u8,
-    /// The service that its target runs.
+    /// Service that the target on this VM runs.
     pub service: &'static str,
-    /// Its address.
     pub ip: IpAddr,
 }
 
 impl Vm {
-    /// One of its ports.
+    /// Socket address of a port on this VM.
     pub fn socket_addr(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip, port)
     }
 }
 
 impl Deployment {
-    /// Its availability zones, with their regions and numbers.
+    /// Availability zones, each as region, zone name and zone number.
     pub fn zones(&self) -> Vec<(&'static str, String, u8)> {
         let mut zones = Vec::new();
         for &region in self.regions {
@@ -144,7 +137,7 @@
         zones
     }
 
-    /// Its VMs, by zone.
+    /// VMs, ordered by zone.
     pub fn vms(&self) -> Vec<Vm> {
         let mut vms = Vec::new();
         for (region, zone, zone_number) in self.zones() {
@@ -163,17 +156,17 @@
         vms
     }
 
-    /// Address on which the platform answers a zone.
+    /// Address on which the platform serves the nodes of a zone.
     pub fn platform_address(&self, zone_number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(zone_number, PLATFORM_HOST), PLATFORM_PORT)
     }
 
-    /// Control port of the platform stand-in.
+    /// Address of the platform stand-in's control port.
     pub fn platform_control(&self) -> SocketAddr {
         SocketAddr::new(self.ip(0, PLATFORM_HOST), CONTROL_PORT)
     }
 
-    /// Control port of the target stand-ins.
+    /// Address of the target stand-ins' control port.
     pub fn targets_control(&self) -> SocketAddr {
         SocketAddr::new(self.ip(0, TARGETS_HOST), CONTROL_PORT)
     }
