--- a/standins/src/example/files.rs
+++ b/standins/src/example/files.rs
@@ -1,4 +1,4 @@
-//! The files of one deployment, as text.
+//! Renders the files of an example deployment.
 
 use super::deployment::{
     ADMIN_PORT, CALLS_PORT, Deployment, GATE_PORT, PEERS_PORT, TARGET_PORT, Vm,
@@ -13,22 +13,22 @@
 use sycamore_core::member::{Member, VmList, VmState};
 use sycamore_core::place::Place;
 
-/// A file of an example: where it goes below the example's directory, and its text.
+/// A generated file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct File {
-    /// Path below the directory of the deployment.
+    /// Path relative to the directory of the deployment.
     pub path: String,
-    /// What stands in it.
+    /// Content.
     pub text: String,
 }
 
-/// Value of the key `zones`.
+/// Value of the platform key `zones`.
 #[derive(Serialize)]
 struct Zones {
     zones: Vec<Place>,
 }
 
-/// Settings of a node; what is left out keeps its default.
+/// Settings of a node; omitted fields keep their defaults.
 #[derive(Serialize)]
 struct NodeSettings {
     vm: String,
@@ -48,7 +48,7 @@
     admin: SocketAddr,
 }
 
-/// Every file of a deployment but its mix of calls, which is written by hand.
+/// Renders every file of a deployment except the load mix, which is maintained by hand.
 pub fn files(deployment: &Deployment) -> Vec<File> {
     let mut files = published_files(deployment);
     for vm in deployment.vms() {
@@ -59,7 +59,7 @@
     files
 }
 
-/// Writes every file of a deployment below `directory`.
+/// Writes the files of a deployment to `directory`.
 pub fn write(deployment: &Deployment, directory: &Path) -> std::io::Result<()> {
     for file in files(deployment) {
         let path = directory.join(&file.path);
@@ -130,7 +130,7 @@
     }
 }
 
-/// Peers to ask first: the others of the zone, and one VM of every other zone.
+/// Bootstrap peers: the other VMs of the zone, and one VM in every other zone.
 fn seeds(deployment: &Deployment, vm: &Vm) -> Vec<SocketAddr> {
     let vms = deployment.vms();
     let same_zone = vms.iter().filter(|other| other.zone == vm.zone && other.name != vm.name);
