--- a/standins/src/example/presets.rs
+++ b/standins/src/example/presets.rs
@@ -1,14 +1,14 @@
-//! The presets of both deployments: what differs between ordinary days, peaks and maintenance.
+//! Presets of the example deployments: `ordinary`, `peak` and `maintenance`.
 
 use super::deployment::{Deployment, GATE_PORT, PEERS_PORT, RouteRow};
 use indexmap::IndexMap;
 use sycamore_core::Name;
 use sycamore_core::config::{AtMostOnceMode, Class, Preset, Route, Service, ServiceLimits, Target};
 
-/// Names of the presets; the first is in force at the start.
+/// Names of the presets; the first one is initially in force.
 pub const NAMES: [&str; 3] = ["ordinary", "peak", "maintenance"];
 
-/// A preset of a deployment.
+/// Builds a preset of a deployment.
 pub fn preset(deployment: &Deployment, name: &str) -> Preset {
     let mut services = IndexMap::new();
     for &service in deployment.services {
@@ -21,7 +21,7 @@
     Preset { name: to_name(name), services, routes, parts: Vec::new() }
 }
 
-/// A preset whose last route names a service that it lacks; every node refuses it.
+/// Builds a preset whose last route refers to an undefined service. Every node rejects it.
 pub fn dangling(deployment: &Deployment) -> Preset {
     let mut preset = preset(deployment, "peak");
     preset.name = to_name("dangling");
@@ -31,7 +31,8 @@
     preset
 }
 
-/// Peaks shorten queues and keep bulk back; maintenance leaves slots to those who maintain.
+/// Service limits of a preset: `peak` shortens queues and limits bulk requests, `maintenance`
+/// leaves slots free for maintenance work.
 fn limits(deployment: &Deployment, preset: &str) -> ServiceLimits {
     let slots = deployment.slots;
     let ordinary = ServiceLimits {
@@ -106,7 +107,7 @@
         .collect()
 }
 
-/// A name of this module's own making.
+/// Converts a constant of this module. Panics if the text is not a valid name.
 pub fn to_name(text: &str) -> Name {
-    Name::new(text.to_string()).expect("the examples' names are valid")
+    Name::new(text.to_string()).expect("example names must be valid")
 }
