--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server on one thread, whose connections can be cut all at once.
+//! A minimal single-threaded HTTP server whose open connections can be closed together.
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -14,17 +14,17 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = Infallible>>>;
 
-/// A whole answer held in memory.
+/// Builds a response with an in-memory body.
 pub fn response(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Box::pin(Full::new(body.into())) as Body);
     *response.status_mut() = status;
     response
 }
 
-/// Ends the connections that wait on it once it is dropped.
+/// Closes all subscribed connections when it is dropped.
 #[derive(Debug)]
 pub struct ShutdownSignal {
     _sender: Sender<()>,
@@ -32,13 +32,13 @@
 }
 
 impl ShutdownSignal {
-    /// A cutter that no connection waits on.
+    /// Creates a signal without subscribers.
     pub fn new() -> ShutdownSignal {
         let (sender, receiver) = async_channel::bounded(1);
         ShutdownSignal { _sender: sender, receiver }
     }
 
-    /// What a connection waits on.
+    /// Returns a receiver that is closed when the signal is dropped.
     pub fn subscribe(&self) -> Receiver<()> {
         self.receiver.clone()
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Serves one connection until its client closes it or it is cut.
+/// Serves one connection until the client closes it or `shutdown` is closed.
 pub async fn serve<H, F>(stream: Async<TcpStream>, shutdown: Receiver<()>, handle: H)
 where
     H: Fn(Request<Incoming>) -> F,
@@ -58,8 +58,10 @@
 {
     let service = hyper::service::service_fn(move |req| {
         let response = handle(req);
-        // No answer closes the connection.
-        async move { response.await.ok_or_else(|| std::io::Error::other("no answer")) }
+        // An error from the service makes hyper close the connection without a response.
+        async move {
+            response.await.ok_or_else(|| std::io::Error::other("handler returned no response"))
+        }
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .serve_connection(FuturesIo::new(stream), service);
@@ -72,7 +74,7 @@
     future::or(serve, shutdown).await;
 }
 
-/// Listens on `address` and hands every connection to `take`, until it is dropped.
+/// Accepts connections and passes each to `on_connection`, until the future is dropped.
 pub async fn listen(
     listener: Async<std::net::TcpListener>,
     mut on_connection: impl FnMut(Async<TcpStream>, SocketAddr),
@@ -80,11 +82,11 @@
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                // Answers would otherwise wait for the acknowledgement of earlier ones.
+                // Nagle's algorithm would hold responses back until earlier ones are acknowledged.
                 let _ = stream.get_ref().set_nodelay(true);
                 on_connection(stream, peer);
             }
-            // Out of file descriptors: wait for connections to close.
+            // File descriptors may be exhausted; retry after other connections have closed.
             Err(_) => {
                 async_io::Timer::after(std::time::Duration::from_millis(10)).await;
             }
@@ -92,7 +94,7 @@
     }
 }
 
-/// An executor that lives as long as its thread's work.
+/// Creates a single-threaded executor.
 pub fn executor() -> Rc<LocalExecutor<'static>> {
     Rc::new(LocalExecutor::new())
 }
