--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for the systems around sycamorescale, for tests and demonstrations only: the
-//! platform's configuration service, and targets.
+//! Simulated platform configuration service and targets, for tests and demonstrations only.
 
 pub mod command;
 pub mod example;
