--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform's configuration service: a key-value service that is only read, with
-//! blocking queries. Faults and new values come in on a control port of its own.
+//! Stand-in for the platform's configuration service: a read-only key-value store with blocking
+//! queries. Values and faults are set through a separate control port.
 
 mod control;
 mod store;
@@ -20,10 +20,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest wait of a blocking query, whatever it asks for.
+/// Upper bound on the wait time that a blocking query can request.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A platform stand-in with its sockets bound.
+/// A platform stand-in whose sockets are bound.
 #[derive(Debug)]
 pub struct Platform {
     readers: Vec<Async<TcpListener>>,
@@ -31,30 +31,28 @@
     state: Rc<RefCell<State>>,
 }
 
-/// What a platform stand-in starts with.
+/// Configuration of a platform stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// Addresses for readers. Several let a test cut one zone off that reads from its own.
+    /// Addresses that serve reads. With one address per zone, a test can block a single zone.
     pub listen: Vec<SocketAddr>,
-    /// Address of the control port.
     pub control: SocketAddr,
-    /// Calls answered in one second; more get 429.
+    /// Calls answered per second; further calls get status 429.
     pub max_calls_per_second: u64,
-    /// The values.
+    /// Initial values.
     pub store: Store,
 }
 
-/// Addresses of a platform stand-in that runs in a thread of its own until the process ends.
+/// Bound addresses of a platform stand-in.
 #[derive(Clone, Debug)]
 pub struct Addresses {
-    /// For readers.
+    /// Addresses that serve reads.
     pub readers: Vec<SocketAddr>,
-    /// Of the control port.
+    /// Address of the control port.
     pub control: SocketAddr,
 }
 
 impl Platform {
-    /// Binds the sockets.
     pub fn bind(cfg: PlatformConfig) -> std::io::Result<Platform> {
         let readers: Result<_, _> =
             cfg.listen.iter().map(|at| Async::<TcpListener>::bind(*at)).collect();
@@ -63,7 +61,7 @@
         Ok(Platform { readers: readers?, control, state: Rc::new(RefCell::new(state)) })
     }
 
-    /// Runs a stand-in in a thread of its own until the process ends; for tests.
+    /// Starts a stand-in in a background thread that runs until the process exits.
     pub fn spawn(cfg: PlatformConfig) -> std::io::Result<Addresses> {
         let (tx, rx) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
@@ -77,7 +75,6 @@
         rx.recv().map_err(std::io::Error::other)?
     }
 
-    /// The addresses bound.
     pub fn addresses(&self) -> Addresses {
         let bound = |listener: &Async<TcpListener>| listener.get_ref().local_addr().ok();
         Addresses {
@@ -86,7 +83,7 @@
         }
     }
 
-    /// Serves until it is dropped.
+    /// Serves requests until the future is dropped.
     pub async fn run(self) {
         let executor = http::executor();
         for listener in self.readers {
@@ -130,7 +127,7 @@
     http::serve(stream, shutdown, move |req| handle_read(state.clone(), req)).await;
 }
 
-/// Answers one read or blocking query.
+/// Handles a read or a blocking query.
 async fn handle_read(state: Rc<RefCell<State>>, req: Request<Incoming>) -> Option<Response<Body>> {
     if !state.borrow_mut().count_call() {
         return Some(http::response(StatusCode::TOO_MANY_REQUESTS, "too many calls"));
@@ -167,7 +164,7 @@
     }
 }
 
-/// What a blocking query asks for.
+/// Parameters of a read; `index` and `wait` make it a blocking query.
 #[derive(Debug)]
 struct Query {
     index: Option<u64>,
@@ -188,7 +185,7 @@
     }
 }
 
-/// Reads `30s` or `500ms`.
+/// Parses a duration such as `30s` or `500ms`; a number without unit is in seconds.
 fn parse_wait(text: &str) -> Duration {
     let wait = match (text.strip_suffix("ms"), text.strip_suffix('s')) {
         (Some(ms), _) => ms.parse().map(Duration::from_millis),
@@ -204,7 +201,7 @@
     response
 }
 
-/// What a broken platform says: a status that promises a value, and no value.
+/// A successful status with a body that is not a valid value.
 fn malformed_response() -> Response<Body> {
     with_index(Bytes::from_static(b"\x00\xff{\"version\":"), u64::MAX)
 }
