--- a/standins/src/platform/control.rs
+++ b/standins/src/platform/control.rs
@@ -1,4 +1,4 @@
-//! Faults of the platform stand-in, its counts, and the control port that a test drives it by.
+//! State of the platform stand-in, its injected faults, and its control port.
 
 use super::store::{Store, Value};
 use crate::http::{self, Body};
@@ -12,57 +12,57 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Faults that the stand-in shows now; all off at first.
+/// Faults that are currently injected; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Closes every connection at once.
+    /// Closes every connection immediately.
     pub down: bool,
-    /// Takes requests and answers none while it lasts.
+    /// Accepts requests but does not answer them while the fault is set.
     #[serde(rename = "silent")]
     pub unresponsive: bool,
-    /// Answers what is no value.
+    /// Responds with malformed values.
     #[serde(rename = "rubbish")]
     pub malformed: bool,
-    /// Callers cut off: by their own address, or by the address that they connect to.
+    /// Blocks connections from or to these addresses.
     #[serde(rename = "cut")]
     pub blocked: Vec<IpAddr>,
-    /// Answers as of this index: the present one for a stale replica, an earlier one for a
-    /// restored backup.
+    /// Serves values as of this index: the current index simulates a stale replica, an earlier
+    /// index a restored backup.
     pub as_of: Option<u64>,
 }
 
 impl Faults {
-    /// Whether a connection between these addresses can't be.
+    /// Whether a connection between these addresses is blocked.
     fn blocks(&self, endpoints: &[IpAddr]) -> bool {
         self.down || endpoints.iter().any(|ip| self.blocked.contains(ip))
     }
 }
 
-/// A connection of a reader; it ends when this is dropped.
+/// An open read connection, which is closed when this is dropped.
 #[derive(Debug)]
 struct Connection {
     endpoints: [IpAddr; 2],
     shutdown: Sender<()>,
 }
 
-/// What the stand-in has counted.
+/// Call counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls; a waiting one counts once.
+    /// Calls received; a blocking query counts once.
     pub calls: u64,
-    /// Calls answered 429.
+    /// Calls answered with status 429.
     pub refused: u64,
-    /// Most calls in one second.
+    /// Highest number of calls within one second.
     pub peak_calls_per_second: u64,
     /// Index of the last change.
     pub index: u64,
 }
 
-/// Everything that the stand-in holds.
+/// State of the platform stand-in.
 #[derive(Debug)]
 pub struct State {
-    /// Faults shown now.
+    /// Injected faults.
     pub faults: Faults,
     store: Store,
     connections: Vec<Connection>,
@@ -75,7 +75,7 @@
 }
 
 impl State {
-    /// A stand-in without faults.
+    /// Creates the state without faults.
     pub fn new(store: Store, max_calls_per_second: u64) -> State {
         State {
             faults: Faults::default(),
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Takes a new connection, unless its ends are cut off. It ends when the result does.
+    /// Registers a connection, unless it is blocked. The caller closes the connection when the
+    /// returned receiver is closed.
     pub fn admit(&mut self, endpoints: [IpAddr; 2]) -> Option<Receiver<()>> {
         if self.faults.blocks(&endpoints) {
             return None;
@@ -101,7 +102,7 @@
         Some(closed)
     }
 
-    /// Counts a call. Returns false if there were too many in this second.
+    /// Counts a call. Returns false if it exceeds the limit for the current second.
     pub fn count_call(&mut self) -> bool {
         let second = self.started.elapsed().as_secs();
         if second != self.current_second {
@@ -117,7 +118,8 @@
         within_limit
     }
 
-    /// The value of a key, and what ends when anything changes.
+    /// Returns the value of a key, and a receiver that is closed on the next change of any value or
+    /// fault.
     pub fn look_up(&mut self, key: &str) -> (Option<Value>, Receiver<()>) {
         let (tx, rx) = async_channel::bounded(1);
         self.watchers.retain(|watcher| !watcher.is_closed());
@@ -132,7 +134,8 @@
         index
     }
 
-    /// Sets the faults, also for callers that wait. Connections of others stay as they are.
+    /// Replaces the faults and wakes blocking queries. Closes only the connections that the new
+    /// faults block.
     fn set_faults(&mut self, faults: Faults) {
         self.connections.retain(|connection| !faults.blocks(&connection.endpoints));
         self.faults = faults;
@@ -144,7 +147,7 @@
     }
 }
 
-/// Answers the control port: `PUT /v1/kv/<key>`, `PUT /faults`, `GET /counts`.
+/// Handles requests to the control port: `PUT /v1/kv/<key>`, `PUT /faults` and `GET /counts`.
 pub async fn handle(state: Rc<RefCell<State>>, req: Request<Incoming>) -> Option<Response<Body>> {
     let (head, body) = req.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
