--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -1,12 +1,12 @@
-//! The values of the platform, with everything that they were before.
+//! Versioned key-value store of the platform stand-in.
 
 use bytes::Bytes;
 use std::path::Path;
 
-/// Suffix of files that hold values; not part of the key.
+/// Suffix of value files, which is not part of the key.
 const SUFFIX: &str = ".json";
 
-/// Every change of a value so far, so that the store can answer as of an earlier index.
+/// Values with their full change history, so that reads can be served as of an earlier index.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     changes: Vec<Change>,
@@ -18,22 +18,20 @@
     value: Value,
 }
 
-/// A value and the index at which it last changed.
+/// A value and the index of the change that set it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// The value.
     pub body: Bytes,
-    /// Index of the change that set it.
     pub index: u64,
 }
 
 impl Store {
-    /// No values.
+    /// Creates an empty store.
     pub fn new() -> Store {
         Store::default()
     }
 
-    /// Reads a directory of values: `preset/peak.json` holds the key `preset/peak`.
+    /// Loads values from a directory: the file `preset/peak.json` holds the key `preset/peak`.
     pub fn read_directory(directory: &Path) -> std::io::Result<Store> {
         let mut store = Store::new();
         store.read_recursive(directory, "")?;
@@ -54,19 +52,18 @@
         Ok(())
     }
 
-    /// Sets a value and returns the index of the change.
     pub fn put(&mut self, key: &str, body: Bytes) -> u64 {
         let index = self.index() + 1;
         self.changes.push(Change { key: key.to_string(), value: Value { body, index } });
         index
     }
 
-    /// Index of the last change.
+    /// Index of the latest change.
     pub fn index(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// The value of a key, as of an index.
+    /// Returns the value of a key as of an index.
     pub fn get(&self, key: &str, as_of: u64) -> Option<Value> {
         let visible = &self.changes[..as_of.min(self.index()) as usize];
         visible.iter().rev().find(|change| change.key == key).map(|change| change.value.clone())
