--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -1,5 +1,5 @@
-//! Stand-in for targets: several in one process, each on its own address, with the slots, the
-//! connections and the habits of the users' targets.
+//! Stand-in for targets: simulates several targets in one process, each on its own address, with
+//! limited slots and connections and configurable behaviour.
 
 mod answer;
 mod control;
@@ -28,39 +28,37 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a new connection costs a target before it answers on it.
+/// Delay before a target serves a new connection.
 const ACCEPT_DELAY: Duration = Duration::from_millis(1);
 
-/// How long a crashed target stays away.
+/// Downtime after a crash, unless the crash request sets another.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// The targets of one process, as read from a file.
+/// Configuration of the targets of one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetsConfig {
-    /// Address of the control port.
     pub control: SocketAddr,
-    /// The targets.
     pub targets: Vec<TargetConfig>,
 }
 
-/// One target.
+/// Configuration of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetConfig {
-    /// VM that it runs on.
+    /// VM that the target runs on.
     pub vm: String,
-    /// Address on which it takes requests from its node.
+    /// Address on which it serves its node.
     pub address: SocketAddr,
-    /// Address of its node for calls of its own.
+    /// Address of its node for nested calls.
     pub calls: SocketAddr,
-    /// Requests that it runs at once; more get 503.
+    /// Concurrent requests; further requests get status 503.
     pub slots: u32,
-    /// Connections that it takes.
+    /// Concurrent connections; further connections are closed.
     pub connections: u32,
 }
 
-/// Targets with their sockets bound.
+/// Targets whose sockets are bound.
 #[derive(Debug)]
 pub struct Targets {
     control: Async<TcpListener>,
@@ -68,7 +66,7 @@
     log: RunLog,
 }
 
-/// One target as it runs.
+/// A running target.
 #[derive(Debug)]
 struct Target {
     cfg: TargetConfig,
@@ -78,12 +76,12 @@
 }
 
 impl Targets {
-    /// Reads the targets of one process from a JSON file.
+    /// Reads the configuration from a JSON file.
     pub fn read(path: &Path) -> std::io::Result<TargetsConfig> {
         Ok(serde_json::from_slice(&std::fs::read(path)?)?)
     }
 
-    /// Binds the sockets; runs are written to `log`.
+    /// Binds the sockets. Runs are recorded in `log`.
     pub fn bind(cfg: TargetsConfig, log: RunLog) -> std::io::Result<Targets> {
         let control = Async::<TcpListener>::bind(cfg.control)?;
         let bind = |mut target: TargetConfig| {
@@ -95,7 +93,7 @@
         Ok(Targets { control, targets: targets?, log })
     }
 
-    /// Runs targets in a thread of its own until the process ends; for tests. Returns the address
+    /// Starts targets in a background thread that runs until the process exits. Returns the address
     /// of the control port and of each target.
     pub fn spawn(
         cfg: TargetsConfig,
@@ -119,7 +117,7 @@
         Ok((control, self.targets.iter().map(|(_, cfg)| cfg.address).collect()))
     }
 
-    /// Serves until it is dropped.
+    /// Serves requests until the future is dropped.
     pub async fn run(self) {
         let executor = http::executor();
         let mut targets = Vec::new();
@@ -147,7 +145,7 @@
     }
 }
 
-/// Takes connections; starts again after each crash.
+/// Accepts connections, and restarts the target after each crash.
 async fn listen(
     executor: Rc<LocalExecutor<'static>>,
     target: Rc<Target>,
@@ -161,7 +159,7 @@
             let crash = async {
                 let _ = crashed.recv().await;
             };
-            // Dropping the listener makes new connections fail, as on a crashed process.
+            // Dropping the listener makes new connections fail, as after a process crash.
             future::or(http::listen(listener, on_connection), crash).await;
         }
         let downtime = target.state.borrow().downtime().unwrap_or(RESTART_DELAY);
@@ -196,7 +194,7 @@
         return Some(http::response(StatusCode::OK, ""));
     }
     let call = Call::new(&req);
-    // A request whose body is cut is not run.
+    // A request with an incomplete body is not run.
     req.into_body().collect().await.ok()?;
     if !target.state.borrow_mut().take_slot(target.cfg.slots) {
         return Some(http::response(StatusCode::SERVICE_UNAVAILABLE, "no slot is free"));
@@ -206,7 +204,7 @@
     Some(response)
 }
 
-/// Runs one request: its own calls first, then its work, then the answer.
+/// Runs a request: makes its nested call, simulates the work, then builds the response.
 async fn execute(target: &Rc<Target>, call: &Call, run: run_log::Run) -> Option<Response<Body>> {
     if call.crash {
         target.state.borrow_mut().crash(RESTART_DELAY);
