--- a/standins/src/target/answer.rs
+++ b/standins/src/target/answer.rs
@@ -1,4 +1,4 @@
-//! Body of an answer, made while it is sent. The run ends with its last byte.
+//! Response body that is generated while it is sent. The run completes with the last byte.
 
 use super::run_log::Run;
 use bytes::{Bytes, BytesMut};
@@ -8,10 +8,10 @@
 use std::task::{Context, Poll};
 use sycamore_tools::load::pattern::Pattern;
 
-/// Answers above this are streamed without a length; one chunk of them.
+/// Chunk size. Larger bodies use chunked transfer encoding instead of a content length.
 const CHUNK_BYTES: usize = 65_536;
 
-/// The rest of an answer.
+/// The unsent part of a response body.
 #[derive(Debug)]
 pub struct ResponseBody {
     pattern: Pattern,
@@ -21,7 +21,7 @@
 }
 
 impl ResponseBody {
-    /// The whole answer to the request with this id.
+    /// Creates the body of `len` bytes for the request with this ID.
     pub fn new(id: &[u8], len: usize, run: Run) -> ResponseBody {
         let mut run = Some(run);
         if len == 0 {
@@ -47,7 +47,7 @@
         self.pattern.fill(&mut buf);
         self.remaining -= buf.len();
         if self.remaining == 0 && !self.chunked {
-            // hyper doesn't poll a body again whose length is known and reached.
+            // hyper doesn't poll a body of known length again after its last byte.
             self.run.take().into_iter().for_each(Run::finish);
         }
         Poll::Ready(Some(Ok(Frame::data(buf.freeze()))))
