--- a/standins/src/target/control.rs
+++ b/standins/src/target/control.rs
@@ -1,4 +1,4 @@
-//! State of one target, and the control port that a test drives it by.
+//! State of a target, and the control port of the target stand-ins.
 
 use super::load::ReportedLoad;
 use super::{RESTART_DELAY, Target};
@@ -12,42 +12,39 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How a target behaves, set by a test.
+/// Simulated behaviour of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Behaviour {
-    /// Work takes so many times as long.
+    /// Factor by which work takes longer.
     #[serde(rename = "slow")]
     pub work_factor: f64,
-    /// Work takes so many times as long at first.
+    /// Further factor while the target warms up.
     #[serde(rename = "cold")]
     pub warm_up_work_factor: f64,
-    /// How long "at first" lasts, after a start; in milliseconds.
+    /// Duration of the warm-up after a start, in milliseconds.
     #[serde(rename = "cold_ms")]
     pub warm_up_ms: u64,
-    /// Reports an idle target whatever runs.
+    /// Reports zero load regardless of the requests in flight.
     #[serde(rename = "lies")]
     pub reports_idle: bool,
 }
 
-/// What a target has counted.
+/// Counters of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Runs started.
     pub runs: u64,
-    /// Requests beyond the slots; a gatekeeper sends none.
+    /// Requests rejected because all slots were taken. A correct gatekeeper causes none.
     pub beyond_slots: u64,
-    /// Connections beyond the limit; a gatekeeper opens none.
+    /// Connections rejected because of the limit. A correct gatekeeper causes none.
     pub beyond_connections: u64,
-    /// Most runs at once.
+    /// Highest number of concurrent runs.
     pub peak_in_flight: u32,
-    /// Most connections at once.
+    /// Highest number of concurrent connections.
     pub peak_connections: u32,
-    /// Crashes.
     pub crashes: u64,
 }
 
-/// State of one target.
 #[derive(Debug)]
 pub struct State {
     behaviour: Behaviour,
@@ -82,7 +79,7 @@
 }
 
 impl State {
-    /// Counts a new connection. Returns false if there are too many.
+    /// Registers a connection. Returns false if the limit is reached.
     pub fn open_connection(&mut self, limit: u32) -> bool {
         if self.connections >= limit {
             self.counts.beyond_connections += 1;
@@ -93,7 +90,7 @@
         true
     }
 
-    /// Takes a slot for a run. Returns false if none is free.
+    /// Takes a slot for a run. Returns false if no slot is free.
     pub fn take_slot(&mut self, limit: u32) -> bool {
         if self.in_flight >= limit {
             self.counts.beyond_slots += 1;
@@ -105,12 +102,11 @@
         true
     }
 
-    /// Frees the slot of a run.
     pub fn free_slot(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// How many times as long work takes now.
+    /// Factor by which work takes longer at `now`.
     pub fn work_factor(&self, now: Instant) -> f64 {
         let warming_up = now - self.started < Duration::from_millis(self.behaviour.warm_up_ms);
         if warming_up {
@@ -127,31 +123,31 @@
         format!("{in_flight}/{slots}")
     }
 
-    /// Ends when the target crashes.
+    /// Returns a receiver that is closed when the target crashes.
     pub fn crashed(&self) -> Receiver<()> {
         self.shutdown.subscribe()
     }
 
-    /// Ends every connection and run, and stays away for a while.
+    /// Aborts all connections and runs. The target restarts after `downtime`.
     pub fn crash(&mut self, downtime: Duration) {
         self.counts.crashes += 1;
         self.downtime = Some(downtime);
         self.shutdown = ShutdownSignal::new();
     }
 
-    /// How long the crashed target stays away.
+    /// Downtime of a crashed target; `None` while it runs.
     pub fn downtime(&self) -> Option<Duration> {
         self.downtime
     }
 
-    /// Starts again, cold.
+    /// Marks the target as running again, at the start of its warm-up.
     pub fn restart(&mut self) {
         self.downtime = None;
         self.started = Instant::now();
     }
 }
 
-/// Counts a connection as closed when it is dropped.
+/// Unregisters a connection when it is dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard(pub(super) Rc<Target>);
 
@@ -161,8 +157,8 @@
     }
 }
 
-/// Answers the control port: `GET /counts`, `PUT /habits/<vm>` and `PUT /crash/<vm>`, whose body
-/// is how long the target stays away, in milliseconds.
+/// Handles requests to the control port: `GET /counts`, `PUT /habits/<vm>` and `PUT /crash/<vm>`,
+/// whose body is the downtime in milliseconds.
 pub async fn handle(
     targets: Rc<Vec<Rc<Target>>>,
     req: Request<Incoming>,
