--- a/standins/src/target/load.rs
+++ b/standins/src/target/load.rs
@@ -1,11 +1,11 @@
-//! The load that a target reports: what was true a while ago, or what was never true.
+//! The load that a target reports, which lags behind its actual load.
 
 use std::time::{Duration, Instant};
 
-/// How old a reported load may be.
+/// Interval at which the reported load is updated.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The load as last reported.
+/// The most recently reported load.
 #[derive(Debug, Default)]
 pub struct ReportedLoad {
     in_flight: u32,
@@ -13,7 +13,7 @@
 }
 
 impl ReportedLoad {
-    /// The load to report while `in_flight` requests run.
+    /// Returns the load to report while `in_flight` requests run.
     pub fn get(&mut self, in_flight: u32, now: Instant) -> u32 {
         if self.sampled_at.is_none_or(|sampled_at| now - sampled_at >= REPORT_INTERVAL) {
             self.in_flight = in_flight;
