--- a/standins/src/target/nested.rs
+++ b/standins/src/target/nested.rs
@@ -1,4 +1,4 @@
-//! Calls that a target makes itself, through the node on its VM.
+//! Nested calls that a target makes through the node on its VM.
 
 use super::request::Call;
 use async_executor::LocalExecutor;
@@ -13,25 +13,25 @@
 use sycamore_tools::load::client::{OutgoingRequest, Pool};
 use sycamore_tools::load::pattern::Pattern;
 
-/// Sends of one call: the first, and resends after a refusal.
+/// Maximum number of attempts of a call, including the first.
 const MAX_SENDS: usize = 3;
 
-/// Wait before a resend if the refusal names none.
+/// Delay before a retry if the refusal doesn't specify one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Makes calls through one node.
+/// Client that makes calls through one node.
 #[derive(Debug)]
 pub struct Caller {
     pool: Pool,
 }
 
 impl Caller {
-    /// A caller of the node at `address`.
+    /// Creates a caller for the node at `address`.
     pub fn new(address: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> Caller {
         Caller { pool: Pool::new(address, executor) }
     }
 
-    /// Makes a call and reads its answer. Returns whether it came whole before the deadline.
+    /// Makes a call. Returns whether the expected response was complete before the deadline.
     pub async fn call(&self, call: Call, deadline: Instant) -> bool {
         let timeout = async {
             Timer::at(deadline).await;
@@ -89,7 +89,7 @@
     response.headers().get(name)?.to_str().ok()
 }
 
-/// Whether the answer is a success and the whole answer to this very call.
+/// Reads the response and returns whether it is successful and has the expected body for the call.
 async fn is_expected_response(call: &Call, response: Response<hyper::body::Incoming>) -> bool {
     let success = response.status().is_success();
     let Ok(body) = response.into_body().collect().await else { return false };
