--- a/standins/src/target/request.rs
+++ b/standins/src/target/request.rs
@@ -1,41 +1,41 @@
-//! What a request asks of the stand-in: its headers, and the query that says how long to work and
-//! how much to answer.
+//! Parses requests to the stand-in: the headers, and the query that sets the simulated work and the
+//! response size.
 
 use bytes::Bytes;
 use hyper::Request;
 use hyper::header::{HeaderMap, HeaderValue};
 use std::time::{Duration, Instant};
 
-/// Time that a request gets that states no deadline.
+/// Timeout for requests without a deadline header.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Marks calls of a chain that may run only once.
+/// Prefix of nested calls that must be executed at most once.
 const AT_MOST_ONCE: char = '!';
 
-/// A request as the stand-in understands it.
+/// A parsed request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// `x-sycamore-request-id`; decides the content of the answer.
+    /// `x-sycamore-request-id`, which determines the content of the response.
     pub id: Bytes,
     /// `idempotency-key`.
     pub key: Option<Bytes>,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// `x-sycamore-depth`, passed on as it came.
+    /// `x-sycamore-depth`, forwarded unchanged.
     pub depth: Option<HeaderValue>,
-    /// `work_us`: how long it runs.
+    /// `work_us`: duration of the simulated work.
     pub work: Duration,
-    /// `bytes`: size of the answer.
+    /// `bytes`: size of the response body.
     pub answer_bytes: usize,
-    /// `chain`: paths of the calls that it makes, each one deeper than the one before. One that
-    /// starts with `!` may run only once: it is a POST with a key.
+    /// `chain`: paths of nested calls, each made by the one before it. A path that starts with `!`
+    /// is executed at most once: it is a POST with an idempotency key.
     pub chain: Vec<String>,
-    /// `crash`: the target dies of it.
+    /// `crash`: the request crashes the target.
     pub crash: bool,
 }
 
 impl Call {
-    /// Reads a request's head.
+    /// Parses the headers and the query of a request.
     pub fn new<B>(req: &Request<B>) -> Call {
         let headers = req.headers();
         let remaining_ms =
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The call that this one makes, if it makes one.
+    /// The nested call that this call makes, if any.
     pub fn nested_call(&self) -> Option<Call> {
         let mut nested = self.clone();
         if nested.chain.is_empty() {
@@ -80,12 +80,12 @@
         Some(nested)
     }
 
-    /// Whether the call at the front of the chain may run only once.
+    /// Whether the first call of the chain must be executed at most once.
     pub fn at_most_once(&self) -> bool {
         self.chain[0].starts_with(AT_MOST_ONCE)
     }
 
-    /// Path and query of a call taken from the front of the chain.
+    /// Path and query of the first call of the chain.
     pub fn path(&self) -> String {
         let rest = self.chain[1..].join(",");
         let chain = if rest.is_empty() { String::new() } else { format!("&chain={rest}") };
@@ -95,8 +95,8 @@
     }
 }
 
-/// A key for a call made on behalf of one that has a key: the same on each run, with the same time
-/// stamp, so that the call runs once however often its parent is sent.
+/// Derives the idempotency key of a nested call from the key of its parent. It is deterministic and
+/// keeps the timestamp, so that retries of the parent don't execute the nested call twice.
 fn derive_key(key: &Bytes) -> Bytes {
     let Some(mut uuid) = std::str::from_utf8(key).ok().and_then(|text| text.parse().ok()) else {
         return key.clone();
@@ -108,7 +108,7 @@
 fn derive_uuid(uuid: &mut uuid::Uuid) {
     let hash = blake3::hash(uuid.as_bytes());
     let mut raw = *uuid.as_bytes();
-    // The last eight bytes are random but for the two bits of the variant.
+    // The last eight bytes of a UUIDv7 are random except for the two variant bits.
     raw[8..].copy_from_slice(&hash.as_bytes()[..8]);
     raw[8] = raw[8] & 0x3f | 0x80;
     *uuid = uuid::Uuid::from_bytes(raw);
