--- a/standins/src/target/run_log.rs
+++ b/standins/src/target/run_log.rs
@@ -1,4 +1,4 @@
-//! What the targets ran, written down by themselves: the truth that outcomes are held against.
+//! Log of the requests that targets ran, used to verify the outcomes that callers observed.
 
 use super::Target;
 use super::request::Call;
@@ -10,38 +10,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// One line of the run log: a run's start or its end.
+/// One line of the run log: the start or the end of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// Number of the run in its process.
+    /// Number of the run within its process.
     pub run: u64,
-    /// When, in microseconds since the Unix epoch.
+    /// Time in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// VM of the target.
     pub vm: String,
-    /// Id of the request.
+    /// Request ID.
     pub id: String,
-    /// Its key, if it has one.
+    /// Idempotency key of the request, if any.
     pub key: Option<String>,
-    /// Start or end.
     #[serde(rename = "mark")]
     pub event: RunEvent,
 }
 
-/// What a line says of its run.
+/// An event in the lifecycle of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunEvent {
-    /// It started.
+    /// The run started.
     Start,
-    /// Its answer was handed over whole.
+    /// The response was sent completely.
     Completed,
-    /// It ended before that.
+    /// The run ended before its response was complete.
     #[serde(rename = "cut")]
     Aborted,
 }
 
-/// Where runs are written; clones share one file.
+/// Writer of a run log. Clones share the file.
 #[derive(Clone, Debug)]
 pub struct RunLog {
     inner: Arc<Mutex<Inner>>,
@@ -54,12 +52,12 @@
 }
 
 impl RunLog {
-    /// A log that starts empty at `path`.
+    /// Creates or truncates the log file at `path`.
     pub fn create(path: &Path) -> std::io::Result<RunLog> {
         Ok(RunLog::new(Some(File::create(path)?)))
     }
 
-    /// A log that keeps nothing.
+    /// Creates a log that discards its events.
     pub fn discard() -> RunLog {
         RunLog::new(None)
     }
@@ -74,7 +72,7 @@
         inner.runs
     }
 
-    /// Writes one line at once, so that it outlives a kill of this process.
+    /// Writes one line without buffering, so that it survives a kill of this process.
     fn write(&self, line: &Line) {
         let mut inner = self.inner.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(file) = &mut inner.file {
@@ -85,7 +83,7 @@
     }
 }
 
-/// A run in its slot, until it is dropped.
+/// A run in progress, which holds a slot until it is dropped.
 #[derive(Debug)]
 pub struct Run {
     target: Rc<Target>,
@@ -94,7 +92,7 @@
 }
 
 impl Run {
-    /// Writes the start of a run that has taken a slot.
+    /// Records the start of a run that has taken a slot.
     pub(super) fn start(target: Rc<Target>, call: &Call) -> Run {
         let text = |buf: &bytes::Bytes| String::from_utf8_lossy(buf).into_owned();
         let line = Line {
@@ -109,7 +107,7 @@
         Run { target, line, completed: false }
     }
 
-    /// Ends a run whose answer has been handed over whole.
+    /// Completes a run whose response has been sent.
     pub(super) fn finish(mut self) {
         self.completed = true;
     }
@@ -124,7 +122,7 @@
     }
 }
 
-/// Reads a run log. A last line that a kill cut short is left out.
+/// Reads a run log. Skips lines that can't be parsed, such as a last line truncated by a kill.
 pub fn read(path: &Path) -> std::io::Result<Vec<Line>> {
     let text = std::fs::read_to_string(path)?;
     Ok(text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect())
