--- a/standins/tests/example.rs
+++ b/standins/tests/example.rs
@@ -1,4 +1,4 @@
-//! The files under `examples/` are as `example-maker` makes them, and valid.
+//! Checks that the files under `examples/` match the output of `example-maker` and are valid.
 
 use std::path::Path;
 use sycamore_core::Code;
