--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in keeps to docs/INTERFACES.md.
+//! Checks the platform stand-in against docs/INTERFACES.md.
 
 use async_executor::LocalExecutor;
 use bytes::Bytes;
@@ -32,7 +32,7 @@
     Platform::spawn(cfg).unwrap()
 }
 
-/// Sends one request on a connection of its own; `None` if the connection ends without answer.
+/// Sends one request on a new connection. Returns `None` if it closes without a response.
 async fn send(to: SocketAddr, method: Method, path: &str, body: &str) -> Option<Answer> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(to, executor.clone());
@@ -83,8 +83,7 @@
 
 #[test]
 fn faults_cut_one_of_two() {
-    // Story: one zone is cut from the platform; the watches of other zones stay as they are, or
-    // the cut would look like an outage of the whole platform.
+    // Blocking one zone must not close the watches of other zones.
     let mut store = Store::new();
     store.put("in-force", Bytes::from_static(b"first"));
     let listen = vec![LOOPBACK_ANY_PORT, "127.0.0.2:0".parse().unwrap()];
