--- a/standins/tests/target.rs
+++ b/standins/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target stand-in keeps to its slots, and its run log tells what it ran.
+//! Checks the slot limit and the run log of the target stand-in.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -37,7 +37,7 @@
     RunningTarget { address: addresses[0], log }
 }
 
-/// Sends one request on a connection of its own: its status and body, if it was answered whole.
+/// Sends one request on a new connection. Returns status and body if the response is complete.
 async fn get(to: SocketAddr, id: &str, query: &str) -> Option<(u16, Bytes)> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(to, executor.clone());
@@ -50,7 +50,7 @@
     Some((status, body))
 }
 
-/// The marks of a run in the log, once its end is there.
+/// Waits for the end of a run in the log and returns its events.
 async fn events(log: &Path, id: &str) -> Vec<RunEvent> {
     loop {
         let lines = run_log::read(log).unwrap();
