--- a/tools/src/bin/sycamore-check.rs
+++ b/tools/src/bin/sycamore-check.rs
@@ -1,4 +1,4 @@
-//! `sycamore-check`: would nodes accept this preset, and what does it change?
+//! `sycamore-check`: validates a preset as nodes do, and compares it with the preset in force.
 
 use std::process::ExitCode;
 use sycamore_tools::check::{self, Config, config};
