--- a/tools/src/bin/sycamore-load.rs
+++ b/tools/src/bin/sycamore-load.rs
@@ -1,4 +1,4 @@
-//! `sycamore-load`: calls a deployment at a constant rate and writes down what callers are told.
+//! `sycamore-load`: sends requests to a deployment at a constant rate and records their outcomes.
 
 use std::process::ExitCode;
 use sycamore_tools::load::{self, Config, config};
