--- a/tools/src/check.rs
+++ b/tools/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a preset before it is published, by the same code as nodes do, and shows what it
+//! Validates a preset before it is published, with the same code as nodes, and shows what it
 //! changes.
 
 pub mod config;
@@ -16,10 +16,11 @@
 use sycamore_core::Result;
 use sycamore_core::config::{InForce, VersionFloor};
 
-/// Version of a first publication.
+/// Version of the first publication.
 const FIRST_VERSION: u64 = 1;
 
-/// Checks, compares and reports. Returns whether nodes would accept the preset.
+/// Validates the candidate, compares it with the previous publication and writes the report.
+/// Returns whether nodes would accept the preset.
 pub fn run(cfg: &Config, out: &mut dyn Write) -> Result<bool> {
     let candidate = Publication::read(&cfg.candidate)?;
     let previous = cfg.previous.as_ref().map(Publication::read).transpose()?;
@@ -32,7 +33,7 @@
     Ok(report.accepted)
 }
 
-/// The value of `in-force` that the candidate is judged under: the one given, or the next one.
+/// The `in-force` value for the candidate: the given one, or one with the next version.
 fn in_force(
     cfg: &Config,
     candidate: &Publication,
@@ -47,7 +48,7 @@
     Some(InForce { version, preset, digest: candidate.digest })
 }
 
-/// What a node that holds the previous publication knows.
+/// The version floor of a node that holds the previous publication.
 fn floor(previous: Option<&Publication>) -> VersionFloor {
     let mut floor = VersionFloor::default();
     if let Some(in_force) = previous.and_then(|previous| previous.in_force.clone()) {
