--- a/tools/src/check/config.rs
+++ b/tools/src/check/config.rs
@@ -1,73 +1,72 @@
-//! The command line of `sycamore-check`, parsed once.
+//! Command line of `sycamore-check`.
 
 use crate::command_line::{self, CommandLine, usage};
 use getopts::Matches;
 use std::path::PathBuf;
 use sycamore_core::{Name, Result};
 
-/// What to check and how to report it.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The preset to check.
+    /// Publication to check.
     pub candidate: Files,
-    /// The preset in force, to compare with.
+    /// Publication in force, to compare with.
     pub previous: Option<Files>,
-    /// Version of the `in-force` value to print; absent for the next one.
+    /// Version of the `in-force` value to print; defaults to the next version.
     pub publish_version: Option<u64>,
-    /// Form of the report.
+    /// Output format of the report.
     pub format: Format,
 }
 
-/// The files of one publication.
+/// Files of one publication.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Files {
     /// Body of the key `preset/<name>`.
     pub preset: PathBuf,
     /// Value of the key `in-force`.
     pub in_force: Option<PathBuf>,
-    /// Further keys of the preset.
+    /// Additional parts of the preset.
     pub parts: Vec<PartFile>,
 }
 
-/// The file that holds the value of one further key.
+/// File with an additional part of a preset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartFile {
-    /// The key.
+    /// Key of the part.
     pub key: Name,
-    /// The file.
     pub path: PathBuf,
 }
 
-/// Form of the report.
+/// Output format of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object.
+    /// A single JSON object.
     Json,
 }
 
-/// The options of the tool.
+/// Defines the options of the tool.
 pub fn command_line() -> CommandLine {
     CommandLine::new("sycamore-check", "PRESET.json [options]")
         .with_value("in-force", "value of the key in-force that publishes the preset", "FILE")
-        .with_values("part", "further key of the preset, and the file with its value", "KEY=FILE")
+        .with_values("part", "part of the preset: its key and a file with its value", "KEY=FILE")
         .with_value("previous", "preset in force, to compare with", "FILE")
-        .with_value("previous-in-force", "value of the key in-force now", "FILE")
-        .with_values("previous-part", "further key of the preset in force", "KEY=FILE")
+        .with_value("previous-in-force", "current value of the key in-force", "FILE")
+        .with_values("previous-part", "part of the preset in force", "KEY=FILE")
         .with_value("publish-version", "version of the in-force value to print", "N")
         .with_value("format", "text (default) or json", "FORMAT")
 }
 
 impl Config {
-    /// Takes the options of [`command_line()`].
+    /// Parses the options defined by [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         let [preset] = matches.free.as_slice() else {
-            return Err(usage(format!("found {} presets, allowed 1", matches.free.len())));
+            return Err(usage(format!("expected 1 preset file, found {}", matches.free.len())));
         };
         let publish_version = command_line::value(matches, "publish-version")?;
         if publish_version.is_some() && matches.opt_present("in-force") {
-            return Err(usage("--publish-version and --in-force exclude each other"));
+            return Err(usage("--publish-version cannot be combined with --in-force"));
         }
         let formats = [("text", Format::Text), ("json", Format::Json)];
         Ok(Config {
@@ -83,7 +82,7 @@
     let Some(preset) = matches.opt_str("previous") else {
         for option in ["previous-in-force", "previous-part"] {
             if matches.opt_present(option) {
-                return Err(usage(format!("--{option} needs --previous")));
+                return Err(usage(format!("--{option} requires --previous")));
             }
         }
         return Ok(None);
@@ -99,7 +98,7 @@
 }
 
 fn part_file(option: &str, text: &str) -> Result<PartFile> {
-    let invalid = || usage(format!("--{option}: found {text:?}, allowed KEY=FILE"));
+    let invalid = || usage(format!("--{option}: found {text:?}, expected KEY=FILE"));
     let (key, path) = text.split_once('=').ok_or_else(invalid)?;
     let key = Name::new(key.to_owned()).ok_or_else(invalid)?;
     Ok(PartFile { key, path: path.into() })
