--- a/tools/src/check/difference.rs
+++ b/tools/src/check/difference.rs
@@ -1,4 +1,4 @@
-//! What one preset changes of another, for each service and route.
+//! Compares two presets by service and route.
 
 use indexmap::{IndexMap, IndexSet};
 use serde::Serialize;
@@ -8,92 +8,89 @@
 use sycamore_core::config::document::{Preset, Route, Service, Target};
 use sycamore_core::config::resource;
 
-/// Keys whose home is compared to estimate how many move.
+/// Number of sample keys used to estimate how many keys change their home target.
 const SAMPLE_KEYS: u32 = 4_096;
 
-/// What kind of change it is.
+/// Kind of change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// Only the new preset has it.
+    /// Present only in the new preset.
     Added,
-    /// Only the old preset has it.
+    /// Present only in the old preset.
     Removed,
-    /// Both have it, with different content.
+    /// Present in both presets with different content.
     Changed,
 }
 
-/// What the new preset changes. What stays the same is left out.
+/// Differences between two presets. Unchanged items are omitted.
 #[derive(Debug, Serialize)]
 pub struct Difference {
-    /// Changes of services.
+    /// Changed services.
     pub services: Vec<ServiceChange>,
-    /// Changes of routes.
+    /// Changed routes.
     pub routes: Vec<RouteChange>,
-    /// What nodes fetch.
+    /// Resources that nodes fetch and drop.
     pub resources: ResourceChange,
 }
 
-/// A change of one service.
+/// Change of a service.
 #[derive(Debug, Serialize)]
 pub struct ServiceChange {
-    /// Name of the service.
     pub name: Name,
-    /// What kind of change it is.
+    /// Kind of change.
     pub change: Change,
-    /// Limits with other values.
+    /// Limits whose values differ.
     pub limits: Vec<FieldChange>,
-    /// Targets that only the new preset has.
+    /// Targets present only in the new preset.
     pub targets_added: Vec<Target>,
-    /// Targets that only the old preset has.
+    /// Targets present only in the old preset.
     pub targets_removed: Vec<Target>,
-    /// Targets on the same VM with another place or address.
+    /// Targets on the same VM whose location or address differs.
     pub targets_moved: Vec<TargetMove>,
-    /// Share of idempotency keys whose home target is another one, in %, estimated from a sample.
+    /// Percentage of idempotency keys whose home target changes, estimated from a sample.
     pub moved_keys_percent: f64,
 }
 
-/// A target that stays on its VM but has another place or address.
+/// A target that stays on its VM but whose location or address changes.
 #[derive(Debug, Serialize)]
 pub struct TargetMove {
-    /// The VM.
     pub vm: Name,
-    /// What changed.
+    /// Fields whose values differ.
     pub fields: Vec<FieldChange>,
 }
 
-/// A change of one route.
+/// Change of a route.
 #[derive(Debug, Serialize)]
 pub struct RouteChange {
-    /// Name of the route.
     pub name: Name,
-    /// What kind of change it is.
+    /// Kind of change.
     pub change: Change,
-    /// Fields with other values.
+    /// Fields whose values differ.
     pub fields: Vec<FieldChange>,
 }
 
-/// A field with another value.
+/// Change of a field.
 #[derive(Debug, Serialize)]
 pub struct FieldChange {
-    /// Name of the field.
+    /// JSON name of the field.
     pub field: String,
-    /// Value in the old preset; null if it has none.
+    /// Value in the old preset; null if absent.
     pub before: Value,
-    /// Value in the new preset; null if it has none.
+    /// Value in the new preset; null if absent.
     pub after: Value,
 }
 
-/// What a node with the whole configuration in its scope fetches and drops.
+/// Resources that a node fetches and drops if its scope covers the whole configuration.
 #[derive(Debug, Serialize)]
 pub struct ResourceChange {
-    /// Resources to fetch.
+    /// Number of resources to fetch.
     pub fetched: usize,
-    /// Size of these before compression.
+    /// Uncompressed size of the resources to fetch.
     pub fetched_bytes: usize,
-    /// Resources to drop.
+    /// Number of resources to drop.
     pub dropped: usize,
-    /// Resources of the new preset.
+    /// Number of resources in the new preset.
     pub total: usize,
 }
 
@@ -113,13 +110,13 @@
         }
     }
 
-    /// Whether nothing changes.
+    /// Whether the presets have the same services and routes.
     pub fn is_empty(&self) -> bool {
         self.services.is_empty() && self.routes.is_empty()
     }
 }
 
-/// The names in either map, the old ones first.
+/// The names in either map, starting with those in `before`.
 fn union_of_names<'a, T>(
     before: &'a IndexMap<Name, T>,
     after: &'a IndexMap<Name, T>,
@@ -160,7 +157,7 @@
     Some(RouteChange { name: name.clone(), change, fields: changed_fields(before, after) })
 }
 
-/// Targets of `of` on VMs that no target of `from` is on.
+/// The elements of `targets` on VMs that host no target of `reference`.
 fn targets_missing_from(targets: &[Target], reference: &[Target]) -> Vec<Target> {
     let known: IndexSet<_> = reference.iter().map(|target| &target.vm).collect();
     targets.iter().filter(|target| !known.contains(&target.vm)).cloned().collect()
@@ -178,7 +175,7 @@
         .collect()
 }
 
-/// Fields with different values, by their JSON form.
+/// Compares the top-level fields of the JSON representations.
 fn changed_fields<T: Serialize>(before: Option<&T>, after: Option<&T>) -> Vec<FieldChange> {
     let before = json_object(before);
     let after = json_object(after);
@@ -201,7 +198,7 @@
     }
 }
 
-/// Share of sampled keys whose home differs, in %; zero if either side has no target.
+/// Percentage of sample keys whose home target differs; zero if either side has no targets.
 fn moved_keys_percent(before: &[Target], after: &[Target]) -> f64 {
     if before.is_empty() || after.is_empty() {
         return 0.0;
@@ -211,7 +208,7 @@
     100.0 * moved as f64 / f64::from(SAMPLE_KEYS)
 }
 
-/// The home of a sample key, by the rule that nodes use.
+/// The home target of a sample key, chosen as nodes do.
 fn home(targets: &[Target], key: u32) -> Option<&Name> {
     HomeList::choose(&key.to_le_bytes(), targets.iter().map(|target| &target.vm))
 }
