--- a/tools/src/check/output.rs
+++ b/tools/src/check/output.rs
@@ -1,4 +1,4 @@
-//! The report of `sycamore-check` as text or JSON.
+//! Formats the report of `sycamore-check` as text or JSON.
 
 use super::config::Format;
 use super::difference::{Change, Difference, FieldChange, RouteChange, ServiceChange};
@@ -8,7 +8,6 @@
 use std::io::Write;
 use sycamore_core::Result;
 
-/// Writes the report.
 pub fn write(report: &Report, format: Format, out: &mut dyn Write) -> Result<()> {
     match format {
         Format::Text => write!(out, "{}", Text(report)).map_err(output_failed),
@@ -19,7 +18,7 @@
     }
 }
 
-/// A report for people.
+/// Formats a report as human-readable text.
 struct Text<'a>(&'a Report);
 
 impl Display for Text<'_> {
