--- a/tools/src/check/publication.rs
+++ b/tools/src/check/publication.rs
@@ -1,4 +1,4 @@
-//! A publication read from files: the preset with its parts, and every failure in them.
+//! Reads a publication from files and validates it.
 
 use super::config::{Files, PartFile};
 use super::report::Finding;
@@ -11,24 +11,24 @@
 use sycamore_core::hash::Hash;
 use sycamore_core::{Code, Fault, Result};
 
-/// A publication and what is wrong with it.
+/// A publication and its validation findings.
 #[derive(Debug)]
 pub struct Publication {
     /// Size of the preset's body, without its parts.
     pub body_bytes: usize,
     /// Digest of the preset's body.
     pub digest: Hash,
-    /// Value of the key `in-force`; none if no file was given or it is not valid.
+    /// Value of the key `in-force`; `None` if no file was given or the value is invalid.
     pub in_force: Option<InForce>,
-    /// The preset with its parts; none if it can't be parsed.
+    /// Preset with its parts; `None` if it can't be parsed.
     pub preset: Option<Preset>,
-    /// Every failure found, in the order of the files.
+    /// All findings, in the order of the files.
     pub findings: Vec<Finding>,
 }
 
 impl Publication {
-    /// Reads and checks the files. Fails only if a file can't be read or is none of the
-    /// preset's; what nodes would refuse is among the findings.
+    /// Reads and validates the files. Returns an error only if a file can't be read or a part is
+    /// not referenced by the preset; anything that nodes would reject is reported as a finding.
     pub fn read(files: &Files) -> Result<Publication> {
         let body = input::read(&files.preset)?;
         let mut publication = Publication {
@@ -57,7 +57,7 @@
     fn parse_in_force(&mut self, path: &Path, preset: &Path, body: &Bytes) -> Result<()> {
         match validate::parse_in_force(&input::read(path)?) {
             Ok(in_force) => {
-                // Parses the body once more, as nodes do, which finds a wrong digest or name.
+                // Parse the body again as nodes do, to detect a wrong digest or name.
                 if let Err(fault) = validate::parse_preset(body, &in_force) {
                     self.add_finding(preset, fault);
                 }
@@ -74,7 +74,7 @@
         };
         let refs = preset.parts.clone();
         if let Some(extra) = files.iter().find(|file| refs.iter().all(|r| r.key != file.key)) {
-            let detail = format!("{} names no part {}", path.display(), extra.key);
+            let detail = format!("{} does not reference the part {}", path.display(), extra.key);
             return Err(usage(detail));
         }
         for (index, part) in refs.iter().enumerate() {
