--- a/tools/src/check/report.rs
+++ b/tools/src/check/report.rs
@@ -1,4 +1,4 @@
-//! What `sycamore-check` reports.
+//! The report of `sycamore-check`.
 
 use super::difference::Difference;
 use super::publication::Publication;
@@ -9,38 +9,38 @@
 use sycamore_core::hash::Hash;
 use sycamore_core::{Code, Fault};
 
-/// A failure that makes nodes refuse the publication.
+/// A problem that makes nodes reject the publication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// Number of the code, as in docs/ERRORS.md.
+    /// Error code, as listed in docs/ERRORS.md.
     pub code: u16,
-    /// What the code means.
+    /// Description of the error code.
     pub message: String,
-    /// The file.
+    /// File in which the problem was found.
     pub file: String,
-    /// JSON path in the file; empty for the whole file.
+    /// JSON path within the file; empty if the finding concerns the whole file.
     pub path: String,
-    /// What was found and what is allowed.
+    /// Details, such as the value found and the allowed values.
     pub detail: String,
 }
 
-/// Size of a preset, its parts included.
+/// Size of a preset, including its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Size {
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Routes.
+    /// Number of routes.
     pub routes: usize,
-    /// Targets over all services.
+    /// Number of targets of all services.
     pub targets: usize,
 }
 
-/// The report.
+/// Result of a check.
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// Whether nodes would accept the publication.
     pub accepted: bool,
-    /// Why not; empty if accepted.
+    /// Reasons for rejection; empty if accepted.
     pub findings: Vec<Finding>,
     /// Digest of the preset's body.
     pub digest: Hash,
@@ -48,18 +48,18 @@
     pub body_bytes: usize,
     /// Size of the preset; null if it can't be parsed.
     pub size: Option<Size>,
-    /// Value to publish under the key `in-force`; null if refused.
+    /// Value to publish under the key `in-force`; null if rejected.
     pub in_force: Option<InForce>,
-    /// The publication in force that it was judged against; null if none was given.
+    /// The publication in force that it was evaluated against; null if none was given.
     pub judged_against: Option<InForce>,
-    /// Whether it is the publication in force already.
+    /// Whether the publication is already in force.
     pub in_force_already: bool,
-    /// What it changes; null if nothing was given to compare with.
+    /// Changes from the previous preset; null if none was given.
     pub difference: Option<Difference>,
 }
 
 impl Report {
-    /// The report on a publication by itself.
+    /// Creates a report from the findings of a publication.
     pub fn new(publication: &Publication) -> Report {
         let size = publication.preset.as_ref().map(|preset| Size {
             services: preset.services.len(),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The same report with the judgement of a node that holds `in_force_now`.
+    /// Adds the decision of a node that holds `in_force_now`.
     pub fn with_evaluation(
         mut self,
         in_force: Option<InForce>,
@@ -98,7 +98,7 @@
         self
     }
 
-    /// The same report with what the publication changes.
+    /// Adds the changes from the previous preset.
     pub fn with_difference(mut self, difference: Option<Difference>) -> Report {
         self.difference = difference;
         self
@@ -118,7 +118,7 @@
 }
 
 impl Finding {
-    /// A failure in a file.
+    /// Creates a finding from a fault in a file.
     pub fn new(file: &Path, fault: &Fault) -> Finding {
         Finding {
             code: fault.code.number(),
