--- a/tools/src/command_line.rs
+++ b/tools/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Command lines: the options that every tool has, and the exit codes that scripts rely on.
+//! Command-line parsing and exit codes shared by the tools.
 
 use getopts::{Matches, Options};
 use std::fmt::Display;
@@ -7,14 +7,14 @@
 use std::str::FromStr;
 use sycamore_core::{Code, Fault, Result};
 
-/// Exit code of a run whose answer is no: a document refused, a fleet behind, an output not
-/// written.
+/// Exit code for a negative result, such as a rejected document or a fleet that lags behind, and
+/// for output that could not be written.
 pub const EXIT_FAILURE: u8 = 1;
 
-/// Exit code of a command line or input file that is not valid: the question was not answered.
+/// Exit code for an invalid command line or input file.
 pub const EXIT_USAGE: u8 = 2;
 
-/// The options of one tool.
+/// Command-line definition of a tool.
 #[derive(Debug)]
 pub struct CommandLine {
     name: &'static str,
@@ -23,8 +23,8 @@
 }
 
 impl CommandLine {
-    /// A command line with `--help` and `--version`. `usage` is what follows the name on the
-    /// first line of the help.
+    /// Creates a command line with `--help` and `--version`. `usage` follows the program name in
+    /// the first line of the help text.
     pub fn new(name: &'static str, usage: &'static str) -> CommandLine {
         let mut options = Options::new();
         options.optflag("h", "help", "print this help");
@@ -32,25 +32,25 @@
         CommandLine { name, usage, options }
     }
 
-    /// The same with an option that takes a value and stands at most once.
+    /// Adds an option that takes a value and may be given once.
     pub fn with_value(mut self, name: &str, help: &str, hint: &str) -> CommandLine {
         self.options.optopt("", name, help, hint);
         self
     }
 
-    /// The same with an option that takes a value and may stand many times.
+    /// Adds an option that takes a value and may be repeated.
     pub fn with_values(mut self, name: &str, help: &str, hint: &str) -> CommandLine {
         self.options.optmulti("", name, help, hint);
         self
     }
 
-    /// The same with an option that takes no value.
+    /// Adds an option without a value.
     pub fn with_flag(mut self, name: &str, help: &str) -> CommandLine {
         self.options.optflag("", name, help);
         self
     }
 
-    /// Parses the process's arguments, runs the tool and turns its answer into an exit code.
+    /// Parses the process arguments, runs the tool and maps its result to an exit code.
     pub fn run<C>(
         &self,
         parse: impl FnOnce(&Matches) -> Result<C>,
@@ -61,7 +61,7 @@
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::from(EXIT_FAILURE),
             Err(fault) => {
-                // Standard error is the last place left to report to.
+                // A failed write to standard error can't be reported anywhere.
                 let _ = writeln!(std::io::stderr(), "{}: {fault}", self.name);
                 ExitCode::from(exit_code(fault.code))
             }
@@ -87,7 +87,7 @@
     }
 }
 
-/// The exit code for a run that ended with a failure.
+/// Maps an error code to an exit code.
 fn exit_code(code: Code) -> u8 {
     match code {
         Code::UsageInvalid | Code::InputUnreadable | Code::InputInvalid => EXIT_USAGE,
@@ -95,17 +95,17 @@
     }
 }
 
-/// A command line that is not valid.
+/// Error for an invalid command line.
 pub fn usage(detail: impl Display) -> Fault {
     Fault::new(Code::UsageInvalid).with_detail(detail)
 }
 
-/// Output that can't be written.
+/// Error for output that could not be written.
 pub fn output_failed(detail: impl Display) -> Fault {
     Fault::new(Code::OutputFailed).with_detail(detail)
 }
 
-/// The value of an option, parsed; `None` if the option is absent.
+/// Parses the value of an option. Returns `None` if the option is absent.
 pub fn value<T: FromStr>(matches: &Matches, option: &str) -> Result<Option<T>>
 where
     T::Err: Display,
@@ -113,7 +113,7 @@
     matches.opt_str(option).map(|text| parse_value(option, &text)).transpose()
 }
 
-/// Every value of an option, parsed.
+/// Parses all values of a repeatable option.
 pub fn values<T: FromStr>(matches: &Matches, option: &str) -> Result<Vec<T>>
 where
     T::Err: Display,
@@ -128,7 +128,7 @@
     text.parse().map_err(|e| usage(format!("--{option}: found {text:?}: {e}")))
 }
 
-/// One of a closed set of values of an option; the first is the default.
+/// Parses an option with a fixed set of values. The first choice is the default.
 pub fn choice<T: Copy>(matches: &Matches, option: &str, choices: &[(&str, T)]) -> Result<T> {
     let Some(text) = matches.opt_str(option) else {
         return Ok(choices[0].1);
@@ -140,7 +140,7 @@
     })
 }
 
-/// Refuses arguments that are no option's value.
+/// Rejects positional arguments.
 pub fn no_arguments(matches: &Matches) -> Result<()> {
     match matches.free.first() {
         Some(extra) => Err(usage(format!("unexpected argument {extra:?}"))),
