--- a/tools/src/lib.rs
+++ b/tools/src/lib.rs
@@ -1,7 +1,6 @@
-//! The operators' and developers' tools around a fleet of nodes.
+//! Tools for operators and developers of a fleet of nodes.
 //!
-//! Each tool is a module with a `Config` that its command line is parsed into once, and a `run`
-//! that reads as the story of one run.
+//! Each tool is a module with a `Config` (its parsed command line) and a function `run`.
 
 pub mod check;
 pub mod client;
