--- a/tools/src/load.rs
+++ b/tools/src/load.rs
@@ -1,4 +1,4 @@
-//! `sycamore-load`: callers of a deployment, at a constant rate whatever the answers do.
+//! `sycamore-load`: open-loop load generator that sends requests at a constant rate.
 
 pub mod caller;
 pub mod client;
@@ -17,8 +17,8 @@
 use std::sync::Arc;
 use sycamore_core::Result;
 
-/// Runs the load, writes what was asked for, and answers whether every request was answered
-/// whole, refused, or declared unknown.
+/// Runs the load and writes the requested outputs. Returns whether no request was lost or got an
+/// incorrect response.
 pub fn run(cfg: &Config, stdout: &mut dyn Write) -> Result<bool> {
     let history = Arc::new(History::new(cfg.history.as_deref()).map_err(output_failed)?);
     let summary = cfg.plan.run(&history);
