--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -1,5 +1,5 @@
-//! One request of a caller: sent, sent again after a broken connection or a refusal, until its
-//! outcome is final or its deadline has passed.
+//! Executes one request, with retries after broken connections and refusals until its outcome is
+//! final or its deadline has passed.
 
 use super::client::{Connection, Exchange, OutgoingRequest, Pool, SendError};
 use super::history::{Outcome, Record, Send, SendResult, now_us};
@@ -14,41 +14,41 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// How long after its deadline a caller still takes an answer. A caller that holds none by then
-/// has lost its request.
+/// How long after its deadline a caller still accepts a response. A request without a response by
+/// then counts as lost.
 const GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Wait before a resend after a broken connection, and once no entry node can be reached.
+/// Delay before a retry after a broken connection, or if no entry node could be reached.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Wait before a resend of an impatient caller.
+/// Delay before a retry with [`RetryPolicy::Immediate`].
 const IMMEDIATE_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// When callers send again what was refused.
+/// When callers retry refused requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// When the refusal says so.
+    /// After the delay that the refusal specifies.
     HonourRetryAfter,
-    /// At once, whatever the refusal says, and after failures too: what makes a retry storm.
+    /// Immediately, regardless of the refusal, and also after server errors. Simulates a retry
+    /// storm.
     Immediate,
 }
 
-/// A request to make.
+/// A request to execute.
 #[derive(Clone, Debug)]
 pub struct Job<'a> {
-    /// Its class.
+    /// Class of the request.
     pub class: &'a MixClass,
-    /// Number of the thing that it is about.
+    /// ID of the requested resource.
     pub resource_id: u32,
-    /// When it is due.
+    /// Scheduled send time.
     pub due: Instant,
-    /// The entry node that it goes to first, by index.
+    /// Index of the entry node for the first attempt.
     pub first_entry: usize,
-    /// When it is sent again.
     pub retry_policy: RetryPolicy,
 }
 
-/// The state of one request.
+/// State of a request across its attempts.
 struct Attempts<'a> {
     job: &'a Job<'a>,
     entries: &'a [Pool],
@@ -56,18 +56,18 @@
     record: Record,
 }
 
-/// What a send came to, as far as the caller goes on from it.
+/// What the caller does after an attempt.
 enum NextStep {
     Final,
     Retry(Duration),
 }
 
-/// Makes a request and returns its record, at the latest `GRACE` after its deadline.
+/// Executes a request and returns its record, no later than `GRACE_PERIOD` after its deadline.
 pub async fn call(job: &Job<'_>, entries: &[Pool]) -> Record {
     call_with_grace(job, entries, GRACE_PERIOD).await
 }
 
-/// The same for a caller that takes an answer until `grace` after its deadline.
+/// Executes a request, accepting a response until `grace_period` after its deadline.
 pub async fn call_with_grace(job: &Job<'_>, entries: &[Pool], grace_period: Duration) -> Record {
     let mut attempts = Attempts::new(job, entries);
     let end = attempts.deadline + grace_period;
@@ -116,8 +116,8 @@
         }
     }
 
-    /// What the caller knows once it sends no more. A refusal speaks for its own send alone, so
-    /// that the request has not run only if no other send may have reached a target.
+    /// The outcome after the last attempt. A refusal only covers its own attempt, so the request
+    /// is known not to have run only if no attempt may have reached a target.
     fn outcome_after_failures(&self) -> Outcome {
         let did_not_run =
             |send: &Send| matches!(send.result, SendResult::NotRun | SendResult::NotSent);
@@ -135,7 +135,7 @@
         let at_us = now_us();
         self.record.code = None;
         let Some(permit) = with_timeout(self.deadline, entry.permit()).await else {
-            // Too many of the caller's own requests are under way.
+            // The pool had no free permit before the deadline.
             self.record.outcome = Outcome::NotRun;
             return self.push(entry, at_us, SendResult::NotSent, NextStep::Final);
         };
@@ -157,7 +157,7 @@
         next
     }
 
-    /// A caller that can't reach one entry node tries the next at once, until it has tried all.
+    /// Retries on the next entry node without delay until all entry nodes have been tried.
     fn fail_over(&self) -> NextStep {
         let tried_all = self.record.sends.len() + 1 >= self.entries.len();
         NextStep::Retry(if tried_all { DEFAULT_RETRY_AFTER } else { Duration::ZERO })
@@ -177,7 +177,7 @@
             req = req.header("idempotency-key", key);
         }
         let body = Bytes::from(vec![b'.'; class.request_bytes]);
-        req.body(Full::new(body)).expect("paths of the mix are valid")
+        req.body(Full::new(body)).expect("paths of the mix must be valid")
     }
 
     async fn handle_response(
@@ -195,7 +195,7 @@
                 if response.into_body().collect().await.is_ok() {
                     entry.release(connection);
                 }
-                // A refusal that doesn't say when to come back would come again.
+                // A refusal without a retry delay is final: a retry would be refused again.
                 self.record.outcome = Outcome::NotRun;
                 let next = match (self.job.retry_policy, wait) {
                     (RetryPolicy::Immediate, _) => NextStep::Retry(IMMEDIATE_RETRY_DELAY),
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Reads an answer to its end and holds it against what belongs to this request.
+    /// Reads a response body and compares it with the expected body of this request.
     async fn read_body(
         &mut self,
         entry: &Pool,
@@ -238,7 +238,7 @@
         entry.release(connection);
         self.record.bytes = bytes as u64;
         let complete = correct && bytes == self.job.class.answer_bytes;
-        // The body of an error is the target's own; nothing can be held against it.
+        // The expected body of an error response is not known.
         self.record.body_correct = complete || !success;
         self.record.outcome = Outcome::Answered;
         let failed = self.record.status.is_some_and(|status| status >= 500);
@@ -251,7 +251,7 @@
     }
 }
 
-/// The output of a future, if it comes before a time.
+/// Awaits a future until `end`. Returns `None` on timeout.
 async fn with_timeout<T>(end: Instant, work: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::at(end).await;
