--- a/tools/src/load/client.rs
+++ b/tools/src/load/client.rs
@@ -1,4 +1,4 @@
-//! HTTP connections to one address, kept and used again.
+//! HTTP connection pool for one address.
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -13,22 +13,22 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Requests that the client sends: their bodies are small and held in memory.
+/// Request with an in-memory body.
 pub type OutgoingRequest = Request<Full<Bytes>>;
 
-/// Why there is no answer.
+/// Reason for a missing response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection, or it closed before a byte of the request was written.
+    /// No connection could be made, or it closed before any byte of the request was written.
     NotSent,
-    /// The connection broke after the request may have been written.
+    /// The connection broke, and the request may have been written.
     Broken,
 }
 
-/// Exchanges on one pool at once; more wait.
+/// Concurrent exchanges of a pool; further exchanges wait.
 const MAX_EXCHANGES: usize = 256;
 
-/// Connections to one address. They are opened as needed and kept while idle.
+/// Connections to one address, opened on demand and reused.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
@@ -38,23 +38,22 @@
     permit_rx: Receiver<()>,
 }
 
-/// An answer whose body is still to be read, and the connection that it comes on.
+/// A response whose body has not been read, and its connection.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The answer.
     pub response: Response<Incoming>,
-    /// What it comes on.
+    /// Connection that the body is read from.
     pub connection: Connection,
 }
 
-/// A connection in use, and the permit for it.
+/// A connection in use, with its permit.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     _permit: Permit,
 }
 
-/// Lets one more exchange begin when it is dropped.
+/// Permit for one exchange, returned to the pool when it is dropped.
 #[derive(Debug)]
 pub struct Permit(Receiver<()>);
 
@@ -65,33 +64,33 @@
 }
 
 impl Pool {
-    /// No connection yet; `executor` carries those to come.
+    /// Creates an empty pool whose connections run on `executor`.
     pub fn new(address: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> Pool {
         let (permit_tx, permit_rx) = async_channel::bounded(MAX_EXCHANGES);
         Pool { address, executor, idle: RefCell::new(Vec::new()), permit_tx, permit_rx }
     }
 
-    /// The address that the connections go to.
+    /// Address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits until one more exchange may begin.
+    /// Waits for a permit to start an exchange.
     pub async fn permit(&self) -> Permit {
-        // Sending fails only on a closed channel, and the pool holds both of its ends.
+        // The channel can't be closed while the pool holds both of its ends.
         let _ = self.permit_tx.send(()).await;
         Permit(self.permit_rx.clone())
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response headers.
     pub async fn send(&self, req: OutgoingRequest) -> Result<Exchange, SendError> {
         self.send_with(self.permit().await, req).await
     }
 
-    /// The same with a permit that has been waited for.
+    /// Sends a request with a permit obtained from [`Pool::permit`].
     ///
-    /// A kept connection that the other side has closed hands the request back unsent; it then
-    /// goes out on a fresh one.
+    /// If the server has closed an idle connection, the request is retried on another one,
+    /// provided that none of it was written.
     pub async fn send_with(
         &self,
         permit: Permit,
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Keeps the connection of an answer whose body has been read to its end.
+    /// Returns a connection to the pool. The response body must have been read to its end.
     pub fn release(&self, connection: Connection) {
         if !connection.sender.is_closed() {
             self.idle.borrow_mut().push(connection.sender);
@@ -128,12 +127,12 @@
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, SendError> {
         let stream = Async::<TcpStream>::connect(self.address).await;
         let stream = stream.map_err(|_| SendError::NotSent)?;
-        // Small requests would otherwise wait for the acknowledgement of earlier ones.
+        // Nagle's algorithm would delay small requests until earlier ones are acknowledged.
         let _ = stream.get_ref().set_nodelay(true);
         let handshake = http1::handshake(FuturesIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| SendError::NotSent)?;
         let connection_task = async move {
-            // A broken connection shows at the request that is on it.
+            // Connection errors are reported by the request in flight.
             let _ = connection.await;
         };
         self.executor.spawn(connection_task).detach();
@@ -151,7 +150,7 @@
     }
 }
 
-/// Sends on one connection. A failure holds the request if none of it was written.
+/// Sends a request on a connection. The error contains the request if none of it was written.
 async fn exchange(
     mut sender: SendRequest<Full<Bytes>>,
     req: OutgoingRequest,
