--- a/tools/src/load/config.rs
+++ b/tools/src/load/config.rs
@@ -1,4 +1,4 @@
-//! The command line of `sycamore-load`, parsed once.
+//! Command line of `sycamore-load`.
 
 use super::caller::RetryPolicy;
 use super::mix::Mix;
@@ -9,44 +9,45 @@
 use std::time::Duration;
 use sycamore_core::Result;
 
-/// Requests a second unless `--rate` says otherwise.
+/// Default of `--rate`, in requests per second.
 const DEFAULT_RATE: f64 = 100.0;
-/// Highest rate.
+/// Maximum of `--rate`.
 const MAX_RATE: f64 = 1e6;
-/// How long requests go out unless `--seconds` says otherwise.
+/// Default of `--seconds`.
 const DEFAULT_SECONDS: f64 = 10.0;
-/// Longest run, one day.
+/// Maximum of `--seconds`: one day.
 const MAX_SECONDS: f64 = 86_400.0;
-/// Most threads.
+/// Maximum of `--threads`.
 const MAX_THREADS: usize = 64;
 
-/// What to run, and where results go.
+/// Parsed command line.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The run.
+    /// The load to generate.
     pub plan: Plan,
-    /// File for a JSON line a request.
+    /// Output file for the history, with one JSON line per request.
     pub history: Option<PathBuf>,
-    /// File for the summary in JSON.
+    /// Output file for the JSON summary.
     pub json: Option<PathBuf>,
 }
 
-/// The options of the tool. It exits with 1 if a request was lost or answered wrongly.
+/// Defines the options of the tool, which exits with 1 if a request was lost or got an incorrect
+/// response.
 pub fn command_line() -> CommandLine {
     CommandLine::new("sycamore-load", "--mix FILE --entry IP:PORT [options]")
-        .with_value("mix", "classes of requests, in JSON", "FILE")
+        .with_value("mix", "JSON file with the classes of requests", "FILE")
         .with_values("entry", "`calls` address of an entry node; may be repeated", "IP:PORT")
-        .with_value("rate", "requests a second (default 100)", "N")
-        .with_value("seconds", "how long requests go out (default 10)", "N")
-        .with_value("threads", "threads that make requests (default 1)", "N")
-        .with_value("seed", "decides classes and entry nodes (default 1)", "N")
-        .with_flag("impatient", "send again at once whatever a refusal says, and after failures")
+        .with_value("rate", "requests per second (default 100)", "N")
+        .with_value("seconds", "duration of the load in seconds (default 10)", "N")
+        .with_value("threads", "number of threads (default 1)", "N")
+        .with_value("seed", "random seed (default 1)", "N")
+        .with_flag("impatient", "retry immediately after refusals and server errors")
         .with_value("history", "write a JSON line for each request to this file", "FILE")
         .with_value("json", "write the summary in JSON to this file", "FILE")
 }
 
 impl Config {
-    /// Takes the options of [`command_line()`].
+    /// Parses the options defined by [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         if let Some(extra) = matches.free.first() {
             return Err(usage(format!("unexpected argument {extra:?}")));
