--- a/tools/src/load/history.rs
+++ b/tools/src/load/history.rs
@@ -1,4 +1,4 @@
-//! What callers asked and were told, a JSON line for each request.
+//! History of requests and their outcomes, with one JSON line per request.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -8,110 +8,108 @@
 use std::sync::Mutex;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// One request from its invocation to its final outcome. Times are in microseconds since the Unix
-/// epoch.
+/// One request with all of its attempts. Times are in microseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its id, the same on each send.
+    /// Request ID, the same for all attempts.
     pub id: String,
-    /// Its `Idempotency-Key`, the same on each send; only on requests that run at most once.
+    /// `Idempotency-Key` of an at-most-once request, the same for all attempts.
     pub key: Option<String>,
-    /// Name of its class.
+    /// Name of the request class.
     pub class: String,
-    /// When it was due, whether or not the caller was ready then.
+    /// Scheduled send time, even if the first attempt started later.
     pub invoked_us: u64,
-    /// When the caller stops waiting.
+    /// Deadline of the request.
     pub deadline_us: u64,
-    /// Every time that it was sent.
+    /// All attempts.
     pub sends: Vec<Send>,
-    /// What the caller knows in the end.
+    /// Final outcome.
     pub outcome: Outcome,
-    /// Result code of the last refusal.
+    /// Result code of the last attempt, if the node gave one.
     pub code: Option<u16>,
-    /// HTTP status of the last answer.
+    /// HTTP status of the last response.
     pub status: Option<u16>,
-    /// Size of the body of the final answer.
+    /// Body size of the final response.
     pub bytes: u64,
-    /// Whether that body is whole and belongs to this request. False without a final answer.
+    /// Whether that body is complete and belongs to this request; false without a final response.
     pub body_correct: bool,
-    /// When the caller knew.
+    /// Time of the final outcome.
     pub final_us: u64,
 }
 
-/// What a caller knows of its request in the end.
+/// Final outcome of a request, as observed by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It holds the target's answer.
+    /// A target responded.
     Answered,
-    /// Every send was refused, or never went out.
+    /// Every attempt was refused or not sent.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Nothing was said until well after the deadline.
+    /// No response within the grace period after the deadline.
     None,
 }
 
-/// One send of a request.
+/// One attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Send {
-    /// The entry node.
+    /// Address of the entry node.
     pub entry: SocketAddr,
-    /// When it went out.
+    /// Start of the attempt.
     pub at_us: u64,
-    /// When its result was known.
+    /// End of the attempt.
     pub end_us: u64,
-    /// How it ended.
     pub result: SendResult,
     /// Result code, if the node gave one.
     pub code: Option<u16>,
 }
 
-/// How one send of a request ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SendResult {
-    /// An answer came whole.
+    /// A complete response was received.
     Answered,
-    /// It was refused as not run.
+    /// The node refused the request without running it.
     NotRun,
-    /// The node doesn't know whether it ran.
+    /// The node reported that the request may have run.
     Unknown,
-    /// It never went out: no connection could be made.
+    /// The request was not sent because no connection or permit was available.
     NotSent,
-    /// The connection broke before the head of an answer.
+    /// The connection broke before the response headers.
     Broken,
-    /// The connection broke within the body of an answer.
+    /// The connection broke within the response body.
     BodyCut,
-    /// The caller gave up waiting.
+    /// The caller timed out.
     TimedOut,
 }
 
-/// A history file that several threads write to.
+/// Writer of a history file, shared by several threads.
 #[derive(Debug)]
 pub struct History {
     file: Mutex<Option<BufWriter<File>>>,
 }
 
 impl History {
-    /// A history that starts empty at `path`, or one that keeps nothing.
+    /// Creates or truncates the file at `path`. Without a path, records are discarded.
     pub fn new(path: Option<&Path>) -> std::io::Result<History> {
         let file = path.map(File::create).transpose()?;
         Ok(History { file: Mutex::new(file.map(BufWriter::new)) })
     }
 
-    /// Adds a request whose outcome is final.
+    /// Appends the record of a finished request.
     pub fn push(&self, record: &Record) {
         let mut file = self.file.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(file) = file.as_mut() {
             let mut buf = serde_json::to_vec(record).unwrap_or_default();
             buf.push(b'\n');
-            // A full disk shows when the history is closed.
+            // Write errors are ignored here; closing the history reports errors of the final flush.
             let _ = file.write_all(&buf);
         }
     }
 
-    /// Writes out what is buffered.
+    /// Flushes buffered records.
     pub fn close(self) -> std::io::Result<()> {
         let file = self.file.into_inner().unwrap_or_else(|e| e.into_inner());
         file.map_or(Ok(()), |mut file| file.flush())
@@ -125,7 +123,7 @@
     Ok(records?)
 }
 
-/// The time now, in microseconds since the Unix epoch.
+/// Current time in microseconds since the Unix epoch.
 pub fn now_us() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.as_micros() as u64
