--- a/tools/src/load/mix.rs
+++ b/tools/src/load/mix.rs
@@ -1,41 +1,41 @@
-//! What callers ask for: a deployment's classes of requests, read from a JSON file.
+//! Load mix of a deployment: the classes of requests, read from a JSON file.
 
 use crate::input;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use sycamore_core::{Code, Fault, Result};
 
-/// A deployment's mix of requests.
+/// Load mix of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
-    /// The classes; at least one with a share above zero.
+    /// Request classes; at least one has a share above zero.
     pub classes: Vec<MixClass>,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixClass {
-    /// Name in tables and in the history.
+    /// Name in summaries and in the history.
     pub name: String,
-    /// Its share of the requests, relative to the other classes' shares.
+    /// Weight of the class relative to the other classes.
     pub share: u32,
-    /// Path; a random number from 1 to 10,000 is added after a `/`.
+    /// Path prefix; `/` and a random resource ID from 1 to 10,000 are appended.
     pub path: String,
-    /// Whether the request may run only once: it is a POST with an `Idempotency-Key`.
+    /// Whether the request must be executed at most once: it is a POST with an `Idempotency-Key`.
     #[serde(default)]
     pub at_most_once: bool,
-    /// Time that the caller gives it, in ms.
+    /// Timeout of the caller in milliseconds.
     pub deadline_ms: u64,
-    /// Size of the request's body.
+    /// Size of the request body in bytes.
     #[serde(default)]
     pub request_bytes: usize,
-    /// Size of the answer.
+    /// Size of the response body in bytes.
     pub answer_bytes: usize,
-    /// How long a target works on it, in µs.
+    /// Simulated work of the target in microseconds.
     pub work_us: u64,
-    /// Paths of the calls that the target makes first, each made by the one before.
+    /// Paths of nested calls, each made by the one before it.
     #[serde(default)]
     pub chain: Vec<String>,
 }
@@ -47,17 +47,17 @@
         if mix.shares() == 0 {
             let fault = Fault::new(Code::InputInvalid)
                 .with_location(format!("{}: classes", path.display()));
-            return Err(fault.with_detail("the shares add up to 0, at least 1 is needed"));
+            return Err(fault.with_detail("sum of shares is 0, must be at least 1"));
         }
         Ok(mix)
     }
 
-    /// Sum of all shares.
     pub fn shares(&self) -> u32 {
         self.classes.iter().map(|class| class.share).sum()
     }
 
-    /// Index of the class at a point from 0 to the sum of all shares, exclusive.
+    /// Index of the class at `point` in the cumulative shares; `point` must be below the sum of all
+    /// shares.
     pub fn class_at(&self, point: u32) -> usize {
         let mut end = 0;
         let contains = |class: &MixClass| {
@@ -69,7 +69,7 @@
 }
 
 impl MixClass {
-    /// Path and query of a request about the thing with this number.
+    /// Path and query of a request for a resource.
     pub fn path_and_query(&self, resource_id: u32) -> String {
         let MixClass { path, work_us, answer_bytes, .. } = self;
         let mut text = format!("{path}/{resource_id}?work_us={work_us}&bytes={answer_bytes}");
