--- a/tools/src/load/pattern.rs
+++ b/tools/src/load/pattern.rs
@@ -1,31 +1,31 @@
-//! Content of test bodies: a stream that depends on the request's id alone, so that a caller can
-//! tell a whole answer to its own request from any other.
+//! Deterministic response bodies derived from the request ID, so that a caller can detect
+//! incomplete responses and responses to other requests.
 
 use blake3::OutputReader;
 
-/// Longest run of bytes that is generated at once.
+/// Size of the buffer for comparisons.
 const BLOCK_BYTES: usize = 4_096;
 
-/// The body that belongs to one request id, from its first byte on.
+/// Byte stream of the body for a request ID.
 #[derive(Clone, Debug)]
 pub struct Pattern {
     reader: OutputReader,
 }
 
 impl Pattern {
-    /// The body for `request_id`.
+    /// Creates the stream for `request_id`, starting at its first byte.
     pub fn new(request_id: &[u8]) -> Pattern {
         let mut hasher = blake3::Hasher::new();
         hasher.update(request_id);
         Pattern { reader: hasher.finalize_xof() }
     }
 
-    /// Writes the next bytes of the body.
+    /// Fills `buf` with the next bytes of the stream.
     pub fn fill(&mut self, buf: &mut [u8]) {
         self.reader.fill(buf);
     }
 
-    /// Whether `buf` holds the next bytes of the body.
+    /// Returns whether `buf` equals the next bytes of the stream, and advances the stream.
     pub fn matches(&mut self, buf: &[u8]) -> bool {
         let mut expected = [0; BLOCK_BYTES];
         buf.chunks(BLOCK_BYTES).all(|found| {
