--- a/tools/src/load/plan.rs
+++ b/tools/src/load/plan.rs
@@ -1,5 +1,5 @@
-//! A run at a constant rate: requests go out when they are due, whether or not earlier ones have
-//! been answered, and their latency counts from when they were due.
+//! Open-loop load at a constant rate: requests are sent on schedule regardless of earlier
+//! responses, and latency is measured from the scheduled time.
 
 use super::caller::{Job, RetryPolicy, call};
 use super::client::Pool;
@@ -17,33 +17,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Highest number of a thing that requests are about.
+/// Highest resource ID in requests.
 const MAX_RESOURCE_ID: u32 = 10_000;
 
-/// Requests started in a row before answers are looked at again, when the run is late.
+/// Requests started without yielding to responses when the run is behind schedule.
 const MAX_BURST: usize = 32;
 
-/// What to run.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The classes of requests.
     pub mix: Mix,
-    /// The entry nodes.
+    /// Addresses of the entry nodes.
     pub entries: Vec<SocketAddr>,
-    /// Requests a second, over all threads.
+    /// Requests per second, summed over all threads.
     pub rate: f64,
-    /// How long requests go out.
+    /// Duration for which requests are started.
     pub duration: Duration,
-    /// Threads that make requests.
+    /// Number of threads.
     pub threads: usize,
-    /// Decides classes, numbers and entry nodes.
+    /// Random seed for classes, resource IDs and entry nodes.
     pub seed: u64,
-    /// When callers send again.
     pub retry_policy: RetryPolicy,
 }
 
 impl Plan {
-    /// Runs to the end and returns what the callers measured.
+    /// Runs the load to its end and returns the summary.
     pub fn run(&self, history: &Arc<History>) -> Summary {
         let start = Instant::now();
         let mut summary = Summary::new(&self.mix);
@@ -63,7 +61,7 @@
         summary
     }
 
-    /// Makes every request whose number is `thread` modulo the number of threads.
+    /// Executes the requests whose index is congruent to `thread` modulo the number of threads.
     fn run_thread(&self, thread: usize, start: Instant, history: &Arc<History>) -> Summary {
         let executor = Rc::new(LocalExecutor::new());
         let pools = self.entries.iter().map(|at| Pool::new(*at, executor.clone())).collect();
@@ -98,7 +96,7 @@
     }
 }
 
-/// What chance decides of a request.
+/// Randomly chosen parameters of a request.
 struct RequestChoice {
     class: usize,
     resource_id: u32,
@@ -115,7 +113,7 @@
     }
 }
 
-/// The callers of one thread.
+/// State shared by the requests of one thread.
 struct Callers {
     plan: Plan,
     pools: Vec<Pool>,
