--- a/tools/src/load/summary.rs
+++ b/tools/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! What callers measured: counts and latencies by class, as a table and as JSON.
+//! Outcome counts and latencies by request class, as a table and as JSON.
 
 use super::history::{Outcome, Record};
 use super::mix::Mix;
@@ -6,85 +6,85 @@
 use serde::Serialize;
 use std::fmt;
 
-/// Significant digits of latencies.
+/// Significant digits of recorded latencies.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counts and latencies of a run.
+/// Outcome counts and latencies of a run.
 #[derive(Clone, Debug)]
 pub struct Summary {
     classes: Vec<ClassSummary>,
 }
 
-/// Counts and latencies of one class.
+/// Outcome counts and latencies of one class.
 #[derive(Clone, Debug)]
 pub struct ClassSummary {
     name: String,
     counts: Counts,
-    /// Latency of answered requests from when they were due, in microseconds.
+    /// Latency of answered requests since their scheduled time, in microseconds.
     latency: Histogram<u64>,
 }
 
-/// Outcomes of requests.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests made.
+    /// Requests started.
     pub sent: u64,
-    /// Answered by a target.
+    /// Requests answered by a target.
     pub answered: u64,
-    /// Of those, with a status that says that the target failed.
+    /// Answered requests with an error status.
     pub errors: u64,
-    /// Answered whole, correct, without error and before the deadline.
+    /// Requests answered correctly before the deadline.
     pub in_time: u64,
-    /// Not run.
+    /// Requests that did not run.
     pub not_run: u64,
-    /// May have run.
+    /// Requests that may have run.
     pub unknown: u64,
-    /// Without any outcome.
+    /// Requests without a response.
     pub lost: u64,
-    /// Answered with what isn't the whole answer to the request.
+    /// Answered requests with an incomplete or wrong body.
     pub incorrect: u64,
-    /// Sends after the first.
+    /// Retries.
     pub resends: u64,
 }
 
-/// One row of the table, or one object of the JSON form.
+/// One row of the table, or one object of the JSON output.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Name of the class, or `all`.
+    /// Class name, or `all` for the total.
     pub class: String,
-    /// Outcomes.
+    /// Outcome counts.
     #[serde(flatten)]
     pub counts: Counts,
     /// Median latency of answered requests.
     pub p50_ms: f64,
-    /// 99 in 100 answered requests took at most this.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
-    /// 999 in 1,000 answered requests took at most this.
+    /// 99.9th percentile of the latency.
     pub p999_ms: f64,
-    /// Longest latency of answered requests.
+    /// Maximum latency.
     pub max_ms: f64,
 }
 
 impl Summary {
-    /// A summary of no request.
+    /// Creates an empty summary.
     pub fn new(mix: &Mix) -> Summary {
         let classes = mix.classes.iter().map(|class| ClassSummary::new(&class.name)).collect();
         Summary { classes }
     }
 
-    /// Adds a request of the class with this index.
+    /// Records a request of the class with the index `class`.
     pub fn record_request(&mut self, class: usize, record: &Record) {
         self.classes[class].record_request(record);
     }
 
-    /// Adds what another thread measured of the same mix.
+    /// Adds the results of another thread with the same mix.
     pub fn merge(&mut self, other: &Summary) {
         for (class, other) in self.classes.iter_mut().zip(&other.classes) {
             class.merge(other);
         }
     }
 
-    /// A row for each class, and one for all of them.
+    /// Returns a row for each class, followed by the total.
     pub fn rows(&self) -> Vec<Row> {
         let mut all = ClassSummary::new("all");
         for class in &self.classes {
@@ -93,7 +93,7 @@
         self.classes.iter().chain([&all]).map(ClassSummary::row).collect()
     }
 
-    /// The row over all classes.
+    /// Returns the total of all classes.
     pub fn total(&self) -> Row {
         self.rows().pop().unwrap_or_else(|| ClassSummary::new("all").row())
     }
@@ -101,7 +101,8 @@
 
 impl ClassSummary {
     fn new(name: &str) -> ClassSummary {
-        let latency = Histogram::new(SIGNIFICANT_DIGITS).expect("the number of digits is valid");
+        let latency =
+            Histogram::new(SIGNIFICANT_DIGITS).expect("number of significant digits must be valid");
         ClassSummary { name: name.to_string(), counts: Counts::default(), latency }
     }
 
@@ -118,7 +119,7 @@
                 counts.errors += u64::from(error);
                 counts.in_time += u64::from(in_time);
                 counts.incorrect += u64::from(!record.body_correct);
-                // A histogram that grows by itself takes any value.
+                // An auto-resizing histogram accepts any value.
                 let _ = self.latency.record(record.final_us.saturating_sub(record.invoked_us));
             }
             Outcome::NotRun => counts.not_run += 1,
@@ -138,7 +139,7 @@
         counts.lost += others.lost;
         counts.incorrect += others.incorrect;
         counts.resends += others.resends;
-        // A histogram that grows by itself takes any other.
+        // An auto-resizing histogram accepts any other histogram.
         let _ = self.latency.add(&other.latency);
     }
 
