--- a/tools/tests/configuration_doc.rs
+++ b/tools/tests/configuration_doc.rs
@@ -1,5 +1,5 @@
-//! docs/CONFIGURATION.md against the documents that the programs read: every field stands in it,
-//! with the default that is taken and the limits that are kept.
+//! Checks that docs/CONFIGURATION.md lists every field of the configuration documents with the
+//! defaults and limits that the programs apply.
 
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -10,15 +10,15 @@
 use sycamore_core::member::VmList;
 use sycamore_node::settings::Settings;
 
-/// One row of a table.
+/// One row of a table in the documentation.
 struct Row {
     field: String,
     default: String,
     allowed: String,
 }
 
-/// A kind of document: its section in the page, its shortest valid form, one with every field,
-/// and how the programs read it. The reader returns the document as they hold it.
+/// A kind of configuration document: its section in the documentation, a minimal and a full
+/// example, and its parser, which returns the parsed document as JSON.
 struct DocumentKind {
     section: &'static str,
     minimal: Value,
@@ -129,12 +129,12 @@
         (self.read)(document.to_string().as_bytes())
     }
 
-    /// Whether the document is accepted with this field set.
+    /// Whether the full document is accepted with `field` set to `value`.
     fn accepts(&self, field: &str, value: u128) -> bool {
         let mut document = self.full.clone();
-        // Larger than any integer of the format: written as text and read back by serde.
+        // `json!` can't represent every `u128`, so the value is parsed from text.
         let value = serde_json::from_str(&value.to_string()).unwrap();
-        // The connections limit follows the slots.
+        // `connections` must be at least `slots`.
         if field.ends_with("limits.slots") {
             set(&mut document, &field.replace("slots", "connections"), json!(10_000));
         }
@@ -147,7 +147,7 @@
     format!("/{}", field.replace("[]", ".0").replace('.', "/"))
 }
 
-/// Sets a field, and makes the objects on the way to it.
+/// Sets a field of an existing object.
 fn set(document: &mut Value, field: &str, value: Value) {
     let path = pointer(field);
     let (parent, name) = path.rsplit_once('/').unwrap();
@@ -155,7 +155,7 @@
     parent[name] = value;
 }
 
-/// Paths of all values that are no objects; lists stand for themselves and by their elements.
+/// Collects the paths of all values that are not objects, and of lists as well as their elements.
 fn fields(prefix: &str, value: &Value, found: &mut BTreeSet<String>) {
     let path = |name: &str| match prefix {
         "" => name.to_owned(),
@@ -191,7 +191,7 @@
         let rows = kind.rows();
         let listed: BTreeSet<_> = rows.iter().map(|row| row.field.clone()).collect();
         assert_eq!(listed, expected, "{}", kind.section);
-        assert_eq!(rows.len(), listed.len(), "{}: a field stands twice", kind.section);
+        assert_eq!(rows.len(), listed.len(), "{}: a field is listed twice", kind.section);
     }
 }
 
@@ -203,13 +203,13 @@
             let found = parsed.pointer(&pointer(&row.field));
             let value = found.filter(|value| !value.is_null());
             let expected = match row.default.as_str() {
-                // An element has no default, but its list does.
+                // Elements of a list have no default.
                 "none" => None,
                 "required" => {
                     assert_required(&kind, &row.field);
                     continue;
                 }
-                // What has its default may be left out of what is written.
+                // Default values may be omitted from the serialized document.
                 "[]" | "false" if value.is_none() => continue,
                 text => {
                     let plain = text.replace(',', "");
@@ -227,7 +227,11 @@
     let (parent, name) = path.rsplit_once('/').unwrap();
     let parent = document.pointer_mut(parent).and_then(Value::as_object_mut).unwrap();
     assert!(parent.remove(name).is_some(), "{field}");
-    assert!(kind.read(&document).is_err(), "{}: {field} may be left out", kind.section);
+    assert!(
+        kind.read(&document).is_err(),
+        "{}: {field} is listed as required but can be omitted",
+        kind.section
+    );
 }
 
 #[test]
@@ -238,7 +242,7 @@
             let Some((low, high)) = row.allowed.split_once(" to ") else {
                 continue;
             };
-            // The one limit that follows another field, at its default here.
+            // This limit refers to another field, which has its default value here.
             let low = if low == "`slots`" { "12" } else { low };
             let (low, high) = (number(low).unwrap(), number(high).unwrap());
             for value in [low, high] {
