--- a/tools/tests/load.rs
+++ b/tools/tests/load.rs
@@ -1,4 +1,4 @@
-//! What a caller makes of answers, refusals and broken connections.
+//! Checks how a caller handles responses, refusals and broken connections.
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
@@ -18,12 +18,12 @@
 const UNKNOWN: &str = "HTTP/1.1 504 x\r\nx-sycamore-outcome: unknown\r\nx-sycamore-code: 464\r\n\
     content-length: 0\r\nconnection: close\r\n\r\n";
 
-/// What the server does on one connection.
+/// Behaviour of the server on one connection.
 #[derive(Clone, Copy)]
 enum Step {
     Respond(&'static str),
     Disconnect,
-    /// Answers with the first bytes of the body that belongs to the request, or to another one.
+    /// Responds with the first bytes of the body for this request (`own`) or for another one.
     Answer {
         own: bool,
         bytes: usize,
@@ -31,7 +31,7 @@
     NoResponse,
 }
 
-/// A server that takes one step a connection, then goes away.
+/// Starts a server that handles one connection per step and then closes its listener.
 fn start(steps: Vec<Step>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -138,15 +138,15 @@
 
 #[test]
 fn call_refused_until_deadline() {
-    // The server goes away after its refusals; what was never sent has not run either.
+    // The server stops after its refusals. Attempts that can't connect count as not run.
     let record = run(vec![Step::Respond(REFUSAL); 3], 300);
     assert_eq!(record.outcome, Outcome::NotRun);
 }
 
 #[test]
 fn call_break_then_refusals_is_unknown() {
-    // Story: the connection breaks after the request went out, and every later send is refused
-    // until the deadline. A refusal speaks for its own send, so the first may still have run.
+    // Refusals of later attempts don't prove that an earlier attempt on a broken connection did not
+    // run.
     let record = run(vec![Step::Disconnect, Step::Respond(REFUSAL)], 300);
     assert_eq!(record.outcome, Outcome::Unknown);
 }
