--- a/tools/src/check/output.rs
+++ b/tools/src/check/output.rs
@@ -33,7 +33,7 @@
             writeln!(f, "preset: {services} services, {routes} routes, {targets} targets")?;
         }
         writeln!(f, "body: {} bytes, digest {}", report.body_bytes, report.digest)?;
-        if let Some(now) = &report.judged_against {
+        if let Some(now) = &report.evaluated_against {
             writeln!(f, "in force now: version {}, preset {}", now.version, now.preset)?;
         }
         if report.in_force_already {
--- a/tools/src/check/report.rs
+++ b/tools/src/check/report.rs
@@ -51,7 +51,8 @@
     /// Value to publish under the key `in-force`; null if rejected.
     pub in_force: Option<InForce>,
     /// The publication in force that it was evaluated against; null if none was given.
-    pub judged_against: Option<InForce>,
+    #[serde(rename = "judged_against")]
+    pub evaluated_against: Option<InForce>,
     /// Whether the publication is already in force.
     pub in_force_already: bool,
     /// Changes from the previous preset; null if none was given.
@@ -73,7 +74,7 @@
             body_bytes: publication.body_bytes,
             size,
             in_force: None,
-            judged_against: None,
+            evaluated_against: None,
             in_force_already: false,
             difference: None,
         }
@@ -94,7 +95,7 @@
         }
         self.in_force_already = decision == Some(Decision::AlreadyKnown);
         self.in_force = in_force.filter(|_| self.accepted);
-        self.judged_against = in_force_now;
+        self.evaluated_against = in_force_now;
         self
     }
 
