--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -134,13 +134,13 @@
     async fn send(&mut self, entry: &Pool, end: Instant) -> NextStep {
         let at_us = now_us();
         self.record.code = None;
-        let Some(permit) = with_timeout(self.deadline, entry.permit()).await else {
+        let Some(permit) = timeout_at(self.deadline, entry.permit()).await else {
             // The pool had no free permit before the deadline.
             self.record.outcome = Outcome::NotRun;
             return self.push(entry, at_us, SendResult::NotSent, NextStep::Final);
         };
         let req = self.request();
-        let exchange = with_timeout(end, entry.send_with(permit, req));
+        let exchange = timeout_at(end, entry.send_with(permit, req));
         let (result, next) = match exchange.await {
             Some(Ok(exchange)) => self.handle_response(entry, exchange, end).await,
             Some(Err(SendError::NotSent)) => (SendResult::NotSent, self.fail_over()),
@@ -211,7 +211,7 @@
                 (SendResult::Unknown, NextStep::Final)
             }
             _ => {
-                let read = with_timeout(end, self.read_body(entry, response, connection)).await;
+                let read = timeout_at(end, self.read_body(entry, response, connection)).await;
                 read.unwrap_or((SendResult::TimedOut, NextStep::Final))
             }
         }
@@ -252,7 +252,7 @@
 }
 
 /// Awaits a future until `end`. Returns `None` on timeout.
-async fn with_timeout<T>(end: Instant, work: impl Future<Output = T>) -> Option<T> {
+async fn timeout_at<T>(end: Instant, work: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::at(end).await;
         None
