--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -14,7 +14,7 @@
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 #[derive(Debug, PartialEq)]
-struct Answer {
+struct PlatformResponse {
     status: u16,
     index: Option<String>,
     body: Bytes,
@@ -33,7 +33,7 @@
 }
 
 /// Sends one request on a new connection. Returns `None` if it closes without a response.
-async fn send(to: SocketAddr, method: Method, path: &str, body: &str) -> Option<Answer> {
+async fn send(to: SocketAddr, method: Method, path: &str, body: &str) -> Option<PlatformResponse> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(to, executor.clone());
     let body = Full::new(Bytes::copy_from_slice(body.as_bytes()));
@@ -43,19 +43,19 @@
     let index = response.headers().get("x-index").map(|v| v.to_str().unwrap().to_string());
     let status = response.status().as_u16();
     let body = executor.run(response.into_body().collect()).await.ok()?.to_bytes();
-    Some(Answer { status, index, body })
+    Some(PlatformResponse { status, index, body })
 }
 
-async fn get(to: SocketAddr, path: &str) -> Option<Answer> {
+async fn get(to: SocketAddr, path: &str) -> Option<PlatformResponse> {
     send(to, Method::GET, path, "").await
 }
 
-async fn put(to: SocketAddr, path: &str, body: &str) -> Option<Answer> {
+async fn put(to: SocketAddr, path: &str, body: &str) -> Option<PlatformResponse> {
     send(to, Method::PUT, path, body).await
 }
 
-fn value(body: &'static str, index: &str) -> Option<Answer> {
-    Some(Answer { status: 200, index: Some(index.into()), body: Bytes::from(body) })
+fn value(body: &'static str, index: &str) -> Option<PlatformResponse> {
+    Some(PlatformResponse { status: 200, index: Some(index.into()), body: Bytes::from(body) })
 }
 
 #[test]
@@ -64,7 +64,7 @@
     future::block_on(async {
         assert_eq!(get(at.readers[0], "/v1/kv/in-force").await, value("first", "1"));
         let missing = get(at.readers[0], "/v1/kv/preset/none").await;
-        assert_eq!(missing.map(|answer| answer.status), Some(404));
+        assert_eq!(missing.map(|response| response.status), Some(404));
     });
 }
 
@@ -108,8 +108,8 @@
     future::block_on(async {
         put(at.control, "/faults", r#"{"silent":true}"#).await;
         let read = get(at.readers[0], "/v1/kv/in-force");
-        let heal = put(at.control, "/faults", "{}");
-        let (seen, _) = future::zip(read, heal).await;
+        let clear_faults = put(at.control, "/faults", "{}");
+        let (seen, _) = future::zip(read, clear_faults).await;
         assert_eq!(seen, value("first", "1"));
     });
 }
@@ -119,7 +119,7 @@
     let at = start(0);
     future::block_on(async {
         let refused = get(at.readers[0], "/v1/kv/in-force").await;
-        assert_eq!(refused.map(|answer| answer.status), Some(429));
+        assert_eq!(refused.map(|response| response.status), Some(429));
         let counts = get(at.control, "/counts").await.unwrap().body;
         assert!(counts.starts_with(br#"{"calls":1,"refused":1"#), "{counts:?}");
     });
--- a/tools/tests/load.rs
+++ b/tools/tests/load.rs
@@ -24,7 +24,7 @@
     Respond(&'static str),
     Disconnect,
     /// Responds with the first bytes of the body for this request (`own`) or for another one.
-    Answer {
+    RespondWithBody {
         own: bool,
         bytes: usize,
     },
@@ -48,8 +48,8 @@
             match step {
                 Step::Respond(text) => stream.write_all(text.as_bytes()).unwrap(),
                 Step::Disconnect => {}
-                Step::Answer { own, bytes } => {
-                    stream.write_all(&answer(&buf, own, bytes)).unwrap();
+                Step::RespondWithBody { own, bytes } => {
+                    stream.write_all(&response_bytes(&buf, own, bytes)).unwrap();
                 }
                 Step::NoResponse => open_streams.push(stream),
             }
@@ -61,7 +61,7 @@
     address
 }
 
-fn answer(head: &[u8], own: bool, bytes: usize) -> Vec<u8> {
+fn response_bytes(head: &[u8], own: bool, bytes: usize) -> Vec<u8> {
     let head = String::from_utf8_lossy(head);
     let id = head.lines().find_map(|line| line.strip_prefix("x-sycamore-request-id: "));
     let id = if own { id.unwrap() } else { "another request" };
@@ -106,11 +106,11 @@
     record.sends.iter().map(|send| send.result).collect()
 }
 
-const COMPLETE_ANSWER: Step = Step::Answer { own: true, bytes: BODY_BYTES };
+const COMPLETE_RESPONSE: Step = Step::RespondWithBody { own: true, bytes: BODY_BYTES };
 
 #[test]
 fn call_answered_after_refusal_and_break() {
-    let record = run(vec![Step::Respond(REFUSAL), Step::Disconnect, COMPLETE_ANSWER], 60_000);
+    let record = run(vec![Step::Respond(REFUSAL), Step::Disconnect, COMPLETE_RESPONSE], 60_000);
     let expected = [SendResult::NotRun, SendResult::Broken, SendResult::Answered];
     assert_eq!(results(&record), expected);
     assert_eq!((record.outcome, record.body_correct), (Outcome::Answered, true));
@@ -119,14 +119,15 @@
 
 #[test]
 fn call_body_cut_is_sent_again() {
-    let record = run(vec![Step::Answer { own: true, bytes: 40 }, COMPLETE_ANSWER], 60_000);
+    let record =
+        run(vec![Step::RespondWithBody { own: true, bytes: 40 }, COMPLETE_RESPONSE], 60_000);
     assert_eq!(results(&record), [SendResult::BodyCut, SendResult::Answered]);
     assert_eq!((record.bytes, record.body_correct), (BODY_BYTES as u64, true));
 }
 
 #[test]
 fn call_answer_of_another_request() {
-    let record = run(vec![Step::Answer { own: false, bytes: BODY_BYTES }], 60_000);
+    let record = run(vec![Step::RespondWithBody { own: false, bytes: BODY_BYTES }], 60_000);
     assert_eq!((record.outcome, record.body_correct), (Outcome::Answered, false));
 }
 
