--- a/standins/tests/target.rs
+++ b/standins/tests/target.rs
@@ -98,8 +98,8 @@
 fn crash_cuts_runs_and_restarts() {
     let target = start("crash_cuts_runs_and_restarts", 4);
     future::block_on(async {
-        assert_eq!(get(target.address, "death", "crash=1").await, None);
-        assert_eq!(events(&target.log, "death").await, [RunEvent::Start, RunEvent::Aborted]);
+        assert_eq!(get(target.address, "crashing", "crash=1").await, None);
+        assert_eq!(events(&target.log, "crashing").await, [RunEvent::Start, RunEvent::Aborted]);
         while get(target.address, "after", "bytes=1").await.is_none() {
             Timer::after(Duration::from_millis(20)).await;
         }
