--- a/bench/src/calls/latency.rs
+++ b/bench/src/calls/latency.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use sycamore_standins::example::TARGET_PORT;
 use sycamore_standins::target::{TargetConfig, TargetsConfig};
-use sycamore_tools::load::caller::Resend;
+use sycamore_tools::load::caller::RetryPolicy;
 use sycamore_tools::load::history::History;
 use sycamore_tools::load::mix::Mix;
 use sycamore_tools::load::plan::Plan;
@@ -102,7 +102,7 @@
         duration: WARM_UP,
         threads: 1,
         seed: 1,
-        resend: Resend::AsTold,
+        retry_policy: RetryPolicy::HonourRetryAfter,
     };
     let history = Arc::new(History::new(None)?);
     plan.run(&history);
@@ -115,7 +115,7 @@
     let mut deployment = DEPLOYMENT;
     deployment.network = DIRECT_NETWORK;
     let vms = deployment.vms();
-    let address = |index: usize| vms[index % vms.len()].at(TARGET_PORT);
+    let address = |index: usize| vms[index % vms.len()].socket_addr(TARGET_PORT);
     let target = |index: usize| TargetConfig {
         vm: vms[index].name.clone(),
         address: address(index),
--- a/bench/src/process_history/callers.rs
+++ b/bench/src/process_history/callers.rs
@@ -16,8 +16,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use sycamore_tools::load::caller::{Job, Resend, call_with_grace};
-use sycamore_tools::load::client::{Outgoing, Pool};
+use sycamore_tools::load::caller::{Job, RetryPolicy, call_with_grace};
+use sycamore_tools::load::client::{OutgoingRequest, Pool};
 use sycamore_tools::load::history::{Outcome, Record};
 use sycamore_tools::load::mix::{Mix, MixClass};
 
@@ -98,7 +98,13 @@
         }
         let class = &mix.classes[mix.class_at(rng.random_range(0..mix.shares()))];
         let number = rng.random_range(1..=MAX_NUMBER);
-        let job = Job { class, number, due: Instant::now(), first_entry, resend: Resend::AsTold };
+        let job = Job {
+            class,
+            resource_id: number,
+            due: Instant::now(),
+            first_entry,
+            retry_policy: RetryPolicy::HonourRetryAfter,
+        };
         let record = call_with_grace(&job, &entries, GRACE).await;
         signed.extend(Signed::new(class, number, &record));
         records.borrow_mut().push(record);
@@ -121,10 +127,10 @@
         }
         let key = record.key.clone()?;
         let body = vec![b'.'; class.request_bytes].into();
-        Some(Signed { id: record.id.clone(), key, target: class.target(number), body })
+        Some(Signed { id: record.id.clone(), key, target: class.path_and_query(number), body })
     }
 
-    fn request(&self) -> Option<Outgoing> {
+    fn request(&self) -> Option<OutgoingRequest> {
         let req = Request::post(&self.target)
             .header("host", "sycamore")
             .header("x-sycamore-request-id", &self.id)
@@ -139,7 +145,7 @@
         let send = async {
             if let Ok(exchange) = entry.send(req).await {
                 if exchange.response.into_body().collect().await.is_ok() {
-                    entry.keep(exchange.connection);
+                    entry.release(exchange.connection);
                 }
             }
         };
--- a/standins/src/example/files.rs
+++ b/standins/src/example/files.rs
@@ -1,4 +1,4 @@
-//! The files of one deployment, as text.
+//! Renders the files of an example deployment.
 
 use super::deployment::{
     ADMIN_PORT, CALLS_PORT, Deployment, GATE_PORT, PEERS_PORT, TARGET_PORT, Vm,
@@ -13,22 +13,22 @@
 use sycamore_core::member::{Member, VmList, VmState};
 use sycamore_core::place::Place;
 
-/// A file of an example: where it goes below the example's directory, and its text.
+/// A generated file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct File {
-    /// Path below the directory of the deployment.
+    /// Path relative to the directory of the deployment.
     pub path: String,
-    /// What stands in it.
+    /// Content.
     pub text: String,
 }
 
-/// Value of the key `zones`.
+/// Value of the platform key `zones`.
 #[derive(Serialize)]
 struct Zones {
     zones: Vec<Place>,
 }
 
-/// Settings of a node; what is left out keeps its default.
+/// Settings of a node; omitted fields keep their defaults.
 #[derive(Serialize)]
 struct NodeSettings {
     vm: String,
@@ -48,9 +48,9 @@
     admin: SocketAddr,
 }
 
-/// Every file of a deployment but its mix of calls, which is written by hand.
+/// Renders every file of a deployment except the load mix, which is maintained by hand.
 pub fn files(deployment: &Deployment) -> Vec<File> {
-    let mut files = published(deployment);
+    let mut files = published_files(deployment);
     for vm in deployment.vms() {
         files.push(File::new(format!("nodes/{}.json", vm.name), &settings(deployment, &vm)));
     }
@@ -59,7 +59,7 @@
     files
 }
 
-/// Writes every file of a deployment below `directory`.
+/// Writes the files of a deployment to `directory`.
 pub fn write(deployment: &Deployment, directory: &Path) -> std::io::Result<()> {
     for file in files(deployment) {
         let path = directory.join(&file.path);
@@ -78,7 +78,7 @@
     }
 }
 
-fn published(deployment: &Deployment) -> Vec<File> {
+fn published_files(deployment: &Deployment) -> Vec<File> {
     let mut files = Vec::new();
     for name in presets::NAMES {
         let preset = presets::preset(deployment, name);
@@ -106,8 +106,8 @@
         vm: to_name(&vm.name),
         region: to_name(vm.region),
         zone: to_name(&vm.zone),
-        peers: vm.at(PEERS_PORT),
-        admin: vm.at(ADMIN_PORT),
+        peers: vm.socket_addr(PEERS_PORT),
+        admin: vm.socket_addr(ADMIN_PORT),
         state: VmState::Live,
     };
     VmList { vms: vms.map(member).collect() }
@@ -119,29 +119,30 @@
         region: vm.region,
         zone: vm.zone.clone(),
         listen: Listen {
-            calls: vm.at(CALLS_PORT),
-            gate: vm.at(GATE_PORT),
-            peers: vm.at(PEERS_PORT),
-            admin: vm.at(ADMIN_PORT),
+            calls: vm.socket_addr(CALLS_PORT),
+            gate: vm.socket_addr(GATE_PORT),
+            peers: vm.socket_addr(PEERS_PORT),
+            admin: vm.socket_addr(ADMIN_PORT),
         },
-        target_address: vm.at(TARGET_PORT),
-        platform_address: deployment.platform(vm.zone_number),
+        target_address: vm.socket_addr(TARGET_PORT),
+        platform_address: deployment.platform_address(vm.zone_number),
         seeds: seeds(deployment, vm),
     }
 }
 
-/// Peers to ask first: the others of the zone, and one VM of every other zone.
+/// Bootstrap peers: the other VMs of the zone, and one VM in every other zone.
 fn seeds(deployment: &Deployment, vm: &Vm) -> Vec<SocketAddr> {
-    let all = deployment.vms();
-    let near = all.iter().filter(|other| other.zone == vm.zone && other.name != vm.name);
-    let far = all.iter().filter(|other| other.zone != vm.zone && other.service == vm.service);
-    near.chain(far).map(|other| other.at(PEERS_PORT)).collect()
+    let vms = deployment.vms();
+    let same_zone = vms.iter().filter(|other| other.zone == vm.zone && other.name != vm.name);
+    let other_zones =
+        vms.iter().filter(|other| other.zone != vm.zone && other.service == vm.service);
+    same_zone.chain(other_zones).map(|other| other.socket_addr(PEERS_PORT)).collect()
 }
 
 fn targets(deployment: &Deployment) -> TargetsConfig {
     let target = |vm: Vm| TargetConfig {
-        address: vm.at(TARGET_PORT),
-        calls: vm.at(CALLS_PORT),
+        address: vm.socket_addr(TARGET_PORT),
+        calls: vm.socket_addr(CALLS_PORT),
         vm: vm.name,
         slots: deployment.slots,
         connections: deployment.connections,
--- a/standins/src/example/presets.rs
+++ b/standins/src/example/presets.rs
@@ -1,14 +1,14 @@
-//! The presets of both deployments: what differs between ordinary days, peaks and maintenance.
+//! Presets of the example deployments: `ordinary`, `peak` and `maintenance`.
 
 use super::deployment::{Deployment, GATE_PORT, PEERS_PORT, RouteRow};
 use indexmap::IndexMap;
 use sycamore_core::Name;
 use sycamore_core::config::{AtMostOnceMode, Class, Preset, Route, Service, ServiceLimits, Target};
 
-/// Names of the presets; the first is in force at the start.
+/// Names of the presets; the first one is initially in force.
 pub const NAMES: [&str; 3] = ["ordinary", "peak", "maintenance"];
 
-/// A preset of a deployment.
+/// Builds a preset of a deployment.
 pub fn preset(deployment: &Deployment, name: &str) -> Preset {
     let mut services = IndexMap::new();
     for &service in deployment.services {
@@ -17,11 +17,11 @@
             .insert(to_name(service), Service { limits, targets: targets(deployment, service) });
     }
     let routes =
-        deployment.routes.iter().map(|row| (to_name(row.name), published(row, name))).collect();
+        deployment.routes.iter().map(|row| (to_name(row.name), route(row, name))).collect();
     Preset { name: to_name(name), services, routes, parts: Vec::new() }
 }
 
-/// A preset whose last route names a service that it lacks; every node refuses it.
+/// Builds a preset whose last route refers to an undefined service. Every node rejects it.
 pub fn dangling(deployment: &Deployment) -> Preset {
     let mut preset = preset(deployment, "peak");
     preset.name = to_name("dangling");
@@ -31,7 +31,8 @@
     preset
 }
 
-/// Peaks shorten queues and keep bulk back; maintenance leaves slots to those who maintain.
+/// Service limits of a preset: `peak` shortens queues and limits bulk requests, `maintenance`
+/// leaves slots free for maintenance work.
 fn limits(deployment: &Deployment, preset: &str) -> ServiceLimits {
     let slots = deployment.slots;
     let ordinary = ServiceLimits {
@@ -65,7 +66,7 @@
     }
 }
 
-fn published(row: &RouteRow, preset: &str) -> Route {
+fn route(row: &RouteRow, preset: &str) -> Route {
     let (deadline_ms, max_attempts) = match (preset, row.class) {
         ("peak", Class::Bulk) => (row.deadline_ms, 1),
         ("peak", _) => (row.deadline_ms * 3 / 4, 2),
@@ -97,8 +98,8 @@
             vm: to_name(&vm.name),
             region: to_name(vm.region),
             zone: to_name(&vm.zone),
-            gate: vm.at(GATE_PORT),
-            peers: vm.at(PEERS_PORT),
+            gate: vm.socket_addr(GATE_PORT),
+            peers: vm.socket_addr(PEERS_PORT),
             incarnation: None,
             slots: None,
             leaving: false,
@@ -106,7 +107,7 @@
         .collect()
 }
 
-/// A name of this module's own making.
+/// Converts a constant of this module. Panics if the text is not a valid name.
 pub fn to_name(text: &str) -> Name {
-    Name::new(text.to_string()).expect("the examples' names are valid")
+    Name::new(text.to_string()).expect("example names must be valid")
 }
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform's configuration service: a key-value service that is only read, with
-//! blocking queries. Faults and new values come in on a control port of its own.
+//! Stand-in for the platform's configuration service: a read-only key-value store with blocking
+//! queries. Values and faults are set through a separate control port.
 
 mod control;
 mod store;
@@ -7,7 +7,7 @@
 pub use control::{Counts, Faults};
 pub use store::Store;
 
-use crate::http::{self, Body, Cutter};
+use crate::http::{self, Body, ShutdownSignal};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use bytes::Bytes;
@@ -20,10 +20,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest wait of a blocking query, whatever it asks for.
+/// Upper bound on the wait time that a blocking query can request.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A platform stand-in with its sockets bound.
+/// A platform stand-in whose sockets are bound.
 #[derive(Debug)]
 pub struct Platform {
     readers: Vec<Async<TcpListener>>,
@@ -31,30 +31,28 @@
     state: Rc<RefCell<State>>,
 }
 
-/// What a platform stand-in starts with.
+/// Configuration of a platform stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// Addresses for readers. Several let a test cut one zone off that reads from its own.
+    /// Addresses that serve reads. With one address per zone, a test can block a single zone.
     pub listen: Vec<SocketAddr>,
-    /// Address of the control port.
     pub control: SocketAddr,
-    /// Calls answered in one second; more get 429.
+    /// Calls answered per second; further calls get status 429.
     pub max_calls_per_second: u64,
-    /// The values.
+    /// Initial values.
     pub store: Store,
 }
 
-/// Addresses of a platform stand-in that runs in a thread of its own until the process ends.
+/// Bound addresses of a platform stand-in.
 #[derive(Clone, Debug)]
 pub struct Addresses {
-    /// For readers.
+    /// Addresses that serve reads.
     pub readers: Vec<SocketAddr>,
-    /// Of the control port.
+    /// Address of the control port.
     pub control: SocketAddr,
 }
 
 impl Platform {
-    /// Binds the sockets.
     pub fn bind(cfg: PlatformConfig) -> std::io::Result<Platform> {
         let readers: Result<_, _> =
             cfg.listen.iter().map(|at| Async::<TcpListener>::bind(*at)).collect();
@@ -63,7 +61,7 @@
         Ok(Platform { readers: readers?, control, state: Rc::new(RefCell::new(state)) })
     }
 
-    /// Runs a stand-in in a thread of its own until the process ends; for tests.
+    /// Starts a stand-in in a background thread that runs until the process exits.
     pub fn spawn(cfg: PlatformConfig) -> std::io::Result<Addresses> {
         let (tx, rx) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
@@ -77,7 +75,6 @@
         rx.recv().map_err(std::io::Error::other)?
     }
 
-    /// The addresses bound.
     pub fn addresses(&self) -> Addresses {
         let bound = |listener: &Async<TcpListener>| listener.get_ref().local_addr().ok();
         Addresses {
@@ -86,21 +83,21 @@
         }
     }
 
-    /// Serves until it is dropped.
+    /// Serves requests until the future is dropped.
     pub async fn run(self) {
         let executor = http::executor();
         for listener in self.readers {
-            let at = listener.get_ref().local_addr();
-            let task = listen(executor.clone(), self.state.clone(), listener, at.ok());
+            let local_addr = listener.get_ref().local_addr();
+            let task = listen(executor.clone(), self.state.clone(), listener, local_addr.ok());
             executor.spawn(task).detach();
         }
         let state = self.state.clone();
         let connections = executor.clone();
-        let never = Cutter::new();
+        let no_shutdown = ShutdownSignal::new();
         let control = http::listen(self.control, move |stream, _| {
             let state = state.clone();
             let handle = move |req| control::handle(state.clone(), req);
-            connections.spawn(http::serve(stream, never.watch(), handle)).detach();
+            connections.spawn(http::serve(stream, no_shutdown.subscribe(), handle)).detach();
         });
         executor.run(control).await;
     }
@@ -110,13 +107,14 @@
     executor: Rc<LocalExecutor<'static>>,
     state: Rc<RefCell<State>>,
     listener: Async<TcpListener>,
-    at: Option<SocketAddr>,
+    local_addr: Option<SocketAddr>,
 ) {
     http::listen(listener, move |stream, peer| {
-        let Some(cut) = state.borrow_mut().admit([at.unwrap_or(peer).ip(), peer.ip()]) else {
+        let Some(shutdown) = state.borrow_mut().admit([local_addr.unwrap_or(peer).ip(), peer.ip()])
+        else {
             return;
         };
-        executor.spawn(serve(state.clone(), stream, cut)).detach();
+        executor.spawn(serve(state.clone(), stream, shutdown)).detach();
     })
     .await;
 }
@@ -124,49 +122,49 @@
 async fn serve(
     state: Rc<RefCell<State>>,
     stream: Async<TcpStream>,
-    cut: async_channel::Receiver<()>,
+    shutdown: async_channel::Receiver<()>,
 ) {
-    http::serve(stream, cut, move |req| read(state.clone(), req)).await;
+    http::serve(stream, shutdown, move |req| handle_read(state.clone(), req)).await;
 }
 
-/// Answers one read or blocking query.
-async fn read(state: Rc<RefCell<State>>, req: Request<Incoming>) -> Option<Response<Body>> {
+/// Handles a read or a blocking query.
+async fn handle_read(state: Rc<RefCell<State>>, req: Request<Incoming>) -> Option<Response<Body>> {
     if !state.borrow_mut().count_call() {
-        return Some(http::answer(StatusCode::TOO_MANY_REQUESTS, "too many calls"));
+        return Some(http::response(StatusCode::TOO_MANY_REQUESTS, "too many calls"));
     }
-    if state.borrow().faults.rubbish {
-        return Some(rubbish());
+    if state.borrow().faults.malformed {
+        return Some(malformed_response());
     }
     let Some(key) = req.uri().path().strip_prefix("/v1/kv/").map(str::to_string) else {
-        return Some(http::answer(StatusCode::NOT_FOUND, ""));
+        return Some(http::response(StatusCode::NOT_FOUND, ""));
     };
     let query = Query::parse(req.uri().query().unwrap_or_default());
-    let end = Instant::now() + query.wait;
+    let deadline = Instant::now() + query.wait;
     loop {
-        let (found, changed) = state.borrow_mut().look_up(&key);
-        if state.borrow().faults.silent {
-            let _ = changed.recv().await;
+        let (found, change_signal) = state.borrow_mut().look_up(&key);
+        if state.borrow().faults.unresponsive {
+            let _ = change_signal.recv().await;
             continue;
         }
         let index = found.as_ref().map_or(0, |value| value.index);
-        let wanted = query.index.is_none_or(|known| index > known);
-        if wanted || Instant::now() >= end {
+        let is_newer = query.index.is_none_or(|known| index > known);
+        if is_newer || Instant::now() >= deadline {
             return Some(found.map_or_else(
-                || http::answer(StatusCode::NOT_FOUND, ""),
+                || http::response(StatusCode::NOT_FOUND, ""),
                 |value| with_index(value.body, value.index),
             ));
         }
         let timeout = async {
-            async_io::Timer::at(end).await;
+            async_io::Timer::at(deadline).await;
         };
         let change = async {
-            let _ = changed.recv().await;
+            let _ = change_signal.recv().await;
         };
         future::or(change, timeout).await;
     }
 }
 
-/// What a blocking query asks for.
+/// Parameters of a read; `index` and `wait` make it a blocking query.
 #[derive(Debug)]
 struct Query {
     index: Option<u64>,
@@ -187,7 +185,7 @@
     }
 }
 
-/// Reads `30s` or `500ms`.
+/// Parses a duration such as `30s` or `500ms`; a number without unit is in seconds.
 fn parse_wait(text: &str) -> Duration {
     let wait = match (text.strip_suffix("ms"), text.strip_suffix('s')) {
         (Some(ms), _) => ms.parse().map(Duration::from_millis),
@@ -198,12 +196,12 @@
 }
 
 fn with_index(body: Bytes, index: u64) -> Response<Body> {
-    let mut response = http::answer(StatusCode::OK, body);
+    let mut response = http::response(StatusCode::OK, body);
     response.headers_mut().insert("x-index", index.into());
     response
 }
 
-/// What a broken platform says: a status that promises a value, and no value.
-fn rubbish() -> Response<Body> {
+/// A successful status with a body that is not a valid value.
+fn malformed_response() -> Response<Body> {
     with_index(Bytes::from_static(b"\x00\xff{\"version\":"), u64::MAX)
 }
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -1,5 +1,5 @@
-//! Stand-in for targets: several in one process, each on its own address, with the slots, the
-//! connections and the habits of the users' targets.
+//! Stand-in for targets: simulates several targets in one process, each on its own address, with
+//! limited slots and connections and configurable behaviour.
 
 mod answer;
 mod control;
@@ -8,10 +8,10 @@
 mod request;
 pub mod run_log;
 
-pub use control::{Counts, Habits};
+pub use control::{Behaviour, Counts};
 
-use crate::http::{self, Body, Cutter};
-use answer::Answer;
+use crate::http::{self, Body, ShutdownSignal};
+use answer::ResponseBody;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use control::State;
@@ -28,39 +28,37 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a new connection costs a target before it answers on it.
-const CONNECTION_COST: Duration = Duration::from_millis(1);
+/// Delay before a target serves a new connection.
+const ACCEPT_DELAY: Duration = Duration::from_millis(1);
 
-/// How long a crashed target stays away.
-const RESTART: Duration = Duration::from_millis(500);
+/// Downtime after a crash, unless the crash request sets another.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// The targets of one process, as read from a file.
+/// Configuration of the targets of one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetsConfig {
-    /// Address of the control port.
     pub control: SocketAddr,
-    /// The targets.
     pub targets: Vec<TargetConfig>,
 }
 
-/// One target.
+/// Configuration of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetConfig {
-    /// VM that it runs on.
+    /// VM that the target runs on.
     pub vm: String,
-    /// Address on which it takes requests from its node.
+    /// Address on which it serves its node.
     pub address: SocketAddr,
-    /// Address of its node for calls of its own.
+    /// Address of its node for nested calls.
     pub calls: SocketAddr,
-    /// Requests that it runs at once; more get 503.
+    /// Concurrent requests; further requests get status 503.
     pub slots: u32,
-    /// Connections that it takes.
+    /// Concurrent connections; further connections are closed.
     pub connections: u32,
 }
 
-/// Targets with their sockets bound.
+/// Targets whose sockets are bound.
 #[derive(Debug)]
 pub struct Targets {
     control: Async<TcpListener>,
@@ -68,7 +66,7 @@
     log: RunLog,
 }
 
-/// One target as it runs.
+/// A running target.
 #[derive(Debug)]
 struct Target {
     cfg: TargetConfig,
@@ -78,12 +76,12 @@
 }
 
 impl Targets {
-    /// Reads the targets of one process from a JSON file.
+    /// Reads the configuration from a JSON file.
     pub fn read(path: &Path) -> std::io::Result<TargetsConfig> {
         Ok(serde_json::from_slice(&std::fs::read(path)?)?)
     }
 
-    /// Binds the sockets; runs are written to `log`.
+    /// Binds the sockets. Runs are recorded in `log`.
     pub fn bind(cfg: TargetsConfig, log: RunLog) -> std::io::Result<Targets> {
         let control = Async::<TcpListener>::bind(cfg.control)?;
         let bind = |mut target: TargetConfig| {
@@ -95,7 +93,7 @@
         Ok(Targets { control, targets: targets?, log })
     }
 
-    /// Runs targets in a thread of its own until the process ends; for tests. Returns the address
+    /// Starts targets in a background thread that runs until the process exits. Returns the address
     /// of the control port and of each target.
     pub fn spawn(
         cfg: TargetsConfig,
@@ -119,7 +117,7 @@
         Ok((control, self.targets.iter().map(|(_, cfg)| cfg.address).collect()))
     }
 
-    /// Serves until it is dropped.
+    /// Serves requests until the future is dropped.
     pub async fn run(self) {
         let executor = http::executor();
         let mut targets = Vec::new();
@@ -129,12 +127,12 @@
             targets.push(target);
         }
         let targets = Rc::new(targets);
-        let never = Cutter::new();
+        let no_shutdown = ShutdownSignal::new();
         let connections = executor.clone();
         let control = http::listen(self.control, move |stream, _| {
             let targets = targets.clone();
             let handle = move |req| control::handle(targets.clone(), req);
-            connections.spawn(http::serve(stream, never.watch(), handle)).detach();
+            connections.spawn(http::serve(stream, no_shutdown.subscribe(), handle)).detach();
         });
         executor.run(control).await;
     }
@@ -147,7 +145,7 @@
     }
 }
 
-/// Takes connections; starts again after each crash.
+/// Accepts connections, and restarts the target after each crash.
 async fn listen(
     executor: Rc<LocalExecutor<'static>>,
     target: Rc<Target>,
@@ -157,72 +155,76 @@
     loop {
         let crashed = target.state.borrow().crashed();
         if let Some(listener) = listener.take() {
-            let take = |stream, _| take(&executor, &target, stream);
+            let on_connection = |stream, _| spawn_connection(&executor, &target, stream);
             let crash = async {
                 let _ = crashed.recv().await;
             };
-            // Dropping the listener makes new connections fail, as on a crashed process.
-            future::or(http::listen(listener, take), crash).await;
+            // Dropping the listener makes new connections fail, as after a process crash.
+            future::or(http::listen(listener, on_connection), crash).await;
         }
-        let away = target.state.borrow().away().unwrap_or(RESTART);
-        Timer::after(away).await;
+        let downtime = target.state.borrow().downtime().unwrap_or(RESTART_DELAY);
+        Timer::after(downtime).await;
         listener = Async::<TcpListener>::bind(target.cfg.address).ok();
         target.state.borrow_mut().restart();
     }
 }
 
-fn take(executor: &Rc<LocalExecutor<'static>>, target: &Rc<Target>, stream: Async<TcpStream>) {
+fn spawn_connection(
+    executor: &Rc<LocalExecutor<'static>>,
+    target: &Rc<Target>,
+    stream: Async<TcpStream>,
+) {
     let crashed = target.state.borrow().crashed();
     let target = target.clone();
     let task = async move {
         if !target.state.borrow_mut().open_connection(target.cfg.connections) {
             return;
         }
-        let closed = control::ConnectionGuard(target.clone());
-        Timer::after(CONNECTION_COST).await;
+        let open_connection = control::ConnectionGuard(target.clone());
+        Timer::after(ACCEPT_DELAY).await;
         let handled = target.clone();
         http::serve(stream, crashed, move |req| handle(handled.clone(), req)).await;
-        drop(closed);
+        drop(open_connection);
     };
     executor.spawn(task).detach();
 }
 
 async fn handle(target: Rc<Target>, req: Request<Incoming>) -> Option<Response<Body>> {
     if req.uri().path() == "/health" {
-        return Some(http::answer(StatusCode::OK, ""));
+        return Some(http::response(StatusCode::OK, ""));
     }
     let call = Call::new(&req);
-    // A request whose body is cut is not run.
+    // A request with an incomplete body is not run.
     req.into_body().collect().await.ok()?;
     if !target.state.borrow_mut().take_slot(target.cfg.slots) {
-        return Some(http::answer(StatusCode::SERVICE_UNAVAILABLE, "no slot is free"));
+        return Some(http::response(StatusCode::SERVICE_UNAVAILABLE, "no slot is free"));
     }
     let run = run_log::Run::start(target.clone(), &call);
     let response = execute(&target, &call, run).await?;
     Some(response)
 }
 
-/// Runs one request: its own calls first, then its work, then the answer.
+/// Runs a request: makes its nested call, simulates the work, then builds the response.
 async fn execute(target: &Rc<Target>, call: &Call, run: run_log::Run) -> Option<Response<Body>> {
     if call.crash {
-        target.state.borrow_mut().crash(RESTART);
+        target.state.borrow_mut().crash(RESTART_DELAY);
         return None;
     }
-    let answered = match call.next() {
-        Some(next) => target.caller.call(next, call.deadline).await,
+    let nested_call_succeeded = match call.nested_call() {
+        Some(nested) => target.caller.call(nested, call.deadline).await,
         None => true,
     };
     let work = call.work.mul_f64(target.state.borrow_mut().work_factor(Instant::now()));
     if !work.is_zero() {
         Timer::after(work).await;
     }
-    if !answered {
+    if !nested_call_succeeded {
         run.finish();
-        return Some(http::answer(StatusCode::FAILED_DEPENDENCY, "a call of its own failed"));
+        return Some(http::response(StatusCode::FAILED_DEPENDENCY, "a call of its own failed"));
     }
     let load = target.state.borrow_mut().load(target.cfg.slots);
     let mut response =
-        Response::new(Box::pin(Answer::new(&call.id, call.answer_bytes, run)) as Body);
+        Response::new(Box::pin(ResponseBody::new(&call.id, call.answer_bytes, run)) as Body);
     if let Ok(load) = load.parse() {
         response.headers_mut().insert("x-load", load);
     }
--- a/standins/src/target/answer.rs
+++ b/standins/src/target/answer.rs
@@ -1,4 +1,4 @@
-//! Body of an answer, made while it is sent. The run ends with its last byte.
+//! Response body that is generated while it is sent. The run completes with the last byte.
 
 use super::run_log::Run;
 use bytes::{Bytes, BytesMut};
@@ -8,30 +8,30 @@
 use std::task::{Context, Poll};
 use sycamore_tools::load::pattern::Pattern;
 
-/// Answers above this are streamed without a length; one chunk of them.
+/// Chunk size. Larger bodies use chunked transfer encoding instead of a content length.
 const CHUNK_BYTES: usize = 65_536;
 
-/// The rest of an answer.
+/// The unsent part of a response body.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ResponseBody {
     pattern: Pattern,
-    left: usize,
-    streamed: bool,
+    remaining: usize,
+    chunked: bool,
     run: Option<Run>,
 }
 
-impl Answer {
-    /// The whole answer to the request with this id.
-    pub fn new(id: &[u8], len: usize, run: Run) -> Answer {
+impl ResponseBody {
+    /// Creates the body of `len` bytes for the request with this ID.
+    pub fn new(id: &[u8], len: usize, run: Run) -> ResponseBody {
         let mut run = Some(run);
         if len == 0 {
             run.take().into_iter().for_each(Run::finish);
         }
-        Answer { pattern: Pattern::new(id), left: len, streamed: len > CHUNK_BYTES, run }
+        ResponseBody { pattern: Pattern::new(id), remaining: len, chunked: len > CHUNK_BYTES, run }
     }
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -39,25 +39,25 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.left == 0 {
+        if self.remaining == 0 {
             self.run.take().into_iter().for_each(Run::finish);
             return Poll::Ready(None);
         }
-        let mut buf = BytesMut::zeroed(self.left.min(CHUNK_BYTES));
+        let mut buf = BytesMut::zeroed(self.remaining.min(CHUNK_BYTES));
         self.pattern.fill(&mut buf);
-        self.left -= buf.len();
-        if self.left == 0 && !self.streamed {
-            // hyper doesn't poll a body again whose length is known and reached.
+        self.remaining -= buf.len();
+        if self.remaining == 0 && !self.chunked {
+            // hyper doesn't poll a body of known length again after its last byte.
             self.run.take().into_iter().for_each(Run::finish);
         }
         Poll::Ready(Some(Ok(Frame::data(buf.freeze()))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == 0 && self.run.is_none()
+        self.remaining == 0 && self.run.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.streamed { SizeHint::default() } else { SizeHint::with_exact(self.left as u64) }
+        if self.chunked { SizeHint::default() } else { SizeHint::with_exact(self.remaining as u64) }
     }
 }
--- a/standins/src/target/control.rs
+++ b/standins/src/target/control.rs
@@ -1,8 +1,8 @@
-//! State of one target, and the control port that a test drives it by.
+//! State of a target, and the control port of the target stand-ins.
 
-use super::load::Reported;
-use super::{RESTART, Target};
-use crate::http::{self, Body, Cutter};
+use super::load::ReportedLoad;
+use super::{RESTART_DELAY, Target};
+use crate::http::{self, Body, ShutdownSignal};
 use async_channel::Receiver;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -12,73 +12,74 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How a target behaves, set by a test.
+/// Simulated behaviour of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Habits {
-    /// Work takes so many times as long.
-    pub slow: f64,
-    /// Work takes so many times as long at first.
-    pub cold: f64,
-    /// How long "at first" lasts, after a start; in milliseconds.
-    pub cold_ms: u64,
-    /// Reports an idle target whatever runs.
-    pub lies: bool,
+pub struct Behaviour {
+    /// Factor by which work takes longer.
+    #[serde(rename = "slow")]
+    pub work_factor: f64,
+    /// Further factor while the target warms up.
+    #[serde(rename = "cold")]
+    pub warm_up_work_factor: f64,
+    /// Duration of the warm-up after a start, in milliseconds.
+    #[serde(rename = "cold_ms")]
+    pub warm_up_ms: u64,
+    /// Reports zero load regardless of the requests in flight.
+    #[serde(rename = "lies")]
+    pub reports_idle: bool,
 }
 
-/// What a target has counted.
+/// Counters of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Runs started.
     pub runs: u64,
-    /// Requests beyond the slots; a gatekeeper sends none.
+    /// Requests rejected because all slots were taken. A correct gatekeeper causes none.
     pub beyond_slots: u64,
-    /// Connections beyond the limit; a gatekeeper opens none.
+    /// Connections rejected because of the limit. A correct gatekeeper causes none.
     pub beyond_connections: u64,
-    /// Most runs at once.
+    /// Highest number of concurrent runs.
     pub peak_in_flight: u32,
-    /// Most connections at once.
+    /// Highest number of concurrent connections.
     pub peak_connections: u32,
-    /// Crashes.
     pub crashes: u64,
 }
 
-/// State of one target.
 #[derive(Debug)]
 pub struct State {
-    habits: Habits,
+    behaviour: Behaviour,
     counts: Counts,
     in_flight: u32,
     connections: u32,
-    reported: Reported,
+    reported_load: ReportedLoad,
     started: Instant,
-    cutter: Cutter,
-    away: Option<Duration>,
+    shutdown: ShutdownSignal,
+    downtime: Option<Duration>,
 }
 
-impl Default for Habits {
-    fn default() -> Habits {
-        Habits { slow: 1.0, cold: 1.0, cold_ms: 0, lies: false }
+impl Default for Behaviour {
+    fn default() -> Behaviour {
+        Behaviour { work_factor: 1.0, warm_up_work_factor: 1.0, warm_up_ms: 0, reports_idle: false }
     }
 }
 
 impl Default for State {
     fn default() -> State {
         State {
-            habits: Habits::default(),
+            behaviour: Behaviour::default(),
             counts: Counts::default(),
             in_flight: 0,
             connections: 0,
-            reported: Reported::default(),
+            reported_load: ReportedLoad::default(),
             started: Instant::now(),
-            cutter: Cutter::new(),
-            away: None,
+            shutdown: ShutdownSignal::new(),
+            downtime: None,
         }
     }
 }
 
 impl State {
-    /// Counts a new connection. Returns false if there are too many.
+    /// Registers a connection. Returns false if the limit is reached.
     pub fn open_connection(&mut self, limit: u32) -> bool {
         if self.connections >= limit {
             self.counts.beyond_connections += 1;
@@ -89,7 +90,7 @@
         true
     }
 
-    /// Takes a slot for a run. Returns false if none is free.
+    /// Takes a slot for a run. Returns false if no slot is free.
     pub fn take_slot(&mut self, limit: u32) -> bool {
         if self.in_flight >= limit {
             self.counts.beyond_slots += 1;
@@ -101,49 +102,52 @@
         true
     }
 
-    /// Frees the slot of a run.
     pub fn free_slot(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// How many times as long work takes now.
+    /// Factor by which work takes longer at `now`.
     pub fn work_factor(&self, now: Instant) -> f64 {
-        let cold = now - self.started < Duration::from_millis(self.habits.cold_ms);
-        if cold { self.habits.slow * self.habits.cold } else { self.habits.slow }
+        let warming_up = now - self.started < Duration::from_millis(self.behaviour.warm_up_ms);
+        if warming_up {
+            self.behaviour.work_factor * self.behaviour.warm_up_work_factor
+        } else {
+            self.behaviour.work_factor
+        }
     }
 
     /// Value of the header `x-load`.
     pub fn load(&mut self, slots: u32) -> String {
-        let in_flight = self.reported.get(self.in_flight, Instant::now());
-        let in_flight = if self.habits.lies { 0 } else { in_flight };
+        let in_flight = self.reported_load.get(self.in_flight, Instant::now());
+        let in_flight = if self.behaviour.reports_idle { 0 } else { in_flight };
         format!("{in_flight}/{slots}")
     }
 
-    /// Ends when the target crashes.
+    /// Returns a receiver that is closed when the target crashes.
     pub fn crashed(&self) -> Receiver<()> {
-        self.cutter.watch()
+        self.shutdown.subscribe()
     }
 
-    /// Ends every connection and run, and stays away for a while.
-    pub fn crash(&mut self, away: Duration) {
+    /// Aborts all connections and runs. The target restarts after `downtime`.
+    pub fn crash(&mut self, downtime: Duration) {
         self.counts.crashes += 1;
-        self.away = Some(away);
-        self.cutter = Cutter::new();
+        self.downtime = Some(downtime);
+        self.shutdown = ShutdownSignal::new();
     }
 
-    /// How long the crashed target stays away.
-    pub fn away(&self) -> Option<Duration> {
-        self.away
+    /// Downtime of a crashed target; `None` while it runs.
+    pub fn downtime(&self) -> Option<Duration> {
+        self.downtime
     }
 
-    /// Starts again, cold.
+    /// Marks the target as running again, at the start of its warm-up.
     pub fn restart(&mut self) {
-        self.away = None;
+        self.downtime = None;
         self.started = Instant::now();
     }
 }
 
-/// Counts a connection as closed when it is dropped.
+/// Unregisters a connection when it is dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard(pub(super) Rc<Target>);
 
@@ -153,8 +157,8 @@
     }
 }
 
-/// Answers the control port: `GET /counts`, `PUT /habits/<vm>` and `PUT /crash/<vm>`, whose body
-/// is how long the target stays away, in milliseconds.
+/// Handles requests to the control port: `GET /counts`, `PUT /habits/<vm>` and `PUT /crash/<vm>`,
+/// whose body is the downtime in milliseconds.
 pub async fn handle(
     targets: Rc<Vec<Rc<Target>>>,
     req: Request<Incoming>,
@@ -165,31 +169,31 @@
         return Some(counts(&targets));
     }
     let mut path = head.uri.path().trim_start_matches('/').split('/');
-    let (Some(what), Some(vm)) = (path.next(), path.next()) else { return Some(not_found()) };
+    let (Some(action), Some(vm)) = (path.next(), path.next()) else { return Some(not_found()) };
     let Some(target) = targets.iter().find(|target| target.cfg.vm == vm) else {
         return Some(not_found());
     };
     let mut state = target.state.borrow_mut();
-    match what {
+    match action {
         "habits" => match serde_json::from_slice(&body) {
-            Ok(habits) => state.habits = habits,
-            Err(e) => return Some(http::answer(StatusCode::BAD_REQUEST, e.to_string())),
+            Ok(behaviour) => state.behaviour = behaviour,
+            Err(e) => return Some(http::response(StatusCode::BAD_REQUEST, e.to_string())),
         },
         "crash" => {
-            let away = std::str::from_utf8(&body).ok().and_then(|text| text.parse().ok());
-            state.crash(away.map_or(RESTART, Duration::from_millis));
+            let downtime = std::str::from_utf8(&body).ok().and_then(|text| text.parse().ok());
+            state.crash(downtime.map_or(RESTART_DELAY, Duration::from_millis));
         }
         _ => return Some(not_found()),
     }
-    Some(http::answer(StatusCode::OK, ""))
+    Some(http::response(StatusCode::OK, ""))
 }
 
 fn counts(targets: &[Rc<Target>]) -> Response<Body> {
     let counts: IndexMap<&str, Counts> =
         targets.iter().map(|target| (&target.cfg.vm[..], target.state.borrow().counts)).collect();
-    http::answer(StatusCode::OK, serde_json::to_vec(&counts).unwrap_or_default())
+    http::response(StatusCode::OK, serde_json::to_vec(&counts).unwrap_or_default())
 }
 
 fn not_found() -> Response<Body> {
-    http::answer(StatusCode::NOT_FOUND, "")
+    http::response(StatusCode::NOT_FOUND, "")
 }
--- a/standins/src/target/nested.rs
+++ b/standins/src/target/nested.rs
@@ -1,4 +1,4 @@
-//! Calls that a target makes itself, through the node on its VM.
+//! Nested calls that a target makes through the node on its VM.
 
 use super::request::Call;
 use async_executor::LocalExecutor;
@@ -10,28 +10,28 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use sycamore_tools::load::client::{Outgoing, Pool};
+use sycamore_tools::load::client::{OutgoingRequest, Pool};
 use sycamore_tools::load::pattern::Pattern;
 
-/// Sends of one call: the first, and resends after a refusal.
+/// Maximum number of attempts of a call, including the first.
 const MAX_SENDS: usize = 3;
 
-/// Wait before a resend if the refusal names none.
+/// Delay before a retry if the refusal doesn't specify one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Makes calls through one node.
+/// Client that makes calls through one node.
 #[derive(Debug)]
 pub struct Caller {
     pool: Pool,
 }
 
 impl Caller {
-    /// A caller of the node at `address`.
+    /// Creates a caller for the node at `address`.
     pub fn new(address: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> Caller {
         Caller { pool: Pool::new(address, executor) }
     }
 
-    /// Makes a call and reads its answer. Returns whether it came whole before the deadline.
+    /// Makes a call. Returns whether the expected response was complete before the deadline.
     pub async fn call(&self, call: Call, deadline: Instant) -> bool {
         let timeout = async {
             Timer::at(deadline).await;
@@ -46,27 +46,27 @@
             let Ok(exchange) = self.pool.send(req).await else { return false };
             let (response, connection) = (exchange.response, exchange.connection);
             if outcome(&response) != "not-run" {
-                let whole = read(call, response).await;
-                self.pool.keep(connection);
-                return whole;
+                let expected = is_expected_response(call, response).await;
+                self.pool.release(connection);
+                return expected;
             }
             Timer::after(retry_after(&response)).await;
             let _ = response.into_body().collect().await;
-            self.pool.keep(connection);
+            self.pool.release(connection);
         }
         false
     }
 }
 
-fn request(call: &Call, deadline: Instant) -> Option<Outgoing> {
-    let left = deadline.saturating_duration_since(Instant::now()).as_millis();
+fn request(call: &Call, deadline: Instant) -> Option<OutgoingRequest> {
+    let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
     let method = if call.at_most_once() { "POST" } else { "GET" };
     let mut req = Request::builder()
         .method(method)
         .uri(call.path())
         .header("host", "node")
         .header("x-sycamore-request-id", &call.id[..])
-        .header("x-sycamore-deadline-ms", left.to_string());
+        .header("x-sycamore-deadline-ms", remaining_ms.to_string());
     if let Some(key) = &call.key {
         req = req.header("idempotency-key", &key[..]);
     }
@@ -89,8 +89,8 @@
     response.headers().get(name)?.to_str().ok()
 }
 
-/// Whether the answer is a success and the whole answer to this very call.
-async fn read(call: &Call, response: Response<hyper::body::Incoming>) -> bool {
+/// Reads the response and returns whether it is successful and has the expected body for the call.
+async fn is_expected_response(call: &Call, response: Response<hyper::body::Incoming>) -> bool {
     let success = response.status().is_success();
     let Ok(body) = response.into_body().collect().await else { return false };
     let body = body.to_bytes();
--- a/standins/tests/target.rs
+++ b/standins/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target stand-in keeps to its slots, and its run log tells what it ran.
+//! Checks the slot limit and the run log of the target stand-in.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -10,28 +10,34 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use sycamore_standins::target::run_log::{self, Line, Mark, RunLog};
+use sycamore_standins::target::run_log::{self, Line, RunEvent, RunLog};
 use sycamore_standins::target::{TargetConfig, Targets, TargetsConfig};
 use sycamore_tools::load::client::Pool;
 use sycamore_tools::load::pattern::Pattern;
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const LOOPBACK_ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-struct Running {
+struct RunningTarget {
     address: SocketAddr,
     log: PathBuf,
 }
 
-fn start(test: &str, slots: u32) -> Running {
+fn start(test: &str, slots: u32) -> RunningTarget {
     let log = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}.jsonl"));
-    let target =
-        TargetConfig { vm: "vm-1".into(), address: ANY, calls: ANY, slots, connections: 8 };
-    let cfg = TargetsConfig { control: ANY, targets: vec![target] };
+    let target = TargetConfig {
+        vm: "vm-1".into(),
+        address: LOOPBACK_ANY_PORT,
+        calls: LOOPBACK_ANY_PORT,
+        slots,
+        connections: 8,
+    };
+    let cfg = TargetsConfig { control: LOOPBACK_ANY_PORT, targets: vec![target] };
     let (_, addresses) = Targets::spawn(cfg, RunLog::create(&log).unwrap()).unwrap();
-    Running { address: addresses[0], log }
+    RunningTarget { address: addresses[0], log }
 }
 
-/// Sends one request on a connection of its own: its status and body, if it was answered whole.
+/// Sends one request on a new connection. Returns status and body if the response is complete.
 async fn get(to: SocketAddr, id: &str, query: &str) -> Option<(u16, Bytes)> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(to, executor.clone());
@@ -44,14 +50,14 @@
     Some((status, body))
 }
 
-/// The marks of a run in the log, once its end is there.
-async fn marks(log: &Path, id: &str) -> Vec<Mark> {
+/// Waits for the end of a run in the log and returns its events.
+async fn events(log: &Path, id: &str) -> Vec<RunEvent> {
     loop {
         let lines = run_log::read(log).unwrap();
-        let marks: Vec<Mark> =
-            lines.iter().filter(|line| line.id == id).map(|line: &Line| line.mark).collect();
-        if marks.len() >= 2 {
-            return marks;
+        let events: Vec<RunEvent> =
+            lines.iter().filter(|line| line.id == id).map(|line: &Line| line.event).collect();
+        if events.len() >= 2 {
+            return events;
         }
         Timer::after(Duration::from_millis(5)).await;
     }
@@ -65,7 +71,7 @@
             let (status, body) = get(target.address, id, &format!("bytes={len}")).await.unwrap();
             assert_eq!((status, body.len()), (200, len));
             assert!(Pattern::new(id.as_bytes()).matches(&body));
-            assert_eq!(marks(&target.log, id).await, [Mark::Start, Mark::Completed]);
+            assert_eq!(events(&target.log, id).await, [RunEvent::Start, RunEvent::Completed]);
         }
     });
 }
@@ -92,8 +98,8 @@
 fn crash_cuts_runs_and_restarts() {
     let target = start("crash_cuts_runs_and_restarts", 4);
     future::block_on(async {
-        assert_eq!(get(target.address, "death", "crash=1").await, None);
-        assert_eq!(marks(&target.log, "death").await, [Mark::Start, Mark::Cut]);
+        assert_eq!(get(target.address, "crashing", "crash=1").await, None);
+        assert_eq!(events(&target.log, "crashing").await, [RunEvent::Start, RunEvent::Aborted]);
         while get(target.address, "after", "bytes=1").await.is_none() {
             Timer::after(Duration::from_millis(20)).await;
         }
--- a/tools/src/check/output.rs
+++ b/tools/src/check/output.rs
@@ -1,4 +1,4 @@
-//! The report of `sycamore-check` as text or JSON.
+//! Formats the report of `sycamore-check` as text or JSON.
 
 use super::config::Format;
 use super::difference::{Change, Difference, FieldChange, RouteChange, ServiceChange};
@@ -8,7 +8,6 @@
 use std::io::Write;
 use sycamore_core::Result;
 
-/// Writes the report.
 pub fn write(report: &Report, format: Format, out: &mut dyn Write) -> Result<()> {
     match format {
         Format::Text => write!(out, "{}", Text(report)).map_err(output_failed),
@@ -19,7 +18,7 @@
     }
 }
 
-/// A report for people.
+/// Formats a report as human-readable text.
 struct Text<'a>(&'a Report);
 
 impl Display for Text<'_> {
@@ -34,7 +33,7 @@
             writeln!(f, "preset: {services} services, {routes} routes, {targets} targets")?;
         }
         writeln!(f, "body: {} bytes, digest {}", report.body_bytes, report.digest)?;
-        if let Some(now) = &report.judged_against {
+        if let Some(now) = &report.evaluated_against {
             writeln!(f, "in force now: version {}, preset {}", now.version, now.preset)?;
         }
         if report.in_force_already {
@@ -71,7 +70,7 @@
 }
 
 fn write_service(f: &mut Formatter<'_>, service: &ServiceChange) -> fmt::Result {
-    writeln!(f, "  {} service {}", mark(service.change), service.name)?;
+    writeln!(f, "  {} service {}", symbol(service.change), service.name)?;
     if service.change == Change::Changed {
         write_fields(f, "limits.", &service.limits)?;
     }
@@ -93,7 +92,7 @@
 }
 
 fn write_route(f: &mut Formatter<'_>, route: &RouteChange) -> fmt::Result {
-    writeln!(f, "  {} route {}", mark(route.change), route.name)?;
+    writeln!(f, "  {} route {}", symbol(route.change), route.name)?;
     if route.change == Change::Changed {
         write_fields(f, "", &route.fields)?;
     }
@@ -107,7 +106,7 @@
     Ok(())
 }
 
-fn mark(change: Change) -> char {
+fn symbol(change: Change) -> char {
     match change {
         Change::Added => '+',
         Change::Removed => '-',
--- a/tools/src/load/caller.rs
+++ b/tools/src/load/caller.rs
@@ -1,7 +1,7 @@
-//! One request of a caller: sent, sent again after a broken connection or a refusal, until its
-//! outcome is final or its deadline has passed.
+//! Executes one request, with retries after broken connections and refusals until its outcome is
+//! final or its deadline has passed.
 
-use super::client::{Connection, Exchange, Outgoing, Pool, SendError};
+use super::client::{Connection, Exchange, OutgoingRequest, Pool, SendError};
 use super::history::{Outcome, Record, Send, SendResult, now_us};
 use super::mix::MixClass;
 use super::pattern::Pattern;
@@ -14,41 +14,41 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// How long after its deadline a caller still takes an answer. A caller that holds none by then
-/// has lost its request.
-const GRACE: Duration = Duration::from_secs(1);
+/// How long after its deadline a caller still accepts a response. A request without a response by
+/// then counts as lost.
+const GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Wait before a resend after a broken connection, and once no entry node can be reached.
+/// Delay before a retry after a broken connection, or if no entry node could be reached.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Wait before a resend of an impatient caller.
-const AT_ONCE: Duration = Duration::from_millis(1);
+/// Delay before a retry with [`RetryPolicy::Immediate`].
+const IMMEDIATE_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// When callers send again what was refused.
+/// When callers retry refused requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Resend {
-    /// When the refusal says so.
-    AsTold,
-    /// At once, whatever the refusal says, and after failures too: what makes a retry storm.
-    AtOnce,
+pub enum RetryPolicy {
+    /// After the delay that the refusal specifies.
+    HonourRetryAfter,
+    /// Immediately, regardless of the refusal, and also after server errors. Simulates a retry
+    /// storm.
+    Immediate,
 }
 
-/// A request to make.
+/// A request to execute.
 #[derive(Clone, Debug)]
 pub struct Job<'a> {
-    /// Its class.
+    /// Class of the request.
     pub class: &'a MixClass,
-    /// Number of the thing that it is about.
-    pub number: u32,
-    /// When it is due.
+    /// ID of the requested resource.
+    pub resource_id: u32,
+    /// Scheduled send time.
     pub due: Instant,
-    /// The entry node that it goes to first, by index.
+    /// Index of the entry node for the first attempt.
     pub first_entry: usize,
-    /// When it is sent again.
-    pub resend: Resend,
+    pub retry_policy: RetryPolicy,
 }
 
-/// The state of one request.
+/// State of a request across its attempts.
 struct Attempts<'a> {
     job: &'a Job<'a>,
     entries: &'a [Pool],
@@ -56,21 +56,21 @@
     record: Record,
 }
 
-/// What a send came to, as far as the caller goes on from it.
-enum Next {
+/// What the caller does after an attempt.
+enum NextStep {
     Final,
-    Resend(Duration),
+    Retry(Duration),
 }
 
-/// Makes a request and returns its record, at the latest `GRACE` after its deadline.
+/// Executes a request and returns its record, no later than `GRACE_PERIOD` after its deadline.
 pub async fn call(job: &Job<'_>, entries: &[Pool]) -> Record {
-    call_with_grace(job, entries, GRACE).await
+    call_with_grace(job, entries, GRACE_PERIOD).await
 }
 
-/// The same for a caller that takes an answer until `grace` after its deadline.
-pub async fn call_with_grace(job: &Job<'_>, entries: &[Pool], grace: Duration) -> Record {
+/// Executes a request, accepting a response until `grace_period` after its deadline.
+pub async fn call_with_grace(job: &Job<'_>, entries: &[Pool], grace_period: Duration) -> Record {
     let mut attempts = Attempts::new(job, entries);
-    let end = attempts.deadline + grace;
+    let end = attempts.deadline + grace_period;
     attempts.run(end).await;
     attempts.record.final_us = now_us();
     attempts.record
@@ -79,8 +79,8 @@
 impl<'a> Attempts<'a> {
     fn new(job: &'a Job<'a>, entries: &'a [Pool]) -> Attempts<'a> {
         let deadline = Duration::from_millis(job.class.deadline_ms);
-        let late = job.due.elapsed().as_micros() as u64;
-        let invoked_us = now_us() - late;
+        let delay_us = job.due.elapsed().as_micros() as u64;
+        let invoked_us = now_us() - delay_us;
         let record = Record {
             id: Uuid::now_v7().to_string(),
             key: job.class.at_most_once.then(|| Uuid::now_v7().to_string()),
@@ -102,27 +102,27 @@
         for index in 0.. {
             let entry = (self.job.first_entry + index) % self.entries.len();
             let wait = match self.send(&self.entries[entry], end).await {
-                Next::Final => break,
-                Next::Resend(wait) => wait,
+                NextStep::Final => break,
+                NextStep::Retry(wait) => wait,
             };
             if Instant::now() + wait >= self.deadline {
-                self.record.outcome = self.outcome_of_failures();
+                self.record.outcome = self.outcome_after_failures();
                 return;
             }
             Timer::after(wait).await;
         }
         if self.record.outcome == Outcome::NotRun {
-            self.record.outcome = self.outcome_of_failures();
+            self.record.outcome = self.outcome_after_failures();
         }
     }
 
-    /// What the caller knows once it sends no more. A refusal speaks for its own send alone, so
-    /// that the request has not run only if no other send may have reached a target.
-    fn outcome_of_failures(&self) -> Outcome {
-        let harmless =
+    /// The outcome after the last attempt. A refusal only covers its own attempt, so the request
+    /// is known not to have run only if no attempt may have reached a target.
+    fn outcome_after_failures(&self) -> Outcome {
+        let did_not_run =
             |send: &Send| matches!(send.result, SendResult::NotRun | SendResult::NotSent);
         let answered = |send: &Send| send.result == SendResult::Answered;
-        if self.record.sends.iter().all(harmless) {
+        if self.record.sends.iter().all(did_not_run) {
             Outcome::NotRun
         } else if self.record.sends.last().is_some_and(answered) {
             Outcome::Answered
@@ -131,119 +131,128 @@
         }
     }
 
-    async fn send(&mut self, entry: &Pool, end: Instant) -> Next {
+    async fn send(&mut self, entry: &Pool, end: Instant) -> NextStep {
         let at_us = now_us();
         self.record.code = None;
-        let Some(permit) = before(self.deadline, entry.permit()).await else {
-            // Too many of the caller's own requests are under way.
+        let Some(permit) = timeout_at(self.deadline, entry.permit()).await else {
+            // The pool had no free permit before the deadline.
             self.record.outcome = Outcome::NotRun;
-            return self.push(entry, at_us, SendResult::NotSent, Next::Final);
+            return self.push(entry, at_us, SendResult::NotSent, NextStep::Final);
         };
         let req = self.request();
-        let exchange = before(end, entry.send_with(permit, req));
+        let exchange = timeout_at(end, entry.send_with(permit, req));
         let (result, next) = match exchange.await {
-            Some(Ok(exchange)) => self.take(entry, exchange, end).await,
-            Some(Err(SendError::NotSent)) => (SendResult::NotSent, self.next_entry()),
-            Some(Err(SendError::Broken)) => resend(SendResult::Broken),
-            None => (SendResult::TimedOut, Next::Final),
+            Some(Ok(exchange)) => self.handle_response(entry, exchange, end).await,
+            Some(Err(SendError::NotSent)) => (SendResult::NotSent, self.fail_over()),
+            Some(Err(SendError::Broken)) => retry(SendResult::Broken),
+            None => (SendResult::TimedOut, NextStep::Final),
         };
         self.push(entry, at_us, result, next)
     }
 
-    fn push(&mut self, entry: &Pool, at_us: u64, result: SendResult, next: Next) -> Next {
+    fn push(&mut self, entry: &Pool, at_us: u64, result: SendResult, next: NextStep) -> NextStep {
         let code = self.record.code;
         let send = Send { entry: entry.address(), at_us, end_us: now_us(), result, code };
         self.record.sends.push(send);
         next
     }
 
-    /// A caller that can't reach one entry node tries the next at once, until it has tried all.
-    fn next_entry(&self) -> Next {
+    /// Retries on the next entry node without delay until all entry nodes have been tried.
+    fn fail_over(&self) -> NextStep {
         let tried_all = self.record.sends.len() + 1 >= self.entries.len();
-        Next::Resend(if tried_all { DEFAULT_RETRY_AFTER } else { Duration::ZERO })
+        NextStep::Retry(if tried_all { DEFAULT_RETRY_AFTER } else { Duration::ZERO })
     }
 
-    fn request(&self) -> Outgoing {
+    fn request(&self) -> OutgoingRequest {
         let class = self.job.class;
-        let left = self.deadline.saturating_duration_since(Instant::now()).as_millis();
+        let remaining_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis();
         let method = if class.at_most_once { "POST" } else { "GET" };
         let mut req = hyper::Request::builder()
             .method(method)
-            .uri(class.target(self.job.number))
+            .uri(class.path_and_query(self.job.resource_id))
             .header("host", "sycamore")
             .header("x-sycamore-request-id", &self.record.id)
-            .header("x-sycamore-deadline-ms", left.max(1).to_string());
+            .header("x-sycamore-deadline-ms", remaining_ms.max(1).to_string());
         if let Some(key) = &self.record.key {
             req = req.header("idempotency-key", key);
         }
         let body = Bytes::from(vec![b'.'; class.request_bytes]);
-        req.body(Full::new(body)).expect("paths of the mix are valid")
+        req.body(Full::new(body)).expect("paths of the mix must be valid")
     }
 
-    async fn take(&mut self, entry: &Pool, exchange: Exchange, end: Instant) -> (SendResult, Next) {
+    async fn handle_response(
+        &mut self,
+        entry: &Pool,
+        exchange: Exchange,
+        end: Instant,
+    ) -> (SendResult, NextStep) {
         let Exchange { response, connection } = exchange;
         self.record.status = Some(response.status().as_u16());
-        self.record.code = number(&response, "x-sycamore-code").map(|code| code as u16);
+        self.record.code = numeric_header(&response, "x-sycamore-code").map(|code| code as u16);
         match header(&response, "x-sycamore-outcome") {
             Some("not-run") => {
-                let wait = number(&response, "x-sycamore-retry-after-ms");
+                let wait = numeric_header(&response, "x-sycamore-retry-after-ms");
                 if response.into_body().collect().await.is_ok() {
-                    entry.keep(connection);
+                    entry.release(connection);
                 }
-                // A refusal that doesn't say when to come back would come again.
+                // A refusal without a retry delay is final: a retry would be refused again.
                 self.record.outcome = Outcome::NotRun;
-                let next = match (self.job.resend, wait) {
-                    (Resend::AtOnce, _) => Next::Resend(AT_ONCE),
-                    (Resend::AsTold, Some(ms)) => Next::Resend(Duration::from_millis(ms)),
-                    (Resend::AsTold, None) => Next::Final,
+                let next = match (self.job.retry_policy, wait) {
+                    (RetryPolicy::Immediate, _) => NextStep::Retry(IMMEDIATE_RETRY_DELAY),
+                    (RetryPolicy::HonourRetryAfter, Some(ms)) => {
+                        NextStep::Retry(Duration::from_millis(ms))
+                    }
+                    (RetryPolicy::HonourRetryAfter, None) => NextStep::Final,
                 };
                 (SendResult::NotRun, next)
             }
             Some("unknown") => {
                 self.record.outcome = Outcome::Unknown;
-                (SendResult::Unknown, Next::Final)
+                (SendResult::Unknown, NextStep::Final)
             }
             _ => {
-                let read = before(end, self.read(entry, response, connection)).await;
-                read.unwrap_or((SendResult::TimedOut, Next::Final))
+                let read = timeout_at(end, self.read_body(entry, response, connection)).await;
+                read.unwrap_or((SendResult::TimedOut, NextStep::Final))
             }
         }
     }
 
-    /// Reads an answer to its end and holds it against what belongs to this request.
-    async fn read(
+    /// Reads a response body and compares it with the expected body of this request.
+    async fn read_body(
         &mut self,
         entry: &Pool,
         response: Response<Incoming>,
         connection: Connection,
-    ) -> (SendResult, Next) {
+    ) -> (SendResult, NextStep) {
         let success = response.status().is_success();
         let mut pattern = Pattern::new(self.record.id.as_bytes());
         let mut body = response.into_body();
         let mut bytes = 0;
         let mut correct = true;
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return resend(SendResult::BodyCut) };
+            let Ok(frame) = frame else { return retry(SendResult::BodyCut) };
             let Ok(data) = frame.into_data() else { continue };
             bytes += data.len();
             correct = correct && pattern.matches(&data);
         }
-        entry.keep(connection);
+        entry.release(connection);
         self.record.bytes = bytes as u64;
-        let whole = correct && bytes == self.job.class.answer_bytes;
-        // The body of an error is the target's own; nothing can be held against it.
-        self.record.body_correct = whole || !success;
+        let complete = correct && bytes == self.job.class.answer_bytes;
+        // The expected body of an error response is not known.
+        self.record.body_correct = complete || !success;
         self.record.outcome = Outcome::Answered;
         let failed = self.record.status.is_some_and(|status| status >= 500);
-        match self.job.resend {
-            Resend::AtOnce if failed => (SendResult::Answered, Next::Resend(AT_ONCE)),
-            _ => (SendResult::Answered, Next::Final),
+        match self.job.retry_policy {
+            RetryPolicy::Immediate if failed => {
+                (SendResult::Answered, NextStep::Retry(IMMEDIATE_RETRY_DELAY))
+            }
+            _ => (SendResult::Answered, NextStep::Final),
         }
     }
 }
 
-/// The output of a future, if it comes before a time.
-async fn before<T>(end: Instant, work: impl Future<Output = T>) -> Option<T> {
+/// Awaits a future until `end`. Returns `None` on timeout.
+async fn timeout_at<T>(end: Instant, work: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::at(end).await;
         None
@@ -251,14 +260,14 @@
     future::or(async { Some(work.await) }, timeout).await
 }
 
-fn resend(result: SendResult) -> (SendResult, Next) {
-    (result, Next::Resend(DEFAULT_RETRY_AFTER))
+fn retry(result: SendResult) -> (SendResult, NextStep) {
+    (result, NextStep::Retry(DEFAULT_RETRY_AFTER))
 }
 
 fn header<'a, B>(response: &'a Response<B>, name: &str) -> Option<&'a str> {
     response.headers().get(name)?.to_str().ok()
 }
 
-fn number<B>(response: &Response<B>, name: &str) -> Option<u64> {
+fn numeric_header<B>(response: &Response<B>, name: &str) -> Option<u64> {
     header(response, name)?.parse().ok()
 }
--- a/tools/src/load/plan.rs
+++ b/tools/src/load/plan.rs
@@ -1,7 +1,7 @@
-//! A run at a constant rate: requests go out when they are due, whether or not earlier ones have
-//! been answered, and their latency counts from when they were due.
+//! Open-loop load at a constant rate: requests are sent on schedule regardless of earlier
+//! responses, and latency is measured from the scheduled time.
 
-use super::caller::{Job, Resend, call};
+use super::caller::{Job, RetryPolicy, call};
 use super::client::Pool;
 use super::history::History;
 use super::mix::Mix;
@@ -17,33 +17,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Highest number of a thing that requests are about.
-const MAX_NUMBER: u32 = 10_000;
+/// Highest resource ID in requests.
+const MAX_RESOURCE_ID: u32 = 10_000;
 
-/// Requests started in a row before answers are looked at again, when the run is late.
-const BURST: usize = 32;
+/// Requests started without yielding to responses when the run is behind schedule.
+const MAX_BURST: usize = 32;
 
-/// What to run.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The classes of requests.
     pub mix: Mix,
-    /// The entry nodes.
+    /// Addresses of the entry nodes.
     pub entries: Vec<SocketAddr>,
-    /// Requests a second, over all threads.
+    /// Requests per second, summed over all threads.
     pub rate: f64,
-    /// How long requests go out.
+    /// Duration for which requests are started.
     pub duration: Duration,
-    /// Threads that make requests.
+    /// Number of threads.
     pub threads: usize,
-    /// Decides classes, numbers and entry nodes.
+    /// Random seed for classes, resource IDs and entry nodes.
     pub seed: u64,
-    /// When callers send again.
-    pub resend: Resend,
+    pub retry_policy: RetryPolicy,
 }
 
 impl Plan {
-    /// Runs to the end and returns what the callers measured.
+    /// Runs the load to its end and returns the summary.
     pub fn run(&self, history: &Arc<History>) -> Summary {
         let start = Instant::now();
         let mut summary = Summary::new(&self.mix);
@@ -55,15 +53,15 @@
                 })
                 .collect();
             for thread in threads {
-                if let Ok(part) = thread.join() {
-                    summary.add(&part);
+                if let Ok(thread_summary) = thread.join() {
+                    summary.merge(&thread_summary);
                 }
             }
         });
         summary
     }
 
-    /// Makes every request whose number is `thread` modulo the number of threads.
+    /// Executes the requests whose index is congruent to `thread` modulo the number of threads.
     fn run_thread(&self, thread: usize, start: Instant, history: &Arc<History>) -> Summary {
         let executor = Rc::new(LocalExecutor::new());
         let pools = self.entries.iter().map(|at| Pool::new(*at, executor.clone())).collect();
@@ -76,21 +74,21 @@
         let mut rng = StdRng::seed_from_u64(self.seed.wrapping_add(thread as u64));
         let total = (self.rate * self.duration.as_secs_f64()) as u64;
         async_io::block_on(executor.run(async {
-            let mut running = Vec::new();
+            let mut tasks = Vec::new();
             for (count, index) in (thread as u64..total).step_by(self.threads).enumerate() {
                 let due = start + Duration::from_secs_f64(index as f64 / self.rate);
                 if due > Instant::now() {
                     Timer::at(due).await;
-                } else if count % BURST == 0 {
+                } else if count % MAX_BURST == 0 {
                     future::yield_now().await;
                 }
-                let draw = Draw::new(&mut rng, &self.mix, self.entries.len());
-                running.push(executor.spawn(callers.clone().make(draw, due)));
-                if running.len() >= 1_024 {
-                    running.retain(|task| !task.is_finished());
+                let choice = RequestChoice::new(&mut rng, &self.mix, self.entries.len());
+                tasks.push(executor.spawn(callers.clone().run_request(choice, due)));
+                if tasks.len() >= 1_024 {
+                    tasks.retain(|task| !task.is_finished());
                 }
             }
-            for task in running {
+            for task in tasks {
                 task.await;
             }
         }));
@@ -98,24 +96,24 @@
     }
 }
 
-/// What chance decides of a request.
-struct Draw {
+/// Randomly chosen parameters of a request.
+struct RequestChoice {
     class: usize,
-    number: u32,
+    resource_id: u32,
     first_entry: usize,
 }
 
-impl Draw {
-    fn new(rng: &mut StdRng, mix: &Mix, entries: usize) -> Draw {
-        Draw {
+impl RequestChoice {
+    fn new(rng: &mut StdRng, mix: &Mix, entries: usize) -> RequestChoice {
+        RequestChoice {
             class: mix.class_at(rng.random_range(0..mix.shares())),
-            number: rng.random_range(1..=MAX_NUMBER),
+            resource_id: rng.random_range(1..=MAX_RESOURCE_ID),
             first_entry: rng.random_range(0..entries),
         }
     }
 }
 
-/// The callers of one thread.
+/// State shared by the requests of one thread.
 struct Callers {
     plan: Plan,
     pools: Vec<Pool>,
@@ -124,12 +122,13 @@
 }
 
 impl Callers {
-    async fn make(self: Rc<Callers>, draw: Draw, due: Instant) {
-        let class = &self.plan.mix.classes[draw.class];
-        let Draw { number, first_entry, .. } = draw;
-        let job = Job { class, number, due, first_entry, resend: self.plan.resend };
+    async fn run_request(self: Rc<Callers>, choice: RequestChoice, due: Instant) {
+        let class = &self.plan.mix.classes[choice.class];
+        let RequestChoice { resource_id, first_entry, .. } = choice;
+        let job =
+            Job { class, resource_id, due, first_entry, retry_policy: self.plan.retry_policy };
         let record = call(&job, &self.pools).await;
         self.history.push(&record);
-        self.summary.borrow_mut().push(draw.class, &record);
+        self.summary.borrow_mut().record_request(choice.class, &record);
     }
 }
--- a/tools/tests/load.rs
+++ b/tools/tests/load.rs
@@ -1,4 +1,4 @@
-//! What a caller makes of answers, refusals and broken connections.
+//! Checks how a caller handles responses, refusals and broken connections.
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Instant;
-use sycamore_tools::load::caller::{Job, Resend, call};
+use sycamore_tools::load::caller::{Job, RetryPolicy, call};
 use sycamore_tools::load::client::Pool;
 use sycamore_tools::load::history::{Outcome, Record, SendResult};
 use sycamore_tools::load::mix::{Mix, MixClass};
@@ -18,25 +18,25 @@
 const UNKNOWN: &str = "HTTP/1.1 504 x\r\nx-sycamore-outcome: unknown\r\nx-sycamore-code: 464\r\n\
     content-length: 0\r\nconnection: close\r\n\r\n";
 
-/// What the server does on one connection.
+/// Behaviour of the server on one connection.
 #[derive(Clone, Copy)]
 enum Step {
-    Say(&'static str),
-    Break,
-    /// Answers with the first bytes of the body that belongs to the request, or to another one.
-    Answer {
+    Respond(&'static str),
+    Disconnect,
+    /// Responds with the first bytes of the body for this request (`own`) or for another one.
+    RespondWithBody {
         own: bool,
         bytes: usize,
     },
-    Silent,
+    NoResponse,
 }
 
-/// A server that takes one step a connection, then goes away.
+/// Starts a server that handles one connection per step and then closes its listener.
 fn start(steps: Vec<Step>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut open_streams = Vec::new();
         for step in steps {
             let (mut stream, _) = listener.accept().unwrap();
             let mut buf = Vec::new();
@@ -46,22 +46,22 @@
                 buf.push(byte[0]);
             }
             match step {
-                Step::Say(text) => stream.write_all(text.as_bytes()).unwrap(),
-                Step::Break => {}
-                Step::Answer { own, bytes } => {
-                    stream.write_all(&answer(&buf, own, bytes)).unwrap();
+                Step::Respond(text) => stream.write_all(text.as_bytes()).unwrap(),
+                Step::Disconnect => {}
+                Step::RespondWithBody { own, bytes } => {
+                    stream.write_all(&response_bytes(&buf, own, bytes)).unwrap();
                 }
-                Step::Silent => kept.push(stream),
+                Step::NoResponse => open_streams.push(stream),
             }
         }
-        kept.into_iter().for_each(|mut stream| {
+        open_streams.into_iter().for_each(|mut stream| {
             let _ = stream.read(&mut [0]);
         });
     });
     address
 }
 
-fn answer(head: &[u8], own: bool, bytes: usize) -> Vec<u8> {
+fn response_bytes(head: &[u8], own: bool, bytes: usize) -> Vec<u8> {
     let head = String::from_utf8_lossy(head);
     let id = head.lines().find_map(|line| line.strip_prefix("x-sycamore-request-id: "));
     let id = if own { id.unwrap() } else { "another request" };
@@ -92,7 +92,13 @@
     let pools = [Pool::new(start(steps), executor.clone())];
     let class = class(deadline_ms);
     let due = Instant::now();
-    let job = Job { class: &class, number: 1, due, first_entry: 0, resend: Resend::AsTold };
+    let job = Job {
+        class: &class,
+        resource_id: 1,
+        due,
+        first_entry: 0,
+        retry_policy: RetryPolicy::HonourRetryAfter,
+    };
     future::block_on(executor.run(call(&job, &pools)))
 }
 
@@ -100,11 +106,11 @@
     record.sends.iter().map(|send| send.result).collect()
 }
 
-const WHOLE: Step = Step::Answer { own: true, bytes: BODY_BYTES };
+const COMPLETE_RESPONSE: Step = Step::RespondWithBody { own: true, bytes: BODY_BYTES };
 
 #[test]
 fn call_answered_after_refusal_and_break() {
-    let record = run(vec![Step::Say(REFUSAL), Step::Break, WHOLE], 60_000);
+    let record = run(vec![Step::Respond(REFUSAL), Step::Disconnect, COMPLETE_RESPONSE], 60_000);
     let expected = [SendResult::NotRun, SendResult::Broken, SendResult::Answered];
     assert_eq!(results(&record), expected);
     assert_eq!((record.outcome, record.body_correct), (Outcome::Answered, true));
@@ -113,48 +119,49 @@
 
 #[test]
 fn call_body_cut_is_sent_again() {
-    let record = run(vec![Step::Answer { own: true, bytes: 40 }, WHOLE], 60_000);
+    let record =
+        run(vec![Step::RespondWithBody { own: true, bytes: 40 }, COMPLETE_RESPONSE], 60_000);
     assert_eq!(results(&record), [SendResult::BodyCut, SendResult::Answered]);
     assert_eq!((record.bytes, record.body_correct), (BODY_BYTES as u64, true));
 }
 
 #[test]
 fn call_answer_of_another_request() {
-    let record = run(vec![Step::Answer { own: false, bytes: BODY_BYTES }], 60_000);
+    let record = run(vec![Step::RespondWithBody { own: false, bytes: BODY_BYTES }], 60_000);
     assert_eq!((record.outcome, record.body_correct), (Outcome::Answered, false));
 }
 
 #[test]
 fn call_unknown_is_final() {
-    let record = run(vec![Step::Say(UNKNOWN)], 60_000);
+    let record = run(vec![Step::Respond(UNKNOWN)], 60_000);
     assert_eq!((record.outcome, record.code), (Outcome::Unknown, Some(464)));
 }
 
 #[test]
 fn call_refused_until_deadline() {
-    // The server goes away after its refusals; what was never sent has not run either.
-    let record = run(vec![Step::Say(REFUSAL); 3], 300);
+    // The server stops after its refusals. Attempts that can't connect count as not run.
+    let record = run(vec![Step::Respond(REFUSAL); 3], 300);
     assert_eq!(record.outcome, Outcome::NotRun);
 }
 
 #[test]
 fn call_break_then_refusals_is_unknown() {
-    // Story: the connection breaks after the request went out, and every later send is refused
-    // until the deadline. A refusal speaks for its own send, so the first may still have run.
-    let record = run(vec![Step::Break, Step::Say(REFUSAL)], 300);
+    // Refusals of later attempts don't prove that an earlier attempt on a broken connection did not
+    // run.
+    let record = run(vec![Step::Disconnect, Step::Respond(REFUSAL)], 300);
     assert_eq!(record.outcome, Outcome::Unknown);
 }
 
 #[test]
 fn call_never_answered_is_lost() {
-    let record = run(vec![Step::Silent], 10);
+    let record = run(vec![Step::NoResponse], 10);
     assert_eq!((record.outcome, results(&record)), (Outcome::None, vec![SendResult::TimedOut]));
 }
 
 #[test]
 fn mix_target_and_class() {
-    let target = "/contracts/7?work_us=0&bytes=100&chain=/a/7,/b/7";
-    assert_eq!(class(1).target(7), target);
+    let path_and_query = "/contracts/7?work_us=0&bytes=100&chain=/a/7,/b/7";
+    assert_eq!(class(1).path_and_query(7), path_and_query);
     let with_share = |share| MixClass { share, ..class(1) };
     let mix = Mix { classes: vec![with_share(2), with_share(0), with_share(1)] };
     let classes: Vec<_> = (0..3).map(|point| mix.class_at(point)).collect();
