--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -197,7 +197,11 @@
                 }
                 Some(Ok((response, connection))) if self.matches_request(&response, &call.id) => {
                     let elapsed = self.shared.clock.now().since(sent_at);
-                    Metrics::observe_duration(&self.shared.metrics.run_seconds, call.class, elapsed);
+                    Metrics::observe_duration(
+                        &self.shared.metrics.run_seconds,
+                        call.class,
+                        elapsed,
+                    );
                     return match self.rejection_code(&response) {
                         None => Ok(TargetResponse { response, connection, running }),
                         Some(code) => Err(report_rejection(running, response, connection, code)),
--- a/node/src/output.rs
+++ b/node/src/output.rs
@@ -57,7 +57,9 @@
     fields.insert("time".to_owned(), now.format_rfc3339().into());
     fields.insert("level".to_owned(), record.level().as_str().into());
     match serde_json::from_str::<Fields>(&text) {
-        Ok(event_fields) if [EVENT_TARGET, trace::REQUEST_LOG_TARGET].contains(&record.target()) => {
+        Ok(event_fields)
+            if [EVENT_TARGET, trace::REQUEST_LOG_TARGET].contains(&record.target()) =>
+        {
             fields.extend(event_fields)
         }
         _ => {
