--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::spread::peers::Peers;
-use crate::spread::{Context, Listener, own_peer, server};
+use crate::spread::{Context, Listener, local_peer, server};
 use crate::store::Store;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -62,12 +62,12 @@
         let (messages, message_rx) = async_channel::bounded(MAX_INPUTS);
         let (replies, reply_rx) = async_channel::bounded(MAX_REPLIES);
         let cx = Context { shared: shared.clone(), executor: executor.clone(), inputs: messages };
-        let own = own_peer(&shared.settings);
-        executor.spawn(server::serve(cx.clone(), own.clone(), listener.peers)).detach();
+        let local_peer = local_peer(&shared.settings);
+        executor.spawn(server::serve(cx.clone(), local_peer.clone(), listener.peers)).detach();
         let seed = uuid::Uuid::now_v7().as_u64_pair().1;
         let driver = Driver {
             discovery: Discovery::new(config(&shared.settings), seed),
-            peers: Peers::new(cx.clone(), own),
+            peers: Peers::new(cx.clone(), local_peer),
             store,
             wake: None,
             calls,
--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -80,12 +80,12 @@
     let task = async move {
         let executor = Rc::new(LocalExecutor::new());
         let cx = Context { shared: shared.clone(), executor: executor.clone(), inputs };
-        let own = own_peer(&shared.settings);
-        executor.spawn(server::serve(cx.clone(), own.clone(), listener.peers)).detach();
+        let local_peer = local_peer(&shared.settings);
+        executor.spawn(server::serve(cx.clone(), local_peer.clone(), listener.peers)).detach();
         let seed = uuid::Uuid::now_v7().as_u64_pair().1;
         let driver = Driver {
             spread: Spread::new(config(&shared.settings), seed),
-            peers: Peers::new(cx.clone(), own),
+            peers: Peers::new(cx.clone(), local_peer),
             source_calls: IndexMap::new(),
             wake: shared.clock.now(),
             calls,
@@ -98,7 +98,7 @@
 }
 
 /// Identity that this node presents to peers.
-pub(crate) fn own_peer(settings: &Settings) -> Peer {
+pub(crate) fn local_peer(settings: &Settings) -> Peer {
     Peer { vm: settings.vm.clone(), place: settings.place(), address: settings.listen.peers }
 }
 
--- a/node/src/spread/peers.rs
+++ b/node/src/spread/peers.rs
@@ -39,15 +39,15 @@
 #[derive(Clone)]
 pub struct Peers {
     cx: Context,
-    own: Peer,
+    local_peer: Peer,
     open: Rc<RefCell<IndexMap<SocketAddr, Sender<PeerMsg>>>>,
     payloads: Rc<RefCell<PayloadCache>>,
 }
 
 impl Peers {
-    pub fn new(cx: Context, own: Peer) -> Peers {
+    pub fn new(cx: Context, local_peer: Peer) -> Peers {
         let open = Rc::new(RefCell::new(IndexMap::new()));
-        Peers { cx, own, open, payloads: Rc::default() }
+        Peers { cx, local_peer, open, payloads: Rc::default() }
     }
 
     /// Sends a message. Failures are reported as [`Input::PeerFailed`].
@@ -113,7 +113,7 @@
 
     async fn hello(&self, node: wire::node::Client) -> Result<wire::session::Client, capnp::Error> {
         let mut req = node.hello_request();
-        codec::write_peer(&self.own, req.get().init_from());
+        codec::write_peer(&self.local_peer, req.get().init_from());
         let answer = req.send().promise.await?;
         answer.get()?.get_session()
     }
--- a/node/src/spread/server.rs
+++ b/node/src/spread/server.rs
@@ -24,7 +24,7 @@
 /// RPC interface exposed to a peer.
 struct Node {
     cx: Context,
-    own: Peer,
+    local_peer: Peer,
     sent_bytes: ByteCounter,
     hello_received: std::rc::Rc<Cell<bool>>,
 }
@@ -36,7 +36,7 @@
         mut results: wire::node::HelloResults,
     ) -> Result<(), capnp::Error> {
         let from = codec::read_peer(params.get()?.get_from()?)?;
-        let link = self.own.place.link_to(&from.place);
+        let link = self.local_peer.place.link_to(&from.place);
         let metrics = &self.cx.shared.metrics;
         self.sent_bytes.set(metrics.control_bytes.with_label_values(&[link.label()]));
         self.hello_received.set(true);
@@ -47,7 +47,7 @@
 }
 
 /// Accepts connections until the future is dropped.
-pub async fn serve(cx: Context, own: Peer, listener: Async<TcpListener>) {
+pub async fn serve(cx: Context, local_peer: Peer, listener: Async<TcpListener>) {
     let (permit_tx, permit_rx) = async_channel::bounded::<()>(MAX_CONNECTIONS);
     loop {
         if permit_tx.send(()).await.is_err() {
@@ -59,7 +59,7 @@
             continue;
         };
         let (connection, permit_rx) =
-            (serve_one(cx.clone(), own.clone(), stream), permit_rx.clone());
+            (serve_one(cx.clone(), local_peer.clone(), stream), permit_rx.clone());
         let task = async move {
             connection.await;
             let _ = permit_rx.try_recv();
@@ -68,12 +68,12 @@
     }
 }
 
-async fn serve_one(cx: Context, own: Peer, stream: Async<TcpStream>) {
+async fn serve_one(cx: Context, local_peer: Peer, stream: Async<TcpStream>) {
     let hello_received = std::rc::Rc::new(Cell::new(false));
     let sent_bytes = ByteCounter::default();
     let node = Node {
         cx: cx.clone(),
-        own,
+        local_peer,
         sent_bytes: sent_bytes.clone(),
         hello_received: hello_received.clone(),
     };
