--- a/node/src/spread/peers.rs
+++ b/node/src/spread/peers.rs
@@ -40,39 +40,39 @@
 pub struct Peers {
     cx: Context,
     local_peer: Peer,
-    open: Rc<RefCell<IndexMap<SocketAddr, Sender<PeerMsg>>>>,
+    connections: Rc<RefCell<IndexMap<SocketAddr, Sender<PeerMsg>>>>,
     payloads: Rc<RefCell<PayloadCache>>,
 }
 
 impl Peers {
     pub fn new(cx: Context, local_peer: Peer) -> Peers {
-        let open = Rc::new(RefCell::new(IndexMap::new()));
-        Peers { cx, local_peer, open, payloads: Rc::default() }
+        let connections = Rc::new(RefCell::new(IndexMap::new()));
+        Peers { cx, local_peer, connections, payloads: Rc::default() }
     }
 
     /// Sends a message. Failures are reported as [`Input::PeerFailed`].
     pub fn send(&self, to: SocketAddr, link: Link, msg: PeerMsg) {
         let label = [link.label()];
         self.cx.shared.metrics.control_messages.with_label_values(&label).inc();
-        let open = self.open.borrow().get(&to).cloned();
-        let Some(queue) = open else { return self.open(to, link, msg) };
+        let open = self.connections.borrow().get(&to).cloned();
+        let Some(queue) = open else { return self.open_connection(to, link, msg) };
         match queue.try_send(msg) {
             Ok(()) => {}
             Err(TrySendError::Full(_)) => self.report_failure(to),
-            Err(TrySendError::Closed(msg)) => self.open(to, link, msg),
+            Err(TrySendError::Closed(msg)) => self.open_connection(to, link, msg),
         }
     }
 
     fn report_failure(&self, to: SocketAddr) {
-        self.open.borrow_mut().swap_remove(&to);
+        self.connections.borrow_mut().swap_remove(&to);
         // If the queue is full, the failure is detected when a ping goes unanswered.
         let _ = self.cx.inputs.try_send(Input::PeerFailed { to });
     }
 
-    fn open(&self, to: SocketAddr, link: Link, msg: PeerMsg) {
+    fn open_connection(&self, to: SocketAddr, link: Link, msg: PeerMsg) {
         let (tx, rx) = async_channel::bounded(MAX_QUEUED_MESSAGES);
         let _ = tx.try_send(msg);
-        self.open.borrow_mut().insert(to, tx);
+        self.connections.borrow_mut().insert(to, tx);
         let peers = self.clone();
         let task = async move {
             let sent_bytes = ByteCounter::default();
@@ -102,7 +102,7 @@
         let driver = self.cx.executor.spawn(system);
         let hello = self.hello(node).or(self.timeout(CONNECT_TIMEOUT)).await;
         let result = match hello {
-            Ok(session) => self.deliver_all(&session, rx).await,
+            Ok(session) => self.deliver_messages(&session, rx).await,
             Err(e) => Err(e),
         };
         // The peer may have disconnected already.
@@ -118,7 +118,7 @@
         answer.get()?.get_session()
     }
 
-    async fn deliver_all(
+    async fn deliver_messages(
         &self,
         session: &wire::session::Client,
         rx: &Receiver<PeerMsg>,
