--- a/node/src/spread/server.rs
+++ b/node/src/spread/server.rs
@@ -59,7 +59,7 @@
             continue;
         };
         let (connection, permit_rx) =
-            (serve_one(cx.clone(), local_peer.clone(), stream), permit_rx.clone());
+            (serve_connection(cx.clone(), local_peer.clone(), stream), permit_rx.clone());
         let task = async move {
             connection.await;
             let _ = permit_rx.try_recv();
@@ -68,7 +68,7 @@
     }
 }
 
-async fn serve_one(cx: Context, local_peer: Peer, stream: Async<TcpStream>) {
+async fn serve_connection(cx: Context, local_peer: Peer, stream: Async<TcpStream>) {
     let hello_received = std::rc::Rc::new(Cell::new(false));
     let sent_bytes = ByteCounter::default();
     let node = Node {
