--- a/node/src/spread/payload.rs
+++ b/node/src/spread/payload.rs
@@ -58,7 +58,7 @@
     content: &Arc<T>,
     encode: impl Fn(&T) -> Result<Vec<u8>>,
 ) -> Result<Rc<Vec<u8>>> {
-    if let Some((_, compressed)) = cache.iter().find(|(held, _)| Arc::ptr_eq(held, content)) {
+    if let Some((_, compressed)) = cache.iter().find(|(cached, _)| Arc::ptr_eq(cached, content)) {
         return Ok(compressed.clone());
     }
     let compressed = Rc::new(encode(content)?);
