--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -186,7 +186,7 @@
             Output::Note { from, note } => self.calls.take_note(&from, note),
             Output::InForce(snapshot) => {
                 let newer =
-                    shared.in_force().is_none_or(|held| held.version() < snapshot.version());
+                    shared.in_force().is_none_or(|current| current.version() < snapshot.version());
                 shared.put_in_force(snapshot);
                 let now = shared.clock.now();
                 if newer {
@@ -195,13 +195,13 @@
                 self.calls.view_changed();
             }
             Output::Refused(fault) => {
-                shared.update_spread(|shown| shown.last_refusal = Some(fault));
+                shared.update_spread(|current_view| current_view.last_refusal = Some(fault));
             }
             Output::Event(event) => shared.record(event),
-            Output::Status(status) => shared.update_spread(|shown| {
-                shown.newest_heard = status.newest;
-                shown.platform_answers = status.store_answers;
-                shown.confirmed = status.store_answers == Some(true);
+            Output::Status(status) => shared.update_spread(|current_view| {
+                current_view.newest_heard = status.newest;
+                current_view.platform_answers = status.store_answers;
+                current_view.confirmed = status.store_answers == Some(true);
             }),
             Output::WakeAt(at) => self.wake = Some(at),
         }
--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -182,17 +182,17 @@
                 shared.set_members(members);
                 self.calls.view_changed();
             }
-            Output::View(view) => shared.update_spread(|shown| {
-                shown.newest_heard = view.newest_heard;
-                shown.role = view.role;
-                shown.parent = view.parent;
-                shown.platform_answers = view.platform_answers;
-                shown.confirmed = view.confirmed;
+            Output::View(view) => shared.update_spread(|current_view| {
+                current_view.newest_heard = view.newest_heard;
+                current_view.role = view.role;
+                current_view.parent = view.parent;
+                current_view.platform_answers = view.platform_answers;
+                current_view.confirmed = view.confirmed;
             }),
             Output::Confirmed => self.calls.confirmed(),
             Output::Event(event) => shared.record(event),
-            Output::Refused(fault) => shared.update_spread(|shown| {
-                shown.last_refusal = Some(fault);
+            Output::Refused(fault) => shared.update_spread(|current_view| {
+                current_view.last_refusal = Some(fault);
             }),
             Output::WakeAt(at) => self.wake = at,
         }
