--- a/node/src/metrics/families.rs
+++ b/node/src/metrics/families.rs
@@ -60,9 +60,9 @@
     }
 
     fn register<T: Collector + Clone + 'static>(&mut self, metric: prometheus::Result<T>) -> T {
-        let metric = metric.expect("the name is valid");
+        let metric = metric.expect("metric name and labels are valid");
         self.names.extend(metric.desc().iter().map(|desc| desc.fq_name.clone()));
-        self.registry.register(Box::new(metric.clone())).expect("the name is registered once");
+        self.registry.register(Box::new(metric.clone())).expect("metric name is unique");
         metric
     }
 }
