--- a/node/tests/shell/admin.rs
+++ b/node/tests/shell/admin.rs
@@ -41,7 +41,7 @@
     let node = NodeProcess::start(&settings());
     let (head, body) = node.request("GET", "/nothing");
     assert!(head.starts_with("HTTP/1.1 404"), "{head}");
-    assert!(body.contains("/status"), "the answer names the paths there are: {body}");
+    assert!(body.contains("/status"), "response does not list the supported paths: {body}");
 }
 
 #[test]
