--- a/node/tests/shell/process.rs
+++ b/node/tests/shell/process.rs
@@ -68,7 +68,7 @@
             .unwrap();
         let admin = settings["listen"]["admin"].as_str().unwrap().parse().unwrap();
         let mut node = NodeProcess { child, dir, admin };
-        node.wait_until("it listens", |_| TcpStream::connect(admin).is_ok());
+        node.wait_until("the node listens", |_| TcpStream::connect(admin).is_ok());
         node
     }
 
@@ -78,7 +78,11 @@
         let start = Instant::now();
         while !condition(self) {
             let runs = self.child.try_wait().unwrap().is_none();
-            assert!(runs && start.elapsed() < WAIT_TIMEOUT, "{what}: {}", self.log());
+            assert!(
+                runs && start.elapsed() < WAIT_TIMEOUT,
+                "waiting until {what}: process exited or timed out\n{}",
+                self.log()
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
