--- a/node/tests/shell/configured.rs
+++ b/node/tests/shell/configured.rs
@@ -45,7 +45,7 @@
     settings["target_address"] = target.to_string().into();
     let mut node = NodeProcess::start(&settings);
     let ready = |node: &NodeProcess| node.request("GET", "/ready").0.starts_with("HTTP/1.1 200");
-    node.wait_until("it is ready", ready);
+    node.wait_until("the node is ready", ready);
     (node, settings)
 }
 
@@ -93,7 +93,7 @@
     assert!(upstream.read(&mut [0; 1_000]).unwrap() > 0);
     node.signal(Signal::TERM);
     // The open call keeps the process from exiting on its own.
-    node.wait_until("it refuses connections", |_| TcpStream::connect(calls).is_err());
+    node.wait_until("the node refuses connections", |_| TcpStream::connect(calls).is_err());
     upstream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole").unwrap();
     let mut answer = String::new();
     caller.read_to_string(&mut answer).unwrap();
