--- a/node/tests/support/processes.rs
+++ b/node/tests/support/processes.rs
@@ -273,7 +273,7 @@
 pub fn wait_for(what: &str, done: impl Fn() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "{what} did not happen");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
