--- a/node/tests/spread_processes.rs
+++ b/node/tests/spread_processes.rs
@@ -64,7 +64,7 @@
     wait_for("version 2 in force", || all_have_version(&nodes, 2));
     assert!(nodes[0].is_running());
     let growth_kb = nodes[0].resident_kb().saturating_sub(before_kb);
-    assert!(growth_kb < 32_768, "grown by {growth_kb} KB");
+    assert!(growth_kb < 32_768, "resident memory grew by {growth_kb} KB");
 }
 
 #[test]
@@ -100,7 +100,7 @@
     ] {
         let calls = platform.calls();
         platform.set_response_mode(mode);
-        wait_for("more calls", || platform.calls() >= calls + 4);
+        wait_for("more calls to the platform", || platform.calls() >= calls + 4);
         assert!(all_have_version(&nodes, version), "{mode:?} changed the version");
         platform.set_response_mode(ResponseMode::Normal);
         version += 1;
