--- a/node/src/calls/conn_state.rs
+++ b/node/src/calls/conn_state.rs
@@ -1,7 +1,7 @@
 //! Tracks incoming connections and enforces their timeouts and their number.
 
 use crate::clock::Clock;
-use crate::shared::CallGuard;
+use crate::shared::OpenCallGuard;
 use async_channel::{Receiver, Sender};
 use parking_lot::Mutex;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
     deadline: AtomicU64,
     has_ambiguous_length: AtomicBool,
     local: bool,
-    open_call: Mutex<Option<CallGuard>>,
+    open_call: Mutex<Option<OpenCallGuard>>,
     close_sender: Sender<()>,
     close_receiver: Receiver<()>,
 }
@@ -86,7 +86,7 @@
     }
 
     /// Marks the start of a request.
-    pub fn begin_request(&self, open_call: CallGuard) {
+    pub fn begin_request(&self, open_call: OpenCallGuard) {
         *self.open_call.lock() = Some(open_call);
         self.set_phase(Phase::Call);
     }
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -272,9 +272,9 @@
     }
 
     /// Counts a call as in progress until the guard is dropped.
-    pub fn track_call(self: &Arc<Shared>) -> CallGuard {
+    pub fn track_call(self: &Arc<Shared>) -> OpenCallGuard {
         self.calls_open.fetch_add(1, Ordering::AcqRel);
-        CallGuard { shared: self.clone() }
+        OpenCallGuard { shared: self.clone() }
     }
 
     /// Whether no inbound call connection is open.
@@ -314,11 +314,11 @@
 
 /// Counts one call as in progress while it exists.
 #[derive(Debug)]
-pub struct CallGuard {
+pub struct OpenCallGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for CallGuard {
+impl Drop for OpenCallGuard {
     fn drop(&mut self) {
         self.shared.calls_open.fetch_sub(1, Ordering::AcqRel);
     }
