--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -60,7 +60,7 @@
             Ok(text) => Settings::parse(text),
             Err(e) => Err(Fault::new(Code::SettingsUnreadable).with_detail(e)),
         };
-        // An unreadable file is reported once; its content is applied when it becomes readable.
+        // Cleared on a read error, so that the content is applied once the file is readable again.
         self.last_text = text.unwrap_or_default();
         let event = Event::new(shared.clock.now(), EventKind::SettingsRead);
         match settings {
