--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -165,7 +165,7 @@
     }
 
     /// Replaces the configuration in force. The snapshot is swapped as a whole, so no call sees a
-    /// mix of versions. The caller has checked that it is newer.
+    /// mix of versions. The caller decides whether it supersedes the current one.
     pub fn put_in_force(&self, snapshot: Arc<Snapshot>) {
         self.metrics.version_in_force.set(snapshot.version() as i64);
         *self.in_force.write() = Some(snapshot);
