--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -51,7 +51,7 @@
     /// Process limits.
     #[serde(default)]
     pub limits: Limits,
-    /// Form and level of log lines.
+    /// Format and level of log lines.
     #[serde(default)]
     pub log: Log,
 }
@@ -218,7 +218,7 @@
     }
 }
 
-/// Form and level of log lines.
+/// Format and level of log lines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
