--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::spread::peers::Peers;
-use crate::spread::{Context, Listener, own_peer, server};
+use crate::spread::{Context, Listener, local_peer, server};
 use crate::store::Store;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -62,12 +62,12 @@
         let (messages, message_rx) = async_channel::bounded(MAX_INPUTS);
         let (replies, reply_rx) = async_channel::bounded(MAX_REPLIES);
         let cx = Context { shared: shared.clone(), executor: executor.clone(), inputs: messages };
-        let own = own_peer(&shared.settings);
-        executor.spawn(server::serve(cx.clone(), own.clone(), listener.peers)).detach();
+        let local_peer = local_peer(&shared.settings);
+        executor.spawn(server::serve(cx.clone(), local_peer.clone(), listener.peers)).detach();
         let seed = uuid::Uuid::now_v7().as_u64_pair().1;
         let driver = Driver {
             discovery: Discovery::new(config(&shared.settings), seed),
-            peers: Peers::new(cx.clone(), own),
+            peers: Peers::new(cx.clone(), local_peer),
             store,
             wake: None,
             calls,
@@ -186,7 +186,7 @@
             Output::Note { from, note } => self.calls.take_note(&from, note),
             Output::InForce(snapshot) => {
                 let newer =
-                    shared.in_force().is_none_or(|held| held.version() < snapshot.version());
+                    shared.in_force().is_none_or(|current| current.version() < snapshot.version());
                 shared.put_in_force(snapshot);
                 let now = shared.clock.now();
                 if newer {
@@ -195,13 +195,13 @@
                 self.calls.view_changed();
             }
             Output::Refused(fault) => {
-                shared.update_spread(|shown| shown.last_refusal = Some(fault));
+                shared.update_spread(|current_view| current_view.last_refusal = Some(fault));
             }
             Output::Event(event) => shared.record(event),
-            Output::Status(status) => shared.update_spread(|shown| {
-                shown.newest_heard = status.newest;
-                shown.platform_answers = status.store_answers;
-                shown.confirmed = status.store_answers == Some(true);
+            Output::Status(status) => shared.update_spread(|current_view| {
+                current_view.newest_heard = status.newest;
+                current_view.platform_answers = status.store_answers;
+                current_view.confirmed = status.store_answers == Some(true);
             }),
             Output::WakeAt(at) => self.wake = Some(at),
         }
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -165,7 +165,7 @@
     }
 
     /// Replaces the configuration in force. The snapshot is swapped as a whole, so no call sees a
-    /// mix of versions. The caller has checked that it is newer.
+    /// mix of versions. The caller decides whether it supersedes the current one.
     pub fn put_in_force(&self, snapshot: Arc<Snapshot>) {
         self.metrics.version_in_force.set(snapshot.version() as i64);
         *self.in_force.write() = Some(snapshot);
@@ -272,9 +272,9 @@
     }
 
     /// Counts a call as in progress until the guard is dropped.
-    pub fn track_call(self: &Arc<Shared>) -> CallGuard {
+    pub fn track_call(self: &Arc<Shared>) -> OpenCallGuard {
         self.calls_open.fetch_add(1, Ordering::AcqRel);
-        CallGuard { shared: self.clone() }
+        OpenCallGuard { shared: self.clone() }
     }
 
     /// Whether no inbound call connection is open.
@@ -314,11 +314,11 @@
 
 /// Counts one call as in progress while it exists.
 #[derive(Debug)]
-pub struct CallGuard {
+pub struct OpenCallGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for CallGuard {
+impl Drop for OpenCallGuard {
     fn drop(&mut self) {
         self.shared.calls_open.fetch_sub(1, Ordering::AcqRel);
     }
--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -80,12 +80,12 @@
     let task = async move {
         let executor = Rc::new(LocalExecutor::new());
         let cx = Context { shared: shared.clone(), executor: executor.clone(), inputs };
-        let own = own_peer(&shared.settings);
-        executor.spawn(server::serve(cx.clone(), own.clone(), listener.peers)).detach();
+        let local_peer = local_peer(&shared.settings);
+        executor.spawn(server::serve(cx.clone(), local_peer.clone(), listener.peers)).detach();
         let seed = uuid::Uuid::now_v7().as_u64_pair().1;
         let driver = Driver {
             spread: Spread::new(config(&shared.settings), seed),
-            peers: Peers::new(cx.clone(), own),
+            peers: Peers::new(cx.clone(), local_peer),
             source_calls: IndexMap::new(),
             wake: shared.clock.now(),
             calls,
@@ -98,7 +98,7 @@
 }
 
 /// Identity that this node presents to peers.
-pub(crate) fn own_peer(settings: &Settings) -> Peer {
+pub(crate) fn local_peer(settings: &Settings) -> Peer {
     Peer { vm: settings.vm.clone(), place: settings.place(), address: settings.listen.peers }
 }
 
@@ -182,17 +182,17 @@
                 shared.set_members(members);
                 self.calls.view_changed();
             }
-            Output::View(view) => shared.update_spread(|shown| {
-                shown.newest_heard = view.newest_heard;
-                shown.role = view.role;
-                shown.parent = view.parent;
-                shown.platform_answers = view.platform_answers;
-                shown.confirmed = view.confirmed;
+            Output::View(view) => shared.update_spread(|current_view| {
+                current_view.newest_heard = view.newest_heard;
+                current_view.role = view.role;
+                current_view.parent = view.parent;
+                current_view.platform_answers = view.platform_answers;
+                current_view.confirmed = view.confirmed;
             }),
             Output::Confirmed => self.calls.confirmed(),
             Output::Event(event) => shared.record(event),
-            Output::Refused(fault) => shared.update_spread(|shown| {
-                shown.last_refusal = Some(fault);
+            Output::Refused(fault) => shared.update_spread(|current_view| {
+                current_view.last_refusal = Some(fault);
             }),
             Output::WakeAt(at) => self.wake = at,
         }
