--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -36,6 +36,7 @@
 pub struct PlatformConfig {
     /// Addresses that serve reads. With one address per zone, a test can block a single zone.
     pub listen: Vec<SocketAddr>,
+    /// Address of the control port.
     pub control: SocketAddr,
     /// Calls answered per second; further calls get status 429.
     pub max_calls_per_second: u64,
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -38,6 +38,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetsConfig {
+    /// Address of the control port.
     pub control: SocketAddr,
     pub targets: Vec<TargetConfig>,
 }
