--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -51,23 +51,23 @@
 /// How long a connection to a host that does not answer is tried.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-enum Happening {
+enum FleetEvent {
     Wake(usize, Time),
     Resume(usize),
-    Arrive { from: usize, to: usize, life: u32, msg: PeerMsg },
-    Refused { node: usize, life: u32, to: SocketAddr },
-    Asked(Caller, SourceCall),
-    Answered(Caller, Answer),
-    TimedOut(Caller),
-    WatchesDue,
-    Act(Action),
-    Call(Step),
+    PeerMessage { from: usize, to: usize, life: u32, msg: PeerMsg },
+    PeerRefused { node: usize, life: u32, to: SocketAddr },
+    SourceRequest(Caller, SourceCall),
+    SourceResponse(Caller, Answer),
+    SourceTimeout(Caller),
+    CheckWatches,
+    Action(Action),
+    CallStep(Step),
 }
 
 /// A fleet and its platform.
 pub struct Fleet {
     setup: Setup,
-    links: Links<Happening>,
+    links: Links<FleetEvent>,
     platform: Platform<Caller>,
     slots: Vec<Slot>,
     workload: Workload,
@@ -166,7 +166,7 @@
 
     /// Plans an action at a time from now.
     pub fn plan(&mut self, after: Duration, action: Action) {
-        self.links.after(after, Happening::Act(action));
+        self.links.after(after, FleetEvent::Action(action));
     }
 
     /// Runs until a time.
@@ -180,7 +180,7 @@
     /// Runs for a span from now. An event at its end keeps the clock moving.
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now() + span;
-        self.links.at(end, Happening::WatchesDue);
+        self.links.at(end, FleetEvent::CheckWatches);
         self.run_until(end);
     }
 
@@ -189,7 +189,7 @@
     pub fn run_until_held(&mut self, version: u64, span: Duration) -> Option<Duration> {
         let since = self.now();
         let end = since + span;
-        self.links.at(end, Happening::WatchesDue);
+        self.links.at(end, FleetEvent::CheckWatches);
         while self.behind(version) > 0 {
             if self.links.next_at().is_none_or(|at| at > end) {
                 return None;
@@ -267,22 +267,24 @@
         self.setup.size.site(node)
     }
 
-    fn take(&mut self, event: Happening) {
+    fn take(&mut self, event: FleetEvent) {
         match event {
-            Happening::Wake(node, at) => self.wake(node, at),
-            Happening::Resume(node) => self.resume(node),
-            Happening::Arrive { from, to, life, msg } => self.arrive(from, to, life, msg),
-            Happening::Refused { node, life, to } => {
+            FleetEvent::Wake(node, at) => self.wake(node, at),
+            FleetEvent::Resume(node) => self.resume(node),
+            FleetEvent::PeerMessage { from, to, life, msg } => self.arrive(from, to, life, msg),
+            FleetEvent::PeerRefused { node, life, to } => {
                 if self.slots[node].life == life {
                     self.hand_in(node, Input::PeerFailed { to });
                 }
             }
-            Happening::Asked(caller, call) => self.asked(caller, call),
-            Happening::Answered(caller, answer) => self.answered(caller, answer),
-            Happening::TimedOut(caller) => self.end_call(caller, Err(Code::SourceUnreachable)),
-            Happening::WatchesDue => self.answer_watches(),
-            Happening::Act(action) => self.act(action),
-            Happening::Call(step) => self.step(step),
+            FleetEvent::SourceRequest(caller, call) => self.asked(caller, call),
+            FleetEvent::SourceResponse(caller, answer) => self.answered(caller, answer),
+            FleetEvent::SourceTimeout(caller) => {
+                self.end_call(caller, Err(Code::SourceUnreachable))
+            }
+            FleetEvent::CheckWatches => self.answer_watches(),
+            FleetEvent::Action(action) => self.act(action),
+            FleetEvent::CallStep(step) => self.step(step),
         }
     }
 
@@ -295,7 +297,7 @@
         let Some(wanted) = slot.wake else { return };
         if wanted > at {
             slot.queued_wake = Some(wanted);
-            self.links.at(wanted, Happening::Wake(node, wanted));
+            self.links.at(wanted, FleetEvent::Wake(node, wanted));
             return;
         }
         slot.wake = None;
@@ -321,7 +323,7 @@
         // The host answers that nothing listens on the port.
         let to = self.slots[to].peer.address;
         let sites = (self.site(slot::node_at(to)), self.site(from));
-        self.links.send(sites.0, sites.1, 0, Happening::Refused { node: from, life, to });
+        self.links.send(sites.0, sites.1, 0, FleetEvent::PeerRefused { node: from, life, to });
     }
 
     fn hand_in(&mut self, node: usize, input: Input) {
@@ -369,7 +371,7 @@
         slot.wake = Some(at);
         if slot.queued_wake.is_none_or(|queued| queued > at) {
             slot.queued_wake = Some(at);
-            self.links.at(at, Happening::Wake(node, at));
+            self.links.at(at, FleetEvent::Wake(node, at));
         }
     }
 
@@ -377,14 +379,14 @@
         let to_node = slot::node_at(to);
         let life = self.slots[from].life;
         if to_node >= self.slots.len() {
-            self.links.after(CONNECT_TIMEOUT, Happening::Refused { node: from, life, to });
+            self.links.after(CONNECT_TIMEOUT, FleetEvent::PeerRefused { node: from, life, to });
             return;
         }
         let msg = if self.slots[from].lies { fault::corrupt(msg) } else { msg };
         let sites = (self.site(from), self.site(to_node));
         let size = self.sizes.of(&msg);
         self.count_across(sites, size::kind(&msg), size);
-        let arrive = Happening::Arrive { from, to: to_node, life, msg };
+        let arrive = FleetEvent::PeerMessage { from, to: to_node, life, msg };
         self.count(from, size, 0);
         self.count(to_node, 0, size);
         self.links.send(sites.0, sites.1, size, arrive);
--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -4,7 +4,7 @@
 mod targets;
 
 use super::slot::{Given, node_at};
-use super::{Fleet, Happening};
+use super::{Fleet, FleetEvent};
 use crate::history::calls::{CallEnd, CallRecord};
 use indexmap::IndexMap;
 use rand::{RngExt, SeedableRng};
@@ -170,8 +170,8 @@
         let until = self.now() + span;
         let seed = self.setup.seed;
         self.calls_made = Some(Calls::new(self.slots.len(), pause, until, seed));
-        self.links.after(pause, Happening::Call(Step::Call));
-        self.links.after(TICK, Happening::Call(Step::Tick));
+        self.links.after(pause, FleetEvent::CallStep(Step::Call));
+        self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
 
     /// What happened to calls.
@@ -199,7 +199,7 @@
         for node in 0..self.slots.len() {
             self.give(node, Given::Tick);
         }
-        self.links.after(TICK, Happening::Call(Step::Tick));
+        self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
 
     fn new_call(&mut self) {
@@ -211,7 +211,7 @@
         }
         let request = calls.request(now, services);
         let pause = calls.pause;
-        self.links.after(pause, Happening::Call(Step::Call));
+        self.links.after(pause, FleetEvent::CallStep(Step::Call));
         self.submit(request, MOST_TRIES);
     }
 
@@ -222,7 +222,7 @@
         let Some(calls) = &mut self.calls_made else { return };
         let entry = calls.rng.random_range(0..nodes);
         if !self.slots[entry].is_running() {
-            let again = Happening::Call(Step::Submit(request, tries));
+            let again = FleetEvent::CallStep(Step::Submit(request, tries));
             return self.links.after(COME_BACK, again);
         }
         let submission = calls.submissions.len();
@@ -259,12 +259,12 @@
         calls.submissions[submission].attempt = forward.attempt;
         if forward.attempt == 1 {
             let deadline = Step::Deadline { submission, entry_life };
-            self.links.at(forward.deadline, Happening::Call(deadline));
+            self.links.at(forward.deadline, FleetEvent::CallStep(deadline));
         }
         let to = node_at(forward.gate);
         let sites = (self.site(node), self.site(to));
         let step = Step::AtGate { submission, entry_life, forward: Box::new(forward) };
-        self.links.send_call(sites.0, sites.1, BODY_BYTES, Happening::Call(step));
+        self.links.send_call(sites.0, sites.1, BODY_BYTES, FleetEvent::CallStep(step));
     }
 
     /// Sends what an attempt came to back to its entry node.
@@ -279,7 +279,7 @@
         let Some(calls) = &self.calls_made else { return };
         let entry = calls.submissions[back.submission].entry;
         let sites = (self.site(node), self.site(entry));
-        self.links.send_call(sites.0, sites.1, BODY_BYTES, Happening::Call(Step::Back(back)));
+        self.links.send_call(sites.0, sites.1, BODY_BYTES, FleetEvent::CallStep(Step::Back(back)));
     }
 
     fn back(&mut self, back: Back) {
@@ -293,7 +293,7 @@
         }
         if self.slots[entry].is_paused() {
             // The answer waits in the socket.
-            return self.links.after(SOCKET_WAIT, Happening::Call(Step::Back(back)));
+            return self.links.after(SOCKET_WAIT, FleetEvent::CallStep(Step::Back(back)));
         }
         let call = CallKey(back.submission as u64);
         self.give(entry, Given::Attempt { call, end: back.end });
@@ -312,7 +312,7 @@
         let (entry, attempt) = (made.entry, made.attempt);
         if self.slots[entry].is_paused() {
             let step = Step::Deadline { submission, entry_life };
-            return self.links.after(SOCKET_WAIT, Happening::Call(step));
+            return self.links.after(SOCKET_WAIT, FleetEvent::CallStep(step));
         }
         self.give(entry, Given::Expire { call: CallKey(submission as u64) });
         self.close_attempt(entry, submission, attempt);
@@ -324,7 +324,7 @@
         let node = calls.gated[&gate].node;
         let sites = (self.site(entry), self.site(node));
         let step = Step::Closed { submission, attempt };
-        self.links.send_call(sites.0, sites.1, 0, Happening::Call(step));
+        self.links.send_call(sites.0, sites.1, 0, FleetEvent::CallStep(step));
     }
 
     fn end_submission(&mut self, submission: usize, end: CallEnd) {
@@ -342,7 +342,7 @@
             CallEnd::Unknown | CallEnd::Broken => COME_BACK,
         };
         if tries > 0 {
-            self.links.after(wait, Happening::Call(Step::Submit(request, tries)));
+            self.links.after(wait, FleetEvent::CallStep(Step::Submit(request, tries)));
         }
     }
 
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -2,7 +2,7 @@
 
 use super::{BROKEN_PER_MILLE, Back, COME_BACK, CRASH_SEEN, Gated, Step, TARGET_RESTART};
 use crate::fleet::slot::{Given, node_at};
-use crate::fleet::{Fleet, Happening};
+use crate::fleet::{Fleet, FleetEvent};
 use crate::history::calls::CallRecord;
 use bytes::Bytes;
 use rand::RngExt;
@@ -47,7 +47,7 @@
         match output {
             gatekeeper::Output::Run { call, once } => self.run(node, call, once),
             gatekeeper::Output::Queue(gate, until) => {
-                self.links.at(until, Happening::Call(Step::QueueEnd { gate }));
+                self.links.at(until, FleetEvent::CallStep(Step::QueueEnd { gate }));
             }
             gatekeeper::Output::Replay(gate, answer) => {
                 let body = answer.body.as_ref().try_into().map_or(0, u64::from_be_bytes);
@@ -81,7 +81,7 @@
         let submission = gated.submission;
         if calls.targets_down[node] > at {
             let done = Step::Done { gate, end: End::NotSent };
-            return self.links.after(Duration::ZERO, Happening::Call(done));
+            return self.links.after(Duration::ZERO, FleetEvent::CallStep(done));
         }
         let request = calls.submissions[submission].request.clone();
         calls.history.push(CallRecord::Ran { at, node, submission, request: request.number });
@@ -90,12 +90,12 @@
         }
         if calls.rng.random_range(0..1_000) < BROKEN_PER_MILLE {
             let end = End::Broken { target_gone: false };
-            return self.links.after(CRASH_SEEN, Happening::Call(Step::Done { gate, end }));
+            return self.links.after(CRASH_SEEN, FleetEvent::CallStep(Step::Done { gate, end }));
         }
         let body = Bytes::copy_from_slice(&request.number.to_be_bytes());
         let kept = CachedResponse { status: 200, headers: Vec::new(), body };
         let end = End::Answered { cached: once.then(|| Arc::new(kept)) };
-        self.links.after(request.work, Happening::Call(Step::Done { gate, end }));
+        self.links.after(request.work, FleetEvent::CallStep(Step::Done { gate, end }));
     }
 
     pub(super) fn crash_target(&mut self, node: usize) {
@@ -107,7 +107,7 @@
             calls.gated.iter().filter(running).map(|(gate, _)| *gate).collect();
         for gate in gates {
             let end = End::Broken { target_gone: true };
-            self.links.after(CRASH_SEEN, Happening::Call(Step::Done { gate, end }));
+            self.links.after(CRASH_SEEN, FleetEvent::CallStep(Step::Done { gate, end }));
         }
     }
 
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -1,7 +1,7 @@
 //! Faults and operators' acts, as a plan that a run carries out.
 
 use super::platform::Health;
-use super::{Fleet, Happening};
+use super::{Fleet, FleetEvent};
 use crate::history::Record;
 use crate::links::PLATFORM_ZONE;
 use bytes::Bytes;
@@ -157,7 +157,7 @@
         let now = self.links.now();
         if self.slots[node].is_running() {
             self.slots[node].pause(now);
-            self.links.after(span, Happening::Resume(node));
+            self.links.after(span, FleetEvent::Resume(node));
         }
     }
 
--- a/bench/src/fleet/source.rs
+++ b/bench/src/fleet/source.rs
@@ -1,7 +1,7 @@
 //! Calls of nodes to the platform, carried as the adapter does.
 
 use super::platform::{Answer, Get};
-use super::{Fleet, Happening, PLATFORM};
+use super::{Fleet, FleetEvent, PLATFORM};
 use std::time::Duration;
 use sycamore_core::Code;
 use sycamore_core::spread::port::CallId;
@@ -30,11 +30,11 @@
         let caller = Caller { node, life: slot.life, id: call.id };
         slot.calls.insert(call.id);
         let timeout = SOURCE_TIMEOUT + call.wait;
-        self.links.after(timeout, Happening::TimedOut(caller));
+        self.links.after(timeout, FleetEvent::SourceTimeout(caller));
         let size = HEAD_BYTES + call.key.as_bytes().len() as u64;
         self.count(node, size, 0);
         self.count_across((self.site(node), PLATFORM), "platform", size);
-        self.links.send(self.site(node), PLATFORM, size, Happening::Asked(caller, call));
+        self.links.send(self.site(node), PLATFORM, size, FleetEvent::SourceRequest(caller, call));
     }
 
     pub(super) fn drop_call(&mut self, node: usize, id: CallId) {
@@ -50,7 +50,7 @@
         let get = Get { caller, key: call.key, above, until };
         match self.platform.get(now, get) {
             Some(answer) => self.reply(caller, answer),
-            None => self.links.at(until, Happening::WatchesDue),
+            None => self.links.at(until, FleetEvent::CheckWatches),
         }
     }
 
@@ -68,7 +68,7 @@
         let site = self.site(caller.node);
         self.count(caller.node, 0, size);
         self.count_across((site, PLATFORM), "platform", size);
-        self.links.send(PLATFORM, site, size, Happening::Answered(caller, answer));
+        self.links.send(PLATFORM, site, size, FleetEvent::SourceResponse(caller, answer));
     }
 
     pub(super) fn answered(&mut self, caller: Caller, answer: Answer) {
