--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -165,7 +165,7 @@
     }
 
     /// Plans an action at a time from now.
-    pub fn plan(&mut self, after: Duration, action: Action) {
+    pub fn schedule(&mut self, after: Duration, action: Action) {
         self.links.after(after, FleetEvent::Action(action));
     }
 
@@ -173,7 +173,7 @@
     pub fn run_until(&mut self, end: Time) {
         while self.links.next_at().is_some_and(|at| at <= end) {
             let Some(event) = self.links.pop() else { break };
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
@@ -197,7 +197,7 @@
             // Looking at every node after each event would cost more than the run.
             for _ in 0..self.slots.len().max(16) / 16 {
                 let Some(event) = self.links.pop() else { break };
-                self.take(event);
+                self.handle_event(event);
             }
         }
         Some(self.last_in_force().since(since))
@@ -267,23 +267,25 @@
         self.setup.size.site(node)
     }
 
-    fn take(&mut self, event: FleetEvent) {
+    fn handle_event(&mut self, event: FleetEvent) {
         match event {
             FleetEvent::Wake(node, at) => self.wake(node, at),
             FleetEvent::Resume(node) => self.resume(node),
-            FleetEvent::PeerMessage { from, to, life, msg } => self.arrive(from, to, life, msg),
+            FleetEvent::PeerMessage { from, to, life, msg } => self.receive(from, to, life, msg),
             FleetEvent::PeerRefused { node, life, to } => {
                 if self.slots[node].life == life {
-                    self.hand_in(node, Input::PeerFailed { to });
+                    self.handle_spread_input(node, Input::PeerFailed { to });
                 }
             }
-            FleetEvent::SourceRequest(caller, call) => self.asked(caller, call),
-            FleetEvent::SourceResponse(caller, answer) => self.answered(caller, answer),
+            FleetEvent::SourceRequest(caller, call) => self.handle_source_request(caller, call),
+            FleetEvent::SourceResponse(caller, answer) => {
+                self.handle_source_response(caller, answer)
+            }
             FleetEvent::SourceTimeout(caller) => {
-                self.end_call(caller, Err(Code::SourceUnreachable))
+                self.complete_source_call(caller, Err(Code::SourceUnreachable))
             }
             FleetEvent::CheckWatches => self.answer_watches(),
-            FleetEvent::Action(action) => self.act(action),
+            FleetEvent::Action(action) => self.perform(action),
             FleetEvent::CallStep(step) => self.step(step),
         }
     }
@@ -301,22 +303,22 @@
             return;
         }
         slot.wake = None;
-        self.hand_in(node, Input::Wake);
+        self.handle_spread_input(node, Input::Wake);
     }
 
     fn resume(&mut self, node: usize) {
         let backlog = self.slots[node].resume(self.links.now());
         for given in backlog {
-            self.give(node, given);
+            self.handle_input(node, given);
         }
     }
 
-    fn arrive(&mut self, from: usize, to: usize, life: u32, msg: PeerMsg) {
+    fn receive(&mut self, from: usize, to: usize, life: u32, msg: PeerMsg) {
         if self.slots[to].is_running() {
             let question = matches!(msg, PeerMsg::Ping(_) | PeerMsg::Pull(_));
             if !(question && self.slots[to].silent) {
                 let from = self.slots[from].peer.clone();
-                self.hand_in(to, Input::Peer { from, msg });
+                self.handle_spread_input(to, Input::Peer { from, msg });
             }
             return;
         }
@@ -326,20 +328,20 @@
         self.links.send(sites.0, sites.1, 0, FleetEvent::PeerRefused { node: from, life, to });
     }
 
-    fn hand_in(&mut self, node: usize, input: Input) {
-        self.give(node, Given::Spread(input));
+    fn handle_spread_input(&mut self, node: usize, input: Input) {
+        self.handle_input(node, Given::Spread(input));
     }
 
     /// Hands an input to a node's deciders and carries out what they want done.
-    fn give(&mut self, node: usize, given: Given) {
+    fn handle_input(&mut self, node: usize, given: Given) {
         let now = self.links.now();
         let mut outputs = std::mem::take(&mut self.outputs);
         self.slots[node].handle(now, given, &mut outputs);
         for output in outputs.drain(..) {
             match output {
-                node::Output::Spread(output) => self.carry_spread(node, output),
-                node::Output::Entry(output) => self.carry_entry(node, output),
-                node::Output::Gatekeeper(output) => self.carry_gate(node, output),
+                node::Output::Spread(output) => self.apply_spread_output(node, output),
+                node::Output::Entry(output) => self.apply_entry_output(node, output),
+                node::Output::Gatekeeper(output) => self.apply_gatekeeper_output(node, output),
                 node::Output::Event(event) => self.record_event(node, event),
             }
         }
@@ -352,12 +354,12 @@
         }
     }
 
-    fn carry_spread(&mut self, node: usize, output: Output) {
+    fn apply_spread_output(&mut self, node: usize, output: Output) {
         match output {
-            Output::ReadSource(call) => self.ask(node, call),
-            Output::DropSource(id) => self.drop_call(node, id),
+            Output::ReadSource(call) => self.send_source_request(node, call),
+            Output::DropSource(id) => self.cancel_source_call(node, id),
             Output::Send { to, msg, .. } => self.send(node, to, msg),
-            Output::InForce(snapshot) => self.in_force(node, &snapshot),
+            Output::InForce(snapshot) => self.handle_in_force(node, &snapshot),
             Output::WakeAt(at) => self.wake_at(node, at),
             Output::View(view) => self.slots[node].view = Some(view),
             Output::Event(event) => self.record_event(node, event),
--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -197,7 +197,7 @@
 
     fn tick(&mut self) {
         for node in 0..self.slots.len() {
-            self.give(node, Given::Tick);
+            self.handle_input(node, Given::Tick);
         }
         self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
@@ -236,10 +236,10 @@
             path: request.path.clone(),
             key: request.key,
         };
-        self.give(entry, given);
+        self.handle_input(entry, given);
     }
 
-    pub(super) fn carry_entry(&mut self, node: usize, output: entry::Output) {
+    pub(super) fn apply_entry_output(&mut self, node: usize, output: entry::Output) {
         match output {
             entry::Output::Forward(forward) => self.forward(node, forward),
             entry::Output::Finish { call, outcome } => {
@@ -296,10 +296,10 @@
             return self.links.after(SOCKET_WAIT, FleetEvent::CallStep(Step::Back(back)));
         }
         let call = CallKey(back.submission as u64);
-        self.give(entry, Given::Attempt { call, end: back.end });
+        self.handle_input(entry, Given::Attempt { call, end: back.end });
         if let Some(body) = back.body {
             self.end_submission(back.submission, CallEnd::Answered(body));
-            self.give(entry, Given::Close(call));
+            self.handle_input(entry, Given::Close(call));
         }
     }
 
@@ -314,7 +314,7 @@
             let step = Step::Deadline { submission, entry_life };
             return self.links.after(SOCKET_WAIT, FleetEvent::CallStep(step));
         }
-        self.give(entry, Given::Expire { call: CallKey(submission as u64) });
+        self.handle_input(entry, Given::Expire { call: CallKey(submission as u64) });
         self.close_attempt(entry, submission, attempt);
     }
 
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -40,10 +40,14 @@
             crashes: forward.crashes,
             deadline: forward.deadline,
         };
-        self.give(node, given);
+        self.handle_input(node, given);
     }
 
-    pub(in crate::fleet) fn carry_gate(&mut self, node: usize, output: gatekeeper::Output) {
+    pub(in crate::fleet) fn apply_gatekeeper_output(
+        &mut self,
+        node: usize,
+        output: gatekeeper::Output,
+    ) {
         match output {
             gatekeeper::Output::Run { call, once } => self.run(node, call, once),
             gatekeeper::Output::Queue(gate, until) => {
@@ -135,7 +139,7 @@
         };
         let answered = matches!(end, End::Answered { .. } | End::ResponseRead { .. });
         let number = calls.submissions[submission].request.number;
-        self.give(node, Given::End { call: gate, end });
+        self.handle_input(node, Given::End { call: gate, end });
         self.answer(gate, back, answered.then_some(number));
     }
 
@@ -153,14 +157,14 @@
             true => Given::End { call: gate, end: End::Cancelled },
             false => Given::Withdraw(gate),
         };
-        self.give(node, given);
+        self.handle_input(node, given);
     }
 
     pub(super) fn queue_end(&mut self, gate: CallKey) {
         let Some(calls) = &self.calls_made else { return };
         let Some(gated) = calls.gated.get(&gate) else { return };
         if self.slots[gated.node].life == gated.life && !gated.running {
-            self.give(gated.node, Given::QueueEnd(gate));
+            self.handle_input(gated.node, Given::QueueEnd(gate));
         }
     }
 }
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -67,14 +67,14 @@
 }
 
 impl Fleet {
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn perform(&mut self, action: Action) {
         match action {
             Action::Publish(edition) => self.publish(edition),
             Action::Start(nodes) => nodes.into_iter().for_each(|node| self.start(node)),
             Action::Kill(nodes) => nodes.into_iter().for_each(|node| self.kill(node)),
             Action::KillRelays(region, away) => {
                 let relays = self.relays(Some(region));
-                self.plan(away, Action::Start(relays.clone()));
+                self.schedule(away, Action::Start(relays.clone()));
                 relays.into_iter().for_each(|node| self.kill(node));
             }
             Action::StartStopped => {
@@ -109,7 +109,7 @@
             Action::DemandLastGood => self.record_due(self.last_good),
             Action::DemandAgreement(span) => {
                 let newest = self.newest_held();
-                self.plan(span, Action::RecordDue(newest));
+                self.schedule(span, Action::RecordDue(newest));
             }
         }
     }
@@ -137,7 +137,7 @@
         if self.setup.recorded {
             self.history.push(Record::Started { at: self.links.now(), node });
         }
-        self.hand_in(node, sycamore_core::spread::Input::Start);
+        self.handle_spread_input(node, sycamore_core::spread::Input::Start);
     }
 
     fn kill(&mut self, node: usize) {
--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -10,7 +10,7 @@
 use sycamore_core::config::Snapshot;
 
 impl Fleet {
-    pub(super) fn in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
+    pub(super) fn handle_in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
         let now = self.links.now();
         let in_force = &snapshot.in_force;
         if self.setup.recorded {
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -232,7 +232,7 @@
 pub fn start(fleet: &mut Fleet) -> Option<Duration> {
     let all = (0..fleet.size().nodes).collect();
     let now = fleet.now();
-    fleet.plan(Duration::ZERO, Action::Start(all));
+    fleet.schedule(Duration::ZERO, Action::Start(all));
     fleet.run_until(now);
     fleet.run_until_held(1, PATIENCE)
 }
@@ -246,7 +246,7 @@
     let (traffic, calls, cpu) = (fleet.traffic(), fleet.calls(), cpu_time());
     let span = plan.pause * plan.versions as u32;
     for index in 0..plan.versions {
-        fleet.plan(plan.pause * index as u32, Action::Publish(Edition::Change));
+        fleet.schedule(plan.pause * index as u32, Action::Publish(Edition::Change));
     }
     plan_restarts(fleet, plan, span);
     fleet.run_for(span);
@@ -274,8 +274,8 @@
     for index in 0..count as usize {
         let at = span.mul_f64((index as f64 + 0.5) / count);
         let node = index * 7_919 % nodes;
-        fleet.plan(at, Action::Kill(vec![node]));
-        fleet.plan(at + Duration::from_secs(1), Action::Start(vec![node]));
+        fleet.schedule(at, Action::Kill(vec![node]));
+        fleet.schedule(at + Duration::from_secs(1), Action::Start(vec![node]));
     }
 }
 
@@ -304,7 +304,7 @@
 fn break_and_heal(fleet: &mut Fleet, storm: Storm) {
     let publish = || Action::Publish(Edition::Change);
     let now = |fleet: &mut Fleet, action: Action| {
-        fleet.plan(Duration::ZERO, action);
+        fleet.schedule(Duration::ZERO, action);
         fleet.run_until(fleet.now());
     };
     let size = fleet.size();
@@ -312,7 +312,7 @@
         Storm::ZoneCut => {
             now(fleet, Action::CutZone(1));
             now(fleet, Action::Cut(1, None));
-            fleet.plan(CUT / 2, publish());
+            fleet.schedule(CUT / 2, publish());
             fleet.run_for(CUT);
             now(fleet, Action::HealLinks);
         }
@@ -320,7 +320,7 @@
             let relays = fleet.relays(Some(1.min(size.regions as u16 - 1)));
             now(fleet, Action::Kill(relays.clone()));
             // Recovery is measured from here: the rest of the region must find other ways.
-            fleet.plan(AWAY, Action::Start(relays));
+            fleet.schedule(AWAY, Action::Start(relays));
             now(fleet, publish());
         }
         Storm::Zone | Storm::Everything => {
@@ -329,7 +329,7 @@
                 _ => (0..size.nodes).collect(),
             };
             now(fleet, Action::Kill(nodes.clone()));
-            fleet.plan(AWAY / 2, publish());
+            fleet.schedule(AWAY / 2, publish());
             fleet.run_for(AWAY);
             now(fleet, Action::Start(nodes));
         }
@@ -349,14 +349,14 @@
                 now(fleet, Action::CutRegions(region, other));
             }
             for index in 0..APART_VERSIONS {
-                fleet.plan(APART / APART_VERSIONS * index, publish());
+                fleet.schedule(APART / APART_VERSIONS * index, publish());
             }
             fleet.run_for(APART);
             now(fleet, Action::HealLinks);
         }
         Storm::Source => {
             now(fleet, Action::Platform(super::platform::Health::Down));
-            fleet.plan(CUT, publish());
+            fleet.schedule(CUT, publish());
             fleet.run_for(CUT * 2);
             now(fleet, Action::Platform(super::platform::Health::Up));
         }
--- a/bench/src/fleet/source.rs
+++ b/bench/src/fleet/source.rs
@@ -25,7 +25,7 @@
 }
 
 impl Fleet {
-    pub(super) fn ask(&mut self, node: usize, call: SourceCall) {
+    pub(super) fn send_source_request(&mut self, node: usize, call: SourceCall) {
         let slot = &mut self.slots[node];
         let caller = Caller { node, life: slot.life, id: call.id };
         slot.calls.insert(call.id);
@@ -37,30 +37,30 @@
         self.links.send(self.site(node), PLATFORM, size, FleetEvent::SourceRequest(caller, call));
     }
 
-    pub(super) fn drop_call(&mut self, node: usize, id: CallId) {
+    pub(super) fn cancel_source_call(&mut self, node: usize, id: CallId) {
         self.slots[node].calls.remove(&id);
         let life = self.slots[node].life;
         self.platform.forget(|caller| *caller == Caller { node, life, id });
     }
 
-    pub(super) fn asked(&mut self, caller: Caller, call: SourceCall) {
+    pub(super) fn handle_source_request(&mut self, caller: Caller, call: SourceCall) {
         let now = self.links.now();
         let until = now + call.wait;
         let above = (call.index > 0).then_some(call.index);
         let get = Get { caller, key: call.key, above, until };
         match self.platform.get(now, get) {
-            Some(answer) => self.reply(caller, answer),
+            Some(answer) => self.send_source_response(caller, answer),
             None => self.links.at(until, FleetEvent::CheckWatches),
         }
     }
 
     pub(super) fn answer_watches(&mut self) {
         for (caller, answer) in self.platform.due(self.links.now()) {
-            self.reply(caller, answer);
+            self.send_source_response(caller, answer);
         }
     }
 
-    pub(super) fn reply(&mut self, caller: Caller, answer: Answer) {
+    pub(super) fn send_source_response(&mut self, caller: Caller, answer: Answer) {
         let size = match &answer {
             Answer::Value(value, _) => HEAD_BYTES + value.len() as u64,
             Answer::Missing | Answer::OverLimit | Answer::Refused => HEAD_BYTES,
@@ -71,21 +71,25 @@
         self.links.send(PLATFORM, site, size, FleetEvent::SourceResponse(caller, answer));
     }
 
-    pub(super) fn answered(&mut self, caller: Caller, answer: Answer) {
+    pub(super) fn handle_source_response(&mut self, caller: Caller, answer: Answer) {
         let result = match answer {
             Answer::Value(body, index) => Ok(SourceValue { index, body: Some(body) }),
             Answer::Missing => Ok(SourceValue { index: 0, body: None }),
             Answer::OverLimit => Err(Code::SourceOverLimit),
             Answer::Refused => Err(Code::SourceUnreachable),
         };
-        self.end_call(caller, result);
+        self.complete_source_call(caller, result);
     }
 
-    pub(super) fn end_call(&mut self, caller: Caller, result: Result<SourceValue, Code>) {
+    pub(super) fn complete_source_call(
+        &mut self,
+        caller: Caller,
+        result: Result<SourceValue, Code>,
+    ) {
         let slot = &mut self.slots[caller.node];
         if slot.life == caller.life && slot.calls.remove(&caller.id) {
             let reply = SourceReply { id: caller.id, result };
-            self.hand_in(caller.node, Input::Source(reply));
+            self.handle_spread_input(caller.node, Input::Source(reply));
         }
     }
 }
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -92,7 +92,7 @@
             .with_record();
         let mut fleet = Fleet::new(setup);
         for (at, action) in &plan {
-            fleet.plan(*at, action.clone());
+            fleet.schedule(*at, action.clone());
         }
         if self.called {
             fleet.add_callers(CALL_PAUSE, TROUBLE + LONGEST_FAULT / 2);
