--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -74,14 +74,14 @@
     convergence: Convergence,
     history: Vec<Record>,
     events: Vec<(usize, Event)>,
-    published: IndexMap<InForce, Preset>,
+    published_presets: IndexMap<InForce, Preset>,
     last_cut: Vec<Time>,
-    listed: Vec<Option<VmState>>,
-    last_good: u64,
-    smallest: u64,
+    listed_states: Vec<Option<VmState>>,
+    last_valid_version: u64,
+    min_update_bytes: u64,
     sizes: size::Sizes,
-    across_kinds: IndexMap<&'static str, u64>,
-    calls_made: Option<Calls>,
+    cross_region_bytes: IndexMap<&'static str, u64>,
+    call_load: Option<Calls>,
     outputs: Vec<node::Output>,
 }
 
@@ -98,14 +98,14 @@
             convergence: Convergence::new(size.nodes),
             history: Vec::new(),
             events: Vec::new(),
-            published: IndexMap::new(),
+            published_presets: IndexMap::new(),
             last_cut: vec![Time::ZERO; size.zones],
-            listed: vec![Some(VmState::Live); size.nodes],
-            last_good: 0,
-            smallest: 0,
+            listed_states: vec![Some(VmState::Live); size.nodes],
+            last_valid_version: 0,
+            min_update_bytes: 0,
             sizes: size::Sizes::default(),
-            across_kinds: IndexMap::new(),
-            calls_made: None,
+            cross_region_bytes: IndexMap::new(),
+            call_load: None,
             outputs: Vec::new(),
             setup,
         };
@@ -145,13 +145,13 @@
     }
 
     /// Bytes of the smallest messages that could have carried all changes so far.
-    pub fn smallest(&self) -> u64 {
-        self.smallest
+    pub fn min_update_bytes(&self) -> u64 {
+        self.min_update_bytes
     }
 
     /// The newest version that nodes must accept.
-    pub fn last_good(&self) -> u64 {
-        self.last_good
+    pub fn last_valid_version(&self) -> u64 {
+        self.last_valid_version
     }
 
     /// The record so far.
@@ -186,7 +186,7 @@
 
     /// Runs until every running node holds at least `version`, at most for `span`. Returns how
     /// long it took.
-    pub fn run_until_held(&mut self, version: u64, span: Duration) -> Option<Duration> {
+    pub fn run_until_converged(&mut self, version: u64, span: Duration) -> Option<Duration> {
         let since = self.now();
         let end = since + span;
         self.links.at(end, FleetEvent::CheckWatches);
@@ -200,7 +200,7 @@
                 self.handle_event(event);
             }
         }
-        Some(self.last_in_force().since(since))
+        Some(self.last_in_force_at().since(since))
     }
 
     /// Running nodes that hold less than `version`.
@@ -209,7 +209,7 @@
     }
 
     /// The newest version that any running node holds.
-    pub fn newest_held(&self) -> u64 {
+    pub fn newest_version_in_force(&self) -> u64 {
         self.slots.iter().filter(|slot| slot.is_running()).map(Slot::version).max().unwrap_or(0)
     }
 
@@ -224,7 +224,7 @@
     }
 
     /// Records the platform's busiest second.
-    pub fn record_calls(&mut self) {
+    pub fn record_platform_peak(&mut self) {
         let peak = self.platform.calls().peak;
         let limit = platform::CALLS_PER_S;
         self.history.push(Record::Calls { at: self.now(), peak, limit });
@@ -238,28 +238,28 @@
     /// Starts the counters of every node anew.
     pub fn reset_loads(&mut self) {
         self.slots.iter_mut().for_each(|slot| slot.load = Load::default());
-        self.across_kinds.clear();
+        self.cross_region_bytes.clear();
     }
 
     /// Bytes between regions since the last reset, by kind of message.
-    pub fn across_kinds(&self) -> &IndexMap<&'static str, u64> {
-        &self.across_kinds
+    pub fn cross_region_bytes(&self) -> &IndexMap<&'static str, u64> {
+        &self.cross_region_bytes
     }
 
-    fn count_across(&mut self, sites: (Site, Site), kind: &'static str, size: u64) {
+    fn count_cross_region(&mut self, sites: (Site, Site), kind: &'static str, size: u64) {
         if sites.0.region != sites.1.region {
-            *self.across_kinds.entry(kind).or_default() += size;
+            *self.cross_region_bytes.entry(kind).or_default() += size;
         }
     }
 
-    fn count(&mut self, node: usize, sent: u64, received: u64) {
+    fn count_traffic(&mut self, node: usize, sent: u64, received: u64) {
         let load = &mut self.slots[node].load;
         load.sent += sent;
         load.received += received;
         load.messages += 1;
     }
 
-    fn last_in_force(&self) -> Time {
+    fn last_in_force_at(&self) -> Time {
         self.slots.iter().filter_map(|slot| slot.since).max().unwrap_or(START)
     }
 
@@ -387,10 +387,10 @@
         let msg = if self.slots[from].lies { fault::corrupt(msg) } else { msg };
         let sites = (self.site(from), self.site(to_node));
         let size = self.sizes.of(&msg);
-        self.count_across(sites, size::kind(&msg), size);
+        self.count_cross_region(sites, size::kind(&msg), size);
         let arrive = FleetEvent::PeerMessage { from, to: to_node, life, msg };
-        self.count(from, size, 0);
-        self.count(to_node, 0, size);
+        self.count_traffic(from, size, 0);
+        self.count_traffic(to_node, 0, size);
         self.links.send(sites.0, sites.1, size, arrive);
     }
 }
--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -169,14 +169,14 @@
     pub fn add_callers(&mut self, pause: Duration, span: Duration) {
         let until = self.now() + span;
         let seed = self.setup.seed;
-        self.calls_made = Some(Calls::new(self.slots.len(), pause, until, seed));
+        self.call_load = Some(Calls::new(self.slots.len(), pause, until, seed));
         self.links.after(pause, FleetEvent::CallStep(Step::Call));
         self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
 
     /// What happened to calls.
     pub fn call_history(&self) -> &[CallRecord] {
-        self.calls_made.as_ref().map_or(&[], |calls| &calls.history)
+        self.call_load.as_ref().map_or(&[], |calls| &calls.history)
     }
 
     pub(super) fn step(&mut self, step: Step) {
@@ -205,7 +205,7 @@
     fn new_call(&mut self) {
         let now = self.now();
         let services = self.setup.size.services;
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         if now >= calls.until {
             return;
         }
@@ -219,7 +219,7 @@
     fn submit(&mut self, request: Arc<Request>, tries: u32) {
         let at = self.now();
         let nodes = self.slots.len();
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         let entry = calls.rng.random_range(0..nodes);
         if !self.slots[entry].is_running() {
             let again = FleetEvent::CallStep(Step::Submit(request, tries));
@@ -255,7 +255,7 @@
     fn forward(&mut self, node: usize, forward: Forward) {
         let submission = forward.call.0 as usize;
         let entry_life = self.slots[node].life;
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         calls.submissions[submission].attempt = forward.attempt;
         if forward.attempt == 1 {
             let deadline = Step::Deadline { submission, entry_life };
@@ -269,21 +269,21 @@
 
     /// Sends what an attempt came to back to its entry node.
     fn answer(&mut self, gate: CallKey, end: AttemptEnd, body: Option<u64>) {
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         let Some(gated) = calls.gated.swap_remove(&gate) else { return };
         let Gated { node, submission, attempt, entry_life, .. } = gated;
         self.send_back(node, Back { submission, entry_life, attempt, end, body });
     }
 
     fn send_back(&mut self, node: usize, back: Back) {
-        let Some(calls) = &self.calls_made else { return };
+        let Some(calls) = &self.call_load else { return };
         let entry = calls.submissions[back.submission].entry;
         let sites = (self.site(node), self.site(entry));
         self.links.send_call(sites.0, sites.1, BODY_BYTES, FleetEvent::CallStep(Step::Back(back)));
     }
 
     fn back(&mut self, back: Back) {
-        let Some(calls) = &self.calls_made else { return };
+        let Some(calls) = &self.call_load else { return };
         let made = &calls.submissions[back.submission];
         let entry = made.entry;
         // The connection of an earlier attempt is closed by then.
@@ -304,7 +304,7 @@
     }
 
     fn deadline(&mut self, submission: usize, entry_life: u32) {
-        let Some(calls) = &self.calls_made else { return };
+        let Some(calls) = &self.call_load else { return };
         let made = &calls.submissions[submission];
         if made.ended || self.slots[made.entry].life != entry_life {
             return;
@@ -319,7 +319,7 @@
     }
 
     fn close_attempt(&mut self, entry: usize, submission: usize, attempt: u32) {
-        let Some(calls) = &self.calls_made else { return };
+        let Some(calls) = &self.call_load else { return };
         let Some(gate) = calls.gate_of(submission, attempt) else { return };
         let node = calls.gated[&gate].node;
         let sites = (self.site(entry), self.site(node));
@@ -329,7 +329,7 @@
 
     fn end_submission(&mut self, submission: usize, end: CallEnd) {
         let at = self.now();
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         let made = &mut calls.submissions[submission];
         if std::mem::replace(&mut made.ended, true) {
             return;
@@ -348,7 +348,7 @@
 
     /// A process has died: its callers and the entry nodes of its calls see broken connections.
     pub(super) fn break_calls(&mut self, node: usize) {
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         let open = |(_, s): &(usize, &Submission)| s.entry == node && !s.ended;
         let submissions: Vec<(usize, u32)> = calls
             .submissions
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -24,7 +24,7 @@
             return self.send_back(node, back);
         }
         let life = self.slots[node].life;
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         let request = calls.submissions[submission].request.clone();
         calls.next_gate += 1;
         let gate = CallKey(calls.next_gate);
@@ -78,7 +78,7 @@
     /// The target takes the request, if it runs at all.
     pub(super) fn run(&mut self, node: usize, gate: CallKey, once: bool) {
         let at = self.now();
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         let Some(gated) = calls.gated.get_mut(&gate) else { return };
         gated.running = true;
         gated.once = once;
@@ -104,7 +104,7 @@
 
     pub(super) fn crash_target(&mut self, node: usize) {
         let now = self.now();
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         calls.targets_down[node] = now + TARGET_RESTART;
         let running = |(_, g): &(&CallKey, &Gated)| g.node == node && g.running;
         let gates: Vec<CallKey> =
@@ -117,7 +117,7 @@
 
     /// A run has ended; the gatekeeper's process may have been replaced meanwhile.
     pub(super) fn done(&mut self, gate: CallKey, end: End) {
-        let Some(calls) = &self.calls_made else { return };
+        let Some(calls) = &self.call_load else { return };
         let Some(gated) = calls.gated.get(&gate) else { return };
         let (node, life, submission) = (gated.node, gated.life, gated.submission);
         if self.slots[node].life != life {
@@ -145,7 +145,7 @@
 
     /// The gatekeeper sees that the entry node has gone away.
     pub(super) fn closed(&mut self, submission: usize, attempt: u32) {
-        let Some(calls) = &mut self.calls_made else { return };
+        let Some(calls) = &mut self.call_load else { return };
         let Some(gate) = calls.gate_of(submission, attempt) else { return };
         let gated = &calls.gated[&gate];
         let (node, life, running, once) = (gated.node, gated.life, gated.running, gated.once);
@@ -161,7 +161,7 @@
     }
 
     pub(super) fn queue_end(&mut self, gate: CallKey) {
-        let Some(calls) = &self.calls_made else { return };
+        let Some(calls) = &self.call_load else { return };
         let Some(gated) = calls.gated.get(&gate) else { return };
         if self.slots[gated.node].life == gated.life && !gated.running {
             self.handle_input(gated.node, Given::QueueEnd(gate));
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -106,9 +106,9 @@
                 self.links.set_profile(profile);
             }
             Action::RecordDue(version) => self.record_due(version),
-            Action::DemandLastGood => self.record_due(self.last_good),
+            Action::DemandLastGood => self.record_due(self.last_valid_version),
             Action::DemandAgreement(span) => {
-                let newest = self.newest_held();
+                let newest = self.newest_version_in_force();
                 self.schedule(span, Action::RecordDue(newest));
             }
         }
@@ -116,7 +116,7 @@
 
     fn list(&mut self, nodes: &[usize], state: Option<VmState>) {
         for node in nodes {
-            self.listed[*node] = state;
+            self.listed_states[*node] = state;
         }
         let mut zones: Vec<u16> = nodes.iter().map(|node| self.site(*node).zone).collect();
         zones.sort_unstable();
--- a/bench/src/fleet/operator.rs
+++ b/bench/src/fleet/operator.rs
@@ -21,7 +21,7 @@
         let size = self.setup.size;
         let mut list = VmList { vms: Vec::new() };
         for node in nodes_in_zone(&size, zone) {
-            if let Some(state) = self.listed[node] {
+            if let Some(state) = self.listed_states[node] {
                 list.vms.push(Member { state, ..size.member(node) });
             }
         }
@@ -42,10 +42,10 @@
         let now = self.links.now();
         let version = publication.in_force.version;
         if edition != Edition::Rival && valid {
-            self.last_good = version;
+            self.last_valid_version = version;
             self.convergence.published(version, now);
         }
-        self.smallest += publication.smallest;
+        self.min_update_bytes += publication.smallest;
         if self.setup.recorded {
             self.record_published(&publication, valid);
         }
--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -27,7 +27,7 @@
             self.history.push(Record::Remembered { at, node, version });
         }
         let scope = self.slots[node].scope.as_deref();
-        let content = match self.published.get(&snapshot.in_force) {
+        let content = match self.published_presets.get(&snapshot.in_force) {
             Some(preset) => history::content(snapshot, preset, scope),
             None => Content::Unknown,
         };
@@ -81,7 +81,7 @@
         let record = history::Publication { version, digest };
         self.history.push(Record::Published { at, publication: record, valid });
         if valid {
-            self.published.insert(in_force, publication.preset.clone());
+            self.published_presets.insert(in_force, publication.preset.clone());
         }
     }
 }
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -234,7 +234,7 @@
     let now = fleet.now();
     fleet.schedule(Duration::ZERO, Action::Start(all));
     fleet.run_until(now);
-    fleet.run_until_held(1, PATIENCE)
+    fleet.run_until_converged(1, PATIENCE)
 }
 
 /// Publishes the plan's versions and measures.
@@ -255,10 +255,10 @@
     let now = fleet.calls();
     let nodes = fleet.size().nodes;
     let roles = RoleFigures::all(&fleet.loads(), span);
-    let kinds = fleet.across_kinds().clone();
+    let kinds = fleet.cross_region_bytes().clone();
     // The last version gets its time too; the rates are over the span before.
-    let last = fleet.last_good();
-    fleet.run_until_held(last, PATIENCE);
+    let last = fleet.last_valid_version();
+    fleet.run_until_converged(last, PATIENCE);
     let over_limit = now.over_limit - calls.over_limit;
     let figures = Figures::new(fleet.convergence())
         .with_traffic(&sent, nodes, span)
@@ -285,8 +285,8 @@
     fleet.take_peak();
     let (traffic, calls) = (fleet.traffic(), fleet.calls());
     break_and_heal(fleet, storm);
-    let last = fleet.last_good();
-    let recovered = fleet.run_until_held(last, PATIENCE);
+    let last = fleet.last_valid_version();
+    let recovered = fleet.run_until_converged(last, PATIENCE);
     let sent = fleet.traffic().since(&traffic);
     let now = fleet.calls();
     StormFigures {
--- a/bench/src/fleet/source.rs
+++ b/bench/src/fleet/source.rs
@@ -32,8 +32,8 @@
         let timeout = SOURCE_TIMEOUT + call.wait;
         self.links.after(timeout, FleetEvent::SourceTimeout(caller));
         let size = HEAD_BYTES + call.key.as_bytes().len() as u64;
-        self.count(node, size, 0);
-        self.count_across((self.site(node), PLATFORM), "platform", size);
+        self.count_traffic(node, size, 0);
+        self.count_cross_region((self.site(node), PLATFORM), "platform", size);
         self.links.send(self.site(node), PLATFORM, size, FleetEvent::SourceRequest(caller, call));
     }
 
@@ -66,8 +66,8 @@
             Answer::Missing | Answer::OverLimit | Answer::Refused => HEAD_BYTES,
         };
         let site = self.site(caller.node);
-        self.count(caller.node, 0, size);
-        self.count_across((site, PLATFORM), "platform", size);
+        self.count_traffic(caller.node, 0, size);
+        self.count_cross_region((site, PLATFORM), "platform", size);
         self.links.send(PLATFORM, site, size, FleetEvent::SourceResponse(caller, answer));
     }
 
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -98,7 +98,7 @@
             fleet.add_callers(CALL_PAUSE, TROUBLE + LONGEST_FAULT / 2);
         }
         fleet.run_for(TROUBLE + LONGEST_FAULT + AGREEMENT + CONVERGENCE * 2);
-        fleet.record_calls();
+        fleet.record_platform_peak();
         let history = fleet.history().to_vec();
         let events = fleet.events().to_vec();
         let calls = fleet.call_history().to_vec();
