--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -24,7 +24,7 @@
 
 use crate::history::Record;
 use crate::links::{Links, PLATFORM_ZONE, Site};
-use calls::{Calls, Step};
+use calls::{CallLoad, Step};
 use fault::{Action, Edition};
 use indexmap::IndexMap;
 use measure::Convergence;
@@ -81,7 +81,7 @@
     min_update_bytes: u64,
     sizes: size::Sizes,
     cross_region_bytes: IndexMap<&'static str, u64>,
-    call_load: Option<Calls>,
+    call_load: Option<CallLoad>,
     outputs: Vec<node::Output>,
 }
 
--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -21,22 +21,22 @@
 const BODY_BYTES: u64 = 600;
 
 /// How often a caller sends a request at most.
-const MOST_TRIES: u32 = 6;
+const MAX_TRIES: u32 = 6;
 
 /// When a caller comes back that was told nothing.
-const COME_BACK: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How long a target takes to come back after a crash.
 const TARGET_RESTART: Duration = Duration::from_secs(2);
 
 /// How long it takes until a crash is seen.
-const CRASH_SEEN: Duration = Duration::from_millis(5);
+const CRASH_DETECTION: Duration = Duration::from_millis(5);
 
 /// How often a paused process is looked at again.
-const SOCKET_WAIT: Duration = Duration::from_millis(100);
+const PAUSED_POLL: Duration = Duration::from_millis(100);
 
 /// One request in a thousand crashes each target that runs it.
-const DEADLY_PER_MILLE: u32 = 1;
+const CRASHING_PER_MILLE: u32 = 1;
 
 /// Runs in a thousand whose connection to the target breaks while the target goes on.
 const BROKEN_PER_MILLE: u32 = 10;
@@ -49,7 +49,7 @@
     path: String,
     key: Option<RequestKey>,
     work: Duration,
-    deadly: bool,
+    crashes_target: bool,
 }
 
 impl Request {
@@ -65,27 +65,27 @@
 /// A step of a call that takes time.
 pub(super) enum Step {
     /// A new request comes, and the next after it.
-    Call,
+    NewRequest,
     /// A request is sent, for the time that remains of its tries.
     Submit(Arc<Request>, u32),
     /// An attempt reaches the gatekeeper's host.
-    AtGate { submission: usize, entry_life: u32, forward: Box<Forward> },
+    ReachGatekeeper { submission: usize, entry_life: u32, forward: Box<Forward> },
     /// What an attempt came to reaches the entry node.
-    Back(Back),
+    AttemptEnded(AttemptReply),
     /// The entry node's deadline.
     Deadline { submission: usize, entry_life: u32 },
     /// A waiting request's time at the gatekeeper.
-    QueueEnd { gate: CallKey },
+    QueueTimeout { call_key: CallKey },
     /// The entry node has closed the connection of an attempt.
     Closed { submission: usize, attempt: u32 },
     /// A run has ended.
-    Done { gate: CallKey, end: End },
+    RunEnded { call_key: CallKey, end: End },
     /// Time passes for the gatekeepers.
     Tick,
 }
 
 /// What an attempt came to, on its way to the entry node.
-pub(super) struct Back {
+pub(super) struct AttemptReply {
     submission: usize,
     entry_life: u32,
     attempt: u32,
@@ -102,7 +102,7 @@
     ended: bool,
 }
 
-struct Gated {
+struct GatekeeperCall {
     node: usize,
     life: u32,
     submission: usize,
@@ -113,30 +113,30 @@
 }
 
 /// The callers' and targets' side of a fleet.
-pub struct Calls {
+pub struct CallLoad {
     rng: Pcg64Mcg,
-    pause: Duration,
+    interval: Duration,
     until: Time,
     requests: u64,
     submissions: Vec<Submission>,
-    gated: IndexMap<CallKey, Gated>,
-    next_gate: u64,
+    gatekeeper_calls: IndexMap<CallKey, GatekeeperCall>,
+    next_gatekeeper_call: u64,
     targets_down: Vec<Time>,
     /// What happened.
     pub history: Vec<CallRecord>,
 }
 
-impl Calls {
+impl CallLoad {
     /// Callers that send a new request each `pause` until a time.
-    pub fn new(nodes: usize, pause: Duration, until: Time, seed: u64) -> Calls {
-        Calls {
+    pub fn new(nodes: usize, interval: Duration, until: Time, seed: u64) -> CallLoad {
+        CallLoad {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            pause,
+            interval,
             until,
             requests: 0,
             submissions: Vec::new(),
-            gated: IndexMap::new(),
-            next_gate: 0,
+            gatekeeper_calls: IndexMap::new(),
+            next_gatekeeper_call: 0,
             targets_down: vec![Time::ZERO; nodes],
             history: Vec::new(),
         }
@@ -153,24 +153,26 @@
         let low = 1 << 63 | self.rng.random::<u64>() >> 2;
         let key = once.then_some(RequestKey { high, low });
         let work = Duration::from_micros(self.rng.random_range(500..60_000));
-        let deadly = self.rng.random_range(0..1_000) < DEADLY_PER_MILLE;
-        Arc::new(Request { number: self.requests, path, key, work, deadly })
+        let crashes_target = self.rng.random_range(0..1_000) < CRASHING_PER_MILLE;
+        Arc::new(Request { number: self.requests, path, key, work, crashes_target })
     }
 
-    fn gate_of(&self, submission: usize, attempt: u32) -> Option<CallKey> {
-        let found =
-            self.gated.iter().find(|(_, g)| (g.submission, g.attempt) == (submission, attempt));
-        found.map(|(gate, _)| *gate)
+    fn find_gatekeeper_call(&self, submission: usize, attempt: u32) -> Option<CallKey> {
+        let found = self
+            .gatekeeper_calls
+            .iter()
+            .find(|(_, g)| (g.submission, g.attempt) == (submission, attempt));
+        found.map(|(call_key, _)| *call_key)
     }
 }
 
 impl Fleet {
     /// Lets callers send requests, one each `pause`, for `span` from now.
-    pub fn add_callers(&mut self, pause: Duration, span: Duration) {
+    pub fn add_callers(&mut self, interval: Duration, span: Duration) {
         let until = self.now() + span;
         let seed = self.setup.seed;
-        self.call_load = Some(Calls::new(self.slots.len(), pause, until, seed));
-        self.links.after(pause, FleetEvent::CallStep(Step::Call));
+        self.call_load = Some(CallLoad::new(self.slots.len(), interval, until, seed));
+        self.links.after(interval, FleetEvent::CallStep(Step::NewRequest));
         self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
 
@@ -181,16 +183,16 @@
 
     pub(super) fn step(&mut self, step: Step) {
         match step {
-            Step::Call => self.new_call(),
+            Step::NewRequest => self.new_request(),
             Step::Submit(request, tries) => self.submit(request, tries),
-            Step::AtGate { submission, entry_life, forward } => {
-                self.at_gate(submission, entry_life, *forward);
+            Step::ReachGatekeeper { submission, entry_life, forward } => {
+                self.reach_gatekeeper(submission, entry_life, *forward);
             }
-            Step::Back(back) => self.back(back),
+            Step::AttemptEnded(reply) => self.attempt_ended(reply),
             Step::Deadline { submission, entry_life } => self.deadline(submission, entry_life),
-            Step::QueueEnd { gate } => self.queue_end(gate),
-            Step::Closed { submission, attempt } => self.closed(submission, attempt),
-            Step::Done { gate, end } => self.done(gate, end),
+            Step::QueueTimeout { call_key } => self.queue_timeout(call_key),
+            Step::Closed { submission, attempt } => self.connection_closed(submission, attempt),
+            Step::RunEnded { call_key, end } => self.run_ended(call_key, end),
             Step::Tick => self.tick(),
         }
     }
@@ -202,7 +204,7 @@
         self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
 
-    fn new_call(&mut self) {
+    fn new_request(&mut self) {
         let now = self.now();
         let services = self.setup.size.services;
         let Some(calls) = &mut self.call_load else { return };
@@ -210,9 +212,9 @@
             return;
         }
         let request = calls.request(now, services);
-        let pause = calls.pause;
-        self.links.after(pause, FleetEvent::CallStep(Step::Call));
-        self.submit(request, MOST_TRIES);
+        let interval = calls.interval;
+        self.links.after(interval, FleetEvent::CallStep(Step::NewRequest));
+        self.submit(request, MAX_TRIES);
     }
 
     /// A caller connects to a node; one that nothing listens on is passed over.
@@ -222,14 +224,14 @@
         let Some(calls) = &mut self.call_load else { return };
         let entry = calls.rng.random_range(0..nodes);
         if !self.slots[entry].is_running() {
-            let again = FleetEvent::CallStep(Step::Submit(request, tries));
-            return self.links.after(COME_BACK, again);
+            let retry = FleetEvent::CallStep(Step::Submit(request, tries));
+            return self.links.after(RETRY_DELAY, retry);
         }
         let submission = calls.submissions.len();
         let number = request.number;
         let once = request.key.is_some();
-        let made = Submission { request: request.clone(), tries, entry, attempt: 0, ended: false };
-        calls.submissions.push(made);
+        let sent = Submission { request: request.clone(), tries, entry, attempt: 0, ended: false };
+        calls.submissions.push(sent);
         calls.history.push(CallRecord::Submitted { at, submission, request: number, once });
         let given = Given::Arrive {
             call: CallKey(submission as u64),
@@ -263,56 +265,61 @@
         }
         let to = node_at(forward.gate);
         let sites = (self.site(node), self.site(to));
-        let step = Step::AtGate { submission, entry_life, forward: Box::new(forward) };
+        let step = Step::ReachGatekeeper { submission, entry_life, forward: Box::new(forward) };
         self.links.send_call(sites.0, sites.1, BODY_BYTES, FleetEvent::CallStep(step));
     }
 
     /// Sends what an attempt came to back to its entry node.
-    fn answer(&mut self, gate: CallKey, end: AttemptEnd, body: Option<u64>) {
+    fn reply_to_entry(&mut self, call_key: CallKey, end: AttemptEnd, body: Option<u64>) {
         let Some(calls) = &mut self.call_load else { return };
-        let Some(gated) = calls.gated.swap_remove(&gate) else { return };
-        let Gated { node, submission, attempt, entry_life, .. } = gated;
-        self.send_back(node, Back { submission, entry_life, attempt, end, body });
+        let Some(gatekeeper_call) = calls.gatekeeper_calls.swap_remove(&call_key) else { return };
+        let GatekeeperCall { node, submission, attempt, entry_life, .. } = gatekeeper_call;
+        self.send_attempt_reply(node, AttemptReply { submission, entry_life, attempt, end, body });
     }
 
-    fn send_back(&mut self, node: usize, back: Back) {
+    fn send_attempt_reply(&mut self, node: usize, reply: AttemptReply) {
         let Some(calls) = &self.call_load else { return };
-        let entry = calls.submissions[back.submission].entry;
+        let entry = calls.submissions[reply.submission].entry;
         let sites = (self.site(node), self.site(entry));
-        self.links.send_call(sites.0, sites.1, BODY_BYTES, FleetEvent::CallStep(Step::Back(back)));
+        self.links.send_call(
+            sites.0,
+            sites.1,
+            BODY_BYTES,
+            FleetEvent::CallStep(Step::AttemptEnded(reply)),
+        );
     }
 
-    fn back(&mut self, back: Back) {
+    fn attempt_ended(&mut self, reply: AttemptReply) {
         let Some(calls) = &self.call_load else { return };
-        let made = &calls.submissions[back.submission];
-        let entry = made.entry;
+        let sent = &calls.submissions[reply.submission];
+        let entry = sent.entry;
         // The connection of an earlier attempt is closed by then.
-        let current = made.attempt == back.attempt && self.slots[entry].life == back.entry_life;
-        if made.ended || !current {
+        let current = sent.attempt == reply.attempt && self.slots[entry].life == reply.entry_life;
+        if sent.ended || !current {
             return;
         }
         if self.slots[entry].is_paused() {
             // The answer waits in the socket.
-            return self.links.after(SOCKET_WAIT, FleetEvent::CallStep(Step::Back(back)));
+            return self.links.after(PAUSED_POLL, FleetEvent::CallStep(Step::AttemptEnded(reply)));
         }
-        let call = CallKey(back.submission as u64);
-        self.handle_input(entry, Given::Attempt { call, end: back.end });
-        if let Some(body) = back.body {
-            self.end_submission(back.submission, CallEnd::Answered(body));
+        let call = CallKey(reply.submission as u64);
+        self.handle_input(entry, Given::Attempt { call, end: reply.end });
+        if let Some(body) = reply.body {
+            self.end_submission(reply.submission, CallEnd::Answered(body));
             self.handle_input(entry, Given::Close(call));
         }
     }
 
     fn deadline(&mut self, submission: usize, entry_life: u32) {
         let Some(calls) = &self.call_load else { return };
-        let made = &calls.submissions[submission];
-        if made.ended || self.slots[made.entry].life != entry_life {
+        let sent = &calls.submissions[submission];
+        if sent.ended || self.slots[sent.entry].life != entry_life {
             return;
         }
-        let (entry, attempt) = (made.entry, made.attempt);
+        let (entry, attempt) = (sent.entry, sent.attempt);
         if self.slots[entry].is_paused() {
             let step = Step::Deadline { submission, entry_life };
-            return self.links.after(SOCKET_WAIT, FleetEvent::CallStep(step));
+            return self.links.after(PAUSED_POLL, FleetEvent::CallStep(step));
         }
         self.handle_input(entry, Given::Expire { call: CallKey(submission as u64) });
         self.close_attempt(entry, submission, attempt);
@@ -320,8 +327,8 @@
 
     fn close_attempt(&mut self, entry: usize, submission: usize, attempt: u32) {
         let Some(calls) = &self.call_load else { return };
-        let Some(gate) = calls.gate_of(submission, attempt) else { return };
-        let node = calls.gated[&gate].node;
+        let Some(call_key) = calls.find_gatekeeper_call(submission, attempt) else { return };
+        let node = calls.gatekeeper_calls[&call_key].node;
         let sites = (self.site(entry), self.site(node));
         let step = Step::Closed { submission, attempt };
         self.links.send_call(sites.0, sites.1, 0, FleetEvent::CallStep(step));
@@ -330,16 +337,16 @@
     fn end_submission(&mut self, submission: usize, end: CallEnd) {
         let at = self.now();
         let Some(calls) = &mut self.call_load else { return };
-        let made = &mut calls.submissions[submission];
-        if std::mem::replace(&mut made.ended, true) {
+        let sent = &mut calls.submissions[submission];
+        if std::mem::replace(&mut sent.ended, true) {
             return;
         }
-        let (request, tries) = (made.request.clone(), made.tries - 1);
+        let (request, tries) = (sent.request.clone(), sent.tries - 1);
         calls.history.push(CallRecord::Ended { at, submission, end });
         let wait = match end {
             CallEnd::Answered(_) => return,
             CallEnd::NotRun(retry_after) => retry_after,
-            CallEnd::Unknown | CallEnd::Broken => COME_BACK,
+            CallEnd::Unknown | CallEnd::Broken => RETRY_DELAY,
         };
         if tries > 0 {
             self.links.after(wait, FleetEvent::CallStep(Step::Submit(request, tries)));
@@ -355,16 +362,17 @@
             .iter()
             .enumerate()
             .filter(open)
-            .map(|(submission, made)| (submission, made.attempt))
+            .map(|(submission, sent)| (submission, sent.attempt))
             .collect();
-        let here = |(_, g): &(&CallKey, &Gated)| g.node == node;
-        let gates: Vec<CallKey> = calls.gated.iter().filter(here).map(|(gate, _)| *gate).collect();
+        let here = |(_, g): &(&CallKey, &GatekeeperCall)| g.node == node;
+        let call_keys: Vec<CallKey> =
+            calls.gatekeeper_calls.iter().filter(here).map(|(call_key, _)| *call_key).collect();
         for (submission, attempt) in submissions {
             self.end_submission(submission, CallEnd::Broken);
             self.close_attempt(node, submission, attempt);
         }
-        for gate in gates {
-            self.answer(gate, AttemptEnd::ConnectionLost, None);
+        for call_key in call_keys {
+            self.reply_to_entry(call_key, AttemptEnd::ConnectionLost, None);
         }
     }
 }
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -1,6 +1,9 @@
 //! The gatekeepers' side of calls in a fleet in memory, and the targets beside them.
 
-use super::{BROKEN_PER_MILLE, Back, COME_BACK, CRASH_SEEN, Gated, Step, TARGET_RESTART};
+use super::{
+    AttemptReply, BROKEN_PER_MILLE, CRASH_DETECTION, GatekeeperCall, RETRY_DELAY, Step,
+    TARGET_RESTART,
+};
 use crate::fleet::slot::{Given, node_at};
 use crate::fleet::{Fleet, FleetEvent};
 use crate::history::calls::CallRecord;
@@ -15,24 +18,36 @@
 use sycamore_core::call::{CallKey, Outcome};
 
 impl Fleet {
-    pub(super) fn at_gate(&mut self, submission: usize, entry_life: u32, forward: Forward) {
+    pub(super) fn reach_gatekeeper(
+        &mut self,
+        submission: usize,
+        entry_life: u32,
+        forward: Forward,
+    ) {
         let node = node_at(forward.gate);
         let attempt = forward.attempt;
         if !self.slots[node].is_running() {
             let end = AttemptEnd::NotSent;
-            let back = Back { submission, entry_life, attempt, end, body: None };
-            return self.send_back(node, back);
+            let reply = AttemptReply { submission, entry_life, attempt, end, body: None };
+            return self.send_attempt_reply(node, reply);
         }
         let life = self.slots[node].life;
         let Some(calls) = &mut self.call_load else { return };
         let request = calls.submissions[submission].request.clone();
-        calls.next_gate += 1;
-        let gate = CallKey(calls.next_gate);
-        let gated =
-            Gated { node, life, submission, attempt, entry_life, running: false, once: false };
-        calls.gated.insert(gate, gated);
+        calls.next_gatekeeper_call += 1;
+        let call_key = CallKey(calls.next_gatekeeper_call);
+        let gatekeeper_call = GatekeeperCall {
+            node,
+            life,
+            submission,
+            attempt,
+            entry_life,
+            running: false,
+            once: false,
+        };
+        calls.gatekeeper_calls.insert(call_key, gatekeeper_call);
         let given = Given::GateArrive {
-            call: gate,
+            call: call_key,
             path: request.path.clone(),
             key: request.key,
             digest: request.digest(),
@@ -50,13 +65,13 @@
     ) {
         match output {
             gatekeeper::Output::Run { call, once } => self.run(node, call, once),
-            gatekeeper::Output::Queue(gate, until) => {
-                self.links.at(until, FleetEvent::CallStep(Step::QueueEnd { gate }));
+            gatekeeper::Output::Queue(call_key, until) => {
+                self.links.at(until, FleetEvent::CallStep(Step::QueueTimeout { call_key }));
             }
-            gatekeeper::Output::Replay(gate, answer) => {
+            gatekeeper::Output::Replay(call_key, answer) => {
                 let body = answer.body.as_ref().try_into().map_or(0, u64::from_be_bytes);
-                self.answer(
-                    gate,
+                self.reply_to_entry(
+                    call_key,
                     AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
                     Some(body),
                 );
@@ -69,67 +84,71 @@
                     Outcome::Unknown { code } => AttemptEnd::Failed { code, crashes },
                     Outcome::Answered => AttemptEnd::Failed { code: Code::AnswerLost, crashes },
                 };
-                self.answer(call, end, None);
+                self.reply_to_entry(call, end, None);
             }
             gatekeeper::Output::Send(_) | gatekeeper::Output::Record(_) => {}
         }
     }
 
     /// The target takes the request, if it runs at all.
-    pub(super) fn run(&mut self, node: usize, gate: CallKey, once: bool) {
+    pub(super) fn run(&mut self, node: usize, call_key: CallKey, once: bool) {
         let at = self.now();
         let Some(calls) = &mut self.call_load else { return };
-        let Some(gated) = calls.gated.get_mut(&gate) else { return };
-        gated.running = true;
-        gated.once = once;
-        let submission = gated.submission;
+        let Some(gatekeeper_call) = calls.gatekeeper_calls.get_mut(&call_key) else { return };
+        gatekeeper_call.running = true;
+        gatekeeper_call.once = once;
+        let submission = gatekeeper_call.submission;
         if calls.targets_down[node] > at {
-            let done = Step::Done { gate, end: End::NotSent };
-            return self.links.after(Duration::ZERO, FleetEvent::CallStep(done));
+            let step = Step::RunEnded { call_key, end: End::NotSent };
+            return self.links.after(Duration::ZERO, FleetEvent::CallStep(step));
         }
         let request = calls.submissions[submission].request.clone();
         calls.history.push(CallRecord::Ran { at, node, submission, request: request.number });
-        if request.deadly {
+        if request.crashes_target {
             return self.crash_target(node);
         }
         if calls.rng.random_range(0..1_000) < BROKEN_PER_MILLE {
             let end = End::Broken { target_gone: false };
-            return self.links.after(CRASH_SEEN, FleetEvent::CallStep(Step::Done { gate, end }));
+            return self
+                .links
+                .after(CRASH_DETECTION, FleetEvent::CallStep(Step::RunEnded { call_key, end }));
         }
         let body = Bytes::copy_from_slice(&request.number.to_be_bytes());
         let kept = CachedResponse { status: 200, headers: Vec::new(), body };
         let end = End::Answered { cached: once.then(|| Arc::new(kept)) };
-        self.links.after(request.work, FleetEvent::CallStep(Step::Done { gate, end }));
+        self.links.after(request.work, FleetEvent::CallStep(Step::RunEnded { call_key, end }));
     }
 
     pub(super) fn crash_target(&mut self, node: usize) {
         let now = self.now();
         let Some(calls) = &mut self.call_load else { return };
         calls.targets_down[node] = now + TARGET_RESTART;
-        let running = |(_, g): &(&CallKey, &Gated)| g.node == node && g.running;
-        let gates: Vec<CallKey> =
-            calls.gated.iter().filter(running).map(|(gate, _)| *gate).collect();
-        for gate in gates {
+        let running = |(_, g): &(&CallKey, &GatekeeperCall)| g.node == node && g.running;
+        let call_keys: Vec<CallKey> =
+            calls.gatekeeper_calls.iter().filter(running).map(|(call_key, _)| *call_key).collect();
+        for call_key in call_keys {
             let end = End::Broken { target_gone: true };
-            self.links.after(CRASH_SEEN, FleetEvent::CallStep(Step::Done { gate, end }));
+            self.links
+                .after(CRASH_DETECTION, FleetEvent::CallStep(Step::RunEnded { call_key, end }));
         }
     }
 
     /// A run has ended; the gatekeeper's process may have been replaced meanwhile.
-    pub(super) fn done(&mut self, gate: CallKey, end: End) {
+    pub(super) fn run_ended(&mut self, call_key: CallKey, end: End) {
         let Some(calls) = &self.call_load else { return };
-        let Some(gated) = calls.gated.get(&gate) else { return };
-        let (node, life, submission) = (gated.node, gated.life, gated.submission);
+        let Some(gatekeeper_call) = calls.gatekeeper_calls.get(&call_key) else { return };
+        let (node, life, submission) =
+            (gatekeeper_call.node, gatekeeper_call.life, gatekeeper_call.submission);
         if self.slots[node].life != life {
             return;
         }
-        let back = match &end {
+        let attempt_end = match &end {
             End::Answered { .. } | End::ResponseRead { .. } => {
                 AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO }
             }
             End::NotSent | End::Rejected(_) => AttemptEnd::Refused {
                 code: Code::TargetUnreachable,
-                retry_after: COME_BACK,
+                retry_after: RETRY_DELAY,
                 load: None,
                 crashes: 0,
             },
@@ -139,32 +158,38 @@
         };
         let answered = matches!(end, End::Answered { .. } | End::ResponseRead { .. });
         let number = calls.submissions[submission].request.number;
-        self.handle_input(node, Given::End { call: gate, end });
-        self.answer(gate, back, answered.then_some(number));
+        self.handle_input(node, Given::End { call: call_key, end });
+        self.reply_to_entry(call_key, attempt_end, answered.then_some(number));
     }
 
     /// The gatekeeper sees that the entry node has gone away.
-    pub(super) fn closed(&mut self, submission: usize, attempt: u32) {
+    pub(super) fn connection_closed(&mut self, submission: usize, attempt: u32) {
         let Some(calls) = &mut self.call_load else { return };
-        let Some(gate) = calls.gate_of(submission, attempt) else { return };
-        let gated = &calls.gated[&gate];
-        let (node, life, running, once) = (gated.node, gated.life, gated.running, gated.once);
+        let Some(call_key) = calls.find_gatekeeper_call(submission, attempt) else { return };
+        let gatekeeper_call = &calls.gatekeeper_calls[&call_key];
+        let (node, life, running, once) = (
+            gatekeeper_call.node,
+            gatekeeper_call.life,
+            gatekeeper_call.running,
+            gatekeeper_call.once,
+        );
         if self.slots[node].life != life || (running && once) {
             return;
         }
-        calls.gated.swap_remove(&gate);
+        calls.gatekeeper_calls.swap_remove(&call_key);
         let given = match running {
-            true => Given::End { call: gate, end: End::Cancelled },
-            false => Given::Withdraw(gate),
+            true => Given::End { call: call_key, end: End::Cancelled },
+            false => Given::Withdraw(call_key),
         };
         self.handle_input(node, given);
     }
 
-    pub(super) fn queue_end(&mut self, gate: CallKey) {
+    pub(super) fn queue_timeout(&mut self, call_key: CallKey) {
         let Some(calls) = &self.call_load else { return };
-        let Some(gated) = calls.gated.get(&gate) else { return };
-        if self.slots[gated.node].life == gated.life && !gated.running {
-            self.handle_input(gated.node, Given::QueueEnd(gate));
+        let Some(gatekeeper_call) = calls.gatekeeper_calls.get(&call_key) else { return };
+        if self.slots[gatekeeper_call.node].life == gatekeeper_call.life && !gatekeeper_call.running
+        {
+            self.handle_input(gatekeeper_call.node, Given::QueueEnd(call_key));
         }
     }
 }
