--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -54,8 +54,8 @@
 enum FleetEvent {
     Wake(usize, Time),
     Resume(usize),
-    PeerMessage { from: usize, to: usize, life: u32, msg: PeerMsg },
-    PeerRefused { node: usize, life: u32, to: SocketAddr },
+    PeerMessage { from: usize, to: usize, incarnation: u32, msg: PeerMsg },
+    PeerRefused { node: usize, incarnation: u32, to: SocketAddr },
     SourceRequest(Caller, SourceCall),
     SourceResponse(Caller, Answer),
     SourceTimeout(Caller),
@@ -260,7 +260,7 @@
     }
 
     fn last_in_force_at(&self) -> Time {
-        self.slots.iter().filter_map(|slot| slot.since).max().unwrap_or(START)
+        self.slots.iter().filter_map(|slot| slot.in_force_since).max().unwrap_or(START)
     }
 
     fn site(&self, node: usize) -> Site {
@@ -271,9 +271,11 @@
         match event {
             FleetEvent::Wake(node, at) => self.wake(node, at),
             FleetEvent::Resume(node) => self.resume(node),
-            FleetEvent::PeerMessage { from, to, life, msg } => self.receive(from, to, life, msg),
-            FleetEvent::PeerRefused { node, life, to } => {
-                if self.slots[node].life == life {
+            FleetEvent::PeerMessage { from, to, incarnation, msg } => {
+                self.receive(from, to, incarnation, msg)
+            }
+            FleetEvent::PeerRefused { node, incarnation, to } => {
+                if self.slots[node].incarnation == incarnation {
                     self.handle_spread_input(node, Input::PeerFailed { to });
                 }
             }
@@ -313,10 +315,10 @@
         }
     }
 
-    fn receive(&mut self, from: usize, to: usize, life: u32, msg: PeerMsg) {
+    fn receive(&mut self, from: usize, to: usize, incarnation: u32, msg: PeerMsg) {
         if self.slots[to].is_running() {
             let question = matches!(msg, PeerMsg::Ping(_) | PeerMsg::Pull(_));
-            if !(question && self.slots[to].silent) {
+            if !(question && self.slots[to].ignores_requests) {
                 let from = self.slots[from].peer.clone();
                 self.handle_spread_input(to, Input::Peer { from, msg });
             }
@@ -325,7 +327,12 @@
         // The host answers that nothing listens on the port.
         let to = self.slots[to].peer.address;
         let sites = (self.site(slot::node_at(to)), self.site(from));
-        self.links.send(sites.0, sites.1, 0, FleetEvent::PeerRefused { node: from, life, to });
+        self.links.send(
+            sites.0,
+            sites.1,
+            0,
+            FleetEvent::PeerRefused { node: from, incarnation, to },
+        );
     }
 
     fn handle_spread_input(&mut self, node: usize, input: Input) {
@@ -379,16 +386,17 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, msg: PeerMsg) {
         let to_node = slot::node_at(to);
-        let life = self.slots[from].life;
+        let incarnation = self.slots[from].incarnation;
         if to_node >= self.slots.len() {
-            self.links.after(CONNECT_TIMEOUT, FleetEvent::PeerRefused { node: from, life, to });
+            self.links
+                .after(CONNECT_TIMEOUT, FleetEvent::PeerRefused { node: from, incarnation, to });
             return;
         }
-        let msg = if self.slots[from].lies { fault::corrupt(msg) } else { msg };
+        let msg = if self.slots[from].corrupts_messages { fault::corrupt(msg) } else { msg };
         let sites = (self.site(from), self.site(to_node));
         let size = self.sizes.of(&msg);
         self.count_cross_region(sites, size::kind(&msg), size);
-        let arrive = FleetEvent::PeerMessage { from, to: to_node, life, msg };
+        let arrive = FleetEvent::PeerMessage { from, to: to_node, incarnation, msg };
         self.count_traffic(from, size, 0);
         self.count_traffic(to_node, 0, size);
         self.links.send(sites.0, sites.1, size, arrive);
--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -69,11 +69,11 @@
     /// A request is sent, for the time that remains of its tries.
     Submit(Arc<Request>, u32),
     /// An attempt reaches the gatekeeper's host.
-    ReachGatekeeper { submission: usize, entry_life: u32, forward: Box<Forward> },
+    ReachGatekeeper { submission: usize, entry_incarnation: u32, forward: Box<Forward> },
     /// What an attempt came to reaches the entry node.
     AttemptEnded(AttemptReply),
     /// The entry node's deadline.
-    Deadline { submission: usize, entry_life: u32 },
+    Deadline { submission: usize, entry_incarnation: u32 },
     /// A waiting request's time at the gatekeeper.
     QueueTimeout { call_key: CallKey },
     /// The entry node has closed the connection of an attempt.
@@ -87,7 +87,7 @@
 /// What an attempt came to, on its way to the entry node.
 pub(super) struct AttemptReply {
     submission: usize,
-    entry_life: u32,
+    entry_incarnation: u32,
     attempt: u32,
     end: AttemptEnd,
     /// Number of the request that the answer belongs to, if there is one.
@@ -104,10 +104,10 @@
 
 struct GatekeeperCall {
     node: usize,
-    life: u32,
+    incarnation: u32,
     submission: usize,
     attempt: u32,
-    entry_life: u32,
+    entry_incarnation: u32,
     running: bool,
     once: bool,
 }
@@ -185,11 +185,13 @@
         match step {
             Step::NewRequest => self.new_request(),
             Step::Submit(request, tries) => self.submit(request, tries),
-            Step::ReachGatekeeper { submission, entry_life, forward } => {
-                self.reach_gatekeeper(submission, entry_life, *forward);
+            Step::ReachGatekeeper { submission, entry_incarnation, forward } => {
+                self.reach_gatekeeper(submission, entry_incarnation, *forward);
             }
             Step::AttemptEnded(reply) => self.attempt_ended(reply),
-            Step::Deadline { submission, entry_life } => self.deadline(submission, entry_life),
+            Step::Deadline { submission, entry_incarnation } => {
+                self.deadline(submission, entry_incarnation)
+            }
             Step::QueueTimeout { call_key } => self.queue_timeout(call_key),
             Step::Closed { submission, attempt } => self.connection_closed(submission, attempt),
             Step::RunEnded { call_key, end } => self.run_ended(call_key, end),
@@ -256,16 +258,17 @@
 
     fn forward(&mut self, node: usize, forward: Forward) {
         let submission = forward.call.0 as usize;
-        let entry_life = self.slots[node].life;
+        let entry_incarnation = self.slots[node].incarnation;
         let Some(calls) = &mut self.call_load else { return };
         calls.submissions[submission].attempt = forward.attempt;
         if forward.attempt == 1 {
-            let deadline = Step::Deadline { submission, entry_life };
+            let deadline = Step::Deadline { submission, entry_incarnation };
             self.links.at(forward.deadline, FleetEvent::CallStep(deadline));
         }
         let to = node_at(forward.gate);
         let sites = (self.site(node), self.site(to));
-        let step = Step::ReachGatekeeper { submission, entry_life, forward: Box::new(forward) };
+        let step =
+            Step::ReachGatekeeper { submission, entry_incarnation, forward: Box::new(forward) };
         self.links.send_call(sites.0, sites.1, BODY_BYTES, FleetEvent::CallStep(step));
     }
 
@@ -273,8 +276,11 @@
     fn reply_to_entry(&mut self, call_key: CallKey, end: AttemptEnd, body: Option<u64>) {
         let Some(calls) = &mut self.call_load else { return };
         let Some(gatekeeper_call) = calls.gatekeeper_calls.swap_remove(&call_key) else { return };
-        let GatekeeperCall { node, submission, attempt, entry_life, .. } = gatekeeper_call;
-        self.send_attempt_reply(node, AttemptReply { submission, entry_life, attempt, end, body });
+        let GatekeeperCall { node, submission, attempt, entry_incarnation, .. } = gatekeeper_call;
+        self.send_attempt_reply(
+            node,
+            AttemptReply { submission, entry_incarnation, attempt, end, body },
+        );
     }
 
     fn send_attempt_reply(&mut self, node: usize, reply: AttemptReply) {
@@ -294,7 +300,8 @@
         let sent = &calls.submissions[reply.submission];
         let entry = sent.entry;
         // The connection of an earlier attempt is closed by then.
-        let current = sent.attempt == reply.attempt && self.slots[entry].life == reply.entry_life;
+        let current = sent.attempt == reply.attempt
+            && self.slots[entry].incarnation == reply.entry_incarnation;
         if sent.ended || !current {
             return;
         }
@@ -310,15 +317,15 @@
         }
     }
 
-    fn deadline(&mut self, submission: usize, entry_life: u32) {
+    fn deadline(&mut self, submission: usize, entry_incarnation: u32) {
         let Some(calls) = &self.call_load else { return };
         let sent = &calls.submissions[submission];
-        if sent.ended || self.slots[sent.entry].life != entry_life {
+        if sent.ended || self.slots[sent.entry].incarnation != entry_incarnation {
             return;
         }
         let (entry, attempt) = (sent.entry, sent.attempt);
         if self.slots[entry].is_paused() {
-            let step = Step::Deadline { submission, entry_life };
+            let step = Step::Deadline { submission, entry_incarnation };
             return self.links.after(PAUSED_POLL, FleetEvent::CallStep(step));
         }
         self.handle_input(entry, Given::Expire { call: CallKey(submission as u64) });
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -21,27 +21,27 @@
     pub(super) fn reach_gatekeeper(
         &mut self,
         submission: usize,
-        entry_life: u32,
+        entry_incarnation: u32,
         forward: Forward,
     ) {
         let node = node_at(forward.gate);
         let attempt = forward.attempt;
         if !self.slots[node].is_running() {
             let end = AttemptEnd::NotSent;
-            let reply = AttemptReply { submission, entry_life, attempt, end, body: None };
+            let reply = AttemptReply { submission, entry_incarnation, attempt, end, body: None };
             return self.send_attempt_reply(node, reply);
         }
-        let life = self.slots[node].life;
+        let incarnation = self.slots[node].incarnation;
         let Some(calls) = &mut self.call_load else { return };
         let request = calls.submissions[submission].request.clone();
         calls.next_gatekeeper_call += 1;
         let call_key = CallKey(calls.next_gatekeeper_call);
         let gatekeeper_call = GatekeeperCall {
             node,
-            life,
+            incarnation,
             submission,
             attempt,
-            entry_life,
+            entry_incarnation,
             running: false,
             once: false,
         };
@@ -137,9 +137,9 @@
     pub(super) fn run_ended(&mut self, call_key: CallKey, end: End) {
         let Some(calls) = &self.call_load else { return };
         let Some(gatekeeper_call) = calls.gatekeeper_calls.get(&call_key) else { return };
-        let (node, life, submission) =
-            (gatekeeper_call.node, gatekeeper_call.life, gatekeeper_call.submission);
-        if self.slots[node].life != life {
+        let (node, incarnation, submission) =
+            (gatekeeper_call.node, gatekeeper_call.incarnation, gatekeeper_call.submission);
+        if self.slots[node].incarnation != incarnation {
             return;
         }
         let attempt_end = match &end {
@@ -167,13 +167,13 @@
         let Some(calls) = &mut self.call_load else { return };
         let Some(call_key) = calls.find_gatekeeper_call(submission, attempt) else { return };
         let gatekeeper_call = &calls.gatekeeper_calls[&call_key];
-        let (node, life, running, once) = (
+        let (node, incarnation, running, once) = (
             gatekeeper_call.node,
-            gatekeeper_call.life,
+            gatekeeper_call.incarnation,
             gatekeeper_call.running,
             gatekeeper_call.once,
         );
-        if self.slots[node].life != life || (running && once) {
+        if self.slots[node].incarnation != incarnation || (running && once) {
             return;
         }
         calls.gatekeeper_calls.swap_remove(&call_key);
@@ -187,7 +187,8 @@
     pub(super) fn queue_timeout(&mut self, call_key: CallKey) {
         let Some(calls) = &self.call_load else { return };
         let Some(gatekeeper_call) = calls.gatekeeper_calls.get(&call_key) else { return };
-        if self.slots[gatekeeper_call.node].life == gatekeeper_call.life && !gatekeeper_call.running
+        if self.slots[gatekeeper_call.node].incarnation == gatekeeper_call.incarnation
+            && !gatekeeper_call.running
         {
             self.handle_input(gatekeeper_call.node, Given::QueueEnd(call_key));
         }
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -83,13 +83,13 @@
                 nodes.into_iter().for_each(|node| self.start(node));
             }
             Action::Pause(nodes, span) => nodes.into_iter().for_each(|n| self.pause(n, span)),
-            Action::Silence(node, silent) => {
-                self.slots[node].silent = silent;
-                self.slots[node].troubled = self.links.now();
+            Action::Silence(node, ignores_requests) => {
+                self.slots[node].ignores_requests = ignores_requests;
+                self.slots[node].last_impaired = self.links.now();
             }
-            Action::Lie(node, lies) => {
-                self.slots[node].lies = lies;
-                self.slots[node].troubled = self.links.now();
+            Action::Lie(node, corrupts_messages) => {
+                self.slots[node].corrupts_messages = corrupts_messages;
+                self.slots[node].last_impaired = self.links.now();
             }
             Action::Cut(zone, other) => self.cut(zone, other.unwrap_or(PLATFORM_ZONE)),
             Action::CutZone(zone) => self.cut_zone(zone),
--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -17,7 +17,7 @@
             self.record_in_force(node, snapshot);
         }
         self.convergence.in_force(node, in_force.version, now);
-        self.slots[node].take_in_force(in_force.clone(), now);
+        self.slots[node].set_in_force(in_force.clone(), now);
     }
 
     pub(super) fn record_in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
@@ -42,11 +42,13 @@
     /// could ask from then till now.
     pub(super) fn remembered(&self, node: usize) -> u64 {
         let Some(start) = &self.slots[node].start else { return 0 };
-        let could_ask = |other: usize, life: u32| {
+        let could_ask = |other: usize, incarnation: u32| {
             let slot = &self.slots[other];
-            slot.life == life && slot.troubled < start.at && self.uncut_since(node, other, start.at)
+            slot.incarnation == incarnation
+                && slot.last_impaired < start.at
+                && self.uncut_since(node, other, start.at)
         };
-        let versions = start.neighbours.iter().filter(|n| could_ask(n.node, n.life));
+        let versions = start.neighbours.iter().filter(|n| could_ask(n.node, n.incarnation));
         versions.map(|neighbour| neighbour.version).max().unwrap_or(0)
     }
 
@@ -66,7 +68,7 @@
         let askable = |other: &usize| {
             let slot = &self.slots[*other];
             slot.is_running()
-                && !slot.is_troubled()
+                && !slot.is_impaired()
                 && !self.links.is_cut(self.site(node), self.site(*other))
         };
         let others = (0..self.slots.len()).filter(near).filter(askable);
--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -32,7 +32,7 @@
     /// Number of the node.
     pub node: usize,
     /// Its life then.
-    pub life: u32,
+    pub incarnation: u32,
     /// The version that it held.
     pub version: u64,
 }
@@ -120,7 +120,7 @@
 }
 
 /// What decides for a node.
-enum Decider {
+enum StateMachine {
     /// All of it.
     Node(Box<Node>),
     /// Only the spread, where memory does not suffice for all.
@@ -136,7 +136,7 @@
     /// Services whose routes it needs.
     pub scope: Option<Vec<Name>>,
     /// Starts so far: what belongs to an earlier life is dropped.
-    pub life: u32,
+    pub incarnation: u32,
     /// When the decider wants to be woken.
     pub wake: Option<Time>,
     /// When the next wake is queued.
@@ -146,20 +146,20 @@
     /// The version in force.
     pub in_force: Option<InForce>,
     /// Since when.
-    pub since: Option<Time>,
+    pub in_force_since: Option<Time>,
     /// What the decider shows on `/status`.
     pub view: Option<View>,
     /// Whether it takes questions and never answers.
-    pub silent: bool,
+    pub ignores_requests: bool,
     /// Whether what it sends does not match its hash.
-    pub lies: bool,
+    pub corrupts_messages: bool,
     /// When it last was paused, silent or lying.
-    pub troubled: Time,
+    pub last_impaired: Time,
     /// What it has carried.
     pub load: Load,
     /// Its last start, while nothing is in force yet.
     pub start: Option<Start>,
-    decider: Option<Decider>,
+    state_machine: Option<StateMachine>,
     spread_only: bool,
     paused: bool,
     backlog: Vec<Given>,
@@ -178,19 +178,19 @@
             peer,
             seeds: seeds(setup, node),
             scope: setup.preset_size.scope(node, setup.called_services),
-            life: 0,
+            incarnation: 0,
             wake: None,
             queued_wake: None,
             calls: HashSet::new(),
             in_force: None,
-            since: None,
+            in_force_since: None,
             view: None,
-            silent: false,
-            lies: false,
-            troubled: Time::ZERO,
+            ignores_requests: false,
+            corrupts_messages: false,
+            last_impaired: Time::ZERO,
             load: Load::default(),
             start: None,
-            decider: None,
+            state_machine: None,
             spread_only: setup.spread_only,
             paused: false,
             backlog: Vec::new(),
@@ -202,7 +202,7 @@
 
     /// Whether the process runs, paused or not.
     pub fn is_running(&self) -> bool {
-        self.decider.is_some()
+        self.state_machine.is_some()
     }
 
     /// Whether the process does not run for now.
@@ -211,8 +211,8 @@
     }
 
     /// Whether it can't be expected to answer well.
-    pub fn is_troubled(&self) -> bool {
-        self.paused || self.silent || self.lies
+    pub fn is_impaired(&self) -> bool {
+        self.paused || self.ignores_requests || self.corrupts_messages
     }
 
     /// The version in force; zero if none.
@@ -227,7 +227,7 @@
 
     /// How it looks to a node that starts now.
     pub fn as_neighbour(&self, node: usize) -> Neighbour {
-        Neighbour { node, life: self.life, version: self.version() }
+        Neighbour { node, incarnation: self.incarnation, version: self.version() }
     }
 
     /// Starts the process.
@@ -245,17 +245,17 @@
         };
         let now = start.at;
         self.start = Some(start);
-        let seed = self.seed + u64::from(self.life);
-        self.decider = Some(match self.spread_only {
-            true => Decider::Spread(Box::new(Spread::new(cfg, seed))),
-            false => Decider::Node(Box::new(Node::new(cfg, now, seed))),
+        let seed = self.seed + u64::from(self.incarnation);
+        self.state_machine = Some(match self.spread_only {
+            true => StateMachine::Spread(Box::new(Spread::new(cfg, seed))),
+            false => StateMachine::Node(Box::new(Node::new(cfg, now, seed))),
         });
     }
 
     /// Ends the process: it forgets everything.
     pub fn stop(&mut self) {
-        self.life += 1;
-        self.decider = None;
+        self.incarnation += 1;
+        self.state_machine = None;
         self.wake = None;
         self.queued_wake = None;
         self.calls.clear();
@@ -269,22 +269,22 @@
     /// Stops the process from running until [`Slot::resume`].
     pub fn pause(&mut self, now: Time) {
         self.paused = true;
-        self.troubled = now;
+        self.last_impaired = now;
     }
 
     /// Lets the process run again. Returns what came in meanwhile.
     pub fn resume(&mut self, now: Time) -> Vec<Given> {
         if self.paused {
-            self.troubled = now;
+            self.last_impaired = now;
         }
         self.paused = false;
         std::mem::take(&mut self.backlog)
     }
 
     /// A version has come into force.
-    pub fn take_in_force(&mut self, in_force: InForce, at: Time) {
+    pub fn set_in_force(&mut self, in_force: InForce, at: Time) {
         self.in_force = Some(in_force);
-        self.since = Some(at);
+        self.in_force_since = Some(at);
         self.start = None;
     }
 
@@ -296,25 +296,25 @@
             }
             return;
         }
-        let began = Instant::now();
-        match &mut self.decider {
-            Some(Decider::Node(node)) => hand_in(node, now, given, out),
-            Some(Decider::Spread(spread)) => hand_in_spread(spread, now, given, out),
+        let started = Instant::now();
+        match &mut self.state_machine {
+            Some(StateMachine::Node(node)) => handle_full(node, now, given, out),
+            Some(StateMachine::Spread(spread)) => handle_spread_only(spread, now, given, out),
             None => return,
         }
-        self.load.busy += began.elapsed();
+        self.load.busy += started.elapsed();
     }
 }
 
-fn hand_in_spread(spread: &mut Spread, now: Time, given: Given, out: &mut Vec<node::Output>) {
+fn handle_spread_only(spread: &mut Spread, now: Time, given: Given, out: &mut Vec<node::Output>) {
     if let Given::Spread(input) = given {
-        let mut decided = Vec::new();
-        spread.handle(now, input, &mut decided);
-        out.extend(decided.into_iter().map(node::Output::Spread));
+        let mut outputs = Vec::new();
+        spread.handle(now, input, &mut outputs);
+        out.extend(outputs.into_iter().map(node::Output::Spread));
     }
 }
 
-fn hand_in(node: &mut Node, now: Time, given: Given, out: &mut Vec<node::Output>) {
+fn handle_full(node: &mut Node, now: Time, given: Given, out: &mut Vec<node::Output>) {
     let input = match given {
         Given::Spread(input) => node::Input::Spread(input),
         Given::Arrive { call, ref path, key } => {
@@ -368,8 +368,9 @@
     let site = size.site(node);
     let mut rng = Pcg64Mcg::seed_from_u64(setup.seed ^ node as u64);
     let in_zone: Vec<usize> = (node % size.zones..size.nodes).step_by(size.zones).collect();
-    let own = in_zone.sample(&mut rng, ZONE_SEEDS + 1).copied().filter(|other| *other != node);
-    let mut seeds: Vec<usize> = own.take(ZONE_SEEDS).collect();
+    let same_zone =
+        in_zone.sample(&mut rng, ZONE_SEEDS + 1).copied().filter(|other| *other != node);
+    let mut seeds: Vec<usize> = same_zone.take(ZONE_SEEDS).collect();
     let mut zones: Vec<usize> = (0..size.zones).filter(|z| *z != site.zone as usize).collect();
     zones.sort_by_key(|zone| (zone % size.regions != site.region as usize, *zone));
     for zone in zones.into_iter().take(OTHER_SEEDS) {
--- a/bench/src/fleet/source.rs
+++ b/bench/src/fleet/source.rs
@@ -19,7 +19,7 @@
     /// Number of the node.
     pub node: usize,
     /// Its life.
-    pub life: u32,
+    pub incarnation: u32,
     /// Its id.
     pub id: CallId,
 }
@@ -27,7 +27,7 @@
 impl Fleet {
     pub(super) fn send_source_request(&mut self, node: usize, call: SourceCall) {
         let slot = &mut self.slots[node];
-        let caller = Caller { node, life: slot.life, id: call.id };
+        let caller = Caller { node, incarnation: slot.incarnation, id: call.id };
         slot.calls.insert(call.id);
         let timeout = SOURCE_TIMEOUT + call.wait;
         self.links.after(timeout, FleetEvent::SourceTimeout(caller));
@@ -39,8 +39,8 @@
 
     pub(super) fn cancel_source_call(&mut self, node: usize, id: CallId) {
         self.slots[node].calls.remove(&id);
-        let life = self.slots[node].life;
-        self.platform.forget(|caller| *caller == Caller { node, life, id });
+        let incarnation = self.slots[node].incarnation;
+        self.platform.forget(|caller| *caller == Caller { node, incarnation, id });
     }
 
     pub(super) fn handle_source_request(&mut self, caller: Caller, call: SourceCall) {
@@ -87,7 +87,7 @@
         result: Result<SourceValue, Code>,
     ) {
         let slot = &mut self.slots[caller.node];
-        if slot.life == caller.life && slot.calls.remove(&caller.id) {
+        if slot.incarnation == caller.incarnation && slot.calls.remove(&caller.id) {
             let reply = SourceReply { id: caller.id, result };
             self.handle_spread_input(caller.node, Input::Source(reply));
         }
