--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -29,7 +29,7 @@
 use indexmap::IndexMap;
 use measure::Convergence;
 use platform::{Answer, Platform};
-use slot::{Given, Load, Slot};
+use slot::{Load, NodeInput, Slot};
 use source::Caller;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -310,8 +310,8 @@
 
     fn resume(&mut self, node: usize) {
         let backlog = self.slots[node].resume(self.links.now());
-        for given in backlog {
-            self.handle_input(node, given);
+        for input in backlog {
+            self.handle_input(node, input);
         }
     }
 
@@ -336,14 +336,14 @@
     }
 
     fn handle_spread_input(&mut self, node: usize, input: Input) {
-        self.handle_input(node, Given::Spread(input));
+        self.handle_input(node, NodeInput::Spread(input));
     }
 
     /// Hands an input to a node's deciders and carries out what they want done.
-    fn handle_input(&mut self, node: usize, given: Given) {
+    fn handle_input(&mut self, node: usize, input: NodeInput) {
         let now = self.links.now();
         let mut outputs = std::mem::take(&mut self.outputs);
-        self.slots[node].handle(now, given, &mut outputs);
+        self.slots[node].handle(now, input, &mut outputs);
         for output in outputs.drain(..) {
             match output {
                 node::Output::Spread(output) => self.apply_spread_output(node, output),
--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -3,7 +3,7 @@
 
 mod targets;
 
-use super::slot::{Given, node_at};
+use super::slot::{NodeInput, node_at};
 use super::{Fleet, FleetEvent};
 use crate::history::calls::{CallEnd, CallRecord};
 use indexmap::IndexMap;
@@ -201,7 +201,7 @@
 
     fn tick(&mut self) {
         for node in 0..self.slots.len() {
-            self.handle_input(node, Given::Tick);
+            self.handle_input(node, NodeInput::Tick);
         }
         self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
@@ -235,12 +235,12 @@
         let sent = Submission { request: request.clone(), tries, entry, attempt: 0, ended: false };
         calls.submissions.push(sent);
         calls.history.push(CallRecord::Submitted { at, submission, request: number, once });
-        let given = Given::Arrive {
+        let input = NodeInput::Request {
             call: CallKey(submission as u64),
             path: request.path.clone(),
             key: request.key,
         };
-        self.handle_input(entry, given);
+        self.handle_input(entry, input);
     }
 
     pub(super) fn apply_entry_output(&mut self, node: usize, output: entry::Output) {
@@ -310,10 +310,10 @@
             return self.links.after(PAUSED_POLL, FleetEvent::CallStep(Step::AttemptEnded(reply)));
         }
         let call = CallKey(reply.submission as u64);
-        self.handle_input(entry, Given::Attempt { call, end: reply.end });
+        self.handle_input(entry, NodeInput::AttemptEnded { call, end: reply.end });
         if let Some(body) = reply.body {
             self.end_submission(reply.submission, CallEnd::Answered(body));
-            self.handle_input(entry, Given::Close(call));
+            self.handle_input(entry, NodeInput::ResponseSent(call));
         }
     }
 
@@ -328,7 +328,7 @@
             let step = Step::Deadline { submission, entry_incarnation };
             return self.links.after(PAUSED_POLL, FleetEvent::CallStep(step));
         }
-        self.handle_input(entry, Given::Expire { call: CallKey(submission as u64) });
+        self.handle_input(entry, NodeInput::DeadlineExpired { call: CallKey(submission as u64) });
         self.close_attempt(entry, submission, attempt);
     }
 
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -4,7 +4,7 @@
     AttemptReply, BROKEN_PER_MILLE, CRASH_DETECTION, GatekeeperCall, RETRY_DELAY, Step,
     TARGET_RESTART,
 };
-use crate::fleet::slot::{Given, node_at};
+use crate::fleet::slot::{NodeInput, node_at};
 use crate::fleet::{Fleet, FleetEvent};
 use crate::history::calls::CallRecord;
 use bytes::Bytes;
@@ -46,7 +46,7 @@
             once: false,
         };
         calls.gatekeeper_calls.insert(call_key, gatekeeper_call);
-        let given = Given::GateArrive {
+        let input = NodeInput::GatekeeperRequest {
             call: call_key,
             path: request.path.clone(),
             key: request.key,
@@ -55,7 +55,7 @@
             crashes: forward.crashes,
             deadline: forward.deadline,
         };
-        self.handle_input(node, given);
+        self.handle_input(node, input);
     }
 
     pub(in crate::fleet) fn apply_gatekeeper_output(
@@ -158,7 +158,7 @@
         };
         let answered = matches!(end, End::Answered { .. } | End::ResponseRead { .. });
         let number = calls.submissions[submission].request.number;
-        self.handle_input(node, Given::End { call: call_key, end });
+        self.handle_input(node, NodeInput::RunEnded { call: call_key, end });
         self.reply_to_entry(call_key, attempt_end, answered.then_some(number));
     }
 
@@ -177,11 +177,11 @@
             return;
         }
         calls.gatekeeper_calls.swap_remove(&call_key);
-        let given = match running {
-            true => Given::End { call: call_key, end: End::Cancelled },
-            false => Given::Withdraw(call_key),
+        let input = match running {
+            true => NodeInput::RunEnded { call: call_key, end: End::Cancelled },
+            false => NodeInput::Withdraw(call_key),
         };
-        self.handle_input(node, given);
+        self.handle_input(node, input);
     }
 
     pub(super) fn queue_timeout(&mut self, call_key: CallKey) {
@@ -190,7 +190,7 @@
         if self.slots[gatekeeper_call.node].incarnation == gatekeeper_call.incarnation
             && !gatekeeper_call.running
         {
-            self.handle_input(gatekeeper_call.node, Given::QueueEnd(call_key));
+            self.handle_input(gatekeeper_call.node, NodeInput::QueueTimeout(call_key));
         }
     }
 }
--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -61,11 +61,11 @@
 
 /// An input to a node that owns what it names, so that a paused process can get it later.
 #[derive(Debug)]
-pub enum Given {
+pub enum NodeInput {
     /// To the spread.
     Spread(Input),
     /// A request from a caller.
-    Arrive {
+    Request {
         /// The call at the entry node.
         call: CallKey,
         /// Its path.
@@ -74,21 +74,21 @@
         key: Option<RequestKey>,
     },
     /// An attempt came to something.
-    Attempt {
+    AttemptEnded {
         /// The call at the entry node.
         call: CallKey,
         /// What it came to.
         end: entry::AttemptEnd,
     },
     /// The answer has gone out.
-    Close(CallKey),
+    ResponseSent(CallKey),
     /// The deadline at the entry node.
-    Expire {
+    DeadlineExpired {
         /// The call at the entry node.
         call: CallKey,
     },
     /// A request from an entry node.
-    GateArrive {
+    GatekeeperRequest {
         /// The call at the gatekeeper.
         call: CallKey,
         /// Its path.
@@ -105,11 +105,11 @@
         deadline: Time,
     },
     /// A waiting request's time is up.
-    QueueEnd(CallKey),
+    QueueTimeout(CallKey),
     /// The entry node of a waiting request has gone away.
     Withdraw(CallKey),
     /// A run has ended.
-    End {
+    RunEnded {
         /// The call at the gatekeeper.
         call: CallKey,
         /// How.
@@ -162,7 +162,7 @@
     state_machine: Option<StateMachine>,
     spread_only: bool,
     paused: bool,
-    backlog: Vec<Given>,
+    backlog: Vec<NodeInput>,
     fleet_vms: u32,
     platform_region: Name,
     seed: u64,
@@ -273,7 +273,7 @@
     }
 
     /// Lets the process run again. Returns what came in meanwhile.
-    pub fn resume(&mut self, now: Time) -> Vec<Given> {
+    pub fn resume(&mut self, now: Time) -> Vec<NodeInput> {
         if self.paused {
             self.last_impaired = now;
         }
@@ -289,45 +289,60 @@
     }
 
     /// Hands an input to the deciders; a paused process gets it later.
-    pub fn handle(&mut self, now: Time, given: Given, out: &mut Vec<node::Output>) {
+    pub fn handle(&mut self, now: Time, input: NodeInput, out: &mut Vec<node::Output>) {
         if self.paused {
-            if self.backlog.len() < BACKLOG && !matches!(given, Given::Tick) {
-                self.backlog.push(given);
+            if self.backlog.len() < BACKLOG && !matches!(input, NodeInput::Tick) {
+                self.backlog.push(input);
             }
             return;
         }
         let started = Instant::now();
         match &mut self.state_machine {
-            Some(StateMachine::Node(node)) => handle_full(node, now, given, out),
-            Some(StateMachine::Spread(spread)) => handle_spread_only(spread, now, given, out),
+            Some(StateMachine::Node(node)) => handle_full(node, now, input, out),
+            Some(StateMachine::Spread(spread)) => handle_spread_only(spread, now, input, out),
             None => return,
         }
         self.load.busy += started.elapsed();
     }
 }
 
-fn handle_spread_only(spread: &mut Spread, now: Time, given: Given, out: &mut Vec<node::Output>) {
-    if let Given::Spread(input) = given {
+fn handle_spread_only(
+    spread: &mut Spread,
+    now: Time,
+    input: NodeInput,
+    out: &mut Vec<node::Output>,
+) {
+    if let NodeInput::Spread(input) = input {
         let mut outputs = Vec::new();
         spread.handle(now, input, &mut outputs);
         out.extend(outputs.into_iter().map(node::Output::Spread));
     }
 }
 
-fn handle_full(node: &mut Node, now: Time, given: Given, out: &mut Vec<node::Output>) {
-    let input = match given {
-        Given::Spread(input) => node::Input::Spread(input),
-        Given::Arrive { call, ref path, key } => {
+fn handle_full(node: &mut Node, now: Time, input: NodeInput, out: &mut Vec<node::Output>) {
+    let input = match input {
+        NodeInput::Spread(input) => node::Input::Spread(input),
+        NodeInput::Request { call, ref path, key } => {
             let arrival =
                 entry::Arrival { key, body_bytes: Some(0), ..entry::Arrival::new(call, "", path) };
             node::Input::Entry(entry::Input::Arrive(arrival))
         }
-        Given::Attempt { call, end } => {
+        NodeInput::AttemptEnded { call, end } => {
             node::Input::Entry(entry::Input::Attempt { call, end, replayable: true })
         }
-        Given::Close(call) => node::Input::Entry(entry::Input::Close(call)),
-        Given::Expire { call } => node::Input::Entry(entry::Input::Expire { call, sent: true }),
-        Given::GateArrive { call, ref path, key, digest, fingerprint, crashes, deadline } => {
+        NodeInput::ResponseSent(call) => node::Input::Entry(entry::Input::Close(call)),
+        NodeInput::DeadlineExpired { call } => {
+            node::Input::Entry(entry::Input::Expire { call, sent: true })
+        }
+        NodeInput::GatekeeperRequest {
+            call,
+            ref path,
+            key,
+            digest,
+            fingerprint,
+            crashes,
+            deadline,
+        } => {
             let digest = Some(digest);
             let arrival = gatekeeper::Arrival {
                 host: "",
@@ -343,10 +358,12 @@
             };
             node::Input::Gatekeeper(gatekeeper::Input::Arrive(arrival))
         }
-        Given::QueueEnd(call) => node::Input::Gatekeeper(gatekeeper::Input::Expire(call)),
-        Given::Withdraw(call) => node::Input::Gatekeeper(gatekeeper::Input::Withdraw(call)),
-        Given::End { call, end } => node::Input::Gatekeeper(gatekeeper::Input::End { call, end }),
-        Given::Tick => node::Input::Gatekeeper(gatekeeper::Input::Tick),
+        NodeInput::QueueTimeout(call) => node::Input::Gatekeeper(gatekeeper::Input::Expire(call)),
+        NodeInput::Withdraw(call) => node::Input::Gatekeeper(gatekeeper::Input::Withdraw(call)),
+        NodeInput::RunEnded { call, end } => {
+            node::Input::Gatekeeper(gatekeeper::Input::End { call, end })
+        }
+        NodeInput::Tick => node::Input::Gatekeeper(gatekeeper::Input::Tick),
     };
     node.handle(now, input, out);
 }
