--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -56,8 +56,8 @@
         let first = workload.publish();
         let links = Links::new(profile, Time::from_millis(0), seed);
         let convergence = Convergence::new(size.nodes);
-        let interval = shortest_interval(size.nodes, first.whole);
-        let whole = first.whole;
+        let interval = shortest_interval(size.nodes, first.preset_bytes);
+        let whole = first.preset_bytes;
         let platform = Platform::new();
         let lives = vec![0; size.nodes];
         let rng = Pcg64Mcg::seed_from_u64(seed);
@@ -169,7 +169,7 @@
                 }
             }
             Event::Publish => {
-                let publication = self.workload.change();
+                let publication = self.workload.publish_change();
                 self.put(&publication);
             }
         }
@@ -203,7 +203,7 @@
     }
 
     fn put(&mut self, publication: &Publication) {
-        self.whole = publication.whole;
+        self.whole = publication.preset_bytes;
         self.platform.put(name("document".to_owned()), Bytes::new());
         self.convergence.published(publication.in_force.version, self.links.now());
         if publication.in_force.version == 1 {
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -25,7 +25,7 @@
 use crate::history::Record;
 use crate::links::{Links, PLATFORM_ZONE, Site};
 use calls::{CallLoad, Step};
-use fault::{Action, Edition};
+use fault::{Action, PublicationKind};
 use indexmap::IndexMap;
 use measure::Convergence;
 use platform::{Answer, Platform};
@@ -110,7 +110,7 @@
             setup,
         };
         fleet.publish_places();
-        fleet.publish(Edition::First);
+        fleet.publish(PublicationKind::First);
         fleet
     }
 
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -12,22 +12,22 @@
 
 /// What an operator publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Edition {
+pub enum PublicationKind {
     /// The first version.
     First,
     /// The next version, with one change.
-    Change,
+    Next,
     /// The next version, which must be refused.
-    Bad,
+    Invalid,
     /// The last version again with another body: a second operator raced.
-    Rival,
+    Conflicting,
 }
 
 /// Something done to the fleet or the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// An operator publishes.
-    Publish(Edition),
+    Publish(PublicationKind),
     /// These processes start, or start again.
     Start(Vec<usize>),
     /// These processes are killed.
@@ -69,7 +69,7 @@
 impl Fleet {
     pub(super) fn perform(&mut self, action: Action) {
         match action {
-            Action::Publish(edition) => self.publish(edition),
+            Action::Publish(kind) => self.publish(kind),
             Action::Start(nodes) => nodes.into_iter().for_each(|node| self.start(node)),
             Action::Kill(nodes) => nodes.into_iter().for_each(|node| self.kill(node)),
             Action::KillRelays(region, away) => {
--- a/bench/src/fleet/operator.rs
+++ b/bench/src/fleet/operator.rs
@@ -1,7 +1,7 @@
 //! What operators and the platform itself write: versions, zones and lists of VMs.
 
 use super::Fleet;
-use super::fault::{Edition, nodes_in_zone};
+use super::fault::{PublicationKind, nodes_in_zone};
 use super::workload::{name, zone_name};
 use bytes::Bytes;
 use sycamore_core::Name;
@@ -32,20 +32,20 @@
         self.platform.put(key, value);
     }
 
-    pub(super) fn publish(&mut self, edition: Edition) {
-        let (publication, valid) = match edition {
-            Edition::First => (self.workload.publish(), true),
-            Edition::Change => (self.workload.change(), true),
-            Edition::Bad => (self.workload.bad(), false),
-            Edition::Rival => (self.workload.rival(), true),
+    pub(super) fn publish(&mut self, kind: PublicationKind) {
+        let (publication, valid) = match kind {
+            PublicationKind::First => (self.workload.publish(), true),
+            PublicationKind::Next => (self.workload.publish_change(), true),
+            PublicationKind::Invalid => (self.workload.publish_invalid(), false),
+            PublicationKind::Conflicting => (self.workload.publish_conflicting(), true),
         };
         let now = self.links.now();
         let version = publication.in_force.version;
-        if edition != Edition::Rival && valid {
+        if kind != PublicationKind::Conflicting && valid {
             self.last_valid_version = version;
             self.convergence.published(version, now);
         }
-        self.min_update_bytes += publication.smallest;
+        self.min_update_bytes += publication.min_update_bytes;
         if self.setup.recorded {
             self.record_published(&publication, valid);
         }
--- a/bench/src/fleet/publication.rs
+++ b/bench/src/fleet/publication.rs
@@ -12,11 +12,11 @@
 
 /// Largest preset that is published as one value. The platform takes ten times as much, but the
 /// readers that fetch a changed value would spend more than a node may.
-const WHOLE_BYTES: usize = 100_000;
+const MAX_SINGLE_VALUE_BYTES: usize = 100_000;
 
 /// Usual size of a part: about where a part and the root that lists all parts are equally large
 /// at the two-year size, so that a change rewrites least.
-const PART_BYTES: usize = 20_000;
+const TARGET_PART_BYTES: usize = 20_000;
 
 /// One version: values to write in this order, so that `in-force` names only what is there.
 #[derive(Clone, Debug)]
@@ -29,9 +29,9 @@
     pub preset: Preset,
     /// Bytes of the smallest message that could carry the change: version, digest and the
     /// changed piece, compressed.
-    pub smallest: u64,
+    pub min_update_bytes: u64,
     /// Bytes of all values of the preset, as a reader of the whole document fetches them.
-    pub whole: u64,
+    pub preset_bytes: u64,
 }
 
 /// Writes presets, and keeps what it wrote so that only changed values are written again.
@@ -45,8 +45,8 @@
     /// A writer for presets of the size of this one.
     pub fn new(preset: &Preset) -> Writer {
         let size = encode(preset).len();
-        let per_part = preset.services.len() * PART_BYTES / size.max(1);
-        let services_per_part = (size > WHOLE_BYTES).then_some(per_part.max(1));
+        let per_part = preset.services.len() * TARGET_PART_BYTES / size.max(1);
+        let services_per_part = (size > MAX_SINGLE_VALUE_BYTES).then_some(per_part.max(1));
         Writer { version: 0, services_per_part, written: IndexMap::new() }
     }
 
@@ -57,31 +57,31 @@
     }
 
     /// The last version again, with other content.
-    pub fn rival(&mut self, preset: &Preset) -> Publication {
+    pub fn publish_conflicting(&mut self, preset: &Preset) -> Publication {
         self.write(preset, b"")
     }
 
     fn write(&mut self, preset: &Preset, changed: &[u8]) -> Publication {
         let mut values = Vec::new();
-        let mut whole = 0;
+        let mut preset_bytes = 0;
         let body = match self.services_per_part {
             None => encode(preset),
             Some(count) => {
-                let (root, parts) = divide(preset, count);
+                let (root, parts) = split_into_parts(preset, count);
                 for (key, value) in parts {
-                    whole += value.len() as u64;
+                    preset_bytes += value.len() as u64;
                     self.add(&mut values, key, value);
                 }
                 encode(&root)
             }
         };
-        whole += body.len() as u64;
+        preset_bytes += body.len() as u64;
         let digest = Hash::of(&body);
         let in_force = InForce { version: self.version, preset: preset.name.clone(), digest };
         self.add(&mut values, key(format!("preset/{}", preset.name)), body);
         values.push((key("in-force".to_owned()), encode(&in_force)));
-        let smallest = smallest(&in_force, changed);
-        Publication { values, in_force, preset: preset.clone(), smallest, whole }
+        let min_update_bytes = min_update_bytes(&in_force, changed);
+        Publication { values, in_force, preset: preset.clone(), min_update_bytes, preset_bytes }
     }
 
     fn add(&mut self, values: &mut Vec<(Name, Bytes)>, key: Name, value: Bytes) {
@@ -93,15 +93,15 @@
 }
 
 /// Divides a preset into a root without content and parts of `count` services with their routes.
-fn divide(preset: &Preset, count: usize) -> (Preset, Vec<(Name, Bytes)>) {
-    let chunk = |service: &Name| preset.services.get_index_of(service).unwrap_or(0) / count;
+fn split_into_parts(preset: &Preset, count: usize) -> (Preset, Vec<(Name, Bytes)>) {
+    let part_of = |service: &Name| preset.services.get_index_of(service).unwrap_or(0) / count;
     let parts = preset.services.len().div_ceil(count);
     let mut contents = vec![Part { services: IndexMap::new(), routes: IndexMap::new() }; parts];
     for (name, service) in &preset.services {
-        contents[chunk(name)].services.insert(name.clone(), service.clone());
+        contents[part_of(name)].services.insert(name.clone(), service.clone());
     }
     for (name, route) in &preset.routes {
-        contents[chunk(&route.service)].routes.insert(name.clone(), route.clone());
+        contents[part_of(&route.service)].routes.insert(name.clone(), route.clone());
     }
     let mut root = Preset {
         name: preset.name.clone(),
@@ -119,7 +119,7 @@
     (root, values)
 }
 
-fn smallest(in_force: &InForce, changed: &[u8]) -> u64 {
+fn min_update_bytes(in_force: &InForce, changed: &[u8]) -> u64 {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::best());
     // Writing to a `Vec` can't fail.
     let _ = encoder.write_all(&in_force.version.to_be_bytes()[3..]);
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -1,6 +1,6 @@
 //! Runs of a fleet in memory that measure it: ordinary change, and storms.
 
-use super::fault::{Action, Edition, nodes_in_zone};
+use super::fault::{Action, PublicationKind, nodes_in_zone};
 use super::measure::{Figures, RoleFigures, cpu_time};
 use super::workload::{CHANGES_PER_DAY, Size};
 use super::{Fleet, Setup};
@@ -246,7 +246,7 @@
     let (traffic, calls, cpu) = (fleet.traffic(), fleet.calls(), cpu_time());
     let span = plan.pause * plan.versions as u32;
     for index in 0..plan.versions {
-        fleet.schedule(plan.pause * index as u32, Action::Publish(Edition::Change));
+        fleet.schedule(plan.pause * index as u32, Action::Publish(PublicationKind::Next));
     }
     plan_restarts(fleet, plan, span);
     fleet.run_for(span);
@@ -302,7 +302,7 @@
 
 /// Breaks things, publishes, and returns at the moment of the heal.
 fn break_and_heal(fleet: &mut Fleet, storm: Storm) {
-    let publish = || Action::Publish(Edition::Change);
+    let publish = || Action::Publish(PublicationKind::Next);
     let now = |fleet: &mut Fleet, action: Action| {
         fleet.schedule(Duration::ZERO, action);
         fleet.run_until(fleet.now());
@@ -367,7 +367,7 @@
 fn smallest(setup: &Setup, plan: &Plan) -> f64 {
     let mut workload = super::workload::Workload::new(setup.size, setup.seed);
     workload.publish();
-    let bytes: u64 = (0..plan.versions).map(|_| workload.change().smallest).sum();
+    let bytes: u64 = (0..plan.versions).map(|_| workload.publish_change().min_update_bytes).sum();
     let copies = setup.size.regions.saturating_sub(1).max(1) as f64;
     bytes as f64 / plan.versions.max(1) as f64 * copies
 }
--- a/bench/src/fleet/workload.rs
+++ b/bench/src/fleet/workload.rs
@@ -139,7 +139,7 @@
     }
 
     /// Changes one thing and publishes: mostly targets that come and go, some limits, some routes.
-    pub fn change(&mut self) -> Publication {
+    pub fn publish_change(&mut self) -> Publication {
         let changed = match self.rng.random_range(0..100) {
             0..85 => self.change_target(),
             85..95 => self.change_limits(),
@@ -149,15 +149,15 @@
     }
 
     /// The same version again with another body, as a second operator would publish it.
-    pub fn rival(&mut self) -> Publication {
+    pub fn publish_conflicting(&mut self) -> Publication {
         let mut preset = self.preset.clone();
         let index = self.rng.random_range(0..preset.routes.len());
         preset.routes[index].deadline_ms += 7;
-        self.writer.rival(&preset)
+        self.writer.publish_conflicting(&preset)
     }
 
     /// A next version that every node must refuse: a route names a service that isn't there.
-    pub fn bad(&mut self) -> Publication {
+    pub fn publish_invalid(&mut self) -> Publication {
         let mut preset = self.preset.clone();
         let index = self.rng.random_range(0..preset.routes.len());
         preset.routes[index].service = service_name(self.size.services + 1);
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -2,7 +2,7 @@
 
 use super::calls::{CallRecord, CallViolation, check_calls};
 use super::{Record, Violation, check};
-use crate::fleet::fault::{Action, Edition, nodes_in_zone};
+use crate::fleet::fault::{Action, PublicationKind, nodes_in_zone};
 use crate::fleet::platform::Health;
 use crate::fleet::workload::Size;
 use crate::fleet::{Fleet, Setup};
@@ -175,14 +175,14 @@
         self.add(healed, Action::StartStopped);
         self.add(healed, Action::DemandAgreement(AGREEMENT));
         let last = healed + AGREEMENT;
-        self.add(last, Action::Publish(Edition::Change));
+        self.add(last, Action::Publish(PublicationKind::Next));
         self.add(last + CONVERGENCE, Action::DemandLastGood);
     }
 
     fn add_random(&mut self, at: Duration) {
         match self.rng.random_range(0..100) {
-            0..30 => self.add(at, Action::Publish(Edition::Change)),
-            30..34 => self.add(at, Action::Publish(Edition::Bad)),
+            0..30 => self.add(at, Action::Publish(PublicationKind::Next)),
+            30..34 => self.add(at, Action::Publish(PublicationKind::Invalid)),
             34..38 => self.add_race(at),
             38..43 => self.add_crossing(at),
             43..53 => self.add_kill(at),
@@ -198,18 +198,18 @@
     fn add_race(&mut self, at: Duration) {
         let apart = if self.rng.random_bool(0.7) { 50 } else { 20_000 };
         let gap = Duration::from_millis(self.rng.random_range(0..apart));
-        self.add(at, Action::Publish(Edition::Change));
-        self.add(at + gap, Action::Publish(Edition::Rival));
+        self.add(at, Action::Publish(PublicationKind::Next));
+        self.add(at + gap, Action::Publish(PublicationKind::Conflicting));
         // The operators see the conflict and publish a version above both.
         let mended = at + gap + self.span(2, 10);
-        self.add(mended, Action::Publish(Edition::Change));
+        self.add(mended, Action::Publish(PublicationKind::Next));
     }
 
     /// Versions that follow so closely that their messages cross.
     fn add_crossing(&mut self, at: Duration) {
         for index in 0..self.rng.random_range(2..6) {
             let gap = Duration::from_millis(index * self.rng.random_range(1..40));
-            self.add(at + gap, Action::Publish(Edition::Change));
+            self.add(at + gap, Action::Publish(PublicationKind::Next));
         }
     }
 
