--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -33,17 +33,17 @@
     /// These processes are killed.
     Kill(Vec<usize>),
     /// Every relay and reader of a region is killed, and starts again after a while.
-    KillRelays(u16, Duration),
+    RestartRelays(u16, Duration),
     /// Every process that does not run starts.
     StartStopped,
     /// These processes don't run for a while, and then go on.
     Pause(Vec<usize>, Duration),
     /// This process takes questions and never answers, or answers again.
-    Silence(usize, bool),
+    SetUnresponsive(usize, bool),
     /// What this process sends does not match its hash, or does again.
-    Lie(usize, bool),
+    SetCorrupting(usize, bool),
     /// No traffic between two zones; `None` stands for the platform.
-    Cut(u16, Option<u16>),
+    CutLink(u16, Option<u16>),
     /// No traffic between a zone and every other zone.
     CutZone(u16),
     /// No traffic between two regions, or between the zones of one.
@@ -51,19 +51,19 @@
     /// Every link works again.
     HealLinks,
     /// The platform behaves so.
-    Platform(Health),
+    SetPlatformHealth(Health),
     /// The platform answers with a state so many changes ago.
-    PlatformBack(u64),
+    RollBackPlatform(u64),
     /// The platform's list says so of these VMs; `None` leaves them out.
-    List(Vec<usize>, Option<VmState>),
+    SetListedState(Vec<usize>, Option<VmState>),
     /// Links lose so many messages in a million, and delay some.
-    Trouble(u32, u32),
+    DegradeLinks(u32, u32),
     /// Every running node must hold at least this version by now.
-    RecordDue(u64),
+    CheckVersion(u64),
     /// Every running node must hold the last good version by now.
-    DemandLastGood,
+    CheckLastValidVersion,
     /// Every running node must, a span from now, hold what the newest of them holds now.
-    DemandAgreement(Duration),
+    CheckAgreementAfter(Duration),
 }
 
 impl Fleet {
@@ -72,9 +72,9 @@
             Action::Publish(kind) => self.publish(kind),
             Action::Start(nodes) => nodes.into_iter().for_each(|node| self.start(node)),
             Action::Kill(nodes) => nodes.into_iter().for_each(|node| self.kill(node)),
-            Action::KillRelays(region, away) => {
+            Action::RestartRelays(region, downtime) => {
                 let relays = self.relays(Some(region));
-                self.schedule(away, Action::Start(relays.clone()));
+                self.schedule(downtime, Action::Start(relays.clone()));
                 relays.into_iter().for_each(|node| self.kill(node));
             }
             Action::StartStopped => {
@@ -83,38 +83,38 @@
                 nodes.into_iter().for_each(|node| self.start(node));
             }
             Action::Pause(nodes, span) => nodes.into_iter().for_each(|n| self.pause(n, span)),
-            Action::Silence(node, ignores_requests) => {
+            Action::SetUnresponsive(node, ignores_requests) => {
                 self.slots[node].ignores_requests = ignores_requests;
                 self.slots[node].last_impaired = self.links.now();
             }
-            Action::Lie(node, corrupts_messages) => {
+            Action::SetCorrupting(node, corrupts_messages) => {
                 self.slots[node].corrupts_messages = corrupts_messages;
                 self.slots[node].last_impaired = self.links.now();
             }
-            Action::Cut(zone, other) => self.cut(zone, other.unwrap_or(PLATFORM_ZONE)),
+            Action::CutLink(zone, other) => self.cut(zone, other.unwrap_or(PLATFORM_ZONE)),
             Action::CutZone(zone) => self.cut_zone(zone),
             Action::CutRegions(a, b) => self.cut_regions(a, b),
             Action::HealLinks => self.links.heal_all(),
-            Action::Platform(health) => self.platform.set_health(health),
-            Action::PlatformBack(changes) => {
+            Action::SetPlatformHealth(health) => self.platform.set_health(health),
+            Action::RollBackPlatform(changes) => {
                 let index = self.platform.index().saturating_sub(changes);
                 self.platform.set_health(Health::AsOf(index));
             }
-            Action::List(nodes, state) => self.list(&nodes, state),
-            Action::Trouble(loss_ppm, jitter_percent) => {
+            Action::SetListedState(nodes, state) => self.set_listed_state(&nodes, state),
+            Action::DegradeLinks(loss_ppm, jitter_percent) => {
                 let profile = self.setup.profile.with_trouble(loss_ppm, jitter_percent);
                 self.links.set_profile(profile);
             }
-            Action::RecordDue(version) => self.record_due(version),
-            Action::DemandLastGood => self.record_due(self.last_valid_version),
-            Action::DemandAgreement(span) => {
+            Action::CheckVersion(version) => self.record_due_version(version),
+            Action::CheckLastValidVersion => self.record_due_version(self.last_valid_version),
+            Action::CheckAgreementAfter(span) => {
                 let newest = self.newest_version_in_force();
-                self.schedule(span, Action::RecordDue(newest));
+                self.schedule(span, Action::CheckVersion(newest));
             }
         }
     }
 
-    fn list(&mut self, nodes: &[usize], state: Option<VmState>) {
+    fn set_listed_state(&mut self, nodes: &[usize], state: Option<VmState>) {
         for node in nodes {
             self.listed_states[*node] = state;
         }
@@ -125,7 +125,7 @@
         self.answer_watches();
     }
 
-    fn record_due(&mut self, version: u64) {
+    fn record_due_version(&mut self, version: u64) {
         self.history.push(Record::Due { at: self.links.now(), version });
     }
 
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -311,7 +311,7 @@
     match storm {
         Storm::ZoneCut => {
             now(fleet, Action::CutZone(1));
-            now(fleet, Action::Cut(1, None));
+            now(fleet, Action::CutLink(1, None));
             fleet.schedule(CUT / 2, publish());
             fleet.run_for(CUT);
             now(fleet, Action::HealLinks);
@@ -343,7 +343,7 @@
             let zones: Vec<u16> =
                 (0..size.zones as u16).filter(|z| size.place_of(*z).region == region).collect();
             for zone in zones {
-                now(fleet, Action::Cut(zone, None));
+                now(fleet, Action::CutLink(zone, None));
             }
             for other in 0..region {
                 now(fleet, Action::CutRegions(region, other));
@@ -355,10 +355,10 @@
             now(fleet, Action::HealLinks);
         }
         Storm::Source => {
-            now(fleet, Action::Platform(super::platform::Health::Down));
+            now(fleet, Action::SetPlatformHealth(super::platform::Health::Down));
             fleet.schedule(CUT, publish());
             fleet.run_for(CUT * 2);
-            now(fleet, Action::Platform(super::platform::Health::Up));
+            now(fleet, Action::SetPlatformHealth(super::platform::Health::Up));
         }
     }
 }
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -144,8 +144,8 @@
     fn add_unlisted(&mut self, all: &[usize]) {
         let nodes = all.iter().copied().filter(|_| self.rng.random_bool(0.1)).collect::<Vec<_>>();
         let listed = self.span(5, 60);
-        self.add(Duration::ZERO, Action::List(nodes.clone(), None));
-        self.add(listed, Action::List(nodes, Some(VmState::Live)));
+        self.add(Duration::ZERO, Action::SetListedState(nodes.clone(), None));
+        self.add(listed, Action::SetListedState(nodes, Some(VmState::Live)));
     }
 
     /// The list says late that VMs have gone, and later still that they are back.
@@ -154,10 +154,10 @@
         let state = state.copied().flatten();
         let gone = at + self.span(0, 30);
         let back = gone + self.span(1, 30);
-        self.add(gone, Action::List(nodes.to_vec(), state));
+        self.add(gone, Action::SetListedState(nodes.to_vec(), state));
         self.add(
             back.min(TROUBLE + LONGEST_FAULT),
-            Action::List(nodes.to_vec(), Some(VmState::Live)),
+            Action::SetListedState(nodes.to_vec(), Some(VmState::Live)),
         );
     }
 
@@ -165,18 +165,18 @@
     fn add_heal(&mut self) {
         let healed = TROUBLE + LONGEST_FAULT;
         self.add(healed, Action::HealLinks);
-        self.add(healed, Action::Platform(Health::Up));
+        self.add(healed, Action::SetPlatformHealth(Health::Up));
         for node in 0..self.size.nodes {
-            self.add(healed, Action::Silence(node, false));
-            self.add(healed, Action::Lie(node, false));
+            self.add(healed, Action::SetUnresponsive(node, false));
+            self.add(healed, Action::SetCorrupting(node, false));
         }
         let all = (0..self.size.nodes).collect();
-        self.add(healed, Action::List(all, Some(VmState::Live)));
+        self.add(healed, Action::SetListedState(all, Some(VmState::Live)));
         self.add(healed, Action::StartStopped);
-        self.add(healed, Action::DemandAgreement(AGREEMENT));
+        self.add(healed, Action::CheckAgreementAfter(AGREEMENT));
         let last = healed + AGREEMENT;
         self.add(last, Action::Publish(PublicationKind::Next));
-        self.add(last + CONVERGENCE, Action::DemandLastGood);
+        self.add(last + CONVERGENCE, Action::CheckLastValidVersion);
     }
 
     fn add_random(&mut self, at: Duration) {
@@ -231,7 +231,7 @@
             }
             6..9 => {
                 let region = self.rng.random_range(0..self.size.regions) as u16;
-                self.add(at, Action::KillRelays(region, away));
+                self.add(at, Action::RestartRelays(region, away));
             }
             _ => {
                 let all: Vec<usize> = (0..self.size.nodes).collect();
@@ -249,24 +249,24 @@
 
     fn add_silence(&mut self, at: Duration) {
         let node = self.node();
-        self.add(at, Action::Silence(node, true));
+        self.add(at, Action::SetUnresponsive(node, true));
         let until = at + self.span(5, 40);
-        self.add(until, Action::Silence(node, false));
+        self.add(until, Action::SetUnresponsive(node, false));
     }
 
     fn add_lie(&mut self, at: Duration) {
         let node = self.node();
-        self.add(at, Action::Lie(node, true));
+        self.add(at, Action::SetCorrupting(node, true));
         let until = at + self.span(5, 40);
-        self.add(until, Action::Lie(node, false));
+        self.add(until, Action::SetCorrupting(node, false));
     }
 
     fn add_cut(&mut self, at: Duration) {
         let zone = self.zone();
         let cuts = match self.rng.random_range(0..4) {
-            0 => vec![Action::Cut(zone, None)],
+            0 => vec![Action::CutLink(zone, None)],
             1 => vec![Action::CutZone(zone)],
-            2 => vec![Action::CutZone(zone), Action::Cut(zone, None)],
+            2 => vec![Action::CutZone(zone), Action::CutLink(zone, None)],
             _ => {
                 let other = self.rng.random_range(0..self.size.regions) as u16;
                 vec![Action::CutRegions(zone % self.size.regions as u16, other)]
@@ -282,15 +282,15 @@
     fn add_outage(&mut self, at: Duration) {
         let changes = self.rng.random_range(1..12);
         let kinds = [
-            Action::Platform(Health::Down),
-            Action::Platform(Health::Refusing),
-            Action::PlatformBack(0),
-            Action::PlatformBack(changes),
+            Action::SetPlatformHealth(Health::Down),
+            Action::SetPlatformHealth(Health::Refusing),
+            Action::RollBackPlatform(0),
+            Action::RollBackPlatform(changes),
         ];
         let outage = kinds.choose(&mut self.rng).cloned();
-        self.add(at, outage.unwrap_or(Action::Platform(Health::Down)));
+        self.add(at, outage.unwrap_or(Action::SetPlatformHealth(Health::Down)));
         let until = at + self.span(3, 40);
-        self.add(until, Action::Platform(Health::Up));
+        self.add(until, Action::SetPlatformHealth(Health::Up));
     }
 
     fn add(&mut self, at: Duration, action: Action) {
