--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -67,7 +67,7 @@
         for node in 0..size.nodes {
             let phase = fleet.rng.random_range(0..interval.as_micros() as u64);
             fleet.links.after(Duration::from_micros(phase), Event::Poll(node, 0));
-            fleet.convergence.in_force(node, 1, Time::ZERO);
+            fleet.convergence.record_in_force(node, 1, Time::ZERO);
         }
         fleet
     }
@@ -113,7 +113,7 @@
         let since = self.links.now();
         for node in nodes {
             self.lives[*node] += 1;
-            self.convergence.restarted(*node, since);
+            self.convergence.record_restart(*node, since);
             self.links.after(Duration::ZERO, Event::Poll(*node, self.lives[*node]));
         }
         let end = since + LONGEST_STORM;
@@ -165,7 +165,7 @@
             Event::Asked(node) => self.answer(node),
             Event::Answered(node, version) => {
                 if version > self.convergence.held(node) {
-                    self.convergence.in_force(node, version, self.links.now());
+                    self.convergence.record_in_force(node, version, self.links.now());
                 }
             }
             Event::Publish => {
@@ -205,7 +205,7 @@
     fn put(&mut self, publication: &Publication) {
         self.whole = publication.preset_bytes;
         self.platform.put(name("document".to_owned()), Bytes::new());
-        self.convergence.published(publication.in_force.version, self.links.now());
+        self.convergence.record_published(publication.in_force.version, self.links.now());
         if publication.in_force.version == 1 {
             self.convergence.reset();
         }
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -133,7 +133,7 @@
         self.kill(node);
         let start = self.start_of(node);
         self.slots[node].start(start);
-        self.convergence.restarted(node, self.links.now());
+        self.convergence.record_restart(node, self.links.now());
         if self.setup.recorded {
             self.history.push(Record::Started { at: self.links.now(), node });
         }
@@ -146,7 +146,7 @@
         }
         self.slots[node].stop();
         self.break_calls(node);
-        self.convergence.restarted(node, self.links.now());
+        self.convergence.record_restart(node, self.links.now());
         if self.setup.recorded {
             self.history.push(Record::Stopped { at: self.links.now(), node });
         }
--- a/bench/src/fleet/measure.rs
+++ b/bench/src/fleet/measure.rs
@@ -10,7 +10,7 @@
 use sycamore_core::status::Role;
 
 /// Longest convergence that is told apart, in microseconds: one hour.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_CONVERGENCE_US: u64 = 3_600_000_000;
 
 /// How long versions take to be in force, one sample for each version and node.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     published: Vec<(u64, Time)>,
     held: Vec<u64>,
     /// The highest version that each node has held, and its last start.
-    before: Vec<(u64, Time)>,
+    highest_held: Vec<(u64, Time)>,
     samples: Histogram<u64>,
 }
 
@@ -26,24 +26,24 @@
     /// A measure of so many nodes that hold nothing yet.
     pub fn new(nodes: usize) -> Convergence {
         // The bounds are constants that the histogram accepts.
-        let samples = Histogram::new_with_bounds(1, LONGEST_US, 3)
+        let samples = Histogram::new_with_bounds(1, MAX_CONVERGENCE_US, 3)
             .unwrap_or_else(|_| unreachable!("the bounds are valid"));
-        let before = vec![(0, Time::ZERO); nodes];
-        Convergence { published: Vec::new(), held: vec![0; nodes], before, samples }
+        let highest_held = vec![(0, Time::ZERO); nodes];
+        Convergence { published: Vec::new(), held: vec![0; nodes], highest_held, samples }
     }
 
     /// A version was published.
-    pub fn published(&mut self, version: u64, at: Time) {
+    pub fn record_published(&mut self, version: u64, at: Time) {
         self.published.push((version, at));
     }
 
     /// A version came into force on a node; it stands for the ones it skipped too. A node that
     /// was away when a version was published has had the time since its start.
-    pub fn in_force(&mut self, node: usize, version: u64, at: Time) {
+    pub fn record_in_force(&mut self, node: usize, version: u64, at: Time) {
         self.held[node] = version;
-        let (before, started) = self.before[node];
-        self.before[node].0 = before.max(version);
-        let newer = |(published, _): &&(u64, Time)| *published > before;
+        let (highest, started) = self.highest_held[node];
+        self.highest_held[node].0 = highest.max(version);
+        let newer = |(published, _): &&(u64, Time)| *published > highest;
         for (_, since) in self.published.iter().rev().take_while(newer) {
             let span = at.since(started.max(*since)).as_micros() as u64;
             self.samples.saturating_record(span.max(1));
@@ -51,9 +51,9 @@
     }
 
     /// A node started anew and lost what it held.
-    pub fn restarted(&mut self, node: usize, at: Time) {
+    pub fn record_restart(&mut self, node: usize, at: Time) {
         self.held[node] = 0;
-        self.before[node].1 = at;
+        self.highest_held[node].1 = at;
     }
 
     /// Forgets the samples and the versions published so far.
@@ -72,8 +72,8 @@
         self.held.iter().filter(|held| **held < version).count()
     }
 
-    fn at_quantile(&self, quantile: f64) -> f64 {
-        millis(self.samples.value_at_quantile(quantile))
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        to_millis(self.samples.value_at_quantile(quantile))
     }
 }
 
@@ -128,9 +128,9 @@
         let last = convergence.published.last().map_or(0, |(version, _)| *version);
         Figures {
             versions: convergence.published.len(),
-            p50_ms: convergence.at_quantile(0.5),
-            p99_ms: convergence.at_quantile(0.99),
-            max_ms: millis(convergence.samples.max()),
+            p50_ms: convergence.quantile_ms(0.5),
+            p99_ms: convergence.quantile_ms(0.99),
+            max_ms: to_millis(convergence.samples.max()),
             behind: convergence.behind(last),
             ..Figures::default()
         }
@@ -152,8 +152,8 @@
 
     /// The same with what went between regions, by kind of message.
     pub fn with_kinds(mut self, kinds: &IndexMap<&'static str, u64>, span: Duration) -> Figures {
-        let carrying = ["notice", "pull", "delta", "platform"];
-        let bytes: u64 = carrying.iter().filter_map(|kind| kinds.get(kind)).sum();
+        let version_kinds = ["notice", "pull", "delta", "platform"];
+        let bytes: u64 = version_kinds.iter().filter_map(|kind| kinds.get(kind)).sum();
         self.across_version_bytes = bytes as f64 / self.versions.max(1) as f64;
         self.across_kinds =
             kinds.iter().map(|(kind, bytes)| (*kind, *bytes as f64 / span.as_secs_f64())).collect();
@@ -209,13 +209,13 @@
         let mean = |of: fn(&Load) -> f64| {
             loads.iter().map(of).sum::<f64>() / nodes.max(1) as f64 / seconds
         };
-        let most = loads.iter().map(|load| load.sent + load.received).max().unwrap_or(0);
+        let max_bytes = loads.iter().map(|load| load.sent + load.received).max().unwrap_or(0);
         RoleFigures {
             role,
             nodes,
             sent_s: mean(|load| load.sent as f64),
             received_s: mean(|load| load.received as f64),
-            most_bytes_s: most as f64 / seconds,
+            most_bytes_s: max_bytes as f64 / seconds,
             messages_s: mean(|load| load.messages as f64),
             decider_us_s: mean(|load| load.busy.as_secs_f64() * 1e6),
         }
@@ -237,6 +237,6 @@
     kb.unwrap_or(0) * 1_024
 }
 
-fn millis(us: u64) -> f64 {
+fn to_millis(us: u64) -> f64 {
     us as f64 / 1_000.0
 }
--- a/bench/src/fleet/operator.rs
+++ b/bench/src/fleet/operator.rs
@@ -43,7 +43,7 @@
         let version = publication.in_force.version;
         if kind != PublicationKind::Conflicting && valid {
             self.last_valid_version = version;
-            self.convergence.published(version, now);
+            self.convergence.record_published(version, now);
         }
         self.min_update_bytes += publication.min_update_bytes;
         if self.setup.recorded {
--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -16,7 +16,7 @@
         if self.setup.recorded {
             self.record_in_force(node, snapshot);
         }
-        self.convergence.in_force(node, in_force.version, now);
+        self.convergence.record_in_force(node, in_force.version, now);
         self.slots[node].set_in_force(in_force.clone(), now);
     }
 
