--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -140,7 +140,7 @@
     for p in &points {
         println!("{:>7} {:>9} {:>14.0} {:>14.0}", p.nodes, p.services, p.full_kb, p.usual_kb);
     }
-    let line = memory::full_line(&points);
+    let line = memory::fit_full_scope(&points);
     println!("{}", serde_json::json!({ "points": points, "full_scope": line }));
     Ok(ExitCode::SUCCESS)
 }
--- a/bench/src/fleet/memory.rs
+++ b/bench/src/fleet/memory.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 /// Sizes of the fleets that the presets are for.
-const FLEETS: [usize; 4] = [1_000, 5_000, 10_000, 23_000];
+const FLEET_SIZES: [usize; 4] = [1_000, 5_000, 10_000, 23_000];
 
 /// The memory of one node at one size of the preset.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Point {
+pub struct MemoryPoint {
     /// Nodes that the preset is for.
     pub nodes: usize,
     /// Services in it.
@@ -24,25 +24,25 @@
 }
 
 /// Measures every size.
-pub fn measure(options: &Options) -> Vec<Point> {
-    FLEETS.iter().map(|nodes| point(Size::of(*nodes), options)).collect()
+pub fn measure(options: &Options) -> Vec<MemoryPoint> {
+    FLEET_SIZES.iter().map(|nodes| measure_point(Size::of(*nodes), options)).collect()
 }
 
 /// The growth of a full scope with the number of nodes.
-pub fn full_line(points: &[Point]) -> Line {
+pub fn fit_full_scope(points: &[MemoryPoint]) -> Line {
     let points: Vec<(f64, f64)> = points.iter().map(|p| (p.nodes as f64, p.full_kb)).collect();
     Line::fit(&points)
 }
 
-fn point(size: Size, options: &Options) -> Point {
+fn measure_point(size: Size, options: &Options) -> MemoryPoint {
     let Size { nodes, services, .. } = size;
-    let full_kb = alone(size, usize::MAX, options);
-    let usual_kb = alone(size, CALLED_SERVICES, options);
-    Point { nodes, services, full_kb, usual_kb }
+    let full_kb = measure_node_kb(size, usize::MAX, options);
+    let usual_kb = measure_node_kb(size, CALLED_SERVICES, options);
+    MemoryPoint { nodes, services, full_kb, usual_kb }
 }
 
 /// Memory that one node takes from its start until it has a version in force and has settled.
-fn alone(preset: Size, called_services: usize, options: &Options) -> f64 {
+fn measure_node_kb(preset: Size, called_services: usize, options: &Options) -> f64 {
     let one = Size { nodes: 1, services: 1, zones: 1, regions: 1 };
     let setup =
         Setup::new(one, options.seed).with_preset_of(preset).with_called_services(called_services);
