--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -180,7 +180,7 @@
         let mut index = None;
         for _ in 0..self.values() {
             let key = name("document".to_owned());
-            let get = Get { caller: node, key, above: None, until: now };
+            let get = Get { caller: node, key, min_index_exclusive: None, until: now };
             match self.platform.get(now, get) {
                 Some(Answer::Value(_, found)) => index = Some(found),
                 _ => return self.poll_later(node),
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -130,7 +130,7 @@
     }
 
     /// The platform's counters.
-    pub fn calls(&self) -> platform::Calls {
+    pub fn calls(&self) -> platform::CallCounts {
         self.platform.calls()
     }
 
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -150,7 +150,7 @@
         if self.setup.recorded {
             self.history.push(Record::Stopped { at: self.links.now(), node });
         }
-        self.platform.forget(|caller| caller.node == node);
+        self.platform.drop_watches(|caller| caller.node == node);
     }
 
     fn pause(&mut self, node: usize, span: Duration) {
@@ -172,7 +172,7 @@
         if b == PLATFORM_ZONE {
             let size = self.setup.size;
             // A connection that is cut is given up by the platform; its caller only times out.
-            self.platform.forget(|caller| size.site(caller.node).zone == a);
+            self.platform.drop_watches(|caller| size.site(caller.node).zone == a);
         }
     }
 
--- a/bench/src/fleet/platform.rs
+++ b/bench/src/fleet/platform.rs
@@ -16,7 +16,7 @@
     /// The key.
     pub key: Name,
     /// Answer only once the key's index is above this; `None` reads at once.
-    pub above: Option<u64>,
+    pub min_index_exclusive: Option<u64>,
     /// Until when a watch waits.
     pub until: Time,
 }
@@ -49,7 +49,7 @@
 
 /// What was counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Calls {
+pub struct CallCounts {
     /// Calls that reached the platform.
     pub total: u64,
     /// Calls answered with [`Answer::OverLimit`].
@@ -59,15 +59,15 @@
 }
 
 /// Values kept of one key, for stale answers.
-const KEPT_VALUES: usize = 32;
+const MAX_VALUES_PER_KEY: usize = 32;
 
 /// The platform's state. `C` names a caller.
 pub struct Platform<C> {
     values: IndexMap<Name, Vec<(u64, Bytes)>>,
     index: u64,
     health: Health,
-    waiting: Vec<Get<C>>,
-    calls: Calls,
+    watches: Vec<Get<C>>,
+    calls: CallCounts,
     second: u64,
     this_second: u64,
 }
@@ -79,8 +79,8 @@
             values: IndexMap::new(),
             index: 0,
             health: Health::Up,
-            waiting: Vec::new(),
-            calls: Calls::default(),
+            watches: Vec::new(),
+            calls: CallCounts::default(),
             second: 0,
             this_second: 0,
         }
@@ -92,7 +92,7 @@
     }
 
     /// What was counted so far.
-    pub fn calls(&self) -> Calls {
+    pub fn calls(&self) -> CallCounts {
         self.calls
     }
 
@@ -105,13 +105,13 @@
     pub fn set_health(&mut self, health: Health) {
         self.health = health;
         if matches!(health, Health::Down | Health::Refusing) {
-            self.waiting.clear();
+            self.watches.clear();
         }
     }
 
     /// Ends the watches of some callers, whose connections have closed.
-    pub fn forget(&mut self, gone: impl Fn(&C) -> bool) {
-        self.waiting.retain(|watch| !gone(&watch.caller));
+    pub fn drop_watches(&mut self, closed: impl Fn(&C) -> bool) {
+        self.watches.retain(|watch| !closed(&watch.caller));
     }
 
     /// How it behaves.
@@ -123,7 +123,7 @@
     pub fn put(&mut self, key: Name, value: Bytes) {
         self.index += 1;
         let versions = self.values.entry(key).or_default();
-        if versions.len() == KEPT_VALUES {
+        if versions.len() == MAX_VALUES_PER_KEY {
             versions.remove(0);
         }
         versions.push((self.index, value));
@@ -141,9 +141,11 @@
             return Some(Answer::OverLimit);
         }
         let answer = self.read(&get.key);
-        match (&answer, get.above) {
-            (Answer::Value(_, index), Some(above)) if *index <= above && now < get.until => {
-                self.waiting.push(get);
+        match (&answer, get.min_index_exclusive) {
+            (Answer::Value(_, index), Some(min_index_exclusive))
+                if *index <= min_index_exclusive && now < get.until =>
+            {
+                self.watches.push(get);
                 None
             }
             _ => Some(answer),
@@ -151,20 +153,21 @@
     }
 
     /// Answers the watches whose key has changed or whose wait is over.
-    pub fn due(&mut self, now: Time) -> Vec<(C, Answer)> {
+    pub fn take_due_watches(&mut self, now: Time) -> Vec<(C, Answer)> {
         let mut due = Vec::new();
-        let mut kept = Vec::new();
-        for watch in std::mem::take(&mut self.waiting) {
+        let mut pending = Vec::new();
+        for watch in std::mem::take(&mut self.watches) {
             let answer = self.read(&watch.key);
-            let above = watch.above.unwrap_or(0);
-            let changed = matches!(&answer, Answer::Value(_, index) if *index > above);
+            let min_index_exclusive = watch.min_index_exclusive.unwrap_or(0);
+            let changed =
+                matches!(&answer, Answer::Value(_, index) if *index > min_index_exclusive);
             if changed || now >= watch.until {
                 due.push((watch.caller, answer));
             } else {
-                kept.push(watch);
+                pending.push(watch);
             }
         }
-        self.waiting = kept;
+        self.watches = pending;
         due
     }
 
@@ -188,7 +191,7 @@
         }
         self.this_second += 1;
         self.calls.total += 1;
-        let with_waiting = self.this_second + self.waiting.len() as u64;
+        let with_waiting = self.this_second + self.watches.len() as u64;
         self.calls.peak = self.calls.peak.max(with_waiting);
     }
 }
--- a/bench/src/fleet/source.rs
+++ b/bench/src/fleet/source.rs
@@ -40,14 +40,14 @@
     pub(super) fn cancel_source_call(&mut self, node: usize, id: CallId) {
         self.slots[node].calls.remove(&id);
         let incarnation = self.slots[node].incarnation;
-        self.platform.forget(|caller| *caller == Caller { node, incarnation, id });
+        self.platform.drop_watches(|caller| *caller == Caller { node, incarnation, id });
     }
 
     pub(super) fn handle_source_request(&mut self, caller: Caller, call: SourceCall) {
         let now = self.links.now();
         let until = now + call.wait;
-        let above = (call.index > 0).then_some(call.index);
-        let get = Get { caller, key: call.key, above, until };
+        let min_index_exclusive = (call.index > 0).then_some(call.index);
+        let get = Get { caller, key: call.key, min_index_exclusive, until };
         match self.platform.get(now, get) {
             Some(answer) => self.send_source_response(caller, answer),
             None => self.links.at(until, FleetEvent::CheckWatches),
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn answer_watches(&mut self) {
-        for (caller, answer) in self.platform.due(self.links.now()) {
+        for (caller, answer) in self.platform.take_due_watches(self.links.now()) {
             self.send_source_response(caller, answer);
         }
     }
--- a/bench/tests/links.rs
+++ b/bench/tests/links.rs
@@ -17,8 +17,8 @@
     Name::new("in-force").unwrap()
 }
 
-fn get(caller: u32, above: Option<u64>) -> Get<u32> {
-    Get { caller, key: key(), above, until: Time(5_000_000) }
+fn get(caller: u32, min_index_exclusive: Option<u64>) -> Get<u32> {
+    Get { caller, key: key(), min_index_exclusive, until: Time(5_000_000) }
 }
 
 fn platform() -> Platform<u32> {
@@ -78,17 +78,17 @@
     let mut platform = platform();
     assert_eq!(platform.get(Time(0), get(1, None)), Some(Answer::Value("one".into(), 1)));
     assert_eq!(platform.get(Time(0), get(1, Some(1))), None);
-    assert_eq!(platform.due(Time(10)), []);
+    assert_eq!(platform.take_due_watches(Time(10)), []);
     platform.put(key(), "two".into());
-    assert_eq!(platform.due(Time(20)), [(1, Answer::Value("two".into(), 2))]);
-    assert_eq!(platform.due(Time(30)), []);
+    assert_eq!(platform.take_due_watches(Time(20)), [(1, Answer::Value("two".into(), 2))]);
+    assert_eq!(platform.take_due_watches(Time(30)), []);
 }
 
 #[test]
 fn get_watch_over() {
     let mut platform = platform();
     assert_eq!(platform.get(Time(0), get(1, Some(1))), None);
-    assert_eq!(platform.due(Time(5_000_000)), [(1, Answer::Value("one".into(), 1))]);
+    assert_eq!(platform.take_due_watches(Time(5_000_000)), [(1, Answer::Value("one".into(), 1))]);
 }
 
 #[test]
@@ -113,7 +113,7 @@
     assert_eq!(platform.get(Time(0), get(1, None)), Some(Answer::Refused));
     platform.set_health(Health::Down);
     assert_eq!(platform.get(Time(0), get(1, None)), None);
-    assert_eq!(platform.due(Time(9_000_000_000)), []);
+    assert_eq!(platform.take_due_watches(Time(9_000_000_000)), []);
     platform.set_health(Health::Up);
     assert_eq!(platform.get(Time(0), get(1, None)), Some(Answer::Value("two".into(), 2)));
 }
