--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -356,7 +356,7 @@
     }
 
     fn record_event(&mut self, node: usize, event: Event) {
-        if self.setup.recorded {
+        if self.setup.record_history {
             self.events.push((node, event));
         }
     }
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -131,10 +131,10 @@
 
     fn start(&mut self, node: usize) {
         self.kill(node);
-        let start = self.start_of(node);
+        let start = self.capture_start(node);
         self.slots[node].start(start);
         self.convergence.record_restart(node, self.links.now());
-        if self.setup.recorded {
+        if self.setup.record_history {
             self.history.push(Record::Started { at: self.links.now(), node });
         }
         self.handle_spread_input(node, sycamore_core::spread::Input::Start);
@@ -147,7 +147,7 @@
         self.slots[node].stop();
         self.break_calls(node);
         self.convergence.record_restart(node, self.links.now());
-        if self.setup.recorded {
+        if self.setup.record_history {
             self.history.push(Record::Stopped { at: self.links.now(), node });
         }
         self.platform.drop_watches(|caller| caller.node == node);
--- a/bench/src/fleet/operator.rs
+++ b/bench/src/fleet/operator.rs
@@ -46,7 +46,7 @@
             self.convergence.record_published(version, now);
         }
         self.min_update_bytes += publication.min_update_bytes;
-        if self.setup.recorded {
+        if self.setup.record_history {
             self.record_published(&publication, valid);
         }
         for (key, value) in publication.values {
--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -13,7 +13,7 @@
     pub(super) fn handle_in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
         let now = self.links.now();
         let in_force = &snapshot.in_force;
-        if self.setup.recorded {
+        if self.setup.record_history {
             self.record_in_force(node, snapshot);
         }
         self.convergence.record_in_force(node, in_force.version, now);
@@ -23,7 +23,7 @@
     pub(super) fn record_in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
         let at = self.links.now();
         if self.slots[node].in_force.is_none() && self.setup.profile.loss_ppm == 0 {
-            let version = self.remembered(node);
+            let version = self.newest_neighbour_version(node);
             self.history.push(Record::Remembered { at, node, version });
         }
         let scope = self.slots[node].scope.as_deref();
@@ -40,38 +40,38 @@
 
     /// The newest version that a neighbour held when the node started, of those that the node
     /// could ask from then till now.
-    pub(super) fn remembered(&self, node: usize) -> u64 {
+    pub(super) fn newest_neighbour_version(&self, node: usize) -> u64 {
         let Some(start) = &self.slots[node].start else { return 0 };
-        let could_ask = |other: usize, incarnation: u32| {
+        let stayed_reachable = |other: usize, incarnation: u32| {
             let slot = &self.slots[other];
             slot.incarnation == incarnation
                 && slot.last_impaired < start.at
-                && self.uncut_since(node, other, start.at)
+                && self.connected_since(node, other, start.at)
         };
-        let versions = start.neighbours.iter().filter(|n| could_ask(n.node, n.incarnation));
+        let versions = start.neighbours.iter().filter(|n| stayed_reachable(n.node, n.incarnation));
         versions.map(|neighbour| neighbour.version).max().unwrap_or(0)
     }
 
-    pub(super) fn uncut_since(&self, a: usize, b: usize, since: Time) -> bool {
+    pub(super) fn connected_since(&self, a: usize, b: usize, since: Time) -> bool {
         let sites = (self.site(a), self.site(b));
         let cut_before = |site: Site| self.last_cut[site.zone as usize] < since;
         let uncut = !self.links.is_cut(sites.0, sites.1);
         uncut && (sites.0.zone == sites.1.zone || cut_before(sites.0) && cut_before(sites.1))
     }
 
-    pub(super) fn start_of(&self, node: usize) -> Start {
+    pub(super) fn capture_start(&self, node: usize) -> Start {
         let zone = self.site(node).zone;
-        let near = |other: &usize| {
+        let is_neighbour = |other: &usize| {
             *other != node
                 && (self.site(*other).zone == zone || self.slots[node].seeds.contains(other))
         };
-        let askable = |other: &usize| {
+        let is_reachable = |other: &usize| {
             let slot = &self.slots[*other];
             slot.is_running()
                 && !slot.is_impaired()
                 && !self.links.is_cut(self.site(node), self.site(*other))
         };
-        let others = (0..self.slots.len()).filter(near).filter(askable);
+        let others = (0..self.slots.len()).filter(is_neighbour).filter(is_reachable);
         let neighbours = others.map(|other| self.slots[other].as_neighbour(other)).collect();
         Start { at: self.links.now(), neighbours }
     }
--- a/bench/src/fleet/setup.rs
+++ b/bench/src/fleet/setup.rs
@@ -24,7 +24,7 @@
     /// these send.
     pub spread_only: bool,
     /// Whether a history is recorded and every configuration held against what was published.
-    pub recorded: bool,
+    pub record_history: bool,
 }
 
 impl Setup {
@@ -39,7 +39,7 @@
             called_services: CALLED_SERVICES,
             memory: measure::resident_bytes,
             spread_only: false,
-            recorded: false,
+            record_history: false,
         }
     }
 
@@ -74,8 +74,8 @@
     }
 
     /// The same with a record.
-    pub fn with_record(mut self) -> Setup {
-        self.recorded = true;
+    pub fn with_history(mut self) -> Setup {
+        self.record_history = true;
         self
     }
 }
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -89,7 +89,7 @@
         let setup = Setup::new(planner.size, self.seed)
             .with_profile(profile)
             .with_called_services(planner.called_services)
-            .with_record();
+            .with_history();
         let mut fleet = Fleet::new(setup);
         for (at, action) in &plan {
             fleet.schedule(*at, action.clone());
