--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -4,7 +4,7 @@
 use crate::fleet::measure::{Convergence, Figures};
 use crate::fleet::platform::{Answer, CALLS_PER_S, Get, Platform};
 use crate::fleet::publication::Publication;
-use crate::fleet::run::StormFigures;
+use crate::fleet::run::DisruptionFigures;
 use crate::fleet::workload::{Size, Workload, name};
 use crate::links::{Links, PLATFORM_ZONE, Profile, Site};
 use bytes::Bytes;
@@ -21,7 +21,7 @@
 const LIMIT_PERCENT: u64 = 80;
 
 /// Longest wait for nodes that return to hold the last version.
-const LONGEST_STORM: Duration = Duration::from_secs(600);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Bytes of the head of a request and of an answer.
 const HEAD_BYTES: u64 = 120;
@@ -109,14 +109,18 @@
     }
 
     /// Restarts these nodes at the same moment, and measures until each holds the last version.
-    pub fn return_at_once(mut self, storm: &'static str, nodes: &[usize]) -> StormFigures {
+    pub fn return_at_once(
+        mut self,
+        disruption: &'static str,
+        nodes: &[usize],
+    ) -> DisruptionFigures {
         let since = self.links.now();
         for node in nodes {
             self.lives[*node] += 1;
             self.convergence.record_restart(*node, since);
             self.links.after(Duration::ZERO, Event::Poll(*node, self.lives[*node]));
         }
-        let end = since + LONGEST_STORM;
+        let end = since + RECOVERY_TIMEOUT;
         let mut last = since;
         while self.convergence.behind(1) > 0 && self.links.next_at() <= Some(end) {
             // Counting the nodes after each event would cost more than the run.
@@ -132,8 +136,8 @@
         let span = last.since(since);
         let calls = self.platform.calls();
         let bytes = self.links.traffic().bytes;
-        StormFigures {
-            storm,
+        DisruptionFigures {
+            disruption,
             recovered_ms: (behind == 0).then_some(span.as_micros() as f64 / 1_000.0),
             behind,
             platform_calls_peak: calls.peak,
--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -4,7 +4,7 @@
 use getopts::{Matches, Options};
 use std::alloc::System;
 use std::process::ExitCode;
-use sycamore_bench::fleet::run::{Comparison, Plan, Storm, compare};
+use sycamore_bench::fleet::run::{Comparison, Disruption, Plan, compare};
 use sycamore_bench::fleet::slopes::{self, Factor};
 use sycamore_bench::fleet::workload::{CHANGES_PER_DAY, Size};
 use sycamore_bench::fleet::{Setup, memory, table};
@@ -90,7 +90,7 @@
         "changes",
         CHANGES_PER_DAY,
     )?);
-    let storms = storms(matches)?;
+    let disruptions = disruptions(matches)?;
     let mut comparisons = Vec::new();
     for nodes in sizes {
         let setup = Setup::new(Size::of(nodes as usize), number(matches, "seed", 1)?)
@@ -98,12 +98,13 @@
             .with_memory(memory_in_use)
             .with_spread_only(matches.opt_present("spread-only"));
         eprintln!("{nodes} nodes ...");
-        comparisons.push(compare(&setup, &plan, &storms));
+        comparisons.push(compare(&setup, &plan, &disruptions));
     }
     print(&comparisons);
     table::json(&comparisons);
     let behind = |c: &Comparison| {
-        c.ours.figures.behind > 0 || c.ours.storms.iter().any(|storm| storm.behind > 0)
+        c.ours.figures.behind > 0
+            || c.ours.disruptions.iter().any(|disruption| disruption.behind > 0)
     };
     let failed = comparisons.iter().any(behind);
     Ok(if failed { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
@@ -177,17 +178,17 @@
     }
 }
 
-fn storms(matches: &Matches) -> Result<Vec<Storm>> {
+fn disruptions(matches: &Matches) -> Result<Vec<Disruption>> {
     let list = matches.opt_str("faults").unwrap_or_else(|| "all".to_owned());
     match list.as_str() {
         "none" => Ok(Vec::new()),
-        "all" => Ok(Storm::USUAL.to_vec()),
-        names => names.split(',').map(storm).collect(),
+        "all" => Ok(Disruption::SHORT.to_vec()),
+        names => names.split(',').map(parse_disruption).collect(),
     }
 }
 
-fn storm(text: &str) -> Result<Storm> {
-    let found = Storm::ALL.into_iter().find(|storm| storm.name() == text);
+fn parse_disruption(text: &str) -> Result<Disruption> {
+    let found = Disruption::ALL.into_iter().find(|disruption| disruption.name() == text);
     found.ok_or_else(|| usage(format!("no storm is called {text}")))
 }
 
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -61,58 +61,65 @@
 
 /// What goes wrong in a storm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Storm {
+pub enum Disruption {
     /// A zone is cut from all others and the platform, versions are published, the cut heals.
-    ZoneCut,
+    ZonePartition,
     /// Every relay and reader of a region is killed at once and returns later.
-    Relays,
+    RelayRestart,
     /// Every process of a zone is killed; all return at the same moment.
-    Zone,
+    ZoneRestart,
     /// Every process is killed; all return at the same moment.
-    Everything,
+    FleetRestart,
     /// A rack of a zone fails for good.
-    Rack,
+    RackLoss,
     /// A region is cut from all others and the platform for an hour of changes.
-    Regions,
+    RegionPartition,
     /// The platform is away while versions are published; it returns.
-    Source,
+    PlatformOutage,
 }
 
-impl Storm {
+impl Disruption {
     /// Every storm that takes at most a few minutes of simulated time.
-    pub const USUAL: [Storm; 6] =
-        [Storm::Rack, Storm::ZoneCut, Storm::Relays, Storm::Zone, Storm::Everything, Storm::Source];
+    pub const SHORT: [Disruption; 6] = [
+        Disruption::RackLoss,
+        Disruption::ZonePartition,
+        Disruption::RelayRestart,
+        Disruption::ZoneRestart,
+        Disruption::FleetRestart,
+        Disruption::PlatformOutage,
+    ];
 
     /// Every storm.
-    pub const ALL: [Storm; 7] = [
-        Storm::Rack,
-        Storm::ZoneCut,
-        Storm::Relays,
-        Storm::Zone,
-        Storm::Everything,
-        Storm::Source,
-        Storm::Regions,
+    pub const ALL: [Disruption; 7] = [
+        Disruption::RackLoss,
+        Disruption::ZonePartition,
+        Disruption::RelayRestart,
+        Disruption::ZoneRestart,
+        Disruption::FleetRestart,
+        Disruption::PlatformOutage,
+        Disruption::RegionPartition,
     ];
 
     /// Its name on the command line and in results.
     pub fn name(self) -> &'static str {
         match self {
-            Storm::ZoneCut => "zone-cut",
-            Storm::Relays => "relays",
-            Storm::Zone => "zone",
-            Storm::Everything => "everything",
-            Storm::Source => "source",
-            Storm::Rack => "rack",
-            Storm::Regions => "regions",
+            Disruption::ZonePartition => "zone-cut",
+            Disruption::RelayRestart => "relays",
+            Disruption::ZoneRestart => "zone",
+            Disruption::FleetRestart => "everything",
+            Disruption::PlatformOutage => "source",
+            Disruption::RackLoss => "rack",
+            Disruption::RegionPartition => "regions",
         }
     }
 }
 
 /// What a storm came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct StormFigures {
+pub struct DisruptionFigures {
     /// The storm's name.
-    pub storm: &'static str,
+    #[serde(rename = "storm")]
+    pub disruption: &'static str,
     /// From the heal, or from the return of the processes, until the last version was in force on
     /// every node; `None` if it never was.
     pub recovered_ms: Option<f64>,
@@ -145,7 +152,8 @@
     /// All bytes between regions for each version, for each of the smallest.
     pub across_to_smallest: f64,
     /// Storms.
-    pub storms: Vec<StormFigures>,
+    #[serde(rename = "storms")]
+    pub disruptions: Vec<DisruptionFigures>,
 }
 
 /// Both ways side by side.
@@ -166,16 +174,16 @@
 }
 
 /// Runs both ways over the same links and the same changes.
-pub fn compare(setup: &Setup, plan: &Plan, storms: &[Storm]) -> Comparison {
+pub fn compare(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Comparison {
     let size = setup.size;
-    let ours = ours(setup, plan, storms);
-    let naive = naive(setup, plan, storms);
+    let ours = ours(setup, plan, disruptions);
+    let naive = naive(setup, plan, disruptions);
     let Size { nodes, services, zones, regions } = size;
     Comparison { nodes, services, zones, regions, ours, naive }
 }
 
 /// Runs the system.
-pub fn ours(setup: &Setup, plan: &Plan, storms: &[Storm]) -> Outcome {
+pub fn ours(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
     let before = (setup.memory)();
     let mut fleet = Fleet::new(setup.clone());
     let started = start(&mut fleet);
@@ -186,7 +194,8 @@
     let smallest = smallest(setup, plan);
     let across_to_smallest = figures.across_bytes_per_version / smallest;
     let versions_to_smallest = figures.across_version_bytes / smallest;
-    let storms = storms.iter().map(|storm| weather(&mut fleet, *storm)).collect();
+    let disruptions =
+        disruptions.iter().map(|disruption| run_disruption(&mut fleet, *disruption)).collect();
     let started_ms = started.map(millis);
     Outcome {
         started_ms,
@@ -195,25 +204,25 @@
         smallest_across_bytes: smallest,
         versions_to_smallest,
         across_to_smallest,
-        storms,
+        disruptions,
     }
 }
 
-fn naive(setup: &Setup, plan: &Plan, storms: &[Storm]) -> Outcome {
+fn naive(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
     let baseline = || Baseline::new(setup.size, setup.profile, setup.seed);
     let figures = baseline().run(plan.versions, plan.pause);
     let smallest = smallest(setup, plan);
     let across_to_smallest = figures.across_bytes_per_version / smallest;
     let all: Vec<usize> = (0..setup.size.nodes).collect();
     let start = baseline().return_at_once("everything", &all);
-    let mut storm_figures = Vec::new();
-    for storm in storms {
-        match storm {
-            Storm::Zone => {
+    let mut disruption_figures = Vec::new();
+    for disruption in disruptions {
+        match disruption {
+            Disruption::ZoneRestart => {
                 let zone = nodes_in_zone(&setup.size, 1);
-                storm_figures.push(baseline().return_at_once(storm.name(), &zone));
+                disruption_figures.push(baseline().return_at_once(disruption.name(), &zone));
             }
-            Storm::Everything => storm_figures.push(start.clone()),
+            Disruption::FleetRestart => disruption_figures.push(start.clone()),
             _ => {}
         }
     }
@@ -224,7 +233,7 @@
         smallest_across_bytes: smallest,
         versions_to_smallest: across_to_smallest,
         across_to_smallest,
-        storms: storm_figures,
+        disruptions: disruption_figures,
     }
 }
 
@@ -280,17 +289,17 @@
 }
 
 /// Puts a settled fleet through a storm and waits until it has recovered.
-pub fn weather(fleet: &mut Fleet, storm: Storm) -> StormFigures {
+pub fn run_disruption(fleet: &mut Fleet, disruption: Disruption) -> DisruptionFigures {
     fleet.run_for(SETTLING);
     fleet.take_peak();
     let (traffic, calls) = (fleet.traffic(), fleet.calls());
-    break_and_heal(fleet, storm);
+    inject_and_repair(fleet, disruption);
     let last = fleet.last_valid_version();
     let recovered = fleet.run_until_converged(last, PATIENCE);
     let sent = fleet.traffic().since(&traffic);
     let now = fleet.calls();
-    StormFigures {
-        storm: storm.name(),
+    DisruptionFigures {
+        disruption: disruption.name(),
         recovered_ms: recovered.map(millis),
         behind: fleet.behind(last),
         platform_calls_peak: now.peak,
@@ -301,31 +310,31 @@
 }
 
 /// Breaks things, publishes, and returns at the moment of the heal.
-fn break_and_heal(fleet: &mut Fleet, storm: Storm) {
+fn inject_and_repair(fleet: &mut Fleet, disruption: Disruption) {
     let publish = || Action::Publish(PublicationKind::Next);
     let now = |fleet: &mut Fleet, action: Action| {
         fleet.schedule(Duration::ZERO, action);
         fleet.run_until(fleet.now());
     };
     let size = fleet.size();
-    match storm {
-        Storm::ZoneCut => {
+    match disruption {
+        Disruption::ZonePartition => {
             now(fleet, Action::CutZone(1));
             now(fleet, Action::CutLink(1, None));
             fleet.schedule(CUT / 2, publish());
             fleet.run_for(CUT);
             now(fleet, Action::HealLinks);
         }
-        Storm::Relays => {
+        Disruption::RelayRestart => {
             let relays = fleet.relays(Some(1.min(size.regions as u16 - 1)));
             now(fleet, Action::Kill(relays.clone()));
             // Recovery is measured from here: the rest of the region must find other ways.
             fleet.schedule(AWAY, Action::Start(relays));
             now(fleet, publish());
         }
-        Storm::Zone | Storm::Everything => {
-            let nodes = match storm {
-                Storm::Zone => nodes_in_zone(&size, 1),
+        Disruption::ZoneRestart | Disruption::FleetRestart => {
+            let nodes = match disruption {
+                Disruption::ZoneRestart => nodes_in_zone(&size, 1),
                 _ => (0..size.nodes).collect(),
             };
             now(fleet, Action::Kill(nodes.clone()));
@@ -333,12 +342,12 @@
             fleet.run_for(AWAY);
             now(fleet, Action::Start(nodes));
         }
-        Storm::Rack => {
+        Disruption::RackLoss => {
             let rack = nodes_in_zone(&size, 1).into_iter().take(RACK);
             now(fleet, Action::Kill(rack.collect()));
             now(fleet, publish());
         }
-        Storm::Regions => {
+        Disruption::RegionPartition => {
             let region = size.regions as u16 - 1;
             let zones: Vec<u16> =
                 (0..size.zones as u16).filter(|z| size.place_of(*z).region == region).collect();
@@ -354,7 +363,7 @@
             fleet.run_for(APART);
             now(fleet, Action::HealLinks);
         }
-        Storm::Source => {
+        Disruption::PlatformOutage => {
             now(fleet, Action::SetPlatformHealth(super::platform::Health::Down));
             fleet.schedule(CUT, publish());
             fleet.run_for(CUT * 2);
--- a/bench/src/fleet/table.rs
+++ b/bench/src/fleet/table.rs
@@ -24,7 +24,7 @@
         convergence_row(comparison.nodes, "naive", &comparison.naive);
     }
     roles(comparisons);
-    storms(comparisons);
+    disruptions(comparisons);
 }
 
 fn roles(comparisons: &[Comparison]) {
@@ -66,27 +66,27 @@
     );
 }
 
-fn storms(comparisons: &[Comparison]) {
+fn disruptions(comparisons: &[Comparison]) {
     println!("\nStorms: ms from the heal or the return until the last version is in force:");
     println!(
         "{:>6} {:>6} {:>11} {:>11} {:>7} {:>10} {:>10} {:>14}",
         "nodes", "", "storm", "recovered", "behind", "peak calls", "over limit", "B across"
     );
     for comparison in comparisons {
-        storm_rows(comparison.nodes, "ours", &comparison.ours);
-        storm_rows(comparison.nodes, "naive", &comparison.naive);
+        disruption_rows(comparison.nodes, "ours", &comparison.ours);
+        disruption_rows(comparison.nodes, "naive", &comparison.naive);
     }
 }
 
-fn storm_rows(nodes: usize, way: &str, outcome: &Outcome) {
+fn disruption_rows(nodes: usize, way: &str, outcome: &Outcome) {
     let started = outcome.started_ms.map_or("never".to_owned(), |ms| format!("{ms:.0}"));
     let peak = outcome.start_calls_peak;
     println!("{nodes:>6} {way:>6} {:>11} {started:>11} {:>7} {peak:>10}", "first start", "");
-    for s in &outcome.storms {
+    for s in &outcome.disruptions {
         let recovered = s.recovered_ms.map_or("never".to_owned(), |ms| format!("{ms:.0}"));
         println!(
             "{nodes:>6} {way:>6} {:>11} {recovered:>11} {:>7} {:>10} {:>10} {:>14}",
-            s.storm, s.behind, s.platform_calls_peak, s.platform_over_limit, s.across_bytes
+            s.disruption, s.behind, s.platform_calls_peak, s.platform_over_limit, s.across_bytes
         );
     }
 }
@@ -113,7 +113,7 @@
         bytes_row(c.nodes, "naive", &c.naive, None);
     }
     kinds(comparisons);
-    storms(comparisons);
+    disruptions(comparisons);
 }
 
 fn kinds(comparisons: &[Comparison]) {
