--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -103,8 +103,8 @@
     print(&comparisons);
     table::json(&comparisons);
     let behind = |c: &Comparison| {
-        c.ours.figures.behind > 0
-            || c.ours.disruptions.iter().any(|disruption| disruption.behind > 0)
+        c.fleet.figures.behind > 0
+            || c.fleet.disruptions.iter().any(|disruption| disruption.behind > 0)
     };
     let failed = comparisons.iter().any(behind);
     Ok(if failed { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
--- a/bench/src/fleet/memory.rs
+++ b/bench/src/fleet/memory.rs
@@ -1,6 +1,6 @@
 //! Memory of one node's decider, alone with presets of several sizes.
 
-use super::run::start;
+use super::run::start_all;
 use super::slopes::{Line, Options};
 use super::workload::{CALLED_SERVICES, Size};
 use super::{Fleet, Setup};
@@ -48,7 +48,7 @@
         Setup::new(one, options.seed).with_preset_of(preset).with_called_services(called_services);
     let mut fleet = Fleet::new(setup);
     let before = (options.memory)();
-    start(&mut fleet);
+    start_all(&mut fleet);
     fleet.run_for(Duration::from_secs(60));
     (options.memory)().saturating_sub(before) as f64 / 1_024.0
 }
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -10,24 +10,24 @@
 use sycamore_core::place::Link;
 
 /// Longest wait for a fleet to hold a version.
-const PATIENCE: Duration = Duration::from_secs(120);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Quiet time after the start, before counting begins.
-const SETTLING: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_secs(30);
 
 /// How long a zone stays cut in the storm of that name.
-const CUT: Duration = Duration::from_secs(30);
+const PARTITION_DURATION: Duration = Duration::from_secs(30);
 
 /// How long regions stay apart, and the versions published meanwhile: one a minute, since one
 /// each six seconds would only take longer to run.
-const APART: Duration = Duration::from_secs(3_600);
-const APART_VERSIONS: u32 = 60;
+const REGION_PARTITION_DURATION: Duration = Duration::from_secs(3_600);
+const REGION_PARTITION_VERSIONS: u32 = 60;
 
 /// Nodes of a rack.
-const RACK: usize = 40;
+const RACK_NODES: usize = 40;
 
 /// How long killed processes stay away.
-const AWAY: Duration = Duration::from_secs(10);
+const RESTART_DELAY: Duration = Duration::from_secs(10);
 
 /// What is run.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
     /// Versions published while counting.
     pub versions: usize,
     /// Time between two versions.
-    pub pause: Duration,
+    pub interval: Duration,
     /// Restarts of single processes a minute while counting.
     pub restarts_per_minute: u32,
 }
@@ -43,12 +43,12 @@
 impl Plan {
     /// So many versions at the users' rate.
     pub fn new(versions: usize) -> Plan {
-        Plan { versions, pause: pause_of(CHANGES_PER_DAY), restarts_per_minute: 0 }
+        Plan { versions, interval: interval_for(CHANGES_PER_DAY), restarts_per_minute: 0 }
     }
 
     /// The same with another number of changes a day.
     pub fn with_changes_per_day(mut self, changes: u64) -> Plan {
-        self.pause = pause_of(changes);
+        self.interval = interval_for(changes);
         self
     }
 
@@ -146,11 +146,14 @@
     pub figures: Figures,
     /// Bytes of the smallest messages that could carry a version: its compressed change, once a
     /// region.
-    pub smallest_across_bytes: f64,
+    #[serde(rename = "smallest_across_bytes")]
+    pub min_cross_region_bytes: f64,
     /// Bytes between regions that carry a version, for each of the smallest.
-    pub versions_to_smallest: f64,
+    #[serde(rename = "versions_to_smallest")]
+    pub version_bytes_to_min: f64,
     /// All bytes between regions for each version, for each of the smallest.
-    pub across_to_smallest: f64,
+    #[serde(rename = "across_to_smallest")]
+    pub cross_region_bytes_to_min: f64,
     /// Storms.
     #[serde(rename = "storms")]
     pub disruptions: Vec<DisruptionFigures>,
@@ -168,51 +171,53 @@
     /// Regions.
     pub regions: usize,
     /// The system.
-    pub ours: Outcome,
+    #[serde(rename = "ours")]
+    pub fleet: Outcome,
     /// Every node polls the whole document.
-    pub naive: Outcome,
+    #[serde(rename = "naive")]
+    pub baseline: Outcome,
 }
 
 /// Runs both ways over the same links and the same changes.
 pub fn compare(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Comparison {
     let size = setup.size;
-    let ours = ours(setup, plan, disruptions);
-    let naive = naive(setup, plan, disruptions);
+    let fleet = run_fleet(setup, plan, disruptions);
+    let baseline = run_baseline(setup, plan, disruptions);
     let Size { nodes, services, zones, regions } = size;
-    Comparison { nodes, services, zones, regions, ours, naive }
+    Comparison { nodes, services, zones, regions, fleet, baseline }
 }
 
 /// Runs the system.
-pub fn ours(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
+pub fn run_fleet(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
     let before = (setup.memory)();
     let mut fleet = Fleet::new(setup.clone());
-    let started = start(&mut fleet);
+    let started = start_all(&mut fleet);
     let start_calls_peak = fleet.take_peak();
-    let mut figures = change(&mut fleet, plan);
+    let mut figures = measure_changes(&mut fleet, plan);
     let bytes = (setup.memory)().saturating_sub(before);
     figures.kb_per_node = bytes as f64 / 1_024.0 / setup.size.nodes as f64;
-    let smallest = smallest(setup, plan);
-    let across_to_smallest = figures.across_bytes_per_version / smallest;
-    let versions_to_smallest = figures.across_version_bytes / smallest;
+    let min_cross_region_bytes = min_cross_region_bytes(setup, plan);
+    let cross_region_bytes_to_min = figures.across_bytes_per_version / min_cross_region_bytes;
+    let version_bytes_to_min = figures.across_version_bytes / min_cross_region_bytes;
     let disruptions =
         disruptions.iter().map(|disruption| run_disruption(&mut fleet, *disruption)).collect();
-    let started_ms = started.map(millis);
+    let started_ms = started.map(to_millis);
     Outcome {
         started_ms,
         start_calls_peak,
         figures,
-        smallest_across_bytes: smallest,
-        versions_to_smallest,
-        across_to_smallest,
+        min_cross_region_bytes,
+        version_bytes_to_min,
+        cross_region_bytes_to_min,
         disruptions,
     }
 }
 
-fn naive(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
+fn run_baseline(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
     let baseline = || Baseline::new(setup.size, setup.profile, setup.seed);
-    let figures = baseline().run(plan.versions, plan.pause);
-    let smallest = smallest(setup, plan);
-    let across_to_smallest = figures.across_bytes_per_version / smallest;
+    let figures = baseline().run(plan.versions, plan.interval);
+    let min_cross_region_bytes = min_cross_region_bytes(setup, plan);
+    let cross_region_bytes_to_min = figures.across_bytes_per_version / min_cross_region_bytes;
     let all: Vec<usize> = (0..setup.size.nodes).collect();
     let start = baseline().return_at_once("everything", &all);
     let mut disruption_figures = Vec::new();
@@ -230,32 +235,32 @@
         started_ms: start.recovered_ms,
         start_calls_peak: start.platform_calls_peak,
         figures,
-        smallest_across_bytes: smallest,
-        versions_to_smallest: across_to_smallest,
-        across_to_smallest,
+        min_cross_region_bytes,
+        version_bytes_to_min: cross_region_bytes_to_min,
+        cross_region_bytes_to_min,
         disruptions: disruption_figures,
     }
 }
 
 /// Starts every process at the same moment.
-pub fn start(fleet: &mut Fleet) -> Option<Duration> {
+pub fn start_all(fleet: &mut Fleet) -> Option<Duration> {
     let all = (0..fleet.size().nodes).collect();
     let now = fleet.now();
     fleet.schedule(Duration::ZERO, Action::Start(all));
     fleet.run_until(now);
-    fleet.run_until_converged(1, PATIENCE)
+    fleet.run_until_converged(1, CONVERGENCE_TIMEOUT)
 }
 
 /// Publishes the plan's versions and measures.
-pub fn change(fleet: &mut Fleet, plan: &Plan) -> Figures {
-    fleet.run_for(SETTLING);
+pub fn measure_changes(fleet: &mut Fleet, plan: &Plan) -> Figures {
+    fleet.run_for(SETTLE_TIME);
     fleet.convergence().reset();
     fleet.take_peak();
     fleet.reset_loads();
     let (traffic, calls, cpu) = (fleet.traffic(), fleet.calls(), cpu_time());
-    let span = plan.pause * plan.versions as u32;
+    let span = plan.interval * plan.versions as u32;
     for index in 0..plan.versions {
-        fleet.schedule(plan.pause * index as u32, Action::Publish(PublicationKind::Next));
+        fleet.schedule(plan.interval * index as u32, Action::Publish(PublicationKind::Next));
     }
     plan_restarts(fleet, plan, span);
     fleet.run_for(span);
@@ -267,7 +272,7 @@
     let kinds = fleet.cross_region_bytes().clone();
     // The last version gets its time too; the rates are over the span before.
     let last = fleet.last_valid_version();
-    fleet.run_until_converged(last, PATIENCE);
+    fleet.run_until_converged(last, CONVERGENCE_TIMEOUT);
     let over_limit = now.over_limit - calls.over_limit;
     let figures = Figures::new(fleet.convergence())
         .with_traffic(&sent, nodes, span)
@@ -290,17 +295,17 @@
 
 /// Puts a settled fleet through a storm and waits until it has recovered.
 pub fn run_disruption(fleet: &mut Fleet, disruption: Disruption) -> DisruptionFigures {
-    fleet.run_for(SETTLING);
+    fleet.run_for(SETTLE_TIME);
     fleet.take_peak();
     let (traffic, calls) = (fleet.traffic(), fleet.calls());
     inject_and_repair(fleet, disruption);
     let last = fleet.last_valid_version();
-    let recovered = fleet.run_until_converged(last, PATIENCE);
+    let recovered = fleet.run_until_converged(last, CONVERGENCE_TIMEOUT);
     let sent = fleet.traffic().since(&traffic);
     let now = fleet.calls();
     DisruptionFigures {
         disruption: disruption.name(),
-        recovered_ms: recovered.map(millis),
+        recovered_ms: recovered.map(to_millis),
         behind: fleet.behind(last),
         platform_calls_peak: now.peak,
         platform_over_limit: now.over_limit - calls.over_limit,
@@ -321,15 +326,15 @@
         Disruption::ZonePartition => {
             now(fleet, Action::CutZone(1));
             now(fleet, Action::CutLink(1, None));
-            fleet.schedule(CUT / 2, publish());
-            fleet.run_for(CUT);
+            fleet.schedule(PARTITION_DURATION / 2, publish());
+            fleet.run_for(PARTITION_DURATION);
             now(fleet, Action::HealLinks);
         }
         Disruption::RelayRestart => {
             let relays = fleet.relays(Some(1.min(size.regions as u16 - 1)));
             now(fleet, Action::Kill(relays.clone()));
             // Recovery is measured from here: the rest of the region must find other ways.
-            fleet.schedule(AWAY, Action::Start(relays));
+            fleet.schedule(RESTART_DELAY, Action::Start(relays));
             now(fleet, publish());
         }
         Disruption::ZoneRestart | Disruption::FleetRestart => {
@@ -338,12 +343,12 @@
                 _ => (0..size.nodes).collect(),
             };
             now(fleet, Action::Kill(nodes.clone()));
-            fleet.schedule(AWAY / 2, publish());
-            fleet.run_for(AWAY);
+            fleet.schedule(RESTART_DELAY / 2, publish());
+            fleet.run_for(RESTART_DELAY);
             now(fleet, Action::Start(nodes));
         }
         Disruption::RackLoss => {
-            let rack = nodes_in_zone(&size, 1).into_iter().take(RACK);
+            let rack = nodes_in_zone(&size, 1).into_iter().take(RACK_NODES);
             now(fleet, Action::Kill(rack.collect()));
             now(fleet, publish());
         }
@@ -357,23 +362,26 @@
             for other in 0..region {
                 now(fleet, Action::CutRegions(region, other));
             }
-            for index in 0..APART_VERSIONS {
-                fleet.schedule(APART / APART_VERSIONS * index, publish());
+            for index in 0..REGION_PARTITION_VERSIONS {
+                fleet.schedule(
+                    REGION_PARTITION_DURATION / REGION_PARTITION_VERSIONS * index,
+                    publish(),
+                );
             }
-            fleet.run_for(APART);
+            fleet.run_for(REGION_PARTITION_DURATION);
             now(fleet, Action::HealLinks);
         }
         Disruption::PlatformOutage => {
             now(fleet, Action::SetPlatformHealth(super::platform::Health::Down));
-            fleet.schedule(CUT, publish());
-            fleet.run_for(CUT * 2);
+            fleet.schedule(PARTITION_DURATION, publish());
+            fleet.run_for(PARTITION_DURATION * 2);
             now(fleet, Action::SetPlatformHealth(super::platform::Health::Up));
         }
     }
 }
 
 /// Bytes between regions that a version needs at least, on average over the plan's.
-fn smallest(setup: &Setup, plan: &Plan) -> f64 {
+fn min_cross_region_bytes(setup: &Setup, plan: &Plan) -> f64 {
     let mut workload = super::workload::Workload::new(setup.size, setup.seed);
     workload.publish();
     let bytes: u64 = (0..plan.versions).map(|_| workload.publish_change().min_update_bytes).sum();
@@ -381,10 +389,10 @@
     bytes as f64 / plan.versions.max(1) as f64 * copies
 }
 
-fn pause_of(changes_per_day: u64) -> Duration {
+fn interval_for(changes_per_day: u64) -> Duration {
     Duration::from_secs(86_400) / changes_per_day as u32
 }
 
-fn millis(span: Duration) -> f64 {
+fn to_millis(span: Duration) -> f64 {
     span.as_micros() as f64 / 1_000.0
 }
--- a/bench/src/fleet/slopes.rs
+++ b/bench/src/fleet/slopes.rs
@@ -1,7 +1,7 @@
 //! Slopes: one thing grows over several sizes, the rest stays, and a line is fitted.
 
 use super::Setup;
-use super::run::{Outcome, Plan, ours};
+use super::run::{Outcome, Plan, run_fleet};
 use super::workload::{CALLED_SERVICES, CHANGES_PER_DAY, Size};
 use serde::Serialize;
 
@@ -76,7 +76,7 @@
         let plan = Plan::new(versions);
         let run = |size: Size, called: usize, plan: Plan| {
             let setup = Setup::new(size, options.seed).with_memory(options.memory);
-            ours(&setup.with_called_services(called), &plan, &[])
+            run_fleet(&setup.with_called_services(called), &plan, &[])
         };
         match self {
             Factor::Nodes => {
--- a/bench/src/fleet/table.rs
+++ b/bench/src/fleet/table.rs
@@ -20,8 +20,8 @@
         "KB/node"
     );
     for comparison in comparisons {
-        convergence_row(comparison.nodes, "ours", &comparison.ours);
-        convergence_row(comparison.nodes, "naive", &comparison.naive);
+        convergence_row(comparison.nodes, "ours", &comparison.fleet);
+        convergence_row(comparison.nodes, "naive", &comparison.baseline);
     }
     roles(comparisons);
     disruptions(comparisons);
@@ -34,7 +34,7 @@
         "nodes", "role", "count", "B sent", "B recv", "busiest B", "messages", "decider us"
     );
     for comparison in comparisons {
-        for r in &comparison.ours.figures.roles {
+        for r in &comparison.fleet.figures.roles {
             println!(
                 "{:>6} {:>14} {:>6} {:>9.0} {:>9.0} {:>11.0} {:>9.2} {:>11.1}",
                 comparison.nodes,
@@ -50,10 +50,10 @@
     }
 }
 
-fn convergence_row(nodes: usize, way: &str, outcome: &Outcome) {
+fn convergence_row(nodes: usize, system: &str, outcome: &Outcome) {
     let f = &outcome.figures;
     println!(
-        "{nodes:>6} {way:>6} {:>9.1} {:>9.1} {:>9.1} {:>7} {:>9.0} {:>9.2} {:>8.1} {:>9.0} {:>8.0}",
+        "{nodes:>6} {system:>6} {:>9.1} {:>9.1} {:>9.1} {:>7} {:>9.0} {:>9.2} {:>8.1} {:>9.0} {:>8.0}",
         f.p50_ms,
         f.p99_ms,
         f.max_ms,
@@ -73,19 +73,19 @@
         "nodes", "", "storm", "recovered", "behind", "peak calls", "over limit", "B across"
     );
     for comparison in comparisons {
-        disruption_rows(comparison.nodes, "ours", &comparison.ours);
-        disruption_rows(comparison.nodes, "naive", &comparison.naive);
+        disruption_rows(comparison.nodes, "ours", &comparison.fleet);
+        disruption_rows(comparison.nodes, "naive", &comparison.baseline);
     }
 }
 
-fn disruption_rows(nodes: usize, way: &str, outcome: &Outcome) {
+fn disruption_rows(nodes: usize, system: &str, outcome: &Outcome) {
     let started = outcome.started_ms.map_or("never".to_owned(), |ms| format!("{ms:.0}"));
     let peak = outcome.start_calls_peak;
-    println!("{nodes:>6} {way:>6} {:>11} {started:>11} {:>7} {peak:>10}", "first start", "");
+    println!("{nodes:>6} {system:>6} {:>11} {started:>11} {:>7} {peak:>10}", "first start", "");
     for s in &outcome.disruptions {
         let recovered = s.recovered_ms.map_or("never".to_owned(), |ms| format!("{ms:.0}"));
         println!(
-            "{nodes:>6} {way:>6} {:>11} {recovered:>11} {:>7} {:>10} {:>10} {:>14}",
+            "{nodes:>6} {system:>6} {:>11} {recovered:>11} {:>7} {:>10} {:>10} {:>14}",
             s.disruption, s.behind, s.platform_calls_peak, s.platform_over_limit, s.across_bytes
         );
     }
@@ -107,10 +107,10 @@
         "naive/ours"
     );
     for c in comparisons {
-        let (ours, naive) = (&c.ours.figures, &c.naive.figures);
-        let gain = naive.across_bytes_per_version / ours.across_bytes_per_version;
-        bytes_row(c.nodes, "ours", &c.ours, Some(gain));
-        bytes_row(c.nodes, "naive", &c.naive, None);
+        let (fleet, baseline) = (&c.fleet.figures, &c.baseline.figures);
+        let reduction = baseline.across_bytes_per_version / fleet.across_bytes_per_version;
+        bytes_row(c.nodes, "ours", &c.fleet, Some(reduction));
+        bytes_row(c.nodes, "naive", &c.baseline, None);
     }
     kinds(comparisons);
     disruptions(comparisons);
@@ -119,24 +119,24 @@
 fn kinds(comparisons: &[Comparison]) {
     println!("\nOurs between regions by kind of message, bytes a second, all nodes together:");
     for comparison in comparisons {
-        let kinds = comparison.ours.figures.across_kinds.iter();
+        let kinds = comparison.fleet.figures.across_kinds.iter();
         let kinds: Vec<String> = kinds.map(|(kind, rate)| format!("{kind} {rate:.0}")).collect();
         println!("{:>6} {}", comparison.nodes, kinds.join(", "));
     }
 }
 
-fn bytes_row(nodes: usize, way: &str, outcome: &Outcome, gain: Option<f64>) {
+fn bytes_row(nodes: usize, system: &str, outcome: &Outcome, reduction: Option<f64>) {
     let f = &outcome.figures;
-    let gain = gain.map_or(String::new(), |gain| format!("{gain:.1}"));
+    let reduction = reduction.map_or(String::new(), |reduction| format!("{reduction:.1}"));
     println!(
-        "{nodes:>6} {way:>6} {:>10.1} {:>10.1} {:>10.1} {:>10.1} {:>14.0} {:>14.0} {:>12.2} {gain:>12}",
+        "{nodes:>6} {system:>6} {:>10.1} {:>10.1} {:>10.1} {:>10.1} {:>14.0} {:>14.0} {:>12.2} {reduction:>12}",
         f.bytes_per_node_s,
         f.zone_bytes_per_node_s,
         f.region_bytes_per_node_s,
         f.across_bytes_per_node_s,
         f.across_bytes_per_version,
         f.across_version_bytes,
-        outcome.versions_to_smallest,
+        outcome.version_bytes_to_min,
     );
 }
 
