--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -79,7 +79,7 @@
     listed_states: Vec<Option<VmState>>,
     last_valid_version: u64,
     min_update_bytes: u64,
-    sizes: size::Sizes,
+    sizes: size::SizeCache,
     cross_region_bytes: IndexMap<&'static str, u64>,
     call_load: Option<CallLoad>,
     outputs: Vec<node::Output>,
@@ -103,7 +103,7 @@
             listed_states: vec![Some(VmState::Live); size.nodes],
             last_valid_version: 0,
             min_update_bytes: 0,
-            sizes: size::Sizes::default(),
+            sizes: size::SizeCache::default(),
             cross_region_bytes: IndexMap::new(),
             call_load: None,
             outputs: Vec::new(),
@@ -394,7 +394,7 @@
         }
         let msg = if self.slots[from].corrupts_messages { fault::corrupt(msg) } else { msg };
         let sites = (self.site(from), self.site(to_node));
-        let size = self.sizes.of(&msg);
+        let size = self.sizes.wire_size(&msg);
         self.count_cross_region(sites, size::kind(&msg), size);
         let arrive = FleetEvent::PeerMessage { from, to: to_node, incarnation, msg };
         self.count_traffic(from, size, 0);
--- a/bench/src/fleet/size.rs
+++ b/bench/src/fleet/size.rs
@@ -9,7 +9,7 @@
 use sycamore_node::spread::payload::PayloadCache;
 
 /// Contents whose size is kept.
-const KEPT: usize = 8_192;
+const CACHE_CAPACITY: usize = 8_192;
 
 /// Names the content of a delta: its version, base and result.
 type DeltaKey = (u64, Option<Hash>, Hash);
@@ -20,15 +20,15 @@
 /// Sizes of messages, with those of large contents kept: one content goes to many nodes, each of
 /// which holds its own copy, and is compressed here only once.
 #[derive(Debug, Default)]
-pub struct Sizes {
+pub struct SizeCache {
     payloads: PayloadCache,
     deltas: IndexMap<DeltaKey, u64>,
     lists: IndexMap<ListKey, u64>,
 }
 
-impl Sizes {
+impl SizeCache {
     /// Bytes of a message and of the call that carries it, without the heads of TCP and IP.
-    pub fn of(&mut self, msg: &PeerMsg) -> u64 {
+    pub fn wire_size(&mut self, msg: &PeerMsg) -> u64 {
         match msg {
             PeerMsg::Delta(delta) => self.delta(delta),
             PeerMsg::Lists(lists) => lists.iter().map(|list| self.list(list)).sum(),
@@ -47,7 +47,7 @@
             return *size;
         }
         let size = self.encoded(&PeerMsg::Delta(delta.clone()));
-        keep(&mut self.deltas, key, size)
+        insert_bounded(&mut self.deltas, key, size)
     }
 
     fn list(&mut self, list: &Arc<ZoneList>) -> u64 {
@@ -56,7 +56,7 @@
             return *size;
         }
         let size = self.encoded(&PeerMsg::Lists(vec![list.clone()]));
-        keep(&mut self.lists, key, size)
+        insert_bounded(&mut self.lists, key, size)
     }
 }
 
@@ -73,10 +73,10 @@
     }
 }
 
-fn keep<K: std::hash::Hash + Eq>(kept: &mut IndexMap<K, u64>, key: K, size: u64) -> u64 {
-    if kept.len() == KEPT {
-        kept.clear();
+fn insert_bounded<K: std::hash::Hash + Eq>(cache: &mut IndexMap<K, u64>, key: K, size: u64) -> u64 {
+    if cache.len() == CACHE_CAPACITY {
+        cache.clear();
     }
-    kept.insert(key, size);
+    cache.insert(key, size);
     size
 }
