--- a/bench/src/bin/sycamore-bench-calls.rs
+++ b/bench/src/bin/sycamore-bench-calls.rs
@@ -156,7 +156,7 @@
         points.iter().for_each(print);
         println!(
             "cpu ms/s = {:.1} + {:.4} x calls/s, error of the slope {:.4}, spread {:.1}",
-            line.at_zero, line.slope, line.slope_error, line.spread
+            line.intercept, line.slope, line.slope_error, line.residual_std_dev
         );
     }
     println!();
--- a/bench/src/fleet/slopes.rs
+++ b/bench/src/fleet/slopes.rs
@@ -112,7 +112,7 @@
 /// Every metric.
 pub const METRICS: [Metric; 8] = [
     Metric { name: "control bytes/s a node", of: |o| o.figures.bytes_per_node_s },
-    Metric { name: "bytes/s of the busiest node", of: busiest },
+    Metric { name: "bytes/s of the busiest node", of: busiest_node_bytes },
     Metric { name: "bytes/s between regions, whole fleet", of: |o| o.figures.across_bytes_s },
     Metric { name: "messages/s a node", of: |o| o.figures.messages_per_node_s },
     Metric { name: "platform calls/s", of: |o| o.figures.platform_calls_per_s },
@@ -121,7 +121,7 @@
     Metric { name: "slowest convergence, ms", of: |o| o.figures.max_ms },
 ];
 
-fn busiest(outcome: &Outcome) -> f64 {
+fn busiest_node_bytes(outcome: &Outcome) -> f64 {
     outcome.figures.roles.iter().map(|role| role.most_bytes_s).fold(0.0, f64::max)
 }
 
@@ -129,13 +129,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
     /// Value at zero.
-    pub at_zero: f64,
+    #[serde(rename = "at_zero")]
+    pub intercept: f64,
     /// Growth for each unit.
     pub slope: f64,
     /// Standard error of the slope.
     pub slope_error: f64,
     /// Standard deviation of the points from the line.
-    pub spread: f64,
+    #[serde(rename = "spread")]
+    pub residual_std_dev: f64,
 }
 
 impl Line {
@@ -147,10 +149,10 @@
         let xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
         let xy: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
         let slope = xy / xx;
-        let at_zero = mean_y - slope * mean_x;
-        let rest: f64 = points.iter().map(|(x, y)| (y - at_zero - slope * x).powi(2)).sum();
-        let spread = (rest / (n - 2.0)).sqrt();
-        Line { at_zero, slope, slope_error: spread / xx.sqrt(), spread }
+        let intercept = mean_y - slope * mean_x;
+        let residual: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
+        let residual_std_dev = (residual / (n - 2.0)).sqrt();
+        Line { intercept, slope, slope_error: residual_std_dev / xx.sqrt(), residual_std_dev }
     }
 }
 
@@ -196,16 +198,18 @@
     text += &format!("| metric | {} | at zero | slope | ± | spread |\n", sizes.join(" | "));
     text += &format!("|---|{}\n", "---:|".repeat(series.values.len() + 4));
     for row in &series.rows {
-        let values: Vec<String> = row.values.iter().map(|value| short(*value)).collect();
-        let Line { at_zero, slope, slope_error, spread } = row.line;
-        let fitted = [at_zero, slope, slope_error, spread].map(short).join(" | ");
+        let values: Vec<String> =
+            row.values.iter().map(|value| format_significant(*value)).collect();
+        let Line { intercept, slope, slope_error, residual_std_dev } = row.line;
+        let fitted =
+            [intercept, slope, slope_error, residual_std_dev].map(format_significant).join(" | ");
         text += &format!("| {} | {} | {fitted} |\n", row.metric, values.join(" | "));
     }
     text
 }
 
 /// A number with about four digits.
-fn short(value: f64) -> String {
+fn format_significant(value: f64) -> String {
     match value.abs() {
         size if size >= 1_000.0 => format!("{value:.0}"),
         size if size >= 10.0 => format!("{value:.1}"),
