--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -30,7 +30,7 @@
 use measure::Convergence;
 use platform::{Answer, Platform};
 use slot::{Load, NodeInput, Slot};
-use source::Caller;
+use source::SourceCallKey;
 use std::net::SocketAddr;
 use std::time::Duration;
 use sycamore_core::config::{InForce, Preset};
@@ -56,9 +56,9 @@
     Resume(usize),
     PeerMessage { from: usize, to: usize, incarnation: u32, msg: PeerMsg },
     PeerRefused { node: usize, incarnation: u32, to: SocketAddr },
-    SourceRequest(Caller, SourceCall),
-    SourceResponse(Caller, Answer),
-    SourceTimeout(Caller),
+    SourceRequest(SourceCallKey, SourceCall),
+    SourceResponse(SourceCallKey, Answer),
+    SourceTimeout(SourceCallKey),
     CheckWatches,
     Action(Action),
     CallStep(Step),
@@ -68,7 +68,7 @@
 pub struct Fleet {
     setup: Setup,
     links: Links<FleetEvent>,
-    platform: Platform<Caller>,
+    platform: Platform<SourceCallKey>,
     slots: Vec<Slot>,
     workload: Workload,
     convergence: Convergence,
--- a/bench/src/fleet/source.rs
+++ b/bench/src/fleet/source.rs
@@ -11,11 +11,11 @@
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Bytes of the head of a request to the platform and of an answer.
-const HEAD_BYTES: u64 = 120;
+const HEADER_BYTES: u64 = 120;
 
 /// Names a call to the platform: the node, its life and the node's own id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Caller {
+pub struct SourceCallKey {
     /// Number of the node.
     pub node: usize,
     /// Its life.
@@ -27,11 +27,11 @@
 impl Fleet {
     pub(super) fn send_source_request(&mut self, node: usize, call: SourceCall) {
         let slot = &mut self.slots[node];
-        let caller = Caller { node, incarnation: slot.incarnation, id: call.id };
+        let caller = SourceCallKey { node, incarnation: slot.incarnation, id: call.id };
         slot.calls.insert(call.id);
         let timeout = SOURCE_TIMEOUT + call.wait;
         self.links.after(timeout, FleetEvent::SourceTimeout(caller));
-        let size = HEAD_BYTES + call.key.as_bytes().len() as u64;
+        let size = HEADER_BYTES + call.key.as_bytes().len() as u64;
         self.count_traffic(node, size, 0);
         self.count_cross_region((self.site(node), PLATFORM), "platform", size);
         self.links.send(self.site(node), PLATFORM, size, FleetEvent::SourceRequest(caller, call));
@@ -40,10 +40,10 @@
     pub(super) fn cancel_source_call(&mut self, node: usize, id: CallId) {
         self.slots[node].calls.remove(&id);
         let incarnation = self.slots[node].incarnation;
-        self.platform.drop_watches(|caller| *caller == Caller { node, incarnation, id });
+        self.platform.drop_watches(|caller| *caller == SourceCallKey { node, incarnation, id });
     }
 
-    pub(super) fn handle_source_request(&mut self, caller: Caller, call: SourceCall) {
+    pub(super) fn handle_source_request(&mut self, caller: SourceCallKey, call: SourceCall) {
         let now = self.links.now();
         let until = now + call.wait;
         let min_index_exclusive = (call.index > 0).then_some(call.index);
@@ -60,10 +60,10 @@
         }
     }
 
-    pub(super) fn send_source_response(&mut self, caller: Caller, answer: Answer) {
+    pub(super) fn send_source_response(&mut self, caller: SourceCallKey, answer: Answer) {
         let size = match &answer {
-            Answer::Value(value, _) => HEAD_BYTES + value.len() as u64,
-            Answer::Missing | Answer::OverLimit | Answer::Refused => HEAD_BYTES,
+            Answer::Value(value, _) => HEADER_BYTES + value.len() as u64,
+            Answer::Missing | Answer::OverLimit | Answer::Refused => HEADER_BYTES,
         };
         let site = self.site(caller.node);
         self.count_traffic(caller.node, 0, size);
@@ -71,7 +71,7 @@
         self.links.send(PLATFORM, site, size, FleetEvent::SourceResponse(caller, answer));
     }
 
-    pub(super) fn handle_source_response(&mut self, caller: Caller, answer: Answer) {
+    pub(super) fn handle_source_response(&mut self, caller: SourceCallKey, answer: Answer) {
         let result = match answer {
             Answer::Value(body, index) => Ok(SourceValue { index, body: Some(body) }),
             Answer::Missing => Ok(SourceValue { index: 0, body: None }),
@@ -83,7 +83,7 @@
 
     pub(super) fn complete_source_call(
         &mut self,
-        caller: Caller,
+        caller: SourceCallKey,
         result: Result<SourceValue, Code>,
     ) {
         let slot = &mut self.slots[caller.node];
