--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -187,7 +187,7 @@
     fn cut_regions(&mut self, a: u16, b: u16) {
         let size = self.setup.size;
         let zones = |region: u16| {
-            (0..size.zones as u16).filter(move |zone| size.place_of(*zone).region == region)
+            (0..size.zones as u16).filter(move |zone| size.site_of_zone(*zone).region == region)
         };
         for zone in zones(a) {
             for other in zones(b).filter(|other| *other != zone) {
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -355,7 +355,7 @@
         Disruption::RegionPartition => {
             let region = size.regions as u16 - 1;
             let zones: Vec<u16> =
-                (0..size.zones as u16).filter(|z| size.place_of(*z).region == region).collect();
+                (0..size.zones as u16).filter(|z| size.site_of_zone(*z).region == region).collect();
             for zone in zones {
                 now(fleet, Action::CutLink(zone, None));
             }
--- a/bench/src/fleet/setup.rs
+++ b/bench/src/fleet/setup.rs
@@ -56,8 +56,8 @@
     }
 
     /// The same with another scope.
-    pub fn with_called_services(mut self, called: usize) -> Setup {
-        self.called_services = called;
+    pub fn with_called_services(mut self, called_services: usize) -> Setup {
+        self.called_services = called_services;
         self
     }
 
--- a/bench/src/fleet/slopes.rs
+++ b/bench/src/fleet/slopes.rs
@@ -74,9 +74,9 @@
         let base = Size { nodes: 1_000, services: 111, zones: 6, regions: 3 };
         let versions = options.versions;
         let plan = Plan::new(versions);
-        let run = |size: Size, called: usize, plan: Plan| {
+        let run = |size: Size, called_services: usize, plan: Plan| {
             let setup = Setup::new(size, options.seed).with_memory(options.memory);
-            run_fleet(&setup.with_called_services(called), &plan, &[])
+            run_fleet(&setup.with_called_services(called_services), &plan, &[])
         };
         match self {
             Factor::Nodes => {
--- a/bench/src/fleet/workload.rs
+++ b/bench/src/fleet/workload.rs
@@ -20,7 +20,7 @@
 pub const CALLED_SERVICES: usize = 20;
 
 /// Fewest targets that churn leaves to a service.
-const FEWEST_TARGETS: usize = 2;
+const MIN_TARGETS: usize = 2;
 
 /// How large a fleet is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,17 +55,17 @@
 
     /// Where a node stands; neighbouring numbers stand in different zones.
     pub fn site(&self, node: usize) -> Site {
-        self.place_of((node % self.zones) as u16)
+        self.site_of_zone((node % self.zones) as u16)
     }
 
     /// Number of a zone's region, and of the zone.
-    pub fn place_of(&self, zone: u16) -> Site {
+    pub fn site_of_zone(&self, zone: u16) -> Site {
         Site { region: zone % self.regions as u16, zone }
     }
 
     /// Name of a zone and its region.
     pub fn place(&self, zone: u16) -> Place {
-        let site = self.place_of(zone);
+        let site = self.site_of_zone(zone);
         Place { region: region_name(site.region), zone: zone_name(site.zone) }
     }
 
@@ -88,14 +88,14 @@
     }
 
     /// Services whose routes a node needs; `None` for all.
-    pub fn scope(&self, node: usize, called: usize) -> Option<Vec<Name>> {
-        if self.services <= called {
+    pub fn scope(&self, node: usize, called_services: usize) -> Option<Vec<Name>> {
+        if self.services <= called_services {
             return None;
         }
-        let own = self.service_of(node);
-        let mut rng = Pcg64Mcg::seed_from_u64(own as u64);
-        let mut scope = vec![service_name(own)];
-        while scope.len() <= called {
+        let own_service = self.service_of(node);
+        let mut rng = Pcg64Mcg::seed_from_u64(own_service as u64);
+        let mut scope = vec![service_name(own_service)];
+        while scope.len() <= called_services {
             let name = service_name(rng.random_range(0..self.services));
             if !scope.contains(&name) {
                 scope.push(name);
@@ -167,14 +167,14 @@
     fn change_target(&mut self) -> Vec<u8> {
         if self.removed.len() > self.size.nodes / 20 || self.rng.random_bool(0.5) {
             if let Some((service, target)) = self.removed.pop() {
-                let changed = json(&target);
+                let changed = to_json(&target);
                 self.preset.services[service].targets.push(target);
                 return changed;
             }
         }
         let service = self.rng.random_range(0..self.preset.services.len());
         let targets = &mut self.preset.services[service].targets;
-        if targets.len() <= FEWEST_TARGETS {
+        if targets.len() <= MIN_TARGETS {
             return self.change_limits();
         }
         let target = targets.remove(self.rng.random_range(0..targets.len()));
@@ -187,14 +187,14 @@
         let service = self.rng.random_range(0..self.preset.services.len());
         let limits = &mut self.preset.services[service].limits;
         limits.slots = self.rng.random_range(8..=24);
-        json(limits)
+        to_json(limits)
     }
 
     fn change_route(&mut self) -> Vec<u8> {
         let route = self.rng.random_range(0..self.preset.routes.len());
         let route = &mut self.preset.routes[route];
         route.deadline_ms = *[500, 1_000, 2_000, 4_000].choose(&mut self.rng).unwrap_or(&500);
-        json(route)
+        to_json(route)
     }
 }
 
@@ -279,6 +279,6 @@
     }
 }
 
-fn json<T: serde::Serialize>(content: &T) -> Vec<u8> {
+fn to_json<T: serde::Serialize>(content: &T) -> Vec<u8> {
     serde_json::to_vec(content).unwrap_or_default()
 }
