--- a/bench/src/fleet/measure.rs
+++ b/bench/src/fleet/measure.rs
@@ -97,15 +97,20 @@
     /// The same between zones of a region.
     pub region_bytes_per_node_s: f64,
     /// The same between regions.
-    pub across_bytes_per_node_s: f64,
+    #[serde(rename = "across_bytes_per_node_s")]
+    pub cross_region_bytes_per_node_s: f64,
     /// Bytes a second between regions, all nodes together.
-    pub across_bytes_s: f64,
+    #[serde(rename = "across_bytes_s")]
+    pub cross_region_bytes_s: f64,
     /// Bytes between regions for each version published, everything included.
-    pub across_bytes_per_version: f64,
+    #[serde(rename = "across_bytes_per_version")]
+    pub cross_region_bytes_per_version: f64,
     /// The same, only what carries versions: notices, pulls, deltas and reads of the platform.
-    pub across_version_bytes: f64,
+    #[serde(rename = "across_version_bytes")]
+    pub cross_region_version_bytes: f64,
     /// Bytes a second between regions by kind of message.
-    pub across_kinds: IndexMap<&'static str, f64>,
+    #[serde(rename = "across_kinds")]
+    pub cross_region_kinds: IndexMap<&'static str, f64>,
     /// Messages sent a node and second.
     pub messages_per_node_s: f64,
     /// Platform calls a second, on average.
@@ -139,13 +144,13 @@
     /// The same with what went over the links of `nodes` nodes in `span`.
     pub fn with_traffic(mut self, traffic: &Traffic, nodes: usize, span: Duration) -> Figures {
         let per_node_s = |count: u64| count as f64 / nodes as f64 / span.as_secs_f64();
-        let [zone, region, across] = traffic.bytes;
-        self.bytes_per_node_s = per_node_s(zone + region + across);
+        let [zone, region, cross_region] = traffic.bytes;
+        self.bytes_per_node_s = per_node_s(zone + region + cross_region);
         self.zone_bytes_per_node_s = per_node_s(zone);
         self.region_bytes_per_node_s = per_node_s(region);
-        self.across_bytes_per_node_s = per_node_s(across);
-        self.across_bytes_s = across as f64 / span.as_secs_f64();
-        self.across_bytes_per_version = across as f64 / self.versions.max(1) as f64;
+        self.cross_region_bytes_per_node_s = per_node_s(cross_region);
+        self.cross_region_bytes_s = cross_region as f64 / span.as_secs_f64();
+        self.cross_region_bytes_per_version = cross_region as f64 / self.versions.max(1) as f64;
         self.messages_per_node_s = per_node_s(traffic.messages.iter().sum());
         self
     }
@@ -154,8 +159,8 @@
     pub fn with_kinds(mut self, kinds: &IndexMap<&'static str, u64>, span: Duration) -> Figures {
         let version_kinds = ["notice", "pull", "delta", "platform"];
         let bytes: u64 = version_kinds.iter().filter_map(|kind| kinds.get(kind)).sum();
-        self.across_version_bytes = bytes as f64 / self.versions.max(1) as f64;
-        self.across_kinds =
+        self.cross_region_version_bytes = bytes as f64 / self.versions.max(1) as f64;
+        self.cross_region_kinds =
             kinds.iter().map(|(kind, bytes)| (*kind, *bytes as f64 / span.as_secs_f64())).collect();
         self
     }
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -130,7 +130,8 @@
     /// Platform calls refused as too many.
     pub platform_over_limit: u64,
     /// Bytes between regions from the beginning of the storm to its end.
-    pub across_bytes: u64,
+    #[serde(rename = "across_bytes")]
+    pub cross_region_bytes: u64,
     /// Bytes of all links in the same span, a node.
     pub bytes_per_node: f64,
 }
@@ -197,8 +198,8 @@
     let bytes = (setup.memory)().saturating_sub(before);
     figures.kb_per_node = bytes as f64 / 1_024.0 / setup.size.nodes as f64;
     let min_cross_region_bytes = min_cross_region_bytes(setup, plan);
-    let cross_region_bytes_to_min = figures.across_bytes_per_version / min_cross_region_bytes;
-    let version_bytes_to_min = figures.across_version_bytes / min_cross_region_bytes;
+    let cross_region_bytes_to_min = figures.cross_region_bytes_per_version / min_cross_region_bytes;
+    let version_bytes_to_min = figures.cross_region_version_bytes / min_cross_region_bytes;
     let disruptions =
         disruptions.iter().map(|disruption| run_disruption(&mut fleet, *disruption)).collect();
     let started_ms = started.map(to_millis);
@@ -217,7 +218,7 @@
     let baseline = || Baseline::new(setup.size, setup.profile, setup.seed);
     let figures = baseline().run(plan.versions, plan.interval);
     let min_cross_region_bytes = min_cross_region_bytes(setup, plan);
-    let cross_region_bytes_to_min = figures.across_bytes_per_version / min_cross_region_bytes;
+    let cross_region_bytes_to_min = figures.cross_region_bytes_per_version / min_cross_region_bytes;
     let all: Vec<usize> = (0..setup.size.nodes).collect();
     let start = baseline().return_at_once("everything", &all);
     let mut disruption_figures = Vec::new();
@@ -309,7 +310,7 @@
         behind: fleet.behind(last),
         platform_calls_peak: now.peak,
         platform_over_limit: now.over_limit - calls.over_limit,
-        across_bytes: sent.bytes[Link::CrossRegion as usize],
+        cross_region_bytes: sent.bytes[Link::CrossRegion as usize],
         bytes_per_node: sent.bytes.iter().sum::<u64>() as f64 / fleet.size().nodes as f64,
     }
 }
--- a/bench/src/fleet/slopes.rs
+++ b/bench/src/fleet/slopes.rs
@@ -113,7 +113,7 @@
 pub const METRICS: [Metric; 8] = [
     Metric { name: "control bytes/s a node", of: |o| o.figures.bytes_per_node_s },
     Metric { name: "bytes/s of the busiest node", of: busiest_node_bytes },
-    Metric { name: "bytes/s between regions, whole fleet", of: |o| o.figures.across_bytes_s },
+    Metric { name: "bytes/s between regions, whole fleet", of: |o| o.figures.cross_region_bytes_s },
     Metric { name: "messages/s a node", of: |o| o.figures.messages_per_node_s },
     Metric { name: "platform calls/s", of: |o| o.figures.platform_calls_per_s },
     Metric { name: "processor us/s a node", of: |o| o.figures.cpu_us_per_node_s },
--- a/bench/src/fleet/table.rs
+++ b/bench/src/fleet/table.rs
@@ -86,7 +86,11 @@
         let recovered = s.recovered_ms.map_or("never".to_owned(), |ms| format!("{ms:.0}"));
         println!(
             "{nodes:>6} {system:>6} {:>11} {recovered:>11} {:>7} {:>10} {:>10} {:>14}",
-            s.disruption, s.behind, s.platform_calls_peak, s.platform_over_limit, s.across_bytes
+            s.disruption,
+            s.behind,
+            s.platform_calls_peak,
+            s.platform_over_limit,
+            s.cross_region_bytes
         );
     }
 }
@@ -108,7 +112,8 @@
     );
     for c in comparisons {
         let (fleet, baseline) = (&c.fleet.figures, &c.baseline.figures);
-        let reduction = baseline.across_bytes_per_version / fleet.across_bytes_per_version;
+        let reduction =
+            baseline.cross_region_bytes_per_version / fleet.cross_region_bytes_per_version;
         bytes_row(c.nodes, "ours", &c.fleet, Some(reduction));
         bytes_row(c.nodes, "naive", &c.baseline, None);
     }
@@ -119,7 +124,7 @@
 fn kinds(comparisons: &[Comparison]) {
     println!("\nOurs between regions by kind of message, bytes a second, all nodes together:");
     for comparison in comparisons {
-        let kinds = comparison.fleet.figures.across_kinds.iter();
+        let kinds = comparison.fleet.figures.cross_region_kinds.iter();
         let kinds: Vec<String> = kinds.map(|(kind, rate)| format!("{kind} {rate:.0}")).collect();
         println!("{:>6} {}", comparison.nodes, kinds.join(", "));
     }
@@ -133,9 +138,9 @@
         f.bytes_per_node_s,
         f.zone_bytes_per_node_s,
         f.region_bytes_per_node_s,
-        f.across_bytes_per_node_s,
-        f.across_bytes_per_version,
-        f.across_version_bytes,
+        f.cross_region_bytes_per_node_s,
+        f.cross_region_bytes_per_version,
+        f.cross_region_version_bytes,
         outcome.version_bytes_to_min,
     );
 }
