--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -227,7 +227,7 @@
     pub fn record_platform_peak(&mut self) {
         let peak = self.platform.calls().peak;
         let limit = platform::CALLS_PER_S;
-        self.history.push(Record::Calls { at: self.now(), peak, limit });
+        self.history.push(Record::PlatformPeak { at: self.now(), peak, limit });
     }
 
     /// What each node has carried since the last reset, with its role.
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -126,7 +126,7 @@
     }
 
     fn record_due_version(&mut self, version: u64) {
-        self.history.push(Record::Due { at: self.links.now(), version });
+        self.history.push(Record::VersionDue { at: self.links.now(), version });
     }
 
     fn start(&mut self, node: usize) {
--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -24,12 +24,12 @@
         let at = self.links.now();
         if self.slots[node].in_force.is_none() && self.setup.profile.loss_ppm == 0 {
             let version = self.newest_neighbour_version(node);
-            self.history.push(Record::Remembered { at, node, version });
+            self.history.push(Record::NeighbourVersion { at, node, version });
         }
         let scope = self.slots[node].scope.as_deref();
         let content = match self.published_presets.get(&snapshot.in_force) {
-            Some(preset) => history::content(snapshot, preset, scope),
-            None => Content::Unknown,
+            Some(preset) => history::compare_content(snapshot, preset, scope),
+            None => Content::Unpublished,
         };
         let publication = history::Publication {
             version: snapshot.in_force.version,
--- a/bench/src/history.rs
+++ b/bench/src/history.rs
@@ -26,13 +26,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
     /// Every route and service of the node's scope, as published.
-    Whole,
+    Complete,
     /// This route's service is absent.
-    Dangling(Name),
+    DanglingRoute(Name),
     /// This route or service is absent, or is not as published.
-    Differs(Name),
+    Mismatch(Name),
     /// Nothing was published under this version and digest.
-    Unknown,
+    Unpublished,
 }
 
 /// One thing that happened, in order of time.
@@ -56,7 +56,7 @@
     },
     /// The newest version that a running neighbour held, from before the node started until the
     /// node first had a version in force, and that the node could ask all the while.
-    Remembered {
+    NeighbourVersion {
         /// When.
         at: Time,
         /// Number of the node.
@@ -83,14 +83,14 @@
         content: Content,
     },
     /// The time within which every running node had to hold at least this version is over.
-    Due {
+    VersionDue {
         /// When.
         at: Time,
         /// That version.
         version: u64,
     },
     /// Calls to the platform in the busiest second so far, waiting watches counted.
-    Calls {
+    PlatformPeak {
         /// When.
         at: Time,
         /// Calls in that second.
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Violation {
     /// {at}: node {node} went from version {from} back to {to}
-    WentBack {
+    VersionRegressed {
         /// When.
         at: Time,
         /// Number of the node.
@@ -114,19 +114,19 @@
         /// What it holds now.
         to: u64,
     },
-    /// {at}: node {node} restarted and holds version {to}, although a neighbour remembered {remembered}
-    Forgot {
+    /// {at}: node {node} restarted and holds version {to}, although a neighbour remembered {recoverable}
+    VersionLost {
         /// When.
         at: Time,
         /// Number of the node.
         node: usize,
         /// The lower of what it held before and what the neighbour held.
-        remembered: u64,
+        recoverable: u64,
         /// What it holds now.
         to: u64,
     },
     /// {at}: node {node} holds a bad version {version}
-    Bad {
+    InvalidVersion {
         /// When.
         at: Time,
         /// Number of the node.
@@ -135,7 +135,7 @@
         version: u64,
     },
     /// {at}: node {node} holds version {version} not as published: {content:?}
-    NotWhole {
+    ContentMismatch {
         /// When.
         at: Time,
         /// Number of the node.
@@ -146,7 +146,7 @@
         content: Content,
     },
     /// {at}: nodes {node} and {other} hold two bodies of version {version}
-    Split {
+    Divergence {
         /// When.
         at: Time,
         /// A node with one body.
@@ -157,7 +157,7 @@
         version: u64,
     },
     /// {at}: node {node} holds version {held}, {due} is due
-    Late {
+    VersionOverdue {
         /// When.
         at: Time,
         /// Number of the node.
@@ -168,7 +168,7 @@
         due: u64,
     },
     /// {at}: {peak} calls to the platform in one second, {limit} are allowed
-    OverLimit {
+    PlatformOverLimit {
         /// When.
         at: Time,
         /// Calls.
@@ -182,7 +182,7 @@
 pub fn check(history: &[Record]) -> Vec<Violation> {
     let mut checker = Checker::default();
     for record in history {
-        checker.take(record);
+        checker.apply(record);
     }
     checker.violations
 }
@@ -200,13 +200,13 @@
     /// What it holds in this life.
     held: Option<Publication>,
     /// The highest version that it held in any life.
-    before: u64,
+    highest_held: u64,
     /// What a neighbour remembered for this life.
-    remembered: u64,
+    neighbour_version: u64,
 }
 
 impl Checker {
-    fn take(&mut self, record: &Record) {
+    fn apply(&mut self, record: &Record) {
         match record {
             Record::Published { publication, valid, .. } => {
                 self.valid.insert(*publication, *valid);
@@ -215,10 +215,10 @@
                 let node = self.nodes.entry(*node).or_default();
                 node.running = true;
                 node.held = None;
-                node.remembered = 0;
+                node.neighbour_version = 0;
             }
-            Record::Remembered { node, version, .. } => {
-                self.nodes.entry(*node).or_default().remembered = *version;
+            Record::NeighbourVersion { node, version, .. } => {
+                self.nodes.entry(*node).or_default().neighbour_version = *version;
             }
             Record::Stopped { node, .. } => {
                 let node = self.nodes.entry(*node).or_default();
@@ -229,18 +229,19 @@
                 self.check_order(*at, *node, publication);
                 self.check_content(*at, *node, publication, content);
                 let node = self.nodes.entry(*node).or_default();
-                node.before = node.before.max(publication.version);
+                node.highest_held = node.highest_held.max(publication.version);
                 node.held = Some(*publication);
             }
-            Record::Due { at, version } => {
-                self.check_due(*at, *version);
-                self.check_split(*at);
+            Record::VersionDue { at, version } => {
+                self.check_overdue(*at, *version);
+                self.check_divergence(*at);
             }
-            Record::Calls { at, peak, limit } if peak > limit => {
-                let violation = Violation::OverLimit { at: *at, peak: *peak, limit: *limit };
+            Record::PlatformPeak { at, peak, limit } if peak > limit => {
+                let violation =
+                    Violation::PlatformOverLimit { at: *at, peak: *peak, limit: *limit };
                 self.violations.push(violation);
             }
-            Record::Calls { .. } => {}
+            Record::PlatformPeak { .. } => {}
         }
     }
 
@@ -250,19 +251,25 @@
         match node.held {
             Some(held) if to < held.version => {
                 let from = held.version;
-                self.violations.push(Violation::WentBack { at, node: number, from, to });
+                self.violations.push(Violation::VersionRegressed { at, node: number, from, to });
             }
             // Of two bodies under one version the one with the higher digest stays; a node that
             // went the other way could go to and fro for ever.
             Some(held) if to == held.version && publication.digest < held.digest => {
-                let violation = Violation::Split { at, node: number, other: number, version: to };
+                let violation =
+                    Violation::Divergence { at, node: number, other: number, version: to };
                 self.violations.push(violation);
             }
             Some(_) => {}
             None => {
-                let remembered = node.remembered.min(node.before);
-                if to < remembered {
-                    self.violations.push(Violation::Forgot { at, node: number, remembered, to });
+                let recoverable = node.neighbour_version.min(node.highest_held);
+                if to < recoverable {
+                    self.violations.push(Violation::VersionLost {
+                        at,
+                        node: number,
+                        recoverable,
+                        to,
+                    });
                 }
             }
         }
@@ -271,33 +278,38 @@
     fn check_content(&mut self, at: Time, node: usize, publication: &Publication, c: &Content) {
         let version = publication.version;
         if self.valid.get(publication) == Some(&false) {
-            self.violations.push(Violation::Bad { at, node, version });
+            self.violations.push(Violation::InvalidVersion { at, node, version });
         }
-        if *c != Content::Whole {
-            self.violations.push(Violation::NotWhole { at, node, version, content: c.clone() });
+        if *c != Content::Complete {
+            self.violations.push(Violation::ContentMismatch {
+                at,
+                node,
+                version,
+                content: c.clone(),
+            });
         }
     }
 
     /// All nodes must hold one body of each version once a fault's time is over. Before that two
     /// bodies may be in force: readers on two sides of a cut can't know of each other.
-    fn check_split(&mut self, at: Time) {
+    fn check_divergence(&mut self, at: Time) {
         let mut bodies: IndexMap<u64, (usize, Hash)> = IndexMap::new();
         for (number, node) in &self.nodes {
             let Some(held) = node.held.filter(|_| node.running) else { continue };
             let version = held.version;
             let (other, digest) = *bodies.entry(version).or_insert((*number, held.digest));
             if digest != held.digest {
-                let violation = Violation::Split { at, node: *number, other, version };
+                let violation = Violation::Divergence { at, node: *number, other, version };
                 self.violations.push(violation);
             }
         }
     }
 
-    fn check_due(&mut self, at: Time, due: u64) {
+    fn check_overdue(&mut self, at: Time, due: u64) {
         for (number, node) in &self.nodes {
             let held = node.held.map_or(0, |held| held.version);
             if node.running && held < due {
-                self.violations.push(Violation::Late { at, node: *number, held, due });
+                self.violations.push(Violation::VersionOverdue { at, node: *number, held, due });
             }
         }
     }
@@ -305,36 +317,36 @@
 
 /// Holds a node's configuration against the preset that was published. `scope` names the services
 /// whose routes the node needs; `None` for all.
-pub fn content(snapshot: &Snapshot, published: &Preset, scope: Option<&[Name]>) -> Content {
+pub fn compare_content(snapshot: &Snapshot, published: &Preset, scope: Option<&[Name]>) -> Content {
     for entry in snapshot.routes() {
         let service = snapshot.services().get(entry.service.0 as usize);
         if service.is_none_or(|service| service.name != entry.route.service) {
-            return Content::Dangling(entry.name.clone());
+            return Content::DanglingRoute(entry.name.clone());
         }
     }
     let needed = |service: &Name| scope.is_none_or(|scope| scope.contains(service));
     for (name, route) in published.routes.iter().filter(|(_, route)| needed(&route.service)) {
         let held = snapshot.routes().iter().find(|entry| entry.name == *name);
         if held.is_none_or(|held| held.route != *route) {
-            return Content::Differs(name.clone());
+            return Content::Mismatch(name.clone());
         }
     }
     if let Some(extra) = snapshot.routes().iter().find(|e| !published.routes.contains_key(&e.name))
     {
-        return Content::Differs(extra.name.clone());
+        return Content::Mismatch(extra.name.clone());
     }
-    differing_service(snapshot, published)
+    compare_services(snapshot, published)
 }
 
-fn differing_service(snapshot: &Snapshot, published: &Preset) -> Content {
+fn compare_services(snapshot: &Snapshot, published: &Preset) -> Content {
     for entry in snapshot.services() {
         let targets = entry.targets.iter().map(|key| &snapshot.target(*key).target);
         let same = published.services.get(&entry.name).is_some_and(|service| {
             service.limits == entry.limits && targets.eq(service.targets.iter())
         });
         if !same {
-            return Content::Differs(entry.name.clone());
+            return Content::Mismatch(entry.name.clone());
         }
     }
-    Content::Whole
+    Content::Complete
 }
--- a/bench/tests/history_checker.rs
+++ b/bench/tests/history_checker.rs
@@ -27,11 +27,11 @@
 }
 
 fn in_force(node: usize, version: u64) -> Record {
-    holds(node, version, "body", Content::Whole)
+    holds(node, version, "body", Content::Complete)
 }
 
 fn remembered(node: usize, version: u64) -> Record {
-    Record::Remembered { at: Time(8), node, version }
+    Record::NeighbourVersion { at: Time(8), node, version }
 }
 
 #[test]
@@ -44,15 +44,15 @@
         published(2, true),
         in_force(0, 2),
         in_force(1, 2),
-        Record::Due { at: Time(20), version: 2 },
+        Record::VersionDue { at: Time(20), version: 2 },
         stopped(0),
         published(3, true),
         in_force(1, 3),
-        Record::Due { at: Time(30), version: 3 },
+        Record::VersionDue { at: Time(30), version: 3 },
         started(0),
         remembered(0, 3),
         in_force(0, 3),
-        Record::Calls { at: Time(31), peak: 5, limit: 5 },
+        Record::PlatformPeak { at: Time(31), peak: 5, limit: 5 },
     ];
     assert_eq!(check(&history), []);
 }
@@ -60,7 +60,7 @@
 #[test]
 fn check_went_back() {
     let history = [published(1, true), published(2, true), in_force(0, 2), in_force(0, 1)];
-    let expected = Violation::WentBack { at: Time(9), node: 0, from: 2, to: 1 };
+    let expected = Violation::VersionRegressed { at: Time(9), node: 0, from: 2, to: 1 };
     assert_eq!(check(&history), [expected]);
 }
 
@@ -75,7 +75,7 @@
         remembered(0, 2),
         in_force(0, 1),
     ];
-    let expected = Violation::Forgot { at: Time(9), node: 0, remembered: 2, to: 1 };
+    let expected = Violation::VersionLost { at: Time(9), node: 0, recoverable: 2, to: 1 };
     assert_eq!(check(&history), [expected]);
 }
 
@@ -96,15 +96,17 @@
 #[test]
 fn check_bad_version() {
     let history = [published(1, false), in_force(0, 1)];
-    assert_eq!(check(&history), [Violation::Bad { at: Time(9), node: 0, version: 1 }]);
+    assert_eq!(check(&history), [Violation::InvalidVersion { at: Time(9), node: 0, version: 1 }]);
 }
 
 #[test]
 fn check_not_whole() {
     let name = Name::new("lookup").unwrap();
-    for content in [Content::Dangling(name.clone()), Content::Differs(name), Content::Unknown] {
+    for content in
+        [Content::DanglingRoute(name.clone()), Content::Mismatch(name), Content::Unpublished]
+    {
         let history = [published(1, true), holds(0, 1, "body", content.clone())];
-        let expected = Violation::NotWhole { at: Time(9), node: 0, version: 1, content };
+        let expected = Violation::ContentMismatch { at: Time(9), node: 0, version: 1, content };
         assert_eq!(check(&history), [expected]);
     }
 }
@@ -118,10 +120,10 @@
 
 #[test]
 fn check_split_lasting() {
-    let due = Record::Due { at: Time(20), version: 1 };
+    let due = Record::VersionDue { at: Time(20), version: 1 };
     let history =
-        [started(0), started(1), in_force(0, 1), holds(1, 1, "rival", Content::Whole), due];
-    let expected = Violation::Split { at: Time(20), node: 1, other: 0, version: 1 };
+        [started(0), started(1), in_force(0, 1), holds(1, 1, "rival", Content::Complete), due];
+    let expected = Violation::Divergence { at: Time(20), node: 1, other: 0, version: 1 };
     assert_eq!(check(&history), [expected]);
 }
 
@@ -131,10 +133,10 @@
     let history = [
         started(0),
         started(1),
-        holds(0, 1, higher, Content::Whole),
-        holds(1, 1, lower, Content::Whole),
-        holds(1, 1, higher, Content::Whole),
-        Record::Due { at: Time(20), version: 1 },
+        holds(0, 1, higher, Content::Complete),
+        holds(1, 1, lower, Content::Complete),
+        holds(1, 1, higher, Content::Complete),
+        Record::VersionDue { at: Time(20), version: 1 },
     ];
     assert_eq!(check(&history), []);
 }
@@ -142,8 +144,8 @@
 #[test]
 fn check_split_to_and_fro() {
     let [lower, higher] = rivals();
-    let history = [holds(0, 1, higher, Content::Whole), holds(0, 1, lower, Content::Whole)];
-    let expected = Violation::Split { at: Time(9), node: 0, other: 0, version: 1 };
+    let history = [holds(0, 1, higher, Content::Complete), holds(0, 1, lower, Content::Complete)];
+    let expected = Violation::Divergence { at: Time(9), node: 0, other: 0, version: 1 };
     assert_eq!(check(&history), [expected]);
 }
 
@@ -158,15 +160,15 @@
         in_force(0, 2),
         in_force(1, 1),
         stopped(2),
-        Record::Due { at: Time(10), version: 2 },
+        Record::VersionDue { at: Time(10), version: 2 },
     ];
-    let expected = Violation::Late { at: Time(10), node: 1, held: 1, due: 2 };
+    let expected = Violation::VersionOverdue { at: Time(10), node: 1, held: 1, due: 2 };
     assert_eq!(check(&history), [expected]);
 }
 
 #[test]
 fn check_over_limit() {
-    let history = [Record::Calls { at: Time(10), peak: 2_001, limit: 2_000 }];
-    let expected = Violation::OverLimit { at: Time(10), peak: 2_001, limit: 2_000 };
+    let history = [Record::PlatformPeak { at: Time(10), peak: 2_001, limit: 2_000 }];
+    let expected = Violation::PlatformOverLimit { at: Time(10), peak: 2_001, limit: 2_000 };
     assert_eq!(check(&history), [expected]);
 }
