--- a/bench/tests/history_content.rs
+++ b/bench/tests/history_content.rs
@@ -19,30 +19,30 @@
     Snapshot::new(in_force, &preset).unwrap()
 }
 
-fn differs(text: &str) -> Content {
+fn mismatch(text: &str) -> Content {
     Content::Mismatch(name(text.to_owned()))
 }
 
 #[test]
-fn content_whole() {
+fn content_complete() {
     let held = snapshot(|_| {});
     assert_eq!(compare_content(&held, &published().1, None), Content::Complete);
 }
 
 #[test]
-fn content_whole_in_scope() {
+fn content_complete_in_scope() {
     let held = snapshot(|preset| {
         preset.routes.retain(|_, route| route.service == service_name(0));
         preset.services.retain(|service, _| *service == service_name(0));
     });
     assert_eq!(compare_content(&held, &published().1, Some(&[service_name(0)])), Content::Complete);
-    assert_eq!(compare_content(&held, &published().1, None), differs("lookup-0001"));
+    assert_eq!(compare_content(&held, &published().1, None), mismatch("lookup-0001"));
 }
 
 #[test]
 fn content_route_of_another_version() {
     let held = snapshot(|preset| preset.routes[0].deadline_ms += 1);
-    assert_eq!(compare_content(&held, &published().1, None), differs("lookup-0000"));
+    assert_eq!(compare_content(&held, &published().1, None), mismatch("lookup-0000"));
 }
 
 #[test]
@@ -52,7 +52,7 @@
         route.path_prefix = "/other".to_owned();
         preset.routes.insert(name("other".to_owned()), route);
     });
-    assert_eq!(compare_content(&held, &published().1, None), differs("other"));
+    assert_eq!(compare_content(&held, &published().1, None), mismatch("other"));
 }
 
 #[test]
@@ -60,11 +60,11 @@
     let held = snapshot(|preset| {
         preset.services[1].targets.pop();
     });
-    assert_eq!(compare_content(&held, &published().1, None), differs("service-0001"));
+    assert_eq!(compare_content(&held, &published().1, None), mismatch("service-0001"));
 }
 
 #[test]
 fn content_limits_of_another_version() {
     let held = snapshot(|preset| preset.services[2].limits.slots += 1);
-    assert_eq!(compare_content(&held, &published().1, None), differs("service-0002"));
+    assert_eq!(compare_content(&held, &published().1, None), mismatch("service-0002"));
 }
