--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -5,7 +5,7 @@
 
 use super::slot::{NodeInput, node_at};
 use super::{Fleet, FleetEvent};
-use crate::history::calls::{CallEnd, CallRecord};
+use crate::history::calls::{CallOutcome, CallRecord};
 use indexmap::IndexMap;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -109,7 +109,7 @@
     attempt: u32,
     entry_incarnation: u32,
     running: bool,
-    once: bool,
+    at_most_once: bool,
 }
 
 /// The callers' and targets' side of a fleet.
@@ -146,12 +146,12 @@
         self.requests += 1;
         let service = self.rng.random_range(0..services);
         // The workload has a signing route for each third service.
-        let once = service % 3 == 0 && self.rng.random_bool(0.6);
-        let path = format!("/{service:04}/{}", if once { "signing" } else { "lookup" });
+        let at_most_once = service % 3 == 0 && self.rng.random_bool(0.6);
+        let path = format!("/{service:04}/{}", if at_most_once { "signing" } else { "lookup" });
         let random = self.rng.random::<u64>();
         let high = now.as_millis() << 16 | 0x7000 | random & 0x0fff;
         let low = 1 << 63 | self.rng.random::<u64>() >> 2;
-        let key = once.then_some(RequestKey { high, low });
+        let key = at_most_once.then_some(RequestKey { high, low });
         let work = Duration::from_micros(self.rng.random_range(500..60_000));
         let crashes_target = self.rng.random_range(0..1_000) < CRASHING_PER_MILLE;
         Arc::new(Request { number: self.requests, path, key, work, crashes_target })
@@ -231,10 +231,10 @@
         }
         let submission = calls.submissions.len();
         let number = request.number;
-        let once = request.key.is_some();
+        let at_most_once = request.key.is_some();
         let sent = Submission { request: request.clone(), tries, entry, attempt: 0, ended: false };
         calls.submissions.push(sent);
-        calls.history.push(CallRecord::Submitted { at, submission, request: number, once });
+        calls.history.push(CallRecord::Submitted { at, submission, request: number, at_most_once });
         let input = NodeInput::Request {
             call: CallKey(submission as u64),
             path: request.path.clone(),
@@ -248,8 +248,8 @@
             entry::Output::Forward(forward) => self.forward(node, forward),
             entry::Output::Finish { call, outcome } => {
                 let end = match outcome {
-                    Outcome::NotRun { retry_after, .. } => CallEnd::NotRun(retry_after),
-                    Outcome::Unknown { .. } | Outcome::Answered => CallEnd::Unknown,
+                    Outcome::NotRun { retry_after, .. } => CallOutcome::NotRun(retry_after),
+                    Outcome::Unknown { .. } | Outcome::Answered => CallOutcome::Unknown,
                 };
                 self.end_submission(call.0 as usize, end);
             }
@@ -312,7 +312,7 @@
         let call = CallKey(reply.submission as u64);
         self.handle_input(entry, NodeInput::AttemptEnded { call, end: reply.end });
         if let Some(body) = reply.body {
-            self.end_submission(reply.submission, CallEnd::Answered(body));
+            self.end_submission(reply.submission, CallOutcome::Answered(body));
             self.handle_input(entry, NodeInput::ResponseSent(call));
         }
     }
@@ -341,7 +341,7 @@
         self.links.send_call(sites.0, sites.1, 0, FleetEvent::CallStep(step));
     }
 
-    fn end_submission(&mut self, submission: usize, end: CallEnd) {
+    fn end_submission(&mut self, submission: usize, end: CallOutcome) {
         let at = self.now();
         let Some(calls) = &mut self.call_load else { return };
         let sent = &mut calls.submissions[submission];
@@ -351,9 +351,9 @@
         let (request, tries) = (sent.request.clone(), sent.tries - 1);
         calls.history.push(CallRecord::Ended { at, submission, end });
         let wait = match end {
-            CallEnd::Answered(_) => return,
-            CallEnd::NotRun(retry_after) => retry_after,
-            CallEnd::Unknown | CallEnd::Broken => RETRY_DELAY,
+            CallOutcome::Answered(_) => return,
+            CallOutcome::NotRun(retry_after) => retry_after,
+            CallOutcome::Unknown | CallOutcome::ConnectionLost => RETRY_DELAY,
         };
         if tries > 0 {
             self.links.after(wait, FleetEvent::CallStep(Step::Submit(request, tries)));
@@ -375,7 +375,7 @@
         let call_keys: Vec<CallKey> =
             calls.gatekeeper_calls.iter().filter(here).map(|(call_key, _)| *call_key).collect();
         for (submission, attempt) in submissions {
-            self.end_submission(submission, CallEnd::Broken);
+            self.end_submission(submission, CallOutcome::ConnectionLost);
             self.close_attempt(node, submission, attempt);
         }
         for call_key in call_keys {
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -43,7 +43,7 @@
             attempt,
             entry_incarnation,
             running: false,
-            once: false,
+            at_most_once: false,
         };
         calls.gatekeeper_calls.insert(call_key, gatekeeper_call);
         let input = NodeInput::GatekeeperRequest {
@@ -64,7 +64,9 @@
         output: gatekeeper::Output,
     ) {
         match output {
-            gatekeeper::Output::Run { call, once } => self.run(node, call, once),
+            gatekeeper::Output::Run { call, once: at_most_once } => {
+                self.run(node, call, at_most_once)
+            }
             gatekeeper::Output::Queue(call_key, until) => {
                 self.links.at(until, FleetEvent::CallStep(Step::QueueTimeout { call_key }));
             }
@@ -91,12 +93,12 @@
     }
 
     /// The target takes the request, if it runs at all.
-    pub(super) fn run(&mut self, node: usize, call_key: CallKey, once: bool) {
+    pub(super) fn run(&mut self, node: usize, call_key: CallKey, at_most_once: bool) {
         let at = self.now();
         let Some(calls) = &mut self.call_load else { return };
         let Some(gatekeeper_call) = calls.gatekeeper_calls.get_mut(&call_key) else { return };
         gatekeeper_call.running = true;
-        gatekeeper_call.once = once;
+        gatekeeper_call.at_most_once = at_most_once;
         let submission = gatekeeper_call.submission;
         if calls.targets_down[node] > at {
             let step = Step::RunEnded { call_key, end: End::NotSent };
@@ -115,7 +117,7 @@
         }
         let body = Bytes::copy_from_slice(&request.number.to_be_bytes());
         let kept = CachedResponse { status: 200, headers: Vec::new(), body };
-        let end = End::Answered { cached: once.then(|| Arc::new(kept)) };
+        let end = End::Answered { cached: at_most_once.then(|| Arc::new(kept)) };
         self.links.after(request.work, FleetEvent::CallStep(Step::RunEnded { call_key, end }));
     }
 
@@ -167,13 +169,13 @@
         let Some(calls) = &mut self.call_load else { return };
         let Some(call_key) = calls.find_gatekeeper_call(submission, attempt) else { return };
         let gatekeeper_call = &calls.gatekeeper_calls[&call_key];
-        let (node, incarnation, running, once) = (
+        let (node, incarnation, running, at_most_once) = (
             gatekeeper_call.node,
             gatekeeper_call.incarnation,
             gatekeeper_call.running,
-            gatekeeper_call.once,
+            gatekeeper_call.at_most_once,
         );
-        if self.slots[node].incarnation != incarnation || (running && once) {
+        if self.slots[node].incarnation != incarnation || (running && at_most_once) {
             return;
         }
         calls.gatekeeper_calls.swap_remove(&call_key);
--- a/bench/src/history/calls.rs
+++ b/bench/src/history/calls.rs
@@ -7,7 +7,7 @@
 
 /// What a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The answer to the request with this number.
     Answered(u64),
     /// No target saw the request; come back after this time.
@@ -15,7 +15,7 @@
     /// A target may have run it.
     Unknown,
     /// The connection broke.
-    Broken,
+    ConnectionLost,
 }
 
 /// One thing that happened to a call.
@@ -30,7 +30,7 @@
         /// Number of the request.
         request: u64,
         /// Whether it may run only once.
-        once: bool,
+        at_most_once: bool,
     },
     /// A target took a request.
     Ran {
@@ -50,7 +50,7 @@
         /// Number of the sending.
         submission: usize,
         /// What the caller was told.
-        end: CallEnd,
+        end: CallOutcome,
     },
 }
 
@@ -67,7 +67,7 @@
         node: usize,
     },
     /// sending {submission} of request {request} was called not run, and ran
-    NotRunRan {
+    RanDespiteNotRun {
         /// Number of the sending.
         submission: usize,
         /// Number of the request.
@@ -83,14 +83,14 @@
         answer: u64,
     },
     /// sending {submission} of request {request} was answered, and no target ran the request
-    AnsweredUnrun {
+    AnsweredWithoutRun {
         /// Number of the sending.
         submission: usize,
         /// Number of the request.
         request: u64,
     },
     /// sending {submission} of request {request} never came to an end
-    Unended {
+    NeverEnded {
         /// Number of the sending.
         submission: usize,
         /// Number of the request.
@@ -99,61 +99,66 @@
 }
 
 #[derive(Default)]
-struct Sending {
+struct SubmissionState {
     request: u64,
     ran: bool,
-    end: Option<CallEnd>,
+    end: Option<CallOutcome>,
 }
 
 #[derive(Default)]
-struct Asked {
-    once: bool,
+struct RequestState {
+    at_most_once: bool,
     runs: u32,
 }
 
 /// Checks a whole history of calls. Returns every violation.
 pub fn check_calls(history: &[CallRecord]) -> Vec<CallViolation> {
-    let mut sendings: IndexMap<usize, Sending> = IndexMap::new();
-    let mut requests: IndexMap<u64, Asked> = IndexMap::new();
+    let mut submissions: IndexMap<usize, SubmissionState> = IndexMap::new();
+    let mut requests: IndexMap<u64, RequestState> = IndexMap::new();
     let mut violations = Vec::new();
     for record in history {
         match *record {
-            CallRecord::Submitted { submission, request, once, .. } => {
-                sendings.insert(submission, Sending { request, ..Sending::default() });
-                requests.entry(request).or_default().once = once;
+            CallRecord::Submitted { submission, request, at_most_once, .. } => {
+                submissions
+                    .insert(submission, SubmissionState { request, ..SubmissionState::default() });
+                requests.entry(request).or_default().at_most_once = at_most_once;
             }
             CallRecord::Ran { at, node, submission, request } => {
-                sendings.entry(submission).or_default().ran = true;
-                let asked = requests.entry(request).or_default();
-                asked.runs += 1;
-                if asked.once && asked.runs > 1 {
+                submissions.entry(submission).or_default().ran = true;
+                let request_state = requests.entry(request).or_default();
+                request_state.runs += 1;
+                if request_state.at_most_once && request_state.runs > 1 {
                     violations.push(CallViolation::RanTwice { at, request, node });
                 }
             }
             CallRecord::Ended { submission, end, .. } => {
-                sendings.entry(submission).or_default().end = Some(end);
+                submissions.entry(submission).or_default().end = Some(end);
             }
         }
     }
-    for (submission, sending) in &sendings {
-        let runs = requests.get(&sending.request).map_or(0, |asked| asked.runs);
-        violations.extend(check_sending(*submission, sending, runs));
+    for (submission, state) in &submissions {
+        let runs = requests.get(&state.request).map_or(0, |request_state| request_state.runs);
+        violations.extend(check_submission(*submission, state, runs));
     }
     violations
 }
 
-fn check_sending(submission: usize, sending: &Sending, runs: u32) -> Option<CallViolation> {
-    let request = sending.request;
-    match sending.end {
-        None => Some(CallViolation::Unended { submission, request }),
-        Some(CallEnd::NotRun(_)) if sending.ran => {
-            Some(CallViolation::NotRunRan { submission, request })
+fn check_submission(
+    submission: usize,
+    state: &SubmissionState,
+    runs: u32,
+) -> Option<CallViolation> {
+    let request = state.request;
+    match state.end {
+        None => Some(CallViolation::NeverEnded { submission, request }),
+        Some(CallOutcome::NotRun(_)) if state.ran => {
+            Some(CallViolation::RanDespiteNotRun { submission, request })
         }
-        Some(CallEnd::Answered(answer)) if answer != request => {
+        Some(CallOutcome::Answered(answer)) if answer != request => {
             Some(CallViolation::WrongAnswer { submission, request, answer })
         }
-        Some(CallEnd::Answered(_)) if runs == 0 => {
-            Some(CallViolation::AnsweredUnrun { submission, request })
+        Some(CallOutcome::Answered(_)) if runs == 0 => {
+            Some(CallViolation::AnsweredWithoutRun { submission, request })
         }
         Some(_) => None,
     }
--- a/bench/tests/history_calls.rs
+++ b/bench/tests/history_calls.rs
@@ -2,23 +2,23 @@
 //! `SYCAMORE_SEEDS=7,8 cargo test` runs other seeds.
 
 use std::time::Duration;
-use sycamore_bench::history::calls::{CallEnd, CallRecord, CallViolation, check_calls};
+use sycamore_bench::history::calls::{CallOutcome, CallRecord, CallViolation, check_calls};
 use sycamore_bench::history::trial::{Trial, seeds};
 use sycamore_core::Time;
 
 fn submitted(submission: usize, request: u64) -> CallRecord {
-    CallRecord::Submitted { at: Time(1), submission, request, once: true }
+    CallRecord::Submitted { at: Time(1), submission, request, at_most_once: true }
 }
 
 fn ran(submission: usize, request: u64) -> CallRecord {
     CallRecord::Ran { at: Time(2), node: 4, submission, request }
 }
 
-fn ended(submission: usize, end: CallEnd) -> CallRecord {
+fn ended(submission: usize, end: CallOutcome) -> CallRecord {
     CallRecord::Ended { at: Time(3), submission, end }
 }
 
-const NOT_RUN: CallEnd = CallEnd::NotRun(Duration::from_millis(50));
+const NOT_RUN: CallOutcome = CallOutcome::NotRun(Duration::from_millis(50));
 
 #[test]
 fn check_calls_sound() {
@@ -27,9 +27,9 @@
         ended(0, NOT_RUN),
         submitted(1, 7),
         ran(1, 7),
-        ended(1, CallEnd::Broken),
+        ended(1, CallOutcome::ConnectionLost),
         submitted(2, 7),
-        ended(2, CallEnd::Answered(7)),
+        ended(2, CallOutcome::Answered(7)),
     ];
     assert_eq!(check_calls(&history), []);
 }
@@ -39,40 +39,40 @@
     let history = [
         submitted(0, 7),
         ran(0, 7),
-        ended(0, CallEnd::Unknown),
+        ended(0, CallOutcome::Unknown),
         submitted(1, 7),
         ran(1, 7),
-        ended(1, CallEnd::Answered(7)),
+        ended(1, CallOutcome::Answered(7)),
     ];
     let expected = CallViolation::RanTwice { at: Time(2), request: 7, node: 4 };
     assert_eq!(check_calls(&history), [expected]);
 }
 
 #[test]
-fn check_calls_not_run_ran() {
+fn check_calls_ran_despite_not_run() {
     let history = [submitted(0, 7), ended(0, NOT_RUN), ran(0, 7)];
-    let expected = CallViolation::NotRunRan { submission: 0, request: 7 };
+    let expected = CallViolation::RanDespiteNotRun { submission: 0, request: 7 };
     assert_eq!(check_calls(&history), [expected]);
 }
 
 #[test]
 fn check_calls_wrong_answer() {
-    let history = [submitted(0, 7), ran(0, 7), ended(0, CallEnd::Answered(8))];
+    let history = [submitted(0, 7), ran(0, 7), ended(0, CallOutcome::Answered(8))];
     let expected = CallViolation::WrongAnswer { submission: 0, request: 7, answer: 8 };
     assert_eq!(check_calls(&history), [expected]);
 }
 
 #[test]
-fn check_calls_answered_unrun() {
-    let history = [submitted(0, 7), ended(0, CallEnd::Answered(7))];
-    let expected = CallViolation::AnsweredUnrun { submission: 0, request: 7 };
+fn check_calls_answered_without_run() {
+    let history = [submitted(0, 7), ended(0, CallOutcome::Answered(7))];
+    let expected = CallViolation::AnsweredWithoutRun { submission: 0, request: 7 };
     assert_eq!(check_calls(&history), [expected]);
 }
 
 #[test]
-fn check_calls_unended() {
+fn check_calls_never_ended() {
     let history = [submitted(0, 7), ran(0, 7)];
-    let expected = CallViolation::Unended { submission: 0, request: 7 };
+    let expected = CallViolation::NeverEnded { submission: 0, request: 7 };
     assert_eq!(check_calls(&history), [expected]);
 }
 
