--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -8,7 +8,7 @@
 use sycamore_bench::fleet::slopes::{self, Factor};
 use sycamore_bench::fleet::workload::{CHANGES_PER_DAY, Size};
 use sycamore_bench::fleet::{Setup, memory, table};
-use sycamore_bench::history::trial::{Finding, Trial};
+use sycamore_bench::history::trial::{Trial, TrialReport};
 use sycamore_bench::links::Profile;
 use sycamore_core::{Code, Fault, Result};
 
@@ -151,29 +151,29 @@
     let count = number(matches, "seeds", 20)?;
     let mut broken = 0;
     for seed in first..first + count {
-        let (lossy, called) = (matches.opt_present("lossy"), matches.opt_present("calls"));
-        let finding = Trial { seed, lossy, called }.run();
-        let sound = finding.violations.is_empty() && finding.call_violations.is_empty();
+        let (lossy, sends_requests) = (matches.opt_present("lossy"), matches.opt_present("calls"));
+        let report = Trial { seed, lossy, sends_requests }.run();
+        let sound = report.violations.is_empty() && report.call_violations.is_empty();
         broken += u64::from(!sound);
-        print_finding(&finding, matches.opt_present("print"));
+        print_report(&report, matches.opt_present("print"));
     }
     println!("{}", serde_json::json!({ "first": first, "seeds": count, "broken": broken }));
     Ok(if broken > 0 { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
-fn print_finding(finding: &Finding, whole: bool) {
-    let count = finding.violations.len() + finding.call_violations.len();
+fn print_report(report: &TrialReport, whole: bool) {
+    let count = report.violations.len() + report.call_violations.len();
     if whole {
-        finding.calls.iter().for_each(|record| println!("{record:?}"));
-        finding.plan.iter().for_each(|(at, action)| println!("{at:?} {action:?}"));
-        finding.events.iter().for_each(|(node, event)| println!("node {node} {event:?}"));
-        finding.history.iter().for_each(|record| println!("{record:?}"));
+        report.calls.iter().for_each(|record| println!("{record:?}"));
+        report.plan.iter().for_each(|(at, action)| println!("{at:?} {action:?}"));
+        report.events.iter().for_each(|(node, event)| println!("node {node} {event:?}"));
+        report.history.iter().for_each(|record| println!("{record:?}"));
     }
     if count > 0 {
-        println!("seed {}: {count} violations", finding.trial.seed);
+        println!("seed {}: {count} violations", report.trial.seed);
         let shown = if whole { count } else { 3 };
-        finding.violations.iter().take(shown).for_each(|violation| println!("  {violation}"));
-        let calls = finding.call_violations.iter().take(shown);
+        report.violations.iter().take(shown).for_each(|violation| println!("  {violation}"));
+        let calls = report.call_violations.iter().take(shown);
         calls.for_each(|violation| println!("  {violation}"));
     }
 }
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -15,22 +15,22 @@
 use sycamore_core::member::VmState;
 
 /// How long faults go on.
-const TROUBLE: Duration = Duration::from_secs(180);
+const FAULT_PERIOD: Duration = Duration::from_secs(180);
 
 /// Longest fault: whatever began last is over so long after the heal.
-const LONGEST_FAULT: Duration = Duration::from_secs(40);
+const MAX_FAULT_DURATION: Duration = Duration::from_secs(40);
 
 /// How long a paused process does not run.
-const PAUSE: Duration = Duration::from_secs(30);
+const PAUSE_DURATION: Duration = Duration::from_secs(30);
 
 /// Time between two new requests.
-const CALL_PAUSE: Duration = Duration::from_millis(40);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Within so long of the heal every running node holds what the newest of them holds.
-const AGREEMENT: Duration = Duration::from_secs(10);
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Within so long of a publication to a sound fleet every node holds it.
-const CONVERGENCE: Duration = Duration::from_secs(3);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How a trial is put together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,12 +40,12 @@
     /// Whether links lose messages too; a real link resends them.
     pub lossy: bool,
     /// Whether callers send requests meanwhile.
-    pub called: bool,
+    pub sends_requests: bool,
 }
 
 /// What a trial came to.
 #[derive(Clone, Debug)]
-pub struct Finding {
+pub struct TrialReport {
     /// The trial.
     pub trial: Trial,
     /// Rules broken by versions; empty for a sound history.
@@ -65,7 +65,7 @@
 impl Trial {
     /// A trial over links that keep every message.
     pub fn new(seed: u64) -> Trial {
-        Trial { seed, lossy: false, called: false }
+        Trial { seed, lossy: false, sends_requests: false }
     }
 
     /// The same trial over links that lose some.
@@ -76,12 +76,12 @@
 
     /// The same trial with callers.
     pub fn with_calls(mut self) -> Trial {
-        self.called = true;
+        self.sends_requests = true;
         self
     }
 
     /// Runs the trial and checks its history.
-    pub fn run(self) -> Finding {
+    pub fn run(self) -> TrialReport {
         let mut planner = Planner::new(self.seed);
         let plan = planner.plan();
         let loss_ppm = if self.lossy { 10_000 } else { 0 };
@@ -94,16 +94,18 @@
         for (at, action) in &plan {
             fleet.schedule(*at, action.clone());
         }
-        if self.called {
-            fleet.add_callers(CALL_PAUSE, TROUBLE + LONGEST_FAULT / 2);
+        if self.sends_requests {
+            fleet.add_callers(REQUEST_INTERVAL, FAULT_PERIOD + MAX_FAULT_DURATION / 2);
         }
-        fleet.run_for(TROUBLE + LONGEST_FAULT + AGREEMENT + CONVERGENCE * 2);
+        fleet.run_for(
+            FAULT_PERIOD + MAX_FAULT_DURATION + AGREEMENT_TIMEOUT + CONVERGENCE_TIMEOUT * 2,
+        );
         fleet.record_platform_peak();
         let history = fleet.history().to_vec();
         let events = fleet.events().to_vec();
         let calls = fleet.call_history().to_vec();
         let (violations, call_violations) = (check(&history), check_calls(&calls));
-        Finding { trial: self, violations, call_violations, calls, history, events, plan }
+        TrialReport { trial: self, violations, call_violations, calls, history, events, plan }
     }
 }
 
@@ -130,18 +132,18 @@
     fn plan(&mut self) -> Vec<(Duration, Action)> {
         let all: Vec<usize> = (0..self.size.nodes).collect();
         self.add(Duration::ZERO, Action::Start(all.clone()));
-        self.add_unlisted(&all);
+        self.add_missing_from_list(&all);
         let mut at = Duration::from_millis(self.rng.random_range(0..15_000));
-        while at < TROUBLE {
+        while at < FAULT_PERIOD {
             self.add_random(at);
             at += Duration::from_millis(self.rng.random_range(1..6_000));
         }
-        self.add_heal();
+        self.add_recovery();
         std::mem::take(&mut self.plan)
     }
 
     /// The list misses VMs that run already.
-    fn add_unlisted(&mut self, all: &[usize]) {
+    fn add_missing_from_list(&mut self, all: &[usize]) {
         let nodes = all.iter().copied().filter(|_| self.rng.random_bool(0.1)).collect::<Vec<_>>();
         let listed = self.span(5, 60);
         self.add(Duration::ZERO, Action::SetListedState(nodes.clone(), None));
@@ -149,64 +151,64 @@
     }
 
     /// The list says late that VMs have gone, and later still that they are back.
-    fn add_lagging(&mut self, at: Duration, nodes: &[usize]) {
+    fn add_late_listing(&mut self, at: Duration, nodes: &[usize]) {
         let state = [None, Some(VmState::Gone), Some(VmState::Leaving)].choose(&mut self.rng);
         let state = state.copied().flatten();
-        let gone = at + self.span(0, 30);
-        let back = gone + self.span(1, 30);
-        self.add(gone, Action::SetListedState(nodes.to_vec(), state));
+        let delisted_at = at + self.span(0, 30);
+        let relisted_at = delisted_at + self.span(1, 30);
+        self.add(delisted_at, Action::SetListedState(nodes.to_vec(), state));
         self.add(
-            back.min(TROUBLE + LONGEST_FAULT),
+            relisted_at.min(FAULT_PERIOD + MAX_FAULT_DURATION),
             Action::SetListedState(nodes.to_vec(), Some(VmState::Live)),
         );
     }
 
     /// Everything is mended; then agreement, one more version and its convergence are due.
-    fn add_heal(&mut self) {
-        let healed = TROUBLE + LONGEST_FAULT;
-        self.add(healed, Action::HealLinks);
-        self.add(healed, Action::SetPlatformHealth(Health::Up));
+    fn add_recovery(&mut self) {
+        let recovered = FAULT_PERIOD + MAX_FAULT_DURATION;
+        self.add(recovered, Action::HealLinks);
+        self.add(recovered, Action::SetPlatformHealth(Health::Up));
         for node in 0..self.size.nodes {
-            self.add(healed, Action::SetUnresponsive(node, false));
-            self.add(healed, Action::SetCorrupting(node, false));
+            self.add(recovered, Action::SetUnresponsive(node, false));
+            self.add(recovered, Action::SetCorrupting(node, false));
         }
         let all = (0..self.size.nodes).collect();
-        self.add(healed, Action::SetListedState(all, Some(VmState::Live)));
-        self.add(healed, Action::StartStopped);
-        self.add(healed, Action::CheckAgreementAfter(AGREEMENT));
-        let last = healed + AGREEMENT;
+        self.add(recovered, Action::SetListedState(all, Some(VmState::Live)));
+        self.add(recovered, Action::StartStopped);
+        self.add(recovered, Action::CheckAgreementAfter(AGREEMENT_TIMEOUT));
+        let last = recovered + AGREEMENT_TIMEOUT;
         self.add(last, Action::Publish(PublicationKind::Next));
-        self.add(last + CONVERGENCE, Action::CheckLastValidVersion);
+        self.add(last + CONVERGENCE_TIMEOUT, Action::CheckLastValidVersion);
     }
 
     fn add_random(&mut self, at: Duration) {
         match self.rng.random_range(0..100) {
             0..30 => self.add(at, Action::Publish(PublicationKind::Next)),
             30..34 => self.add(at, Action::Publish(PublicationKind::Invalid)),
-            34..38 => self.add_race(at),
-            38..43 => self.add_crossing(at),
+            34..38 => self.add_conflict(at),
+            38..43 => self.add_version_burst(at),
             43..53 => self.add_kill(at),
             53..60 => self.add_pause(at),
-            60..65 => self.add_silence(at),
-            65..70 => self.add_lie(at),
-            70..85 => self.add_cut(at),
+            60..65 => self.add_unresponsive(at),
+            65..70 => self.add_corruption(at),
+            70..85 => self.add_partition(at),
             _ => self.add_outage(at),
         }
     }
 
     /// Two operators publish one version: at nearly the same moment, or one much later.
-    fn add_race(&mut self, at: Duration) {
+    fn add_conflict(&mut self, at: Duration) {
         let apart = if self.rng.random_bool(0.7) { 50 } else { 20_000 };
         let gap = Duration::from_millis(self.rng.random_range(0..apart));
         self.add(at, Action::Publish(PublicationKind::Next));
         self.add(at + gap, Action::Publish(PublicationKind::Conflicting));
         // The operators see the conflict and publish a version above both.
-        let mended = at + gap + self.span(2, 10);
-        self.add(mended, Action::Publish(PublicationKind::Next));
+        let resolved = at + gap + self.span(2, 10);
+        self.add(resolved, Action::Publish(PublicationKind::Next));
     }
 
     /// Versions that follow so closely that their messages cross.
-    fn add_crossing(&mut self, at: Duration) {
+    fn add_version_burst(&mut self, at: Duration) {
         for index in 0..self.rng.random_range(2..6) {
             let gap = Duration::from_millis(index * self.rng.random_range(1..40));
             self.add(at + gap, Action::Publish(PublicationKind::Next));
@@ -214,29 +216,29 @@
     }
 
     fn add_kill(&mut self, at: Duration) {
-        let away = self.span(0, 20);
+        let downtime = self.span(0, 20);
         match self.rng.random_range(0..10) {
             0..4 => {
                 let node = self.node();
-                self.add_lagging(at, &[node]);
+                self.add_late_listing(at, &[node]);
                 self.add(at, Action::Kill(vec![node]));
-                self.add(at + away, Action::Start(vec![node]));
+                self.add(at + downtime, Action::Start(vec![node]));
             }
             4..6 => {
                 let zone = self.zone();
                 let nodes = nodes_in_zone(&self.size, zone);
-                self.add_lagging(at, &nodes);
+                self.add_late_listing(at, &nodes);
                 self.add(at, Action::Kill(nodes.clone()));
-                self.add(at + away, Action::Start(nodes));
+                self.add(at + downtime, Action::Start(nodes));
             }
             6..9 => {
                 let region = self.rng.random_range(0..self.size.regions) as u16;
-                self.add(at, Action::RestartRelays(region, away));
+                self.add(at, Action::RestartRelays(region, downtime));
             }
             _ => {
                 let all: Vec<usize> = (0..self.size.nodes).collect();
                 self.add(at, Action::Kill(all.clone()));
-                self.add(at + away, Action::Start(all));
+                self.add(at + downtime, Action::Start(all));
             }
         }
     }
@@ -244,24 +246,24 @@
     fn add_pause(&mut self, at: Duration) {
         let count = self.rng.random_range(1..=3);
         let nodes = (0..self.size.nodes).sample(&mut self.rng, count);
-        self.add(at, Action::Pause(nodes, PAUSE));
+        self.add(at, Action::Pause(nodes, PAUSE_DURATION));
     }
 
-    fn add_silence(&mut self, at: Duration) {
+    fn add_unresponsive(&mut self, at: Duration) {
         let node = self.node();
         self.add(at, Action::SetUnresponsive(node, true));
         let until = at + self.span(5, 40);
         self.add(until, Action::SetUnresponsive(node, false));
     }
 
-    fn add_lie(&mut self, at: Duration) {
+    fn add_corruption(&mut self, at: Duration) {
         let node = self.node();
         self.add(at, Action::SetCorrupting(node, true));
         let until = at + self.span(5, 40);
         self.add(until, Action::SetCorrupting(node, false));
     }
 
-    fn add_cut(&mut self, at: Duration) {
+    fn add_partition(&mut self, at: Duration) {
         let zone = self.zone();
         let cuts = match self.rng.random_range(0..4) {
             0 => vec![Action::CutLink(zone, None)],
@@ -312,7 +314,7 @@
 
 /// The seeds that the environment variable `SYCAMORE_SEEDS` names, separated by commas, or else
 /// `usual`.
-pub fn seeds(usual: &[u64]) -> Vec<u64> {
-    let Ok(list) = std::env::var("SYCAMORE_SEEDS") else { return usual.to_vec() };
+pub fn seeds(default: &[u64]) -> Vec<u64> {
+    let Ok(list) = std::env::var("SYCAMORE_SEEDS") else { return default.to_vec() };
     list.split(',').filter_map(|seed| seed.trim().parse().ok()).collect()
 }
--- a/bench/tests/history_calls.rs
+++ b/bench/tests/history_calls.rs
@@ -83,10 +83,10 @@
     // under the same key, maybe to another node. If any guard failed a grower would be billed
     // twice, or be told "not run" of a signing that ran.
     for seed in seeds(&[1, 2, 3, 28, 49]) {
-        let finding = Trial::new(seed).with_calls().run();
-        assert!(finding.calls.len() > 1_000, "seed {seed} made no calls");
+        let report = Trial::new(seed).with_calls().run();
+        assert!(report.calls.len() > 1_000, "seed {seed} made no calls");
         let shown: Vec<String> =
-            finding.call_violations.iter().take(5).map(|v| v.to_string()).collect();
+            report.call_violations.iter().take(5).map(|v| v.to_string()).collect();
         assert!(shown.is_empty(), "seed {seed}: {}", shown.join("\n"));
     }
 }
--- a/bench/tests/history_spread.rs
+++ b/bench/tests/history_spread.rs
@@ -4,8 +4,8 @@
 use sycamore_bench::history::trial::{Trial, seeds};
 
 fn assert_sound(trial: Trial) {
-    let finding = trial.run();
-    let shown: Vec<String> = finding.violations.iter().take(5).map(|v| v.to_string()).collect();
+    let report = trial.run();
+    let shown: Vec<String> = report.violations.iter().take(5).map(|v| v.to_string()).collect();
     assert!(shown.is_empty(), "{trial:?}: {}", shown.join("\n"));
 }
 
