--- a/bench/src/process_history.rs
+++ b/bench/src/process_history.rs
@@ -18,11 +18,11 @@
 const NETWORKS: u8 = 60;
 
 /// Time that callers give a call; less than the longest pause of a node.
-const DEADLINE: Duration = Duration::from_millis(1_500);
+const CALL_DEADLINE: Duration = Duration::from_millis(1_500);
 /// Time that callers give a long call.
-const LONG_DEADLINE: Duration = Duration::from_secs(8);
+const LONG_CALL_DEADLINE: Duration = Duration::from_secs(8);
 /// How long a target works on a long call: longer than leaving targets may get new work.
-const LONG_WORK: Duration = Duration::from_secs(4);
+const LONG_CALL_WORK: Duration = Duration::from_secs(4);
 
 const fn route(
     name: &'static str,
@@ -41,11 +41,11 @@
     regions: &["north", "south"],
     services: &["allotments", "ledgers"],
     routes: &[
-        route("contracts", "allotments", true, Class::Interactive, DEADLINE),
-        route("signings", "allotments", false, Class::Interactive, DEADLINE),
-        route("grower-records", "ledgers", true, Class::Gating, DEADLINE),
-        route("enrolments", "ledgers", false, Class::Interactive, DEADLINE),
-        route("ledgers", "ledgers", true, Class::Bulk, LONG_DEADLINE),
+        route("contracts", "allotments", true, Class::Interactive, CALL_DEADLINE),
+        route("signings", "allotments", false, Class::Interactive, CALL_DEADLINE),
+        route("grower-records", "ledgers", true, Class::Gating, CALL_DEADLINE),
+        route("enrolments", "ledgers", false, Class::Interactive, CALL_DEADLINE),
+        route("ledgers", "ledgers", true, Class::Bulk, LONG_CALL_DEADLINE),
     ],
     slots: 12,
     connections: 110,
@@ -58,7 +58,7 @@
         share: 30,
         path: "/contracts".into(),
         at_most_once: false,
-        deadline_ms: DEADLINE.as_millis() as u64,
+        deadline_ms: CALL_DEADLINE.as_millis() as u64,
         request_bytes: 0,
         answer_bytes: 1_000,
         work_us: 3_000,
@@ -76,15 +76,15 @@
         name: "ledger".into(),
         share: 10,
         path: "/ledgers".into(),
-        deadline_ms: LONG_DEADLINE.as_millis() as u64,
+        deadline_ms: LONG_CALL_DEADLINE.as_millis() as u64,
         answer_bytes: 300_000,
         work_us: 20_000,
         ..lookup.clone()
     };
-    let deep = ["/grower-records", "/contracts"].repeat(4);
-    let deep = deep.into_iter().map(String::from).collect();
+    let chain = ["/grower-records", "/contracts"].repeat(4);
+    let chain = chain.into_iter().map(String::from).collect();
     vec![
-        MixClass { name: "lookup-9-deep".into(), share: 10, chain: deep, ..lookup.clone() },
+        MixClass { name: "lookup-9-deep".into(), share: 10, chain, ..lookup.clone() },
         MixClass {
             name: "signing-and-enrolment".into(),
             share: 15,
@@ -94,7 +94,7 @@
         MixClass {
             name: "long-ledger".into(),
             share: 5,
-            work_us: LONG_WORK.as_micros() as u64,
+            work_us: LONG_CALL_WORK.as_micros() as u64,
             ..ledger.clone()
         },
         lookup,
--- a/bench/src/process_history/callers.rs
+++ b/bench/src/process_history/callers.rs
@@ -27,14 +27,14 @@
 const MAX_PAUSE: Duration = Duration::from_millis(600);
 /// How long after its deadline a caller still waits. Long, so that a request counts as lost
 /// because nobody answered and not because the machine was busy.
-const GRACE: Duration = Duration::from_secs(20);
+const RESPONSE_GRACE: Duration = Duration::from_secs(20);
 /// Of so many requests one is an earlier signing again, with its own key, though its caller has
 /// been answered: what a caller does who has lost its memory.
 const RESEND_EVERY: u32 = 3;
 /// Longest wait for the answer to such a request.
-const RESEND_LIMIT: Duration = Duration::from_secs(2);
+const RESEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Highest number of a thing that requests are about.
-const MAX_NUMBER: u32 = 1_000;
+const MAX_RESOURCE_NUMBER: u32 = 1_000;
 
 /// The callers, in a thread of their own.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
     let tasks: Vec<_> = (0..CALLERS)
         .map(|number| {
             let rng = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(CALLERS as u64) + number as u64);
-            let caller = ask(rng, mix.clone(), pools.clone(), records.clone(), stop.clone());
+            let caller = run_caller(rng, mix.clone(), pools.clone(), records.clone(), stop.clone());
             executor.spawn(caller)
         })
         .collect();
@@ -79,25 +79,25 @@
     records.take()
 }
 
-async fn ask(
+async fn run_caller(
     mut rng: Pcg64Mcg,
     mix: Rc<Mix>,
     entries: Rc<Vec<Pool>>,
     records: Rc<RefCell<Vec<Record>>>,
     stop: Arc<AtomicBool>,
 ) {
-    let mut signed: Vec<Signed> = Vec::new();
+    let mut sent: Vec<SentRequest> = Vec::new();
     while !stop.load(Ordering::Acquire) {
         Timer::after(rng.random_range(Duration::ZERO..MAX_PAUSE)).await;
         let first_entry = rng.random_range(0..entries.len());
-        if let Some(signed) = signed.choose(&mut rng) {
+        if let Some(sent) = sent.choose(&mut rng) {
             if rng.random_range(0..RESEND_EVERY) == 0 {
-                signed.send_again(&entries[first_entry]).await;
+                sent.resend(&entries[first_entry]).await;
                 continue;
             }
         }
         let class = &mix.classes[mix.class_at(rng.random_range(0..mix.shares()))];
-        let number = rng.random_range(1..=MAX_NUMBER);
+        let number = rng.random_range(1..=MAX_RESOURCE_NUMBER);
         let job = Job {
             class,
             resource_id: number,
@@ -105,42 +105,42 @@
             first_entry,
             retry_policy: RetryPolicy::HonourRetryAfter,
         };
-        let record = call_with_grace(&job, &entries, GRACE).await;
-        signed.extend(Signed::new(class, number, &record));
+        let record = call_with_grace(&job, &entries, RESPONSE_GRACE).await;
+        sent.extend(SentRequest::new(class, number, &record));
         records.borrow_mut().push(record);
     }
 }
 
 /// A request that may run only once, as it was sent.
-struct Signed {
+struct SentRequest {
     id: String,
     key: String,
     target: String,
     body: Bytes,
 }
 
-impl Signed {
+impl SentRequest {
     /// None for one that was refused: it may run yet, and the refusal would look untrue.
-    fn new(class: &MixClass, number: u32, record: &Record) -> Option<Signed> {
+    fn new(class: &MixClass, number: u32, record: &Record) -> Option<SentRequest> {
         if record.outcome == Outcome::NotRun {
             return None;
         }
         let key = record.key.clone()?;
         let body = vec![b'.'; class.request_bytes].into();
-        Some(Signed { id: record.id.clone(), key, target: class.path_and_query(number), body })
+        Some(SentRequest { id: record.id.clone(), key, target: class.path_and_query(number), body })
     }
 
     fn request(&self) -> Option<OutgoingRequest> {
         let req = Request::post(&self.target)
             .header("host", "sycamore")
             .header("x-sycamore-request-id", &self.id)
-            .header("x-sycamore-deadline-ms", RESEND_LIMIT.as_millis().to_string())
+            .header("x-sycamore-deadline-ms", RESEND_TIMEOUT.as_millis().to_string())
             .header("idempotency-key", &self.key);
         req.body(Full::new(self.body.clone())).ok()
     }
 
     /// Sends it once more. What comes back doesn't matter: targets write down what they run.
-    async fn send_again(&self, entry: &Pool) {
+    async fn resend(&self, entry: &Pool) {
         let Some(req) = self.request() else { return };
         let send = async {
             if let Ok(exchange) = entry.send(req).await {
@@ -150,7 +150,7 @@
             }
         };
         let timeout = async {
-            Timer::after(RESEND_LIMIT).await;
+            Timer::after(RESEND_TIMEOUT).await;
         };
         future::or(send, timeout).await;
     }
