--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -1,7 +1,7 @@
 //! One trial: the processes, the faults of its plan, and what was recorded.
 
 use super::callers::Callers;
-use super::findings::{DEATH_ID, Findings};
+use super::findings::{CRASH_REQUEST_PREFIX, Findings};
 use super::forwarder::{Forwarder, Port};
 use super::plan::{self, Fault, Round};
 use super::{DEPLOYMENT, FIRST_NETWORK, NETWORKS, classes};
@@ -64,7 +64,7 @@
     evidence: Evidence,
     faults: Faults,
     version: u64,
-    hanging: usize,
+    unclean_exits: usize,
     deaths: usize,
     settled: Duration,
     start: Instant,
@@ -130,7 +130,7 @@
             evidence: Evidence::default(),
             faults: Faults::default(),
             version: 1,
-            hanging: 0,
+            unclean_exits: 0,
             deaths: 0,
             settled: Duration::ZERO,
             start: Instant::now(),
@@ -304,7 +304,7 @@
         let at_us = now_us();
         node.terminate();
         let ended = node.wait(END_LIMIT);
-        self.hanging += usize::from(!ended || node.exit_code() != Some(0));
+        self.unclean_exits += usize::from(!ended || node.exit_code() != Some(0));
         let entry = self.stack.settings[&vm].listen.calls;
         self.evidence.drains.push(Stop { vm, entry, at_us, until_us: now_us() });
         Ok(())
@@ -317,7 +317,7 @@
             self.deaths += 1;
             let req = Request::get("/contracts/1?crash=1")
                 .header("host", "sycamore")
-                .header("x-sycamore-request-id", format!("{DEATH_ID}{}", self.deaths))
+                .header("x-sycamore-request-id", format!("{CRASH_REQUEST_PREFIX}{}", self.deaths))
                 .header("x-sycamore-deadline-ms", "1000");
             let req = req.body(Full::new(Bytes::new())).map_err(io::Error::other)?;
             let executor = Rc::new(LocalExecutor::new());
@@ -358,10 +358,10 @@
             node.terminate();
         }
         for node in self.stack.nodes.values_mut() {
-            self.hanging += usize::from(!node.wait(END_LIMIT) || node.exit_code() != Some(0));
+            self.unclean_exits += usize::from(!node.wait(END_LIMIT) || node.exit_code() != Some(0));
         }
         self.evidence.runs = run_log::read(Path::new(&self.stack.output("runs.jsonl")))?;
-        let findings = Findings::find(&self.evidence, self.hanging);
+        let findings = Findings::evaluate(&self.evidence, self.unclean_exits);
         let Trial { evidence, settled, log, .. } = self;
         Ok(Report { findings, evidence, settled, log })
     }
--- a/bench/tests/history_findings.rs
+++ b/bench/tests/history_findings.rs
@@ -21,32 +21,32 @@
     }
 }
 
-fn find(line: Line) -> Findings {
+fn evaluate_with(line: Line) -> Findings {
     let mut evidence = clean();
     evidence.runs.push(line);
-    Findings::find(&evidence, 0)
+    Findings::evaluate(&evidence, 0)
 }
 
 #[test]
-fn find_nothing() {
-    assert!(Findings::find(&clean(), 0).none());
-    assert!(find(start(4, "d", "death-2", 5)).none(), "another request");
-    assert!(find(start(4, "a", "y", 7 * SECOND_US)).none(), "after the restart");
+fn evaluate_clean() {
+    assert!(Findings::evaluate(&clean(), 0).is_clean());
+    assert!(evaluate_with(start(4, "d", "death-2", 5)).is_clean(), "another request");
+    assert!(evaluate_with(start(4, "a", "y", 7 * SECOND_US)).is_clean(), "after the restart");
 }
 
 #[test]
-fn find_third_crash() {
-    let expected = Findings { third_crash: 1, ..Findings::default() };
-    assert_eq!(find(start(4, "d", "death-1", 2)), expected);
+fn evaluate_excess_crashes() {
+    let expected = Findings { excess_crashes: 1, ..Findings::default() };
+    assert_eq!(evaluate_with(start(4, "d", "death-1", 2)), expected);
 }
 
 #[test]
-fn find_late_work() {
+fn evaluate_late_work() {
     let expected = Findings { late_work: 1, ..Findings::default() };
-    assert_eq!(find(start(4, "a", "y", 4 * SECOND_US)), expected);
+    assert_eq!(evaluate_with(start(4, "a", "y", 4 * SECOND_US)), expected);
 }
 
 #[test]
-fn find_hanging() {
-    assert!(!Findings::find(&clean(), 1).none());
+fn evaluate_unclean_exits() {
+    assert!(!Findings::evaluate(&clean(), 1).is_clean());
 }
--- a/bench/tests/history_process.rs
+++ b/bench/tests/history_process.rs
@@ -47,7 +47,7 @@
         }
     };
     println!("{}", summary(seed, &report));
-    if report.findings.none() && unanswered(&report).is_empty() {
+    if report.findings.is_clean() && unanswered(&report).is_empty() {
         let _ = std::fs::remove_dir_all(&output);
         return true;
     }
@@ -84,7 +84,7 @@
         report.evidence.runs.len(),
         report.evidence.publications.len(),
         report.settled.as_secs_f64(),
-        if report.findings.none() { "sound" } else { "BROKEN" },
+        if report.findings.is_clean() { "sound" } else { "BROKEN" },
     )
 }
 
