--- a/bench/src/process_history/forwarder.rs
+++ b/bench/src/process_history/forwarder.rs
@@ -18,10 +18,10 @@
 use sycamore_core::Name;
 
 /// How often a cut link looks whether it is healed.
-const POLL: Duration = Duration::from_millis(10);
+const HEAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long the table of sockets is used before it is read again.
-const TABLE_LIFE: Duration = Duration::from_millis(150);
+const SOCKET_TABLE_TTL: Duration = Duration::from_millis(150);
 
 /// Bytes carried at once.
 const BUFFER_BYTES: usize = 65_536;
@@ -32,18 +32,18 @@
     /// Zone of the node.
     pub zone: Name,
     /// The address that others know.
-    pub known: SocketAddr,
+    pub advertised: SocketAddr,
     /// The address that the node listens on.
-    pub real: SocketAddr,
+    pub listening: SocketAddr,
     /// Whether the first message on a connection tells its sender's own address.
-    pub introduces: bool,
+    pub rewrite_address: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     zones: IndexMap<u32, Name>,
     isolated: IndexSet<Name>,
-    origins: Origins,
+    origins: OriginZones,
 }
 
 /// Carries connections in a thread of its own until it is dropped.
@@ -57,7 +57,7 @@
 impl Forwarder {
     /// Listens on all ports.
     pub fn start(ports: Vec<Port>) -> io::Result<Forwarder> {
-        let bind = |port: Port| Ok((TcpListener::bind(port.known)?, port));
+        let bind = |port: Port| Ok((TcpListener::bind(port.advertised)?, port));
         let listeners: io::Result<Vec<_>> = ports.into_iter().map(bind).collect();
         let listeners = listeners?;
         let state = Arc::new(Mutex::new(State::default()));
@@ -66,7 +66,7 @@
         let thread = std::thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
             let serve = |(listener, port)| {
-                executor.spawn(serve(executor.clone(), shared.clone(), listener, port))
+                executor.spawn(accept_connections(executor.clone(), shared.clone(), listener, port))
             };
             let serving: Vec<_> = listeners.into_iter().map(serve).collect();
             future::block_on(executor.run(async {
@@ -82,7 +82,7 @@
     }
 
     /// Says in which zone a process runs, so that its connections are known.
-    pub fn place(&self, process: u32, zone: Name) {
+    pub fn register_process(&self, process: u32, zone: Name) {
         lock(&self.state).zones.insert(process, zone);
     }
 
@@ -110,7 +110,7 @@
     state.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-async fn serve(
+async fn accept_connections(
     executor: Rc<LocalExecutor<'static>>,
     state: Arc<Mutex<State>>,
     listener: TcpListener,
@@ -121,24 +121,25 @@
         let (state, port) = (state.clone(), port.clone());
         let connection = async move {
             // A connection that breaks ends; both sides see that.
-            let _ = carry(&state, stream, from, &port).await;
-            lock(&state).origins.forget(from);
+            let _ = forward_connection(&state, stream, from, &port).await;
+            lock(&state).origins.remove(from);
         };
         executor.spawn(connection).detach();
     }
 }
 
-async fn carry(
+async fn forward_connection(
     state: &Mutex<State>,
-    near: Async<TcpStream>,
+    inbound: Async<TcpStream>,
     from: SocketAddr,
     port: &Port,
 ) -> io::Result<()> {
     let link = Link { state, from, port };
-    link.healed().await;
-    let far = Async::<TcpStream>::connect(port.real).await?;
-    let rewrite = port.introduces.then_some(port);
-    future::try_zip(link.copy(&near, &far, rewrite), link.copy(&far, &near, None)).await?;
+    link.wait_until_healed().await;
+    let outbound = Async::<TcpStream>::connect(port.listening).await?;
+    let rewrite = port.rewrite_address.then_some(port);
+    future::try_zip(link.copy(&inbound, &outbound, rewrite), link.copy(&outbound, &inbound, None))
+        .await?;
     Ok(())
 }
 
@@ -157,14 +158,16 @@
         if isolated.is_empty() {
             return false;
         }
-        let Some(origin) = origins.find(self.from, self.port.known, zones) else { return true };
+        let Some(origin) = origins.zone_of(self.from, self.port.advertised, zones) else {
+            return true;
+        };
         let zone = &self.port.zone;
         origin != *zone && (isolated.contains(&origin) || isolated.contains(zone))
     }
 
-    async fn healed(&self) {
+    async fn wait_until_healed(&self) {
         while self.is_cut() {
-            Timer::after(POLL).await;
+            Timer::after(HEAL_POLL_INTERVAL).await;
         }
     }
 
@@ -177,12 +180,12 @@
         let mut buf = vec![0; BUFFER_BYTES];
         loop {
             let count = from.read(&mut buf).await?;
-            self.healed().await;
+            self.wait_until_healed().await;
             if count == 0 {
                 return to.get_ref().shutdown(Shutdown::Write);
             }
             if let Some(port) = rewrite.take() {
-                rewrite_address(&mut buf[..count], port);
+                replace_port(&mut buf[..count], port);
             }
             to.write_all(&buf[..count]).await?;
         }
@@ -191,12 +194,12 @@
 
 /// A node introduces itself by the address that it listens on. Others would answer there, past
 /// the forwarder; the port that they know takes its place. Both have the same length.
-fn rewrite_address(buf: &mut [u8], port: &Port) {
-    let real = format!(":{}", port.real.port()).into_bytes();
-    let known = format!(":{}", port.known.port()).into_bytes();
-    let found = buf.windows(real.len()).position(|window| window == real);
-    if let Some(at) = found.filter(|_| real.len() == known.len()) {
-        buf[at..at + known.len()].copy_from_slice(&known);
+fn replace_port(buf: &mut [u8], port: &Port) {
+    let listening = format!(":{}", port.listening.port()).into_bytes();
+    let advertised = format!(":{}", port.advertised.port()).into_bytes();
+    let found = buf.windows(listening.len()).position(|window| window == listening);
+    if let Some(at) = found.filter(|_| listening.len() == advertised.len()) {
+        buf[at..at + advertised.len()].copy_from_slice(&advertised);
     }
 }
 
@@ -204,33 +207,33 @@
 /// socket's owner is looked up; the whole table at once, since reading it takes tens of
 /// milliseconds on a machine with many sockets.
 #[derive(Debug, Default)]
-struct Origins {
+struct OriginZones {
     zones: IndexMap<SocketAddr, Name>,
     read_at: Option<Instant>,
 }
 
-impl Origins {
-    fn find(
+impl OriginZones {
+    fn zone_of(
         &mut self,
         from: SocketAddr,
         to: SocketAddr,
         processes: &IndexMap<u32, Name>,
     ) -> Option<Name> {
-        let known = self.zones.get(&from).cloned();
-        let fresh = self.read_at.is_some_and(|at| at.elapsed() < TABLE_LIFE);
-        if known.is_some() || fresh {
-            return known;
+        let zone = self.zones.get(&from).cloned();
+        let fresh = self.read_at.is_some_and(|at| at.elapsed() < SOCKET_TABLE_TTL);
+        if zone.is_some() || fresh {
+            return zone;
         }
-        self.read(to, processes);
+        self.refresh(to, processes);
         self.zones.get(&from).cloned()
     }
 
-    fn forget(&mut self, from: SocketAddr) {
+    fn remove(&mut self, from: SocketAddr) {
         self.zones.swap_remove(&from);
     }
 
-    fn read(&mut self, to: SocketAddr, processes: &IndexMap<u32, Name>) {
-        let sockets = sockets(to);
+    fn refresh(&mut self, to: SocketAddr, processes: &IndexMap<u32, Name>) {
+        let sockets = read_socket_table(to);
         for (process, zone) in processes {
             let files = std::fs::read_dir(format!("/proc/{process}/fd")).into_iter().flatten();
             let links = files.filter_map(|file| std::fs::read_link(file.ok()?.path()).ok());
@@ -243,7 +246,7 @@
 }
 
 /// Local addresses of connections into the network of `to`, by the names of their sockets.
-fn sockets(to: SocketAddr) -> IndexMap<String, SocketAddr> {
+fn read_socket_table(to: SocketAddr) -> IndexMap<String, SocketAddr> {
     let SocketAddr::V4(to) = to else { return IndexMap::new() };
     // The table shows addresses as numbers in the byte order of the machine.
     let [first, second, ..] = to.ip().octets();
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -104,10 +104,10 @@
     let path = files.join("nodes").join(format!("{vm}.json"));
     let mut settings = Settings::read(&path).map_err(io::Error::other)?;
     let zone = settings.zone.clone();
-    let hide = |address: &mut SocketAddr, introduces| {
-        let known = *address;
-        address.set_port(known.port() + REAL_PORT_OFFSET);
-        Port { zone: zone.clone(), known, real: *address, introduces }
+    let hide = |address: &mut SocketAddr, rewrite_address| {
+        let advertised = *address;
+        address.set_port(advertised.port() + REAL_PORT_OFFSET);
+        Port { zone: zone.clone(), advertised, listening: *address, rewrite_address }
     };
     let listen = &mut settings.listen;
     let ports = [hide(&mut listen.gate, false), hide(&mut listen.peers, true)];
@@ -153,7 +153,7 @@
     fn start_node(&mut self, vm: &str) -> io::Result<()> {
         self.stack.start_node(vm)?;
         let zone = self.stack.settings[vm].zone.clone();
-        self.forwarder.place(self.stack.nodes[vm].id(), zone);
+        self.forwarder.register_process(self.stack.nodes[vm].id(), zone);
         Ok(())
     }
 
