--- a/bench/src/process_history/plan.rs
+++ b/bench/src/process_history/plan.rs
@@ -9,10 +9,10 @@
 /// Rounds of faults after the first.
 const ROUNDS: usize = 4;
 /// How long a round lasts. The longest exceed the deadline of most calls.
-const MIN_SPAN: Duration = Duration::from_millis(500);
-const MAX_SPAN: Duration = Duration::from_millis(2_500);
+const MIN_ROUND: Duration = Duration::from_millis(500);
+const MAX_ROUND: Duration = Duration::from_millis(2_500);
 /// Most changes of the platform's values that a restored backup lacks.
-const MAX_BACK: u64 = 4;
+const MAX_ROLLBACK_CHANGES: u64 = 4;
 
 /// Something that goes wrong, or that operators do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,28 +30,28 @@
         vm: usize,
     },
     /// A zone reaches no other zone.
-    CutZone {
+    IsolateZone {
         /// Index of the zone.
         zone: usize,
     },
     /// A zone doesn't reach the platform.
-    CutPlatform {
+    IsolateFromPlatform {
         /// Index of the zone.
         zone: usize,
     },
     /// The platform closes every connection.
-    Down,
+    PlatformDown,
     /// The platform takes requests and never answers.
-    Silent,
+    PlatformUnresponsive,
     /// The platform answers what is no value.
-    Rubbish,
+    PlatformMalformed,
     /// The platform answers as it was so many changes ago.
-    Back {
+    PlatformRollback {
         /// How many.
         changes: u64,
     },
     /// The platform's list calls a living VM gone.
-    Unlisted {
+    ListedAsGone {
         /// Index of the VM.
         vm: usize,
     },
@@ -61,18 +61,18 @@
         preset: usize,
     },
     /// A valid version that drops one target of each service, so that keys change their homes.
-    Move {
+    DropZoneTargets {
         /// Index of the zone whose targets are dropped.
         zone: usize,
     },
     /// A version that no node may accept.
-    Invalid,
+    PublishInvalid,
     /// Two operators publish different presets under the same version.
-    Conflict,
+    PublishConflict,
     /// Two operators publish two versions, and the lower one arrives last.
-    Crossing,
+    PublishOutOfOrder,
     /// A request that crashes each target that runs it, sent through every node.
-    Death,
+    CrashingRequest,
     /// A planned stop of a node, restarted once it has ended.
     Drain {
         /// Index of its VM.
@@ -94,11 +94,11 @@
 pub fn rounds(seed: u64) -> Vec<Round> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let drain = Fault::Drain { vm: rng.random_range(0..vms()) };
-    let mut rounds = vec![Round { faults: vec![drain], span: MIN_SPAN }];
+    let mut rounds = vec![Round { faults: vec![drain], span: MIN_ROUND }];
     for _ in 0..ROUNDS {
         let number = rng.random_range(2..=3);
-        let faults = (0..number).map(|_| fault(&mut rng)).collect();
-        rounds.push(Round { faults, span: rng.random_range(MIN_SPAN..MAX_SPAN) });
+        let faults = (0..number).map(|_| random_fault(&mut rng)).collect();
+        rounds.push(Round { faults, span: rng.random_range(MIN_ROUND..MAX_ROUND) });
     }
     rounds
 }
@@ -107,30 +107,30 @@
     DEPLOYMENT.vms().len()
 }
 
-fn fault(rng: &mut Pcg64Mcg) -> Fault {
+fn random_fault(rng: &mut Pcg64Mcg) -> Fault {
     let vm = rng.random_range(0..vms());
     let zone = rng.random_range(0..DEPLOYMENT.zones().len());
     let preset = rng.random_range(0..3);
-    let changes = rng.random_range(0..=MAX_BACK);
+    let changes = rng.random_range(0..=MAX_ROLLBACK_CHANGES);
     let all = [
         Fault::Kill { vm, target: false },
         Fault::Kill { vm, target: true },
         Fault::Pause { vm },
-        Fault::CutZone { zone },
-        Fault::CutPlatform { zone },
-        Fault::Down,
-        Fault::Silent,
-        Fault::Rubbish,
-        Fault::Back { changes },
-        Fault::Unlisted { vm },
+        Fault::IsolateZone { zone },
+        Fault::IsolateFromPlatform { zone },
+        Fault::PlatformDown,
+        Fault::PlatformUnresponsive,
+        Fault::PlatformMalformed,
+        Fault::PlatformRollback { changes },
+        Fault::ListedAsGone { vm },
         Fault::Publish { preset },
         Fault::Publish { preset },
-        Fault::Move { zone },
-        Fault::Move { zone },
-        Fault::Invalid,
-        Fault::Conflict,
-        Fault::Crossing,
-        Fault::Death,
+        Fault::DropZoneTargets { zone },
+        Fault::DropZoneTargets { zone },
+        Fault::PublishInvalid,
+        Fault::PublishConflict,
+        Fault::PublishOutOfOrder,
+        Fault::CrashingRequest,
     ];
-    all.choose(rng).copied().unwrap_or(Fault::Invalid)
+    all.choose(rng).copied().unwrap_or(Fault::PublishInvalid)
 }
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -188,28 +188,28 @@
                 self.node(vm).into_iter().for_each(Process::pause);
                 Ok(())
             }
-            Fault::CutZone { zone } => {
+            Fault::IsolateZone { zone } => {
                 self.forwarder.isolate(self.zone(zone));
                 Ok(())
             }
-            Fault::CutPlatform { zone } => {
+            Fault::IsolateFromPlatform { zone } => {
                 let deployment = &self.stack.deployment;
                 let number = deployment.zones()[zone].2;
                 self.faults.blocked.push(deployment.platform_address(number).ip());
                 self.stack.set_faults(&self.faults)
             }
-            Fault::Down => self.with_faults(|faults| faults.down = true),
-            Fault::Silent => self.with_faults(|faults| faults.unresponsive = true),
-            Fault::Rubbish => self.with_faults(|faults| faults.malformed = true),
-            Fault::Back { changes } => {
+            Fault::PlatformDown => self.with_faults(|faults| faults.down = true),
+            Fault::PlatformUnresponsive => self.with_faults(|faults| faults.unresponsive = true),
+            Fault::PlatformMalformed => self.with_faults(|faults| faults.malformed = true),
+            Fault::PlatformRollback { changes } => {
                 let control = self.stack.deployment.platform_control();
                 let counts: Counts = serde_json::from_slice(&http::get(control, "/counts")?)?;
                 let index = counts.index.saturating_sub(changes);
                 self.with_faults(|faults| faults.as_of = Some(index))
             }
-            Fault::Unlisted { vm } => self.list(vm, VmState::Gone),
+            Fault::ListedAsGone { vm } => self.list(vm, VmState::Gone),
             Fault::Publish { preset } => self.publish_next(PRESETS[preset], |_| {}),
-            Fault::Move { zone } => {
+            Fault::DropZoneTargets { zone } => {
                 let zone = self.zone(zone);
                 self.publish_next("moved", |preset| {
                     for service in preset.services.values_mut() {
@@ -217,13 +217,13 @@
                     }
                 })
             }
-            Fault::Invalid => self.publish_invalid(),
-            Fault::Conflict => {
+            Fault::PublishInvalid => self.publish_invalid(),
+            Fault::PublishConflict => {
                 self.publish_next("peak", |_| {})?;
                 self.version -= 1;
                 self.publish_next("maintenance", |_| {})
             }
-            Fault::Crossing => {
+            Fault::PublishOutOfOrder => {
                 self.version += 1;
                 self.publish_next("peak", |_| {})?;
                 self.version -= 2;
@@ -231,7 +231,7 @@
                 self.version += 1;
                 Ok(())
             }
-            Fault::Death => self.send_death(),
+            Fault::CrashingRequest => self.send_death(),
             Fault::Drain { vm } => self.drain(vm),
         }
     }
@@ -247,11 +247,11 @@
                 self.node(vm).into_iter().for_each(Process::resume);
                 Ok(())
             }
-            Fault::CutZone { .. } => {
+            Fault::IsolateZone { .. } => {
                 self.forwarder.heal();
                 Ok(())
             }
-            Fault::Unlisted { vm } => self.list(vm, VmState::Live),
+            Fault::ListedAsGone { vm } => self.list(vm, VmState::Live),
             _ => self.with_faults(|faults| *faults = Faults::default()),
         }
     }
