--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -33,14 +33,14 @@
 use sycamore_tools::load::mix::Mix;
 
 /// Limits that only a hanging process reaches, on a slow machine too.
-const START_LIMIT: Duration = Duration::from_secs(60);
-const END_LIMIT: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Load before the first fault, and between two rounds.
-const QUIET: Duration = Duration::from_millis(800);
+const QUIET_PERIOD: Duration = Duration::from_millis(800);
 /// Port whose owner may use a network of addresses.
-const CLAIM_PORT: u16 = 7099;
+const RESERVATION_PORT: u16 = 7099;
 /// What is added to the ports that nodes listen on; the forwarder takes their places.
-const REAL_PORT_OFFSET: u16 = 100;
+const LISTEN_PORT_OFFSET: u16 = 100;
 /// Presets that operators choose from.
 const PRESETS: [&str; 3] = ["ordinary", "peak", "maintenance"];
 
@@ -52,7 +52,7 @@
     /// Everything that was recorded.
     pub evidence: Evidence,
     /// How long after the last publication, and the end of the faults, every node showed it.
-    pub settled: Duration,
+    pub settle_time: Duration,
     /// What was done, with its time.
     pub log: Vec<String>,
 }
@@ -65,64 +65,67 @@
     faults: Faults,
     version: u64,
     unclean_exits: usize,
-    deaths: usize,
-    settled: Duration,
+    crash_requests: usize,
+    settle_time: Duration,
     start: Instant,
     log: Vec<String>,
     // Dropped last, once no process uses the addresses.
-    _claim: TcpListener,
+    _reservation: TcpListener,
 }
 
 /// Runs the trial of a seed. Files go below `output`.
 pub fn run(seed: u64, output: &Path) -> io::Result<Report> {
     let mut trial = Trial::new(seed, output)?;
-    trial.begin()?;
-    let observer = Observer::start(trial.watched());
+    trial.start_processes()?;
+    let observer = Observer::start(trial.watched_nodes());
     let entries = trial.stack.settings.values().map(|node| node.listen.calls).collect();
     let callers = Callers::start(Mix { classes: classes() }, entries, seed);
-    let result = trial.disturb(&plan::rounds(seed)).and_then(|()| trial.settle());
+    let result = trial.run_rounds(&plan::rounds(seed)).and_then(|()| trial.settle());
     trial.evidence.records = callers.stop();
     trial.evidence.samples = observer.stop().samples;
     result?;
-    trial.end()
+    trial.finish()
 }
 
 /// The deployment on addresses that no other trial uses now, and what keeps others off them.
-fn free_deployment(seed: u64) -> io::Result<(Deployment, TcpListener)> {
+fn reserve_deployment(seed: u64) -> io::Result<(Deployment, TcpListener)> {
     let first = (seed % u64::from(NETWORKS)) as u8;
     let networks = (first..NETWORKS).chain(0..first).map(|network| FIRST_NETWORK + network);
     let mut candidates = networks.map(|network| Deployment { network, ..DEPLOYMENT });
-    let claim = |found: Deployment| {
-        let at = SocketAddr::new(found.platform_control().ip(), CLAIM_PORT);
-        TcpListener::bind(at).ok().map(|claim| (found, claim))
+    let reservation = |found: Deployment| {
+        let at = SocketAddr::new(found.platform_control().ip(), RESERVATION_PORT);
+        TcpListener::bind(at).ok().map(|reservation| (found, reservation))
     };
-    candidates.find_map(claim).ok_or_else(|| io::ErrorKind::AddrInUse.into())
+    candidates.find_map(reservation).ok_or_else(|| io::ErrorKind::AddrInUse.into())
 }
 
 /// Makes a node listen behind the forwarder.
-fn hide(files: &Path, vm: &str) -> io::Result<[Port; 2]> {
+fn put_behind_forwarder(files: &Path, vm: &str) -> io::Result<[Port; 2]> {
     let path = files.join("nodes").join(format!("{vm}.json"));
     let mut settings = Settings::read(&path).map_err(io::Error::other)?;
     let zone = settings.zone.clone();
-    let hide = |address: &mut SocketAddr, rewrite_address| {
+    let put_behind_forwarder = |address: &mut SocketAddr, rewrite_address| {
         let advertised = *address;
-        address.set_port(advertised.port() + REAL_PORT_OFFSET);
+        address.set_port(advertised.port() + LISTEN_PORT_OFFSET);
         Port { zone: zone.clone(), advertised, listening: *address, rewrite_address }
     };
     let listen = &mut settings.listen;
-    let ports = [hide(&mut listen.gate, false), hide(&mut listen.peers, true)];
+    let ports = [
+        put_behind_forwarder(&mut listen.gate, false),
+        put_behind_forwarder(&mut listen.peers, true),
+    ];
     std::fs::write(path, serde_json::to_vec_pretty(&settings)?)?;
     Ok(ports)
 }
 
 impl Trial {
     fn new(seed: u64, output: &Path) -> io::Result<Trial> {
-        let (deployment, claim) = free_deployment(seed)?;
+        let (deployment, reservation) = reserve_deployment(seed)?;
         let files = output.join("files");
         example::write(&deployment, &files)?;
         let mut ports = Vec::new();
         for vm in deployment.vms() {
-            ports.extend(hide(&files, &vm.name)?);
+            ports.extend(put_behind_forwarder(&files, &vm.name)?);
         }
         Ok(Trial {
             stack: Stack::new(deployment, &files, output)?,
@@ -131,23 +134,23 @@
             faults: Faults::default(),
             version: 1,
             unclean_exits: 0,
-            deaths: 0,
-            settled: Duration::ZERO,
+            crash_requests: 0,
+            settle_time: Duration::ZERO,
             start: Instant::now(),
             log: Vec::new(),
-            _claim: claim,
+            _reservation: reservation,
         })
     }
 
-    fn begin(&mut self) -> io::Result<()> {
+    fn start_processes(&mut self) -> io::Result<()> {
         self.stack.start_standins()?;
-        self.record(1, true);
+        self.record_publication(1, true);
         for vm in self.vms() {
             self.start_node(&vm)?;
         }
-        let admins: Vec<_> = self.watched().iter().map(|node| node.admin).collect();
+        let admins: Vec<_> = self.watched_nodes().iter().map(|node| node.admin).collect();
         let ready = || admins.iter().all(|admin| http::get(*admin, "/ready").is_ok());
-        wait_until(START_LIMIT, ready, "not all nodes became ready")
+        wait_until(START_TIMEOUT, ready, "not all nodes became ready")
     }
 
     fn start_node(&mut self, vm: &str) -> io::Result<()> {
@@ -157,23 +160,23 @@
         Ok(())
     }
 
-    fn disturb(&mut self, rounds: &[Round]) -> io::Result<()> {
+    fn run_rounds(&mut self, rounds: &[Round]) -> io::Result<()> {
         for round in rounds {
-            std::thread::sleep(QUIET);
+            std::thread::sleep(QUIET_PERIOD);
             let at = self.start.elapsed().as_secs_f64();
             self.log.push(format!("{at:>5.1} s  {:?} {:?}", round.span, round.faults));
             for fault in &round.faults {
-                self.cause(*fault)?;
+                self.inject_fault(*fault)?;
             }
             std::thread::sleep(round.span);
             for fault in &round.faults {
-                self.end_fault(*fault)?;
+                self.clear_fault(*fault)?;
             }
         }
         Ok(())
     }
 
-    fn cause(&mut self, fault: Fault) -> io::Result<()> {
+    fn inject_fault(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Kill { vm, target } => {
                 let vm = self.vm(vm);
@@ -198,16 +201,20 @@
                 self.faults.blocked.push(deployment.platform_address(number).ip());
                 self.stack.set_faults(&self.faults)
             }
-            Fault::PlatformDown => self.with_faults(|faults| faults.down = true),
-            Fault::PlatformUnresponsive => self.with_faults(|faults| faults.unresponsive = true),
-            Fault::PlatformMalformed => self.with_faults(|faults| faults.malformed = true),
+            Fault::PlatformDown => self.update_platform_faults(|faults| faults.down = true),
+            Fault::PlatformUnresponsive => {
+                self.update_platform_faults(|faults| faults.unresponsive = true)
+            }
+            Fault::PlatformMalformed => {
+                self.update_platform_faults(|faults| faults.malformed = true)
+            }
             Fault::PlatformRollback { changes } => {
                 let control = self.stack.deployment.platform_control();
                 let counts: Counts = serde_json::from_slice(&http::get(control, "/counts")?)?;
                 let index = counts.index.saturating_sub(changes);
-                self.with_faults(|faults| faults.as_of = Some(index))
+                self.update_platform_faults(|faults| faults.as_of = Some(index))
             }
-            Fault::ListedAsGone { vm } => self.list(vm, VmState::Gone),
+            Fault::ListedAsGone { vm } => self.set_listed_state(vm, VmState::Gone),
             Fault::Publish { preset } => self.publish_next(PRESETS[preset], |_| {}),
             Fault::DropZoneTargets { zone } => {
                 let zone = self.zone(zone);
@@ -231,13 +238,13 @@
                 self.version += 1;
                 Ok(())
             }
-            Fault::CrashingRequest => self.send_death(),
+            Fault::CrashingRequest => self.send_crashing_requests(),
             Fault::Drain { vm } => self.drain(vm),
         }
     }
 
     /// Undoes a fault, if that needs anything.
-    fn end_fault(&mut self, fault: Fault) -> io::Result<()> {
+    fn clear_fault(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Kill { vm, .. } | Fault::Drain { vm } => {
                 let vm = self.vm(vm);
@@ -251,18 +258,18 @@
                 self.forwarder.heal();
                 Ok(())
             }
-            Fault::ListedAsGone { vm } => self.list(vm, VmState::Live),
-            _ => self.with_faults(|faults| *faults = Faults::default()),
+            Fault::ListedAsGone { vm } => self.set_listed_state(vm, VmState::Live),
+            _ => self.update_platform_faults(|faults| *faults = Faults::default()),
         }
     }
 
-    fn with_faults(&mut self, change: impl FnOnce(&mut Faults)) -> io::Result<()> {
+    fn update_platform_faults(&mut self, change: impl FnOnce(&mut Faults)) -> io::Result<()> {
         let before = self.faults.clone();
         change(&mut self.faults);
         if self.faults == before { Ok(()) } else { self.stack.set_faults(&self.faults) }
     }
 
-    fn list(&self, vm: usize, state: VmState) -> io::Result<()> {
+    fn set_listed_state(&self, vm: usize, state: VmState) -> io::Result<()> {
         let (vm, zone) = (self.vm(vm), self.stack.settings[vm].zone.clone());
         let file = self.stack.file(&format!("published/vms/{zone}.json"));
         let mut list: VmList = serde_json::from_slice(&std::fs::read(file)?)?;
@@ -282,17 +289,17 @@
         change(&mut preset);
         std::fs::write(self.stack.file("next.json"), serde_json::to_vec(&preset)?)?;
         self.version += 1;
-        self.record(self.version, true);
+        self.record_publication(self.version, true);
         self.stack.publish(self.version, name, "next.json").map(|_| ())
     }
 
     fn publish_invalid(&mut self) -> io::Result<()> {
         self.version += 1;
-        self.record(self.version, false);
+        self.record_publication(self.version, false);
         self.stack.publish(self.version, "dangling", "refused/dangling.json").map(|_| ())
     }
 
-    fn record(&mut self, version: u64, valid: bool) {
+    fn record_publication(&mut self, version: u64, valid: bool) {
         let publication = Publication { version, at_us: now_us(), valid };
         self.evidence.publications.push(publication);
     }
@@ -303,7 +310,7 @@
         let Some(mut node) = self.stack.nodes.shift_remove(&vm) else { return Ok(()) };
         let at_us = now_us();
         node.terminate();
-        let ended = node.wait(END_LIMIT);
+        let ended = node.wait(STOP_TIMEOUT);
         self.unclean_exits += usize::from(!ended || node.exit_code() != Some(0));
         let entry = self.stack.settings[&vm].listen.calls;
         self.evidence.drains.push(Stop { vm, entry, at_us, until_us: now_us() });
@@ -312,12 +319,15 @@
 
     /// Sends the same request through every node that runs, under an id of its own each time, so
     /// that the targets' log tells how many targets each send has crashed.
-    fn send_death(&mut self) -> io::Result<()> {
+    fn send_crashing_requests(&mut self) -> io::Result<()> {
         for settings in self.stack.settings.values() {
-            self.deaths += 1;
+            self.crash_requests += 1;
             let req = Request::get("/contracts/1?crash=1")
                 .header("host", "sycamore")
-                .header("x-sycamore-request-id", format!("{CRASH_REQUEST_PREFIX}{}", self.deaths))
+                .header(
+                    "x-sycamore-request-id",
+                    format!("{CRASH_REQUEST_PREFIX}{}", self.crash_requests),
+                )
                 .header("x-sycamore-deadline-ms", "1000");
             let req = req.body(Full::new(Bytes::new())).map_err(io::Error::other)?;
             let executor = Rc::new(LocalExecutor::new());
@@ -338,7 +348,7 @@
     fn settle(&mut self) -> io::Result<()> {
         self.publish_next(PRESETS[0], |_| {})?;
         let (admins, last): (Vec<_>, u64) =
-            (self.watched().iter().map(|node| node.admin).collect(), self.version);
+            (self.watched_nodes().iter().map(|node| node.admin).collect(), self.version);
         let shows = |admin: &SocketAddr| {
             let body = http::get(*admin, "/status").ok();
             let status = body.and_then(|body| serde_json::from_slice::<Status>(&body).ok());
@@ -346,24 +356,25 @@
         };
         let published = Instant::now();
         // The rules count it if some node never shows it.
-        let _ = wait_until(END_LIMIT, || admins.iter().all(shows), "");
-        self.settled = published.elapsed();
-        std::thread::sleep(QUIET);
+        let _ = wait_until(STOP_TIMEOUT, || admins.iter().all(shows), "");
+        self.settle_time = published.elapsed();
+        std::thread::sleep(QUIET_PERIOD);
         Ok(())
     }
 
-    fn end(mut self) -> io::Result<Report> {
+    fn finish(mut self) -> io::Result<Report> {
         self.evidence.lasting = self.vms();
         for node in self.stack.nodes.values() {
             node.terminate();
         }
         for node in self.stack.nodes.values_mut() {
-            self.unclean_exits += usize::from(!node.wait(END_LIMIT) || node.exit_code() != Some(0));
+            self.unclean_exits +=
+                usize::from(!node.wait(STOP_TIMEOUT) || node.exit_code() != Some(0));
         }
         self.evidence.runs = run_log::read(Path::new(&self.stack.output("runs.jsonl")))?;
         let findings = Findings::evaluate(&self.evidence, self.unclean_exits);
-        let Trial { evidence, settled, log, .. } = self;
-        Ok(Report { findings, evidence, settled, log })
+        let Trial { evidence, settle_time, log, .. } = self;
+        Ok(Report { findings, evidence, settle_time, log })
     }
 
     fn vms(&self) -> Vec<String> {
@@ -384,7 +395,7 @@
         zones[index].clone()
     }
 
-    fn watched(&self) -> Vec<Watched> {
+    fn watched_nodes(&self) -> Vec<Watched> {
         let nodes = self.stack.settings.iter();
         nodes.map(|(vm, node)| Watched { vm: vm.clone(), admin: node.listen.admin }).collect()
     }
--- a/bench/tests/history_process.rs
+++ b/bench/tests/history_process.rs
@@ -46,7 +46,7 @@
             return false;
         }
     };
-    println!("{}", summary(seed, &report));
+    println!("{}", format_summary(seed, &report));
     if report.findings.is_clean() && unanswered(&report).is_empty() {
         let _ = std::fs::remove_dir_all(&output);
         return true;
@@ -71,7 +71,7 @@
     classes().into_iter().filter(|class| !answered(class)).map(|class| class.name).collect()
 }
 
-fn summary(seed: u64, report: &Report) -> String {
+fn format_summary(seed: u64, report: &Report) -> String {
     let records = &report.evidence.records;
     let count = |outcome| records.iter().filter(|record| record.outcome == outcome).count();
     format!(
@@ -83,13 +83,13 @@
         count(Outcome::Unknown),
         report.evidence.runs.len(),
         report.evidence.publications.len(),
-        report.settled.as_secs_f64(),
+        report.settle_time.as_secs_f64(),
         if report.findings.is_clean() { "sound" } else { "BROKEN" },
     )
 }
 
 #[test]
-fn processes_keep_promises_under_faults() {
+fn history_rules_hold_under_process_faults() {
     // Story: nodes are killed, paused and cut off while operators publish good and bad versions
     // and callers send again what got no answer. Whatever comes together, no caller is told
     // what is not true, and no signing runs twice.
