--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -22,7 +22,7 @@
 /// Exit code if an aim is missed or a history breaks a rule.
 const EXIT_FAILED: u8 = 1;
 
-const BRIEF: &str = "Usage: sycamore-fleet convergence|bytes|slopes|memory|history [options]
+const USAGE: &str = "Usage: sycamore-fleet convergence|bytes|slopes|memory|history [options]
 
 Runs the spread's decisions of many nodes in one thread over in-memory links, in simulated time.
 convergence and bytes run the system and the naive baseline side by side; the last line is JSON.
@@ -44,18 +44,18 @@
 
 fn run(args: &[String]) -> Result<ExitCode> {
     let options = options();
-    let matches = options.parse(args).map_err(usage)?;
+    let matches = options.parse(args).map_err(usage_fault)?;
     if matches.opt_present("help") {
-        println!("{}", options.usage(BRIEF));
+        println!("{}", options.usage(USAGE));
         return Ok(ExitCode::SUCCESS);
     }
     match matches.free.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         ["convergence"] => compare_all(&matches, table::convergence),
-        ["slopes"] => slopes(&matches),
-        ["memory"] => memories(&matches),
-        ["history"] => histories(&matches),
+        ["slopes"] => run_slopes(&matches),
+        ["memory"] => run_memory(&matches),
+        ["history"] => run_histories(&matches),
         ["bytes"] => compare_all(&matches, table::bytes),
-        _ => Err(usage("one command is needed; see --help")),
+        _ => Err(usage_fault("one command is needed; see --help")),
     }
 }
 
@@ -110,7 +110,7 @@
     Ok(if failed { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
-fn slopes(matches: &Matches) -> Result<ExitCode> {
+fn run_slopes(matches: &Matches) -> Result<ExitCode> {
     let versions = number(matches, "versions", 10)? as usize;
     let options =
         slopes::Options { versions, seed: number(matches, "seed", 1)?, memory: memory_in_use };
@@ -133,7 +133,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn memories(matches: &Matches) -> Result<ExitCode> {
+fn run_memory(matches: &Matches) -> Result<ExitCode> {
     let options =
         slopes::Options { versions: 0, seed: number(matches, "seed", 1)?, memory: memory_in_use };
     let points = memory::measure(&options);
@@ -146,19 +146,19 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn histories(matches: &Matches) -> Result<ExitCode> {
+fn run_histories(matches: &Matches) -> Result<ExitCode> {
     let first = number(matches, "seed", 1)?;
     let count = number(matches, "seeds", 20)?;
-    let mut broken = 0;
+    let mut failed = 0;
     for seed in first..first + count {
         let (lossy, sends_requests) = (matches.opt_present("lossy"), matches.opt_present("calls"));
         let report = Trial { seed, lossy, sends_requests }.run();
-        let sound = report.violations.is_empty() && report.call_violations.is_empty();
-        broken += u64::from(!sound);
+        let passed = report.violations.is_empty() && report.call_violations.is_empty();
+        failed += u64::from(!passed);
         print_report(&report, matches.opt_present("print"));
     }
-    println!("{}", serde_json::json!({ "first": first, "seeds": count, "broken": broken }));
-    Ok(if broken > 0 { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
+    println!("{}", serde_json::json!({ "first": first, "seeds": count, "broken": failed }));
+    Ok(if failed > 0 { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
 fn print_report(report: &TrialReport, whole: bool) {
@@ -189,24 +189,24 @@
 
 fn parse_disruption(text: &str) -> Result<Disruption> {
     let found = Disruption::ALL.into_iter().find(|disruption| disruption.name() == text);
-    found.ok_or_else(|| usage(format!("no storm is called {text}")))
+    found.ok_or_else(|| usage_fault(format!("no storm is called {text}")))
 }
 
 fn profile(matches: &Matches) -> Result<Profile> {
     match matches.opt_str("links").as_deref() {
         None | Some("franchise") => Ok(Profile::franchise()),
         Some("cooperative") => Ok(Profile::cooperative()),
-        Some(other) => Err(usage(format!("no links are called {other}"))),
+        Some(other) => Err(usage_fault(format!("no links are called {other}"))),
     }
 }
 
 fn number(matches: &Matches, name: &str, default: u64) -> Result<u64> {
-    matches.opt_get_default(name, default).map_err(|e| usage(format!("--{name}: {e}")))
+    matches.opt_get_default(name, default).map_err(|e| usage_fault(format!("--{name}: {e}")))
 }
 
 fn numbers(matches: &Matches, name: &str, default: &[u64]) -> Result<Vec<u64>> {
     let Some(list) = matches.opt_str(name) else { return Ok(default.to_vec()) };
-    let parse = |text: &str| text.parse().map_err(|e| usage(format!("--{name}: {e}")));
+    let parse = |text: &str| text.parse().map_err(|e| usage_fault(format!("--{name}: {e}")));
     list.split(',').map(parse).collect()
 }
 
@@ -214,6 +214,6 @@
     ALLOCATOR.allocated() as u64
 }
 
-fn usage(detail: impl std::fmt::Display) -> Fault {
+fn usage_fault(detail: impl std::fmt::Display) -> Fault {
     Fault::new(Code::UsageInvalid).with_detail(detail)
 }
