--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,7 +1,8 @@
-//! A fleet in memory: the spread's decisions of many nodes in one thread, over in-memory links.
+//! In-memory simulation of a fleet: runs the state machines of many nodes in one thread and
+//! exchanges their messages over simulated links in simulated time.
 //!
-//! The fleet does what a node's adapters do: it carries messages, makes calls to the platform and
-//! wakes deciders. It decides nothing.
+//! [`Fleet`] takes the part of a node's I/O adapters: it delivers messages, calls the platform and
+//! fires timers. It makes no decisions about version distribution itself.
 
 pub mod calls;
 pub mod fault;
@@ -42,13 +43,13 @@
 use sycamore_core::{Code, Time};
 use workload::{Size, Workload};
 
-/// Where the platform stands.
+/// Location of the platform.
 pub const PLATFORM: Site = Site { region: 0, zone: PLATFORM_ZONE };
 
-/// When a fleet's clock starts: late enough that differences of times don't reach zero.
+/// Initial clock value, large enough that subtracting a timeout never saturates at zero.
 pub const START: Time = Time(1_000_000_000_000_000);
 
-/// How long a connection to a host that does not answer is tried.
+/// Timeout for connecting to a host that does not answer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 enum FleetEvent {
@@ -64,7 +65,7 @@
     CallStep(Step),
 }
 
-/// A fleet and its platform.
+/// The simulated nodes, the links between them and the platform.
 pub struct Fleet {
     setup: Setup,
     links: Links<FleetEvent>,
@@ -86,7 +87,7 @@
 }
 
 impl Fleet {
-    /// A fleet whose nodes have not started, with version 1 published.
+    /// Creates a fleet with version 1 published and all processes stopped.
     pub fn new(setup: Setup) -> Fleet {
         let size = setup.size;
         let slots = (0..size.nodes).map(|node| Slot::new(&setup, node)).collect();
@@ -114,62 +115,60 @@
         fleet
     }
 
-    /// The size of the fleet.
     pub fn size(&self) -> Size {
         self.setup.size
     }
 
-    /// The time now.
     pub fn now(&self) -> Time {
         self.links.now()
     }
 
-    /// What went over the links so far.
+    /// Traffic counters of all links since the start.
     pub fn traffic(&self) -> crate::links::Traffic {
         self.links.traffic()
     }
 
-    /// The platform's counters.
+    /// Call counters of the platform.
     pub fn calls(&self) -> platform::CallCounts {
         self.platform.calls()
     }
 
-    /// The measure of convergence.
+    /// Convergence measurements of the run.
     pub fn convergence(&mut self) -> &mut Convergence {
         &mut self.convergence
     }
 
-    /// Starts the count of the platform's busiest second anew.
+    /// Returns the peak number of platform calls in one second and resets it.
     pub fn take_peak(&mut self) -> u64 {
         self.platform.take_peak()
     }
 
-    /// Bytes of the smallest messages that could have carried all changes so far.
+    /// Total size of the smallest messages that could carry all changes published so far.
     pub fn min_update_bytes(&self) -> u64 {
         self.min_update_bytes
     }
 
-    /// The newest version that nodes must accept.
+    /// Newest published version that passes validation.
     pub fn last_valid_version(&self) -> u64 {
         self.last_valid_version
     }
 
-    /// The record so far.
+    /// Records so far, in the order of time.
     pub fn history(&self) -> &[Record] {
         &self.history
     }
 
-    /// What the nodes recorded for the time line, with their numbers.
+    /// Events emitted by the nodes, with the node numbers.
     pub fn events(&self) -> &[(usize, Event)] {
         &self.events
     }
 
-    /// Plans an action at a time from now.
+    /// Schedules an action `after` the current time.
     pub fn schedule(&mut self, after: Duration, action: Action) {
         self.links.after(after, FleetEvent::Action(action));
     }
 
-    /// Runs until a time.
+    /// Processes all events up to and including `end`.
     pub fn run_until(&mut self, end: Time) {
         while self.links.next_at().is_some_and(|at| at <= end) {
             let Some(event) = self.links.pop() else { break };
@@ -177,15 +176,16 @@
         }
     }
 
-    /// Runs for a span from now. An event at its end keeps the clock moving.
+    /// Processes all events within `span` from now. Queues an event at the end so that the clock
+    /// advances that far.
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now() + span;
         self.links.at(end, FleetEvent::CheckWatches);
         self.run_until(end);
     }
 
-    /// Runs until every running node holds at least `version`, at most for `span`. Returns how
-    /// long it took.
+    /// Runs until every running node holds at least `version`, but no longer than `span`. Returns
+    /// the time until the last node had it in force, or `None` on timeout.
     pub fn run_until_converged(&mut self, version: u64, span: Duration) -> Option<Duration> {
         let since = self.now();
         let end = since + span;
@@ -194,7 +194,7 @@
             if self.links.next_at().is_none_or(|at| at > end) {
                 return None;
             }
-            // Looking at every node after each event would cost more than the run.
+            // Checks only every few events, since the check visits all nodes.
             for _ in 0..self.slots.len().max(16) / 16 {
                 let Some(event) = self.links.pop() else { break };
                 self.handle_event(event);
@@ -203,18 +203,17 @@
         Some(self.last_in_force_at().since(since))
     }
 
-    /// Running nodes that hold less than `version`.
+    /// Number of running nodes that hold a version older than `version`.
     pub fn behind(&self, version: u64) -> usize {
         self.slots.iter().filter(|slot| slot.is_running() && slot.version() < version).count()
     }
 
-    /// The newest version that any running node holds.
+    /// Newest version held by any running node.
     pub fn newest_version_in_force(&self) -> u64 {
         self.slots.iter().filter(|slot| slot.is_running()).map(Slot::version).max().unwrap_or(0)
     }
 
-    /// Numbers of the nodes that the spread shows in a role above leaf, for faults that aim at
-    /// relays.
+    /// Numbers of the nodes whose role is not leaf, optionally of one region only.
     pub fn relays(&self, region: Option<u16>) -> Vec<usize> {
         let wanted = |node: &usize| region.is_none_or(|r| self.site(*node).region == r);
         (0..self.slots.len())
@@ -223,25 +222,24 @@
             .collect()
     }
 
-    /// Records the platform's busiest second.
     pub fn record_platform_peak(&mut self) {
         let peak = self.platform.calls().peak;
         let limit = platform::CALLS_PER_S;
         self.history.push(Record::PlatformPeak { at: self.now(), peak, limit });
     }
 
-    /// What each node has carried since the last reset, with its role.
+    /// Role and load of each node since the last reset.
     pub fn loads(&self) -> Vec<(Role, Load)> {
         self.slots.iter().map(|slot| (slot.role(), slot.load)).collect()
     }
 
-    /// Starts the counters of every node anew.
+    /// Resets the load counters of every node.
     pub fn reset_loads(&mut self) {
         self.slots.iter_mut().for_each(|slot| slot.load = Load::default());
         self.cross_region_bytes.clear();
     }
 
-    /// Bytes between regions since the last reset, by kind of message.
+    /// Bytes sent between regions since the last reset, by message kind.
     pub fn cross_region_bytes(&self) -> &IndexMap<&'static str, u64> {
         &self.cross_region_bytes
     }
@@ -324,7 +322,7 @@
             }
             return;
         }
-        // The host answers that nothing listens on the port.
+        // The process is down, so its host refuses the connection.
         let to = self.slots[to].peer.address;
         let sites = (self.site(slot::node_at(to)), self.site(from));
         self.links.send(
@@ -339,7 +337,7 @@
         self.handle_input(node, NodeInput::Spread(input));
     }
 
-    /// Hands an input to a node's deciders and carries out what they want done.
+    /// Passes an input to the node's state machines and executes the resulting outputs.
     fn handle_input(&mut self, node: usize, input: NodeInput) {
         let now = self.links.now();
         let mut outputs = std::mem::take(&mut self.outputs);
