--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -1,5 +1,5 @@
-//! Callers and targets of a fleet in memory: they do what the adapters of the call path do, and
-//! record every request, every run at a target and every answer.
+//! Simulated callers and targets. Submits requests to random entry nodes, carries the calls between
+//! entry nodes and gatekeepers, and records every submission, run and outcome.
 
 mod targets;
 
@@ -17,34 +17,34 @@
 use sycamore_core::call::{CallKey, Fingerprint, Outcome, RequestKey, entry};
 use sycamore_core::hash::Hash;
 
-/// Bytes of a request or an answer.
+/// Size of a request or response body.
 const BODY_BYTES: u64 = 600;
 
-/// How often a caller sends a request at most.
+/// Maximum number of submissions per request.
 const MAX_TRIES: u32 = 6;
 
-/// When a caller comes back that was told nothing.
+/// Delay before a caller resubmits when the response gave no `retry_after`.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How long a target takes to come back after a crash.
+/// Restart time of a crashed target.
 const TARGET_RESTART: Duration = Duration::from_secs(2);
 
-/// How long it takes until a crash is seen.
+/// Time until a gatekeeper detects a broken connection to its target.
 const CRASH_DETECTION: Duration = Duration::from_millis(5);
 
-/// How often a paused process is looked at again.
+/// Interval at which delivery to a paused process is retried.
 const PAUSED_POLL: Duration = Duration::from_millis(100);
 
-/// One request in a thousand crashes each target that runs it.
+/// Share of requests, per mille, that crash every target that runs them.
 const CRASHING_PER_MILLE: u32 = 1;
 
-/// Runs in a thousand whose connection to the target breaks while the target goes on.
+/// Share of runs, per mille, whose connection to the target breaks while the target keeps running.
 const BROKEN_PER_MILLE: u32 = 10;
 
-/// What a caller wants.
+/// A request as sent by a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Number of the request; its answer repeats it.
+    /// Request number, returned as the response body.
     pub number: u64,
     path: String,
     key: Option<RequestKey>,
@@ -62,35 +62,35 @@
     }
 }
 
-/// A step of a call that takes time.
+/// A step of a call that takes place at a later time.
 pub(super) enum Step {
-    /// A new request comes, and the next after it.
+    /// Creates a new request and schedules the next one.
     NewRequest,
-    /// A request is sent, for the time that remains of its tries.
+    /// Submits a request, with the number of tries left.
     Submit(Arc<Request>, u32),
-    /// An attempt reaches the gatekeeper's host.
+    /// An attempt arrives at the gatekeeper's host.
     ReachGatekeeper { submission: usize, entry_incarnation: u32, forward: Box<Forward> },
-    /// What an attempt came to reaches the entry node.
+    /// The outcome of an attempt arrives at the entry node.
     AttemptEnded(AttemptReply),
-    /// The entry node's deadline.
+    /// The request deadline expires at the entry node.
     Deadline { submission: usize, entry_incarnation: u32 },
-    /// A waiting request's time at the gatekeeper.
+    /// The queueing time of a request expires at the gatekeeper.
     QueueTimeout { call_key: CallKey },
     /// The entry node has closed the connection of an attempt.
     Closed { submission: usize, attempt: u32 },
-    /// A run has ended.
+    /// The target has finished or failed a run.
     RunEnded { call_key: CallKey, end: End },
-    /// Time passes for the gatekeepers.
+    /// Periodic tick of all gatekeepers.
     Tick,
 }
 
-/// What an attempt came to, on its way to the entry node.
+/// Outcome of an attempt on its way back to the entry node.
 pub(super) struct AttemptReply {
     submission: usize,
     entry_incarnation: u32,
     attempt: u32,
     end: AttemptEnd,
-    /// Number of the request that the answer belongs to, if there is one.
+    /// Number of the request that the response belongs to, if the attempt was answered.
     body: Option<u64>,
 }
 
@@ -112,7 +112,7 @@
     at_most_once: bool,
 }
 
-/// The callers' and targets' side of a fleet.
+/// State of the simulated callers and targets.
 pub struct CallLoad {
     rng: Pcg64Mcg,
     interval: Duration,
@@ -122,12 +122,12 @@
     gatekeeper_calls: IndexMap<CallKey, GatekeeperCall>,
     next_gatekeeper_call: u64,
     targets_down: Vec<Time>,
-    /// What happened.
+    /// Records so far, in the order of time.
     pub history: Vec<CallRecord>,
 }
 
 impl CallLoad {
-    /// Callers that send a new request each `pause` until a time.
+    /// Creates callers that submit one new request per `interval` until `until`.
     pub fn new(nodes: usize, interval: Duration, until: Time, seed: u64) -> CallLoad {
         CallLoad {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -145,7 +145,7 @@
     fn request(&mut self, now: Time, services: usize) -> Arc<Request> {
         self.requests += 1;
         let service = self.rng.random_range(0..services);
-        // The workload has a signing route for each third service.
+        // The workload has a signing route for every third service.
         let at_most_once = service % 3 == 0 && self.rng.random_bool(0.6);
         let path = format!("/{service:04}/{}", if at_most_once { "signing" } else { "lookup" });
         let random = self.rng.random::<u64>();
@@ -167,7 +167,7 @@
 }
 
 impl Fleet {
-    /// Lets callers send requests, one each `pause`, for `span` from now.
+    /// Adds callers that submit one new request per `interval` during `span` from now.
     pub fn add_callers(&mut self, interval: Duration, span: Duration) {
         let until = self.now() + span;
         let seed = self.setup.seed;
@@ -176,7 +176,7 @@
         self.links.after(TICK, FleetEvent::CallStep(Step::Tick));
     }
 
-    /// What happened to calls.
+    /// Records of all calls so far.
     pub fn call_history(&self) -> &[CallRecord] {
         self.call_load.as_ref().map_or(&[], |calls| &calls.history)
     }
@@ -219,7 +219,8 @@
         self.submit(request, MAX_TRIES);
     }
 
-    /// A caller connects to a node; one that nothing listens on is passed over.
+    /// Submits a request to a random entry node. If that process is down, retries after
+    /// [`RETRY_DELAY`].
     fn submit(&mut self, request: Arc<Request>, tries: u32) {
         let at = self.now();
         let nodes = self.slots.len();
@@ -272,7 +273,7 @@
         self.links.send_call(sites.0, sites.1, BODY_BYTES, FleetEvent::CallStep(step));
     }
 
-    /// Sends what an attempt came to back to its entry node.
+    /// Removes a gatekeeper call and sends its outcome to the entry node.
     fn reply_to_entry(&mut self, call_key: CallKey, end: AttemptEnd, body: Option<u64>) {
         let Some(calls) = &mut self.call_load else { return };
         let Some(gatekeeper_call) = calls.gatekeeper_calls.swap_remove(&call_key) else { return };
@@ -299,14 +300,14 @@
         let Some(calls) = &self.call_load else { return };
         let sent = &calls.submissions[reply.submission];
         let entry = sent.entry;
-        // The connection of an earlier attempt is closed by then.
+        // The connections of earlier attempts and of earlier processes are closed.
         let current = sent.attempt == reply.attempt
             && self.slots[entry].incarnation == reply.entry_incarnation;
         if sent.ended || !current {
             return;
         }
         if self.slots[entry].is_paused() {
-            // The answer waits in the socket.
+            // The response stays in the socket buffer until the process resumes.
             return self.links.after(PAUSED_POLL, FleetEvent::CallStep(Step::AttemptEnded(reply)));
         }
         let call = CallKey(reply.submission as u64);
@@ -360,7 +361,8 @@
         }
     }
 
-    /// A process has died: its callers and the entry nodes of its calls see broken connections.
+    /// Breaks the connections of a process that stopped: ends the submissions at this entry node
+    /// and fails the attempts at this gatekeeper.
     pub(super) fn break_calls(&mut self, node: usize) {
         let Some(calls) = &mut self.call_load else { return };
         let open = |(_, s): &(usize, &Submission)| s.entry == node && !s.ended;
