--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -1,4 +1,4 @@
-//! The gatekeepers' side of calls in a fleet in memory, and the targets beside them.
+//! Gatekeeper side of simulated calls, and the targets.
 
 use super::{
     AttemptReply, BROKEN_PER_MILLE, CRASH_DETECTION, GatekeeperCall, RETRY_DELAY, Step,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The target takes the request, if it runs at all.
+    /// Runs a request on the target, unless the target is down.
     pub(super) fn run(&mut self, node: usize, call_key: CallKey, at_most_once: bool) {
         let at = self.now();
         let Some(calls) = &mut self.call_load else { return };
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A run has ended; the gatekeeper's process may have been replaced meanwhile.
+    /// Ends a run. Ignored if the gatekeeper's process has restarted since the run began.
     pub(super) fn run_ended(&mut self, call_key: CallKey, end: End) {
         let Some(calls) = &self.call_load else { return };
         let Some(gatekeeper_call) = calls.gatekeeper_calls.get(&call_key) else { return };
@@ -164,7 +164,8 @@
         self.reply_to_entry(call_key, attempt_end, answered.then_some(number));
     }
 
-    /// The gatekeeper sees that the entry node has gone away.
+    /// Cancels a call whose entry node has closed the connection. At-most-once requests that are
+    /// already running continue.
     pub(super) fn connection_closed(&mut self, submission: usize, attempt: u32) {
         let Some(calls) = &mut self.call_load else { return };
         let Some(call_key) = calls.find_gatekeeper_call(submission, attempt) else { return };
