--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -1,4 +1,4 @@
-//! Faults and operators' acts, as a plan that a run carries out.
+//! Scheduled actions: faults, repairs and operator activity.
 
 use super::platform::Health;
 use super::{Fleet, FleetEvent};
@@ -10,59 +10,61 @@
 use sycamore_core::member::VmState;
 use sycamore_core::spread::PeerMsg;
 
-/// What an operator publishes.
+/// Kind of version that an operator publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublicationKind {
     /// The first version.
     First,
-    /// The next version, with one change.
+    /// The next version, with one valid change.
     Next,
-    /// The next version, which must be refused.
+    /// The next version, with content that fails validation.
     Invalid,
-    /// The last version again with another body: a second operator raced.
+    /// The current version number again with different content, as when two operators publish
+    /// concurrently.
     Conflicting,
 }
 
-/// Something done to the fleet or the platform.
+/// An action on the fleet or the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// An operator publishes.
+    /// Publish a version.
     Publish(PublicationKind),
-    /// These processes start, or start again.
+    /// Start or restart these processes.
     Start(Vec<usize>),
-    /// These processes are killed.
+    /// Kill these processes.
     Kill(Vec<usize>),
-    /// Every relay and reader of a region is killed, and starts again after a while.
+    /// Kill every relay and platform reader of a region and restart them after the given time.
     RestartRelays(u16, Duration),
-    /// Every process that does not run starts.
+    /// Start every stopped process.
     StartStopped,
-    /// These processes don't run for a while, and then go on.
+    /// Suspend these processes for the given time.
     Pause(Vec<usize>, Duration),
-    /// This process takes questions and never answers, or answers again.
+    /// Make a process ignore requests from peers, or answer them again.
     SetUnresponsive(usize, bool),
-    /// What this process sends does not match its hash, or does again.
+    /// Make a process send content that does not match its hash, or correct content again.
     SetCorrupting(usize, bool),
-    /// No traffic between two zones; `None` stands for the platform.
+    /// Cut the link between two zones, or between a zone and the platform if `None`.
     CutLink(u16, Option<u16>),
-    /// No traffic between a zone and every other zone.
+    /// Cut the links between a zone and all other zones.
     CutZone(u16),
-    /// No traffic between two regions, or between the zones of one.
+    /// Cut the links between two regions, or between the zones of one region.
     CutRegions(u16, u16),
-    /// Every link works again.
+    /// Restore all links.
     HealLinks,
-    /// The platform behaves so.
+    /// Set how the platform responds.
     SetPlatformHealth(Health),
-    /// The platform answers with a state so many changes ago.
+    /// Make the platform serve its state as of this many changes ago.
     RollBackPlatform(u64),
-    /// The platform's list says so of these VMs; `None` leaves them out.
+    /// Set the state of these VMs in the platform's VM lists; `None` removes them.
     SetListedState(Vec<usize>, Option<VmState>),
-    /// Links lose so many messages in a million, and delay some.
+    /// Set the loss (parts per million) and jitter (percent) of all links.
     DegradeLinks(u32, u32),
-    /// Every running node must hold at least this version by now.
+    /// Record that every running node must hold at least this version now.
     CheckVersion(u64),
-    /// Every running node must hold the last good version by now.
+    /// Record that every running node must hold the newest valid version now.
     CheckLastValidVersion,
-    /// Every running node must, a span from now, hold what the newest of them holds now.
+    /// Record, after the given time, that every running node must hold the newest version currently
+    /// held by any node.
     CheckAgreementAfter(Duration),
 }
 
@@ -171,7 +173,8 @@
         }
         if b == PLATFORM_ZONE {
             let size = self.setup.size;
-            // A connection that is cut is given up by the platform; its caller only times out.
+            // The platform drops the watches of cut connections. The callers notice only by
+            // timeout.
             self.platform.drop_watches(|caller| size.site(caller.node).zone == a);
         }
     }
@@ -197,12 +200,12 @@
     }
 }
 
-/// Every number of a fleet's nodes in a zone.
+/// Numbers of the nodes in a zone.
 pub fn nodes_in_zone(size: &super::workload::Size, zone: u16) -> Vec<usize> {
     (zone as usize..size.nodes).step_by(size.zones).collect()
 }
 
-/// The message as a peer with broken memory sends it: content that does not match its hash.
+/// Alters a delta so that its content does not match its hash. Other messages are unchanged.
 pub fn corrupt(msg: PeerMsg) -> PeerMsg {
     match msg {
         PeerMsg::Delta(delta) => {
