--- a/bench/src/fleet/measure.rs
+++ b/bench/src/fleet/measure.rs
@@ -1,4 +1,4 @@
-//! What a run measures, the same for the system and for the naive baseline.
+//! Measurements of a run, shared by the fleet and the polling baseline.
 
 use super::slot::Load;
 use crate::links::Traffic;
@@ -9,36 +9,34 @@
 use sycamore_core::Time;
 use sycamore_core::status::Role;
 
-/// Longest convergence that is told apart, in microseconds: one hour.
+/// Upper bound of the convergence histogram: one hour.
 const MAX_CONVERGENCE_US: u64 = 3_600_000_000;
 
-/// How long versions take to be in force, one sample for each version and node.
+/// Time from publication until a version is in force, with one sample per version and node.
 #[derive(Debug)]
 pub struct Convergence {
     published: Vec<(u64, Time)>,
     held: Vec<u64>,
-    /// The highest version that each node has held, and its last start.
+    /// Highest version held by each node, and the time of its last start.
     highest_held: Vec<(u64, Time)>,
     samples: Histogram<u64>,
 }
 
 impl Convergence {
-    /// A measure of so many nodes that hold nothing yet.
     pub fn new(nodes: usize) -> Convergence {
-        // The bounds are constants that the histogram accepts.
+        // The bounds are valid constants.
         let samples = Histogram::new_with_bounds(1, MAX_CONVERGENCE_US, 3)
             .unwrap_or_else(|_| unreachable!("the bounds are valid"));
         let highest_held = vec![(0, Time::ZERO); nodes];
         Convergence { published: Vec::new(), held: vec![0; nodes], highest_held, samples }
     }
 
-    /// A version was published.
     pub fn record_published(&mut self, version: u64, at: Time) {
         self.published.push((version, at));
     }
 
-    /// A version came into force on a node; it stands for the ones it skipped too. A node that
-    /// was away when a version was published has had the time since its start.
+    /// Records that a version is in force on a node. Versions that the node skipped are sampled as
+    /// well. For versions published before the node started, the time counts from its start.
     pub fn record_in_force(&mut self, node: usize, version: u64, at: Time) {
         self.held[node] = version;
         let (highest, started) = self.highest_held[node];
@@ -50,24 +48,24 @@
         }
     }
 
-    /// A node started anew and lost what it held.
+    /// Records that a node has restarted and holds no version.
     pub fn record_restart(&mut self, node: usize, at: Time) {
         self.held[node] = 0;
         self.highest_held[node].1 = at;
     }
 
-    /// Forgets the samples and the versions published so far.
+    /// Clears all samples and the list of published versions.
     pub fn reset(&mut self) {
         self.samples.reset();
         self.published.clear();
     }
 
-    /// The version that a node holds; zero if none.
+    /// Version held by a node, or zero.
     pub fn held(&self, node: usize) -> u64 {
         self.held[node]
     }
 
-    /// How many nodes hold less than `version`.
+    /// Number of nodes that hold a version older than `version`.
     pub fn behind(&self, version: u64) -> usize {
         self.held.iter().filter(|held| **held < version).count()
     }
@@ -77,58 +75,57 @@
     }
 }
 
-/// What one run came to. Rates are over the measured span of simulated time.
+/// Results of one run. Rates refer to the measured span of simulated time.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Versions published.
     pub versions: usize,
-    /// Half of all versions and nodes took at most this long.
+    /// Median convergence time over all versions and nodes.
     pub p50_ms: f64,
-    /// 99 in 100 took at most this long.
+    /// 99th percentile of the convergence time.
     pub p99_ms: f64,
-    /// The slowest node took this long.
+    /// Maximum convergence time.
     pub max_ms: f64,
-    /// Nodes without the last version at the end.
+    /// Nodes without the newest version at the end of the run.
     pub behind: usize,
-    /// Control bytes a node and second, sent and received once each.
+    /// Control traffic per node in bytes/s; a message counts once, not for sender and receiver.
     pub bytes_per_node_s: f64,
-    /// The same within zones.
+    /// Control traffic within zones, in bytes/s per node.
     pub zone_bytes_per_node_s: f64,
-    /// The same between zones of a region.
+    /// Control traffic between zones of the same region, in bytes/s per node.
     pub region_bytes_per_node_s: f64,
-    /// The same between regions.
+    /// Control traffic between regions, in bytes/s per node.
     #[serde(rename = "across_bytes_per_node_s")]
     pub cross_region_bytes_per_node_s: f64,
-    /// Bytes a second between regions, all nodes together.
+    /// Control traffic between regions, in bytes/s for the whole fleet.
     #[serde(rename = "across_bytes_s")]
     pub cross_region_bytes_s: f64,
-    /// Bytes between regions for each version published, everything included.
+    /// Control bytes between regions per published version.
     #[serde(rename = "across_bytes_per_version")]
     pub cross_region_bytes_per_version: f64,
-    /// The same, only what carries versions: notices, pulls, deltas and reads of the platform.
+    /// Bytes between regions per published version for version transfer only: notices, pulls,
+    /// deltas and platform reads.
     #[serde(rename = "across_version_bytes")]
     pub cross_region_version_bytes: f64,
-    /// Bytes a second between regions by kind of message.
+    /// Control traffic between regions by message kind, in bytes/s.
     #[serde(rename = "across_kinds")]
     pub cross_region_kinds: IndexMap<&'static str, f64>,
-    /// Messages sent a node and second.
     pub messages_per_node_s: f64,
-    /// Platform calls a second, on average.
+    /// Average rate of platform calls.
     pub platform_calls_per_s: f64,
-    /// Most platform calls in one second, waiting watches counted.
+    /// Maximum number of platform calls in one second, including pending watches.
     pub platform_calls_peak: u64,
-    /// Platform calls refused as too many.
+    /// Platform calls rejected by the rate limit.
     pub platform_over_limit: u64,
-    /// Processor time of decisions and in-memory links, a node and second.
+    /// CPU time of the state machines and the simulated links per node, in µs/s.
     pub cpu_us_per_node_s: f64,
-    /// Memory that the fleet takes, divided by its nodes; nodes in one process share some content.
+    /// Memory of the fleet divided by the number of nodes. Nodes in one process share some content.
     pub kb_per_node: f64,
-    /// What the nodes of each role carried.
+    /// Load by node role.
     pub roles: Vec<RoleFigures>,
 }
 
 impl Figures {
-    /// Figures of convergence.
+    /// Creates figures with the convergence results only.
     pub fn new(convergence: &Convergence) -> Figures {
         let last = convergence.published.last().map_or(0, |(version, _)| *version);
         Figures {
@@ -141,7 +138,7 @@
         }
     }
 
-    /// The same with what went over the links of `nodes` nodes in `span`.
+    /// Adds the link traffic of `nodes` nodes during `span`.
     pub fn with_traffic(mut self, traffic: &Traffic, nodes: usize, span: Duration) -> Figures {
         let per_node_s = |count: u64| count as f64 / nodes as f64 / span.as_secs_f64();
         let [zone, region, cross_region] = traffic.bytes;
@@ -155,7 +152,7 @@
         self
     }
 
-    /// The same with what went between regions, by kind of message.
+    /// Adds the traffic between regions by message kind.
     pub fn with_kinds(mut self, kinds: &IndexMap<&'static str, u64>, span: Duration) -> Figures {
         let version_kinds = ["notice", "pull", "delta", "platform"];
         let bytes: u64 = version_kinds.iter().filter_map(|kind| kinds.get(kind)).sum();
@@ -165,7 +162,7 @@
         self
     }
 
-    /// The same with the calls to the platform in `span`.
+    /// Adds the platform calls during `span`.
     pub fn with_calls(mut self, calls: u64, over_limit: u64, peak: u64, span: Duration) -> Figures {
         self.platform_calls_per_s = calls as f64 / span.as_secs_f64();
         self.platform_calls_peak = peak;
@@ -173,34 +170,29 @@
         self
     }
 
-    /// The same with the processor time used for `nodes` nodes in `span` of simulated time.
+    /// Adds the CPU time spent on `nodes` nodes during `span` of simulated time.
     pub fn with_usage(mut self, cpu: Duration, nodes: usize, span: Duration) -> Figures {
         self.cpu_us_per_node_s = cpu.as_micros() as f64 / nodes as f64 / span.as_secs_f64();
         self
     }
 }
 
-/// What the nodes of one role carried, a node and second.
+/// Average load of the nodes of one role.
 #[derive(Clone, Debug, Serialize)]
 pub struct RoleFigures {
-    /// The role.
     pub role: Role,
-    /// Nodes in it.
     pub nodes: usize,
-    /// Bytes sent.
     pub sent_s: f64,
-    /// Bytes received.
     pub received_s: f64,
-    /// Bytes sent and received by the busiest of them.
+    /// Bytes sent and received per second by the node with the most traffic.
     pub most_bytes_s: f64,
-    /// Messages sent and received.
     pub messages_s: f64,
-    /// Time of the decider, in microseconds.
+    /// CPU time of the state machines, in µs/s.
     pub decider_us_s: f64,
 }
 
 impl RoleFigures {
-    /// The figures of every role that a node has, over `span`.
+    /// Computes the load of every role that at least one node has.
     pub fn all(loads: &[(Role, Load)], span: Duration) -> Vec<RoleFigures> {
         let roles = [Role::RegionReader, Role::ZoneRelay, Role::Relay, Role::Leaf];
         let of = |role| loads.iter().filter(move |(r, _)| *r == role).map(|(_, load)| *load);
@@ -227,14 +219,14 @@
     }
 }
 
-/// Processor time of this thread so far.
+/// CPU time of the current thread.
 pub fn cpu_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text.split_whitespace().next().and_then(|field| field.parse().ok());
     Duration::from_nanos(nanos.unwrap_or(0))
 }
 
-/// Resident memory of this process, in bytes.
+/// Resident memory of this process.
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:"));
