--- a/bench/src/fleet/memory.rs
+++ b/bench/src/fleet/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of one node's decider, alone with presets of several sizes.
+//! Memory of a single node for presets of several fleet sizes.
 
 use super::run::start_all;
 use super::slopes::{Line, Options};
@@ -7,28 +7,28 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Sizes of the fleets that the presets are for.
+/// Fleet sizes whose presets are measured.
 const FLEET_SIZES: [usize; 4] = [1_000, 5_000, 10_000, 23_000];
 
-/// The memory of one node at one size of the preset.
+/// Memory of one node for one preset size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct MemoryPoint {
-    /// Nodes that the preset is for.
+    /// Fleet size that the preset is made for.
     pub nodes: usize,
-    /// Services in it.
+    /// Services in the preset.
     pub services: usize,
-    /// KB of a node that needs every route, as a reader of the platform does.
+    /// Memory in KB of a node whose scope covers every route.
     pub full_kb: f64,
-    /// KB of a node with the usual scope that reads the platform itself, its worst case.
+    /// Memory in KB of a node with the default scope that reads the platform itself, which is the
+    /// worst case.
     pub usual_kb: f64,
 }
 
-/// Measures every size.
 pub fn measure(options: &Options) -> Vec<MemoryPoint> {
     FLEET_SIZES.iter().map(|nodes| measure_point(Size::of(*nodes), options)).collect()
 }
 
-/// The growth of a full scope with the number of nodes.
+/// Fits the memory of a full scope against the fleet size.
 pub fn fit_full_scope(points: &[MemoryPoint]) -> Line {
     let points: Vec<(f64, f64)> = points.iter().map(|p| (p.nodes as f64, p.full_kb)).collect();
     Line::fit(&points)
@@ -41,7 +41,8 @@
     MemoryPoint { nodes, services, full_kb, usual_kb }
 }
 
-/// Memory that one node takes from its start until it has a version in force and has settled.
+/// Measures the memory of a single node from its start until it has settled with a version in
+/// force.
 fn measure_node_kb(preset: Size, called_services: usize, options: &Options) -> f64 {
     let one = Size { nodes: 1, services: 1, zones: 1, regions: 1 };
     let setup =
