--- a/bench/src/fleet/operator.rs
+++ b/bench/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! What operators and the platform itself write: versions, zones and lists of VMs.
+//! Data written by operators and by the platform itself: versions, zones and VM lists.
 
 use super::Fleet;
 use super::fault::{PublicationKind, nodes_in_zone};
