--- a/bench/src/fleet/platform.rs
+++ b/bench/src/fleet/platform.rs
@@ -1,67 +1,65 @@
-//! The platform in memory: keys with an index, watches, the limit on calls, outages and stale
-//! answers. docs/INTERFACES.md states the contract.
+//! In-memory platform: an indexed key-value store with watches, a rate limit, outages and stale
+//! reads. The contract is described in docs/INTERFACES.md.
 
 use bytes::Bytes;
 use indexmap::IndexMap;
 use sycamore_core::{Name, Time};
 
-/// Calls a second that the platform answers, over all readers.
+/// Rate limit over all callers, in calls per second.
 pub const CALLS_PER_S: u64 = 2_000;
 
-/// A read, with the place of the answer in the caller's hands.
+/// A read or watch of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Get<C> {
-    /// Who reads; given back with the answer.
+    /// Identifies the caller; returned with the answer.
     pub caller: C,
-    /// The key.
     pub key: Name,
-    /// Answer only once the key's index is above this; `None` reads at once.
+    /// Answer only once the index of the key exceeds this value; `None` answers immediately.
     pub min_index_exclusive: Option<u64>,
-    /// Until when a watch waits.
+    /// Time at which a watch ends even without a change.
     pub until: Time,
 }
 
-/// What a call is answered.
+/// Answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The value and the index at which it last changed.
+    /// Value and the index of its last change.
     Value(Bytes, u64),
-    /// There is no such key.
+    /// The key does not exist.
     Missing,
-    /// Too many calls in this second.
+    /// The call exceeds the rate limit.
     OverLimit,
-    /// Nothing listens on the platform's port.
+    /// The connection was refused.
     Refused,
 }
 
-/// How the platform behaves now.
+/// How the platform responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It answers with its newest state.
+    /// Serves the current state.
     Up,
-    /// It does not answer.
+    /// Does not answer.
     Down,
-    /// Nothing listens on its port.
+    /// Refuses connections.
     Refusing,
-    /// It answers with the state as of this index: a stale replica, or a restored backup.
+    /// Serves the state as of this index, like a stale replica or a restored backup.
     AsOf(u64),
 }
 
-/// What was counted.
+/// Call counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls that reached the platform.
     pub total: u64,
     /// Calls answered with [`Answer::OverLimit`].
     pub over_limit: u64,
-    /// Most calls begun in one second plus watches that were waiting at its start.
+    /// Maximum over all seconds of the calls in that second plus the pending watches.
     pub peak: u64,
 }
 
-/// Values kept of one key, for stale answers.
+/// Previous values retained per key for stale reads.
 const MAX_VALUES_PER_KEY: usize = 32;
 
-/// The platform's state. `C` names a caller.
+/// The platform. `C` identifies a caller.
 pub struct Platform<C> {
     values: IndexMap<Name, Vec<(u64, Bytes)>>,
     index: u64,
@@ -73,7 +71,6 @@
 }
 
 impl<C: Clone> Platform<C> {
-    /// An empty platform.
     pub fn new() -> Platform<C> {
         Platform {
             values: IndexMap::new(),
@@ -86,22 +83,21 @@
         }
     }
 
-    /// The index of the last change.
+    /// Index of the last change.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// What was counted so far.
     pub fn calls(&self) -> CallCounts {
         self.calls
     }
 
-    /// Starts the count of the peak anew and returns what it was.
+    /// Returns the peak and resets it.
     pub fn take_peak(&mut self) -> u64 {
         std::mem::take(&mut self.calls.peak)
     }
 
-    /// How it behaves from now on. Watches that wait are lost in an outage.
+    /// Sets how the platform responds. An outage drops all pending watches.
     pub fn set_health(&mut self, health: Health) {
         self.health = health;
         if matches!(health, Health::Down | Health::Refusing) {
@@ -109,17 +105,16 @@
         }
     }
 
-    /// Ends the watches of some callers, whose connections have closed.
+    /// Drops the watches of callers whose connections have closed.
     pub fn drop_watches(&mut self, closed: impl Fn(&C) -> bool) {
         self.watches.retain(|watch| !closed(&watch.caller));
     }
 
-    /// How it behaves.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Writes a value, as an operator or the platform itself does.
+    /// Writes a value.
     pub fn put(&mut self, key: Name, value: Bytes) {
         self.index += 1;
         let versions = self.values.entry(key).or_default();
@@ -129,7 +124,7 @@
         versions.push((self.index, value));
     }
 
-    /// Takes a call. `None` means that it waits, or is lost in an outage.
+    /// Handles a call. `None` means that a watch is pending or that the call was lost in an outage.
     pub fn get(&mut self, now: Time, get: Get<C>) -> Option<Answer> {
         match self.health {
             Health::Down => return None,
@@ -152,7 +147,7 @@
         }
     }
 
-    /// Answers the watches whose key has changed or whose wait is over.
+    /// Removes and answers the watches whose key has changed or whose time is over.
     pub fn take_due_watches(&mut self, now: Time) -> Vec<(C, Answer)> {
         let mut due = Vec::new();
         let mut pending = Vec::new();
