--- a/bench/src/fleet/publication.rs
+++ b/bench/src/fleet/publication.rs
@@ -1,4 +1,4 @@
-//! What operators write to the platform for one version.
+//! Encoding of a version as key-value pairs on the platform.
 
 use bytes::Bytes;
 use flate2::Compression;
@@ -10,31 +10,31 @@
 use sycamore_core::config::in_force::InForce;
 use sycamore_core::hash::Hash;
 
-/// Largest preset that is published as one value. The platform takes ten times as much, but the
-/// readers that fetch a changed value would spend more than a node may.
+/// Presets larger than this are split into parts, to limit how much readers fetch per change. The
+/// platform itself accepts ten times this size.
 const MAX_SINGLE_VALUE_BYTES: usize = 100_000;
 
-/// Usual size of a part: about where a part and the root that lists all parts are equally large
-/// at the two-year size, so that a change rewrites least.
+/// Target size of a part. At the two-year fleet size, the root that lists the parts has about the
+/// same size, which minimizes the bytes rewritten per change.
 const TARGET_PART_BYTES: usize = 20_000;
 
-/// One version: values to write in this order, so that `in-force` names only what is there.
+/// The values of one version, to be written in this order so that `in-force` never refers to
+/// missing keys.
 #[derive(Clone, Debug)]
 pub struct Publication {
-    /// Keys and values; `in-force` is last.
+    /// Keys and values; `in-force` comes last.
     pub values: Vec<(Name, Bytes)>,
-    /// Value of `in-force`.
     pub in_force: InForce,
-    /// The preset with its parts added.
+    /// The complete preset, including the content of all parts.
     pub preset: Preset,
-    /// Bytes of the smallest message that could carry the change: version, digest and the
-    /// changed piece, compressed.
+    /// Size of the smallest message that could carry the change: compressed version, digest and
+    /// changed item.
     pub min_update_bytes: u64,
-    /// Bytes of all values of the preset, as a reader of the whole document fetches them.
+    /// Total size of the preset's values.
     pub preset_bytes: u64,
 }
 
-/// Writes presets, and keeps what it wrote so that only changed values are written again.
+/// Encodes presets and writes only values that have changed.
 pub struct Writer {
     version: u64,
     services_per_part: Option<usize>,
@@ -42,7 +42,7 @@
 }
 
 impl Writer {
-    /// A writer for presets of the size of this one.
+    /// Creates a writer whose partitioning suits the size of `preset`.
     pub fn new(preset: &Preset) -> Writer {
         let size = encode(preset).len();
         let per_part = preset.services.len() * TARGET_PART_BYTES / size.max(1);
@@ -50,13 +50,13 @@
         Writer { version: 0, services_per_part, written: IndexMap::new() }
     }
 
-    /// The next version, with this content. `changed` is the piece that differs from the last.
+    /// Encodes the next version. `changed` is the item that differs from the previous version.
     pub fn publish(&mut self, preset: &Preset, changed: &[u8]) -> Publication {
         self.version += 1;
         self.write(preset, changed)
     }
 
-    /// The last version again, with other content.
+    /// Encodes different content under the current version.
     pub fn publish_conflicting(&mut self, preset: &Preset) -> Publication {
         self.write(preset, b"")
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Divides a preset into a root without content and parts of `count` services with their routes.
+/// Splits a preset into a root and parts of `count` services with their routes.
 fn split_into_parts(preset: &Preset, count: usize) -> (Preset, Vec<(Name, Bytes)>) {
     let part_of = |service: &Name| preset.services.get_index_of(service).unwrap_or(0) / count;
     let parts = preset.services.len().div_ceil(count);
