--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! What a fleet records of versions for its history.
+//! Recording of version changes in the history of a fleet.
 
 use super::Fleet;
 use super::publication::Publication;
@@ -38,8 +38,8 @@
         self.history.push(Record::InForce { at, node, publication, content });
     }
 
-    /// The newest version that a neighbour held when the node started, of those that the node
-    /// could ask from then till now.
+    /// Newest version that any neighbour held when the node started, considering only neighbours
+    /// that have been reachable ever since.
     pub(super) fn newest_neighbour_version(&self, node: usize) -> u64 {
         let Some(start) = &self.slots[node].start else { return 0 };
         let stayed_reachable = |other: usize, incarnation: u32| {
