--- a/bench/src/fleet/measure.rs
+++ b/bench/src/fleet/measure.rs
@@ -185,10 +185,12 @@
     pub sent_s: f64,
     pub received_s: f64,
     /// Bytes sent and received per second by the node with the most traffic.
-    pub most_bytes_s: f64,
+    #[serde(rename = "most_bytes_s")]
+    pub max_bytes_s: f64,
     pub messages_s: f64,
     /// CPU time of the state machines, in µs/s.
-    pub decider_us_s: f64,
+    #[serde(rename = "decider_us_s")]
+    pub state_machine_us_s: f64,
 }
 
 impl RoleFigures {
@@ -212,9 +214,9 @@
             nodes,
             sent_s: mean(|load| load.sent as f64),
             received_s: mean(|load| load.received as f64),
-            most_bytes_s: max_bytes as f64 / seconds,
+            max_bytes_s: max_bytes as f64 / seconds,
             messages_s: mean(|load| load.messages as f64),
-            decider_us_s: mean(|load| load.busy.as_secs_f64() * 1e6),
+            state_machine_us_s: mean(|load| load.busy.as_secs_f64() * 1e6),
         }
     }
 }
--- a/bench/src/fleet/slopes.rs
+++ b/bench/src/fleet/slopes.rs
@@ -122,7 +122,7 @@
 ];
 
 fn busiest_node_bytes(outcome: &Outcome) -> f64 {
-    outcome.figures.roles.iter().map(|role| role.most_bytes_s).fold(0.0, f64::max)
+    outcome.figures.roles.iter().map(|role| role.max_bytes_s).fold(0.0, f64::max)
 }
 
 /// A line fitted by least squares.
--- a/bench/src/fleet/table.rs
+++ b/bench/src/fleet/table.rs
@@ -42,9 +42,9 @@
                 r.nodes,
                 r.sent_s,
                 r.received_s,
-                r.most_bytes_s,
+                r.max_bytes_s,
                 r.messages_s,
-                r.decider_us_s,
+                r.state_machine_us_s,
             );
         }
     }
