--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -1,4 +1,5 @@
-//! Runs of a fleet in memory that measure it: ordinary change, and storms.
+//! Measured runs of a fleet: regular configuration changes and disruptions, compared with the
+//! polling baseline.
 
 use super::fault::{Action, PublicationKind, nodes_in_zone};
 use super::measure::{Figures, RoleFigures, cpu_time};
@@ -9,77 +10,73 @@
 use std::time::Duration;
 use sycamore_core::place::Link;
 
-/// Longest wait for a fleet to hold a version.
+/// Maximum time to wait until the fleet holds a version.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Quiet time after the start, before counting begins.
+/// Time without changes before each measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// How long a zone stays cut in the storm of that name.
+/// Duration of the zone partition and, doubled, of the platform outage.
 const PARTITION_DURATION: Duration = Duration::from_secs(30);
 
-/// How long regions stay apart, and the versions published meanwhile: one a minute, since one
-/// each six seconds would only take longer to run.
+/// Duration of the region partition and number of versions published during it.
 const REGION_PARTITION_DURATION: Duration = Duration::from_secs(3_600);
 const REGION_PARTITION_VERSIONS: u32 = 60;
 
-/// Nodes of a rack.
 const RACK_NODES: usize = 40;
 
-/// How long killed processes stay away.
+/// Time between killing and restarting processes.
 const RESTART_DELAY: Duration = Duration::from_secs(10);
 
-/// What is run.
+/// Parameters of a measurement of regular changes.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Versions published while counting.
+    /// Versions to publish.
     pub versions: usize,
-    /// Time between two versions.
     pub interval: Duration,
-    /// Restarts of single processes a minute while counting.
+    /// Rate of single process restarts during the measurement.
     pub restarts_per_minute: u32,
 }
 
 impl Plan {
-    /// So many versions at the users' rate.
+    /// Plans `versions` changes at the default rate.
     pub fn new(versions: usize) -> Plan {
         Plan { versions, interval: interval_for(CHANGES_PER_DAY), restarts_per_minute: 0 }
     }
 
-    /// The same with another number of changes a day.
+    /// Sets the number of changes per day.
     pub fn with_changes_per_day(mut self, changes: u64) -> Plan {
         self.interval = interval_for(changes);
         self
     }
 
-    /// The same with processes that restart.
     pub fn with_restarts_per_minute(mut self, restarts: u32) -> Plan {
         self.restarts_per_minute = restarts;
         self
     }
 }
 
-/// What goes wrong in a storm.
+/// A failure of part of the system, during which versions are published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disruption {
-    /// A zone is cut from all others and the platform, versions are published, the cut heals.
+    /// A zone is cut off from all other zones and from the platform, then reconnected.
     ZonePartition,
-    /// Every relay and reader of a region is killed at once and returns later.
+    /// All relays and platform readers of a region are killed and restarted later.
     RelayRestart,
-    /// Every process of a zone is killed; all return at the same moment.
+    /// All processes of a zone are killed and restarted simultaneously.
     ZoneRestart,
-    /// Every process is killed; all return at the same moment.
+    /// All processes are killed and restarted simultaneously.
     FleetRestart,
-    /// A rack of a zone fails for good.
+    /// A rack in one zone fails permanently.
     RackLoss,
-    /// A region is cut from all others and the platform for an hour of changes.
+    /// A region is cut off from all other regions and from the platform for an hour of changes.
     RegionPartition,
-    /// The platform is away while versions are published; it returns.
+    /// The platform does not answer for a while.
     PlatformOutage,
 }
 
 impl Disruption {
-    /// Every storm that takes at most a few minutes of simulated time.
+    /// All disruptions that take at most a few minutes of simulated time.
     pub const SHORT: [Disruption; 6] = [
         Disruption::RackLoss,
         Disruption::ZonePartition,
@@ -89,7 +86,6 @@
         Disruption::PlatformOutage,
     ];
 
-    /// Every storm.
     pub const ALL: [Disruption; 7] = [
         Disruption::RackLoss,
         Disruption::ZonePartition,
@@ -100,7 +96,7 @@
         Disruption::RegionPartition,
     ];
 
-    /// Its name on the command line and in results.
+    /// Name on the command line and in the results.
     pub fn name(self) -> &'static str {
         match self {
             Disruption::ZonePartition => "zone-cut",
@@ -114,72 +110,67 @@
     }
 }
 
-/// What a storm came to.
+/// Results of one disruption.
 #[derive(Clone, Debug, Serialize)]
 pub struct DisruptionFigures {
-    /// The storm's name.
     #[serde(rename = "storm")]
     pub disruption: &'static str,
-    /// From the heal, or from the return of the processes, until the last version was in force on
-    /// every node; `None` if it never was.
+    /// Time from the repair or restart until the newest version is in force on every node; `None`
+    /// on timeout.
     pub recovered_ms: Option<f64>,
-    /// Nodes still without it when waiting ended.
+    /// Nodes without the newest version at the end.
     pub behind: usize,
-    /// Most platform calls in one second, waiting watches counted.
+    /// Maximum number of platform calls in one second, including pending watches.
     pub platform_calls_peak: u64,
-    /// Platform calls refused as too many.
+    /// Platform calls rejected by the rate limit.
     pub platform_over_limit: u64,
-    /// Bytes between regions from the beginning of the storm to its end.
+    /// Bytes between regions from the beginning of the disruption until recovery.
     #[serde(rename = "across_bytes")]
     pub cross_region_bytes: u64,
-    /// Bytes of all links in the same span, a node.
+    /// Bytes on all links per node during the same span.
     pub bytes_per_node: f64,
 }
 
-/// What a fleet came to.
+/// Results of all measurements of one system.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// From the start of every process until each had a version in force; `None` if one never had.
+    /// Time from the simultaneous start of all processes until every node has a version in force;
+    /// `None` on timeout.
     pub started_ms: Option<f64>,
-    /// Most platform calls in one second of that start.
+    /// Maximum number of platform calls in one second during that start.
     pub start_calls_peak: u64,
-    /// Ordinary change.
+    /// Results of regular changes.
     pub figures: Figures,
-    /// Bytes of the smallest messages that could carry a version: its compressed change, once a
-    /// region.
+    /// Lower bound of the bytes between regions per version: the smallest update, sent once to each
+    /// other region.
     #[serde(rename = "smallest_across_bytes")]
     pub min_cross_region_bytes: f64,
-    /// Bytes between regions that carry a version, for each of the smallest.
+    /// Ratio of the bytes that carry versions between regions to the lower bound.
     #[serde(rename = "versions_to_smallest")]
     pub version_bytes_to_min: f64,
-    /// All bytes between regions for each version, for each of the smallest.
+    /// Ratio of all bytes between regions to the lower bound.
     #[serde(rename = "across_to_smallest")]
     pub cross_region_bytes_to_min: f64,
-    /// Storms.
     #[serde(rename = "storms")]
     pub disruptions: Vec<DisruptionFigures>,
 }
 
-/// Both ways side by side.
+/// Results of the fleet and the polling baseline at one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// Nodes.
     pub nodes: usize,
-    /// Services.
     pub services: usize,
-    /// Availability zones.
     pub zones: usize,
-    /// Regions.
     pub regions: usize,
-    /// The system.
+    /// The fleet.
     #[serde(rename = "ours")]
     pub fleet: Outcome,
-    /// Every node polls the whole document.
+    /// The baseline, in which every node polls the complete document.
     #[serde(rename = "naive")]
     pub baseline: Outcome,
 }
 
-/// Runs both ways over the same links and the same changes.
+/// Measures the fleet and the baseline with the same links and changes.
 pub fn compare(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Comparison {
     let size = setup.size;
     let fleet = run_fleet(setup, plan, disruptions);
@@ -188,7 +179,7 @@
     Comparison { nodes, services, zones, regions, fleet, baseline }
 }
 
-/// Runs the system.
+/// Measures the fleet.
 pub fn run_fleet(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
     let before = (setup.memory)();
     let mut fleet = Fleet::new(setup.clone());
@@ -243,7 +234,7 @@
     }
 }
 
-/// Starts every process at the same moment.
+/// Starts all processes simultaneously. Returns the time until version 1 is in force everywhere.
 pub fn start_all(fleet: &mut Fleet) -> Option<Duration> {
     let all = (0..fleet.size().nodes).collect();
     let now = fleet.now();
@@ -252,7 +243,7 @@
     fleet.run_until_converged(1, CONVERGENCE_TIMEOUT)
 }
 
-/// Publishes the plan's versions and measures.
+/// Publishes the planned versions and measures the fleet meanwhile.
 pub fn measure_changes(fleet: &mut Fleet, plan: &Plan) -> Figures {
     fleet.run_for(SETTLE_TIME);
     fleet.convergence().reset();
@@ -271,7 +262,7 @@
     let nodes = fleet.size().nodes;
     let roles = RoleFigures::all(&fleet.loads(), span);
     let kinds = fleet.cross_region_bytes().clone();
-    // The last version gets its time too; the rates are over the span before.
+    // Wait for the last version; the rates cover only the span before.
     let last = fleet.last_valid_version();
     fleet.run_until_converged(last, CONVERGENCE_TIMEOUT);
     let over_limit = now.over_limit - calls.over_limit;
@@ -294,7 +285,7 @@
     }
 }
 
-/// Puts a settled fleet through a storm and waits until it has recovered.
+/// Runs a disruption on a settled fleet and waits for recovery.
 pub fn run_disruption(fleet: &mut Fleet, disruption: Disruption) -> DisruptionFigures {
     fleet.run_for(SETTLE_TIME);
     fleet.take_peak();
@@ -315,7 +306,7 @@
     }
 }
 
-/// Breaks things, publishes, and returns at the moment of the heal.
+/// Injects the failure, publishes versions and returns once the failure is repaired.
 fn inject_and_repair(fleet: &mut Fleet, disruption: Disruption) {
     let publish = || Action::Publish(PublicationKind::Next);
     let now = |fleet: &mut Fleet, action: Action| {
@@ -334,7 +325,7 @@
         Disruption::RelayRestart => {
             let relays = fleet.relays(Some(1.min(size.regions as u16 - 1)));
             now(fleet, Action::Kill(relays.clone()));
-            // Recovery is measured from here: the rest of the region must find other ways.
+            // Recovery is measured from here: the region must converge without these relays.
             fleet.schedule(RESTART_DELAY, Action::Start(relays));
             now(fleet, publish());
         }
@@ -381,7 +372,7 @@
     }
 }
 
-/// Bytes between regions that a version needs at least, on average over the plan's.
+/// Average lower bound of the bytes between regions per version of the plan.
 fn min_cross_region_bytes(setup: &Setup, plan: &Plan) -> f64 {
     let mut workload = super::workload::Workload::new(setup.size, setup.seed);
     workload.publish();
