--- a/bench/src/fleet/setup.rs
+++ b/bench/src/fleet/setup.rs
@@ -1,34 +1,31 @@
-//! What a fleet in memory is made of.
+//! Parameters of a simulated fleet.
 
 use super::measure;
 use super::workload::{CALLED_SERVICES, Size};
 use crate::links::Profile;
 
-/// What a fleet is made of.
+/// Parameters of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Its size.
     pub size: Size,
-    /// The size of the fleet that the preset is for; the same, unless the memory of a few nodes
-    /// with a large preset is measured.
+    /// Size of the fleet that the preset is made for. Differs from `size` when measuring the memory
+    /// of a few nodes with a large preset.
     pub preset_size: Size,
-    /// Its links.
     pub profile: Profile,
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Services that a target calls besides its own.
+    /// Number of services that a target calls besides its own.
     pub called_services: usize,
-    /// Tells the memory in use, in bytes.
+    /// Returns the memory in use, in bytes.
     pub memory: fn() -> u64,
-    /// Whether nodes are without the deciders of the call path, and so without the notes that
-    /// these send.
+    /// Runs nodes without the call path and its notes, to save memory.
     pub spread_only: bool,
-    /// Whether a history is recorded and every configuration held against what was published.
+    /// Records a history and compares every configuration in force with the published one.
     pub record_history: bool,
 }
 
 impl Setup {
-    /// A fleet of the Franchise Office's links with the usual scope, without a record.
+    /// Uses the links of the Franchise Office and the default scope, without a history.
     pub fn new(size: Size, seed: u64) -> Setup {
         let profile = Profile::franchise();
         Setup {
@@ -43,37 +40,37 @@
         }
     }
 
-    /// The same with these links.
+    /// Sets the link profile.
     pub fn with_profile(mut self, profile: Profile) -> Setup {
         self.profile = profile;
         self
     }
 
-    /// The same with the preset of another fleet.
+    /// Uses the preset of a fleet of another size.
     pub fn with_preset_of(mut self, size: Size) -> Setup {
         self.preset_size = size;
         self
     }
 
-    /// The same with another scope.
+    /// Sets the number of called services, and thereby the scope of a node.
     pub fn with_called_services(mut self, called_services: usize) -> Setup {
         self.called_services = called_services;
         self
     }
 
-    /// The same with a better gauge of the memory in use.
+    /// Replaces the function that returns the memory in use.
     pub fn with_memory(mut self, memory: fn() -> u64) -> Setup {
         self.memory = memory;
         self
     }
 
-    /// The same with or without the call path.
+    /// Enables or disables the call path.
     pub fn with_spread_only(mut self, spread_only: bool) -> Setup {
         self.spread_only = spread_only;
         self
     }
 
-    /// The same with a record.
+    /// Enables recording of a history.
     pub fn with_history(mut self) -> Setup {
         self.record_history = true;
         self
