--- a/bench/src/fleet/size.rs
+++ b/bench/src/fleet/size.rs
@@ -1,4 +1,4 @@
-//! Bytes that a message takes on the wire, as a node's adapter encodes it.
+//! Size of messages on the wire, as encoded by the node's transport.
 
 use indexmap::IndexMap;
 use std::sync::Arc;
@@ -8,17 +8,17 @@
 use sycamore_node::spread::codec;
 use sycamore_node::spread::payload::PayloadCache;
 
-/// Contents whose size is kept.
+/// Maximum number of cached sizes per kind of content.
 const CACHE_CAPACITY: usize = 8_192;
 
-/// Names the content of a delta: its version, base and result.
+/// Identifies the content of a delta: version, base digest and result digest.
 type DeltaKey = (u64, Option<Hash>, Hash);
 
-/// Names a list of VMs: its zone and index.
+/// Identifies a VM list: zone and index.
 type ListKey = (Name, u64);
 
-/// Sizes of messages, with those of large contents kept: one content goes to many nodes, each of
-/// which holds its own copy, and is compressed here only once.
+/// Computes message sizes. Caches those of deltas and VM lists, since the same content is sent to
+/// many nodes and compressing it each time is expensive.
 #[derive(Debug, Default)]
 pub struct SizeCache {
     payloads: PayloadCache,
@@ -27,7 +27,7 @@
 }
 
 impl SizeCache {
-    /// Bytes of a message and of the call that carries it, without the heads of TCP and IP.
+    /// Size of a message including its HTTP call, without TCP and IP headers.
     pub fn wire_size(&mut self, msg: &PeerMsg) -> u64 {
         match msg {
             PeerMsg::Delta(delta) => self.delta(delta),
@@ -60,7 +60,7 @@
     }
 }
 
-/// Kind of a message, for the counters.
+/// Message kind, as used in the traffic counters.
 pub fn kind(msg: &PeerMsg) -> &'static str {
     match msg {
         PeerMsg::Ping(_) | PeerMsg::Pong(_) => "ping and pong",
