--- a/bench/src/fleet/slopes.rs
+++ b/bench/src/fleet/slopes.rs
@@ -1,41 +1,40 @@
-//! Slopes: one thing grows over several sizes, the rest stays, and a line is fitted.
+//! Scaling measurements: vary one factor, keep the others constant, and fit a line to each metric.
 
 use super::Setup;
 use super::run::{Outcome, Plan, run_fleet};
 use super::workload::{CALLED_SERVICES, CHANGES_PER_DAY, Size};
 use serde::Serialize;
 
-/// How slopes are measured.
+/// Options of a scaling measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Versions published while counting, at the usual rate.
+    /// Versions to publish per size, at the default rate.
     pub versions: usize,
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Tells the memory in use, in bytes.
+    /// Returns the memory in use, in bytes.
     pub memory: fn() -> u64,
 }
 
-/// What grows.
+/// The factor that varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Factor {
-    /// Nodes, with nine targets a service, in 6 zones of 3 regions.
+    /// Nodes, with nine targets per service, in 6 zones of 3 regions.
     Nodes,
     /// Regions of two zones each, with 1,000 nodes.
     Regions,
     /// Services, with 1,000 nodes.
     Services,
-    /// Services in the scope of a node, with 1,000 nodes in 200 services.
+    /// Services in the scope of a node, with 1,000 nodes and 200 services.
     Scope,
-    /// Changes a day, with 1,000 nodes.
+    /// Changes per day, with 1,000 nodes.
     Changes,
-    /// Restarts a minute, with 1,000 nodes.
+    /// Process restarts per minute, with 1,000 nodes.
     Restarts,
 }
 
 impl Factor {
-    /// Every factor.
     pub const ALL: [Factor; 6] = [
         Factor::Nodes,
         Factor::Regions,
@@ -45,7 +44,7 @@
         Factor::Restarts,
     ];
 
-    /// Its name in results.
+    /// Name in the results.
     pub fn name(self) -> &'static str {
         match self {
             Factor::Nodes => "nodes",
@@ -57,7 +56,7 @@
         }
     }
 
-    /// The sizes at which it is measured.
+    /// Values at which the factor is measured.
     pub fn values(self) -> [u64; 5] {
         match self {
             Factor::Nodes => [200, 500, 1_000, 2_000, 4_000],
@@ -89,7 +88,7 @@
             Factor::Services => run(base.with_services(count), CALLED_SERVICES, plan),
             Factor::Scope => run(base.with_services(200), count, plan),
             Factor::Changes => {
-                // As many simulated seconds at every rate.
+                // The simulated time is the same at every rate.
                 let versions = (versions as u64 * value / CHANGES_PER_DAY).max(2) as usize;
                 let plan = Plan::new(versions).with_changes_per_day(value);
                 run(base, CALLED_SERVICES, plan)
@@ -101,15 +100,14 @@
     }
 }
 
-/// What is measured for each size.
+/// A quantity measured at each value of the factor.
 #[derive(Clone, Copy, Debug)]
 pub struct Metric {
-    /// Its name with the unit.
+    /// Name, including the unit.
     pub name: &'static str,
     of: fn(&Outcome) -> f64,
 }
 
-/// Every metric.
 pub const METRICS: [Metric; 8] = [
     Metric { name: "control bytes/s a node", of: |o| o.figures.bytes_per_node_s },
     Metric { name: "bytes/s of the busiest node", of: busiest_node_bytes },
@@ -125,23 +123,23 @@
     outcome.figures.roles.iter().map(|role| role.max_bytes_s).fold(0.0, f64::max)
 }
 
-/// A line fitted by least squares.
+/// A least-squares line fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Value at zero.
+    /// Value at x = 0.
     #[serde(rename = "at_zero")]
     pub intercept: f64,
-    /// Growth for each unit.
+    /// Change in y per unit of x.
     pub slope: f64,
     /// Standard error of the slope.
     pub slope_error: f64,
-    /// Standard deviation of the points from the line.
+    /// Standard deviation of the residuals.
     #[serde(rename = "spread")]
     pub residual_std_dev: f64,
 }
 
 impl Line {
-    /// Fits a line to points (x, y); at least three, not all with one x.
+    /// Fits a line to points (x, y). Requires at least three points with different x.
     pub fn fit(points: &[(f64, f64)]) -> Line {
         let n = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / n;
@@ -156,29 +154,27 @@
     }
 }
 
-/// All points of one factor.
+/// All measurements of one factor.
 #[derive(Clone, Debug, Serialize)]
 pub struct Series {
-    /// What grew.
     pub factor: Factor,
-    /// Its sizes.
+    /// Values of the factor.
     pub values: Vec<u64>,
-    /// One row for each metric, one value for each size.
+    /// One row per metric.
     pub rows: Vec<Row>,
 }
 
-/// One metric over the sizes.
+/// One metric at all values of the factor.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// The metric.
     pub metric: &'static str,
-    /// Its values.
+    /// Measured values, in the order of [`Series::values`].
     pub values: Vec<f64>,
-    /// The line through them.
+    /// Line fitted to the values.
     pub line: Line,
 }
 
-/// Measures one factor at all its sizes.
+/// Measures one factor at all of its values.
 pub fn measure(factor: Factor, options: &Options) -> Series {
     let values = factor.values();
     let outcomes: Vec<Outcome> = values.iter().map(|value| factor.run(*value, options)).collect();
@@ -191,7 +187,7 @@
     Series { factor, values: values.to_vec(), rows: METRICS.iter().map(row).collect() }
 }
 
-/// A series as a table in Markdown.
+/// Formats a series as a Markdown table.
 pub fn markdown(series: &Series) -> String {
     let sizes: Vec<String> = series.values.iter().map(u64::to_string).collect();
     let mut text = format!("## {}\n\n", series.factor.name());
@@ -208,7 +204,7 @@
     text
 }
 
-/// A number with about four digits.
+/// Formats a number with about four significant digits.
 fn format_significant(value: f64) -> String {
     match value.abs() {
         size if size >= 1_000.0 => format!("{value:.0}"),
