--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -1,4 +1,4 @@
-//! A place for a node's process: its decider, and what the transport knows of it.
+//! The process of one simulated node: its state machines and the transport state around them.
 
 use super::Setup;
 use super::workload::vm_name;
@@ -17,147 +17,136 @@
 use sycamore_core::status::Role;
 use sycamore_core::{Name, Time};
 
-/// Peers of its own zone that a node's settings name.
+/// Number of seed peers in the node's own zone.
 const ZONE_SEEDS: usize = 3;
 
-/// Peers of other zones that a node's settings name.
+/// Number of seed peers in other zones.
 const OTHER_SEEDS: usize = 2;
 
-/// Inputs that a paused process's sockets hold back; further ones are lost.
+/// Maximum number of inputs queued for a paused process; further inputs are dropped.
 const BACKLOG: usize = 4_096;
 
-/// A neighbour as it was when a node started.
+/// State of a neighbour at the time a node started.
 #[derive(Clone, Copy, Debug)]
 pub struct Neighbour {
-    /// Number of the node.
     pub node: usize,
-    /// Its life then.
+    /// Incarnation of the neighbour's process.
     pub incarnation: u32,
-    /// The version that it held.
+    /// Version in force on the neighbour.
     pub version: u64,
 }
 
 /// The start of a process.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// When.
+    /// Time of the start.
     pub at: Time,
-    /// The neighbours that it could ask then.
+    /// Neighbours that were reachable at that time.
     pub neighbours: Vec<Neighbour>,
 }
 
-/// What a node has carried since the counters were last reset.
+/// Load of a node since the counters were last reset.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     /// Bytes sent to peers and the platform.
     pub sent: u64,
     /// Bytes received from peers and the platform.
     pub received: u64,
-    /// Messages sent and received.
     pub messages: u64,
-    /// Time that its decider took.
+    /// CPU time of the state machines, measured as wall-clock time.
     pub busy: Duration,
 }
 
-/// An input to a node that owns what it names, so that a paused process can get it later.
+/// Input to a node's state machines. Owns its data, so that it can be queued for a paused process.
 #[derive(Debug)]
 pub enum NodeInput {
-    /// To the spread.
+    /// Input to version distribution.
     Spread(Input),
-    /// A request from a caller.
     Request {
-        /// The call at the entry node.
+        /// Call at the entry node.
         call: CallKey,
-        /// Its path.
         path: String,
-        /// Its `Idempotency-Key`.
         key: Option<RequestKey>,
     },
-    /// An attempt came to something.
+    /// An attempt has ended.
     AttemptEnded {
-        /// The call at the entry node.
+        /// Call at the entry node.
         call: CallKey,
-        /// What it came to.
+        /// Outcome of the attempt.
         end: entry::AttemptEnd,
     },
-    /// The answer has gone out.
+    /// The response has been sent to the caller.
     ResponseSent(CallKey),
-    /// The deadline at the entry node.
+    /// The deadline has expired at the entry node.
     DeadlineExpired {
-        /// The call at the entry node.
+        /// Call at the entry node.
         call: CallKey,
     },
     /// A request from an entry node.
     GatekeeperRequest {
-        /// The call at the gatekeeper.
+        /// Call at the gatekeeper.
         call: CallKey,
-        /// Its path.
         path: String,
-        /// Its `Idempotency-Key`.
         key: Option<RequestKey>,
-        /// Its digest.
         digest: Hash,
-        /// Its fingerprint.
         fingerprint: Fingerprint,
-        /// Crashes that the entry node knows of.
+        /// Target crashes caused by this request so far, as known to the entry node.
         crashes: u32,
-        /// When its caller stops waiting.
+        /// Time until which the caller waits.
         deadline: Time,
     },
-    /// A waiting request's time is up.
+    /// The queueing time of a request has expired.
     QueueTimeout(CallKey),
-    /// The entry node of a waiting request has gone away.
+    /// The entry node of a queued request has closed its connection.
     Withdraw(CallKey),
-    /// A run has ended.
+    /// The target has finished or failed a run.
     RunEnded {
-        /// The call at the gatekeeper.
+        /// Call at the gatekeeper.
         call: CallKey,
-        /// How.
         end: gatekeeper::End,
     },
-    /// Time passes for the gatekeeper.
+    /// Periodic tick of the gatekeeper.
     Tick,
 }
 
-/// What decides for a node.
+/// State machines of a running node.
 enum StateMachine {
-    /// All of it.
+    /// Version distribution and the call path.
     Node(Box<Node>),
-    /// Only the spread, where memory does not suffice for all.
+    /// Version distribution only, to save memory.
     Spread(Box<Spread>),
 }
 
-/// One node.
+/// A node whose process can be started, stopped and paused.
 pub struct Slot {
-    /// How other nodes know it.
+    /// The node as known to its peers.
     pub peer: Peer,
-    /// Nodes that its settings name.
+    /// Numbers of the seed peers in the node's settings.
     pub seeds: Vec<usize>,
-    /// Services whose routes it needs.
+    /// Services whose routes the node needs; `None` for all.
     pub scope: Option<Vec<Name>>,
-    /// Starts so far: what belongs to an earlier life is dropped.
+    /// Number of starts and stops. Events addressed to an earlier incarnation are dropped.
     pub incarnation: u32,
-    /// When the decider wants to be woken.
+    /// Time at which the node asked to be woken.
     pub wake: Option<Time>,
-    /// When the next wake is queued.
+    /// Time of the earliest wake event in the queue.
     pub queued_wake: Option<Time>,
-    /// Calls to the platform that have not ended.
+    /// Open calls to the platform.
     pub calls: HashSet<CallId>,
-    /// The version in force.
     pub in_force: Option<InForce>,
-    /// Since when.
+    /// Time at which that version came into force.
     pub in_force_since: Option<Time>,
-    /// What the decider shows on `/status`.
+    /// State shown on `/status`.
     pub view: Option<View>,
-    /// Whether it takes questions and never answers.
+    /// Whether the process ignores requests from peers.
     pub ignores_requests: bool,
-    /// Whether what it sends does not match its hash.
+    /// Whether the content it sends does not match its hash.
     pub corrupts_messages: bool,
-    /// When it last was paused, silent or lying.
+    /// Last time the process was paused or resumed, or one of the two flags above changed.
     pub last_impaired: Time,
-    /// What it has carried.
+    /// Load since the last reset.
     pub load: Load,
-    /// Its last start, while nothing is in force yet.
+    /// The last start, until a version is in force.
     pub start: Option<Start>,
     state_machine: Option<StateMachine>,
     spread_only: bool,
@@ -169,7 +158,6 @@
 }
 
 impl Slot {
-    /// A node whose process has not started.
     pub fn new(setup: &Setup, node: usize) -> Slot {
         let size = &setup.size;
         let member = size.member(node);
@@ -200,37 +188,37 @@
         }
     }
 
-    /// Whether the process runs, paused or not.
+    /// Whether the process is running or paused.
     pub fn is_running(&self) -> bool {
         self.state_machine.is_some()
     }
 
-    /// Whether the process does not run for now.
+    /// Whether the process is paused.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
-    /// Whether it can't be expected to answer well.
+    /// Whether the process may not answer, or answer incorrectly.
     pub fn is_impaired(&self) -> bool {
         self.paused || self.ignores_requests || self.corrupts_messages
     }
 
-    /// The version in force; zero if none.
+    /// Version in force, or zero.
     pub fn version(&self) -> u64 {
         self.in_force.as_ref().map_or(0, |in_force| in_force.version)
     }
 
-    /// What it does for the spread.
+    /// Role in version distribution.
     pub fn role(&self) -> Role {
         self.view.as_ref().map_or(Role::Leaf, |view| view.role)
     }
 
-    /// How it looks to a node that starts now.
+    /// State as seen by a node that starts now.
     pub fn as_neighbour(&self, node: usize) -> Neighbour {
         Neighbour { node, incarnation: self.incarnation, version: self.version() }
     }
 
-    /// Starts the process.
+    /// Starts the process, after stopping a running one.
     pub fn start(&mut self, start: Start) {
         self.stop();
         let cfg = Config {
@@ -252,7 +240,7 @@
         });
     }
 
-    /// Ends the process: it forgets everything.
+    /// Stops the process and discards its state.
     pub fn stop(&mut self) {
         self.incarnation += 1;
         self.state_machine = None;
@@ -266,13 +254,13 @@
         self.backlog.clear();
     }
 
-    /// Stops the process from running until [`Slot::resume`].
+    /// Suspends the process until [`Slot::resume`].
     pub fn pause(&mut self, now: Time) {
         self.paused = true;
         self.last_impaired = now;
     }
 
-    /// Lets the process run again. Returns what came in meanwhile.
+    /// Resumes the process. Returns the inputs queued in the meantime.
     pub fn resume(&mut self, now: Time) -> Vec<NodeInput> {
         if self.paused {
             self.last_impaired = now;
@@ -281,14 +269,15 @@
         std::mem::take(&mut self.backlog)
     }
 
-    /// A version has come into force.
+    /// Records the version that is now in force.
     pub fn set_in_force(&mut self, in_force: InForce, at: Time) {
         self.in_force = Some(in_force);
         self.in_force_since = Some(at);
         self.start = None;
     }
 
-    /// Hands an input to the deciders; a paused process gets it later.
+    /// Passes an input to the state machines, or queues it if the process is paused. Ticks of a
+    /// paused process are dropped.
     pub fn handle(&mut self, now: Time, input: NodeInput, out: &mut Vec<node::Output>) {
         if self.paused {
             if self.backlog.len() < BACKLOG && !matches!(input, NodeInput::Tick) {
@@ -368,7 +357,7 @@
     node.handle(now, input, out);
 }
 
-/// The number of the node with an address, from [`super::workload::address`].
+/// Number of the node with an address created by [`super::workload::address`].
 pub fn node_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -379,7 +368,8 @@
     }
 }
 
-/// Seeds of a node: some of its zone and some of other zones, its own region first.
+/// Chooses seed peers from the node's own zone and from other zones, preferring those of its
+/// region.
 fn seeds(setup: &Setup, node: usize) -> Vec<usize> {
     let size = &setup.size;
     let site = size.site(node);
