--- a/bench/src/fleet/source.rs
+++ b/bench/src/fleet/source.rs
@@ -1,4 +1,4 @@
-//! Calls of nodes to the platform, carried as the adapter does.
+//! Platform calls of simulated nodes.
 
 use super::platform::{Answer, Get};
 use super::{Fleet, FleetEvent, PLATFORM};
@@ -7,20 +7,20 @@
 use sycamore_core::spread::port::CallId;
 use sycamore_core::spread::{Input, SourceCall, SourceReply, SourceValue};
 
-/// How long a caller waits for the platform beyond the wait that it asked for.
+/// Timeout of a platform call, in addition to the requested wait of a watch.
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of the head of a request to the platform and of an answer.
+/// Size of the HTTP headers of a platform request or response.
 const HEADER_BYTES: u64 = 120;
 
-/// Names a call to the platform: the node, its life and the node's own id.
+/// Identifies a platform call of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceCallKey {
     /// Number of the node.
     pub node: usize,
-    /// Its life.
+    /// Incarnation of the node's process.
     pub incarnation: u32,
-    /// Its id.
+    /// Call id assigned by the node.
     pub id: CallId,
 }
 
