--- a/bench/src/fleet/table.rs
+++ b/bench/src/fleet/table.rs
@@ -1,10 +1,10 @@
-//! Results as tables for people, and as one line of JSON for programs.
+//! Output of results as tables, and as one line of JSON.
 
 use super::run::{Comparison, Outcome};
 
-/// Prints convergence, storms and what the platform and the nodes carry.
+/// Prints convergence times, load of nodes and platform, and recovery from disruptions.
 pub fn convergence(comparisons: &[Comparison]) {
-    println!("Convergence in ms, and what a node and the platform carry:");
+    println!("Convergence time in ms, and load of nodes and platform:");
     println!(
         "{:>6} {:>6} {:>9} {:>9} {:>9} {:>7} {:>9} {:>9} {:>8} {:>9} {:>8}",
         "nodes",
@@ -28,10 +28,10 @@
 }
 
 fn roles(comparisons: &[Comparison]) {
-    println!("\nOurs by role, a node and second:");
+    println!("\nOurs by role, per node and second:");
     println!(
         "{:>6} {:>14} {:>6} {:>9} {:>9} {:>11} {:>9} {:>11}",
-        "nodes", "role", "count", "B sent", "B recv", "busiest B", "messages", "decider us"
+        "nodes", "role", "count", "B sent", "B recv", "busiest B", "messages", "cpu us"
     );
     for comparison in comparisons {
         for r in &comparison.fleet.figures.roles {
@@ -67,10 +67,12 @@
 }
 
 fn disruptions(comparisons: &[Comparison]) {
-    println!("\nStorms: ms from the heal or the return until the last version is in force:");
+    println!(
+        "\nDisruptions: ms from repair or restart until the newest version is in force everywhere:"
+    );
     println!(
         "{:>6} {:>6} {:>11} {:>11} {:>7} {:>10} {:>10} {:>14}",
-        "nodes", "", "storm", "recovered", "behind", "peak calls", "over limit", "B across"
+        "nodes", "", "disruption", "recovered", "behind", "peak calls", "over limit", "B across"
     );
     for comparison in comparisons {
         disruption_rows(comparison.nodes, "ours", &comparison.fleet);
@@ -95,9 +97,9 @@
     }
 }
 
-/// Prints control bytes by class of link, and between regions against the least possible.
+/// Prints control traffic by link class, and between regions relative to the lower bound.
 pub fn bytes(comparisons: &[Comparison]) {
-    println!("Control bytes a node and second, by class of link:");
+    println!("Control bytes per node and second, by link class:");
     println!(
         "{:>6} {:>6} {:>10} {:>10} {:>10} {:>10} {:>16} {:>12} {:>12}",
         "nodes",
@@ -122,7 +124,7 @@
 }
 
 fn kinds(comparisons: &[Comparison]) {
-    println!("\nOurs between regions by kind of message, bytes a second, all nodes together:");
+    println!("\nOurs between regions by message kind, in bytes/s for the whole fleet:");
     for comparison in comparisons {
         let kinds = comparison.fleet.figures.cross_region_kinds.iter();
         let kinds: Vec<String> = kinds.map(|(kind, rate)| format!("{kind} {rate:.0}")).collect();
