--- a/bench/src/fleet/workload.rs
+++ b/bench/src/fleet/workload.rs
@@ -1,4 +1,4 @@
-//! Presets of any size, and the changes that operators and churn make to them.
+//! Generates presets of any size and a sequence of changes to them.
 
 use super::publication::{Publication, Writer};
 use crate::links::Site;
@@ -13,30 +13,28 @@
 use sycamore_core::member::{Member, VmState};
 use sycamore_core::place::Place;
 
-/// Changes of configuration a day at the users' two-year size.
+/// Configuration changes per day at the two-year fleet size.
 pub const CHANGES_PER_DAY: u64 = 14_000;
 
-/// Services that a target calls besides its own, in fleets that have so many.
+/// Default number of services that a target calls besides its own.
 pub const CALLED_SERVICES: usize = 20;
 
-/// Fewest targets that churn leaves to a service.
+/// Minimum number of targets left in each service.
 const MIN_TARGETS: usize = 2;
 
-/// How large a fleet is.
+/// Dimensions of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Nodes, each beside one target.
+    /// Number of nodes; each has one target.
     pub nodes: usize,
-    /// Services.
     pub services: usize,
-    /// Availability zones, over all regions.
+    /// Availability zones over all regions.
     pub zones: usize,
-    /// Regions.
     pub regions: usize,
 }
 
 impl Size {
-    /// The usual shape of a fleet of so many nodes: today's at 18, the two-year size at 23,000.
+    /// Default dimensions for a number of nodes: 18 is the current fleet, 23,000 the two-year size.
     pub fn of(nodes: usize) -> Size {
         let (services, zones, regions) = match nodes {
             0..=18 => (3, 6, 3),
@@ -47,34 +45,34 @@
         Size { nodes, services, zones, regions }
     }
 
-    /// The same fleet with another number of services.
+    /// Sets the number of services.
     pub fn with_services(mut self, services: usize) -> Size {
         self.services = services;
         self
     }
 
-    /// Where a node stands; neighbouring numbers stand in different zones.
+    /// Location of a node. Nodes are distributed over the zones in turn.
     pub fn site(&self, node: usize) -> Site {
         self.site_of_zone((node % self.zones) as u16)
     }
 
-    /// Number of a zone's region, and of the zone.
+    /// Location with the numbers of a zone and its region.
     pub fn site_of_zone(&self, zone: u16) -> Site {
         Site { region: zone % self.regions as u16, zone }
     }
 
-    /// Name of a zone and its region.
+    /// Names of a zone and its region.
     pub fn place(&self, zone: u16) -> Place {
         let site = self.site_of_zone(zone);
         Place { region: region_name(site.region), zone: zone_name(site.zone) }
     }
 
-    /// The service whose target a node stands beside.
+    /// Service of the node's target.
     pub fn service_of(&self, node: usize) -> usize {
         node * self.services / self.nodes
     }
 
-    /// A node in the platform's list.
+    /// Entry of a node in the platform's VM list.
     pub fn member(&self, node: usize) -> Member {
         let site = self.site(node);
         Member {
@@ -104,13 +102,13 @@
         Some(scope)
     }
 
-    /// Services whose routes a node needs in the usual workload.
+    /// Services whose routes a node needs with [`CALLED_SERVICES`].
     pub fn usual_scope(&self, node: usize) -> Option<Vec<Name>> {
         self.scope(node, CALLED_SERVICES)
     }
 }
 
-/// A generator of publications.
+/// Generator of publications.
 pub struct Workload {
     size: Size,
     rng: Pcg64Mcg,
@@ -120,7 +118,7 @@
 }
 
 impl Workload {
-    /// A workload whose first publication is version 1.
+    /// Creates a workload whose first publication is version 1.
     pub fn new(size: Size, seed: u64) -> Workload {
         let preset = first_preset(&size);
         let writer = Writer::new(&preset);
@@ -128,17 +126,17 @@
         Workload { size, rng, preset, writer, removed: Vec::new() }
     }
 
-    /// The preset as last published.
     pub fn preset(&self) -> &Preset {
         &self.preset
     }
 
-    /// Publishes the preset as it is.
+    /// Publishes the current preset as the next version.
     pub fn publish(&mut self) -> Publication {
         self.writer.publish(&self.preset, b"")
     }
 
-    /// Changes one thing and publishes: mostly targets that come and go, some limits, some routes.
+    /// Makes one random change and publishes it: mostly targets added or removed, some limits and
+    /// routes.
     pub fn publish_change(&mut self) -> Publication {
         let changed = match self.rng.random_range(0..100) {
             0..85 => self.change_target(),
@@ -148,7 +146,7 @@
         self.writer.publish(&self.preset, &changed)
     }
 
-    /// The same version again with another body, as a second operator would publish it.
+    /// Publishes different content under the current version, as a second operator might.
     pub fn publish_conflicting(&mut self) -> Publication {
         let mut preset = self.preset.clone();
         let index = self.rng.random_range(0..preset.routes.len());
@@ -156,7 +154,7 @@
         self.writer.publish_conflicting(&preset)
     }
 
-    /// A next version that every node must refuse: a route names a service that isn't there.
+    /// Publishes a version that fails validation because a route refers to an unknown service.
     pub fn publish_invalid(&mut self) -> Publication {
         let mut preset = self.preset.clone();
         let index = self.rng.random_range(0..preset.routes.len());
@@ -198,32 +196,28 @@
     }
 }
 
-/// Name of a node's VM.
 pub fn vm_name(node: usize) -> Name {
     name(format!("vm-{node:05}"))
 }
 
-/// Name of a region.
 pub fn region_name(region: u16) -> Name {
     name(format!("region-{region:02}"))
 }
 
-/// Name of an availability zone.
 pub fn zone_name(zone: u16) -> Name {
     name(format!("zone-{zone:02}"))
 }
 
-/// Name of a service.
 pub fn service_name(service: usize) -> Name {
     name(format!("service-{service:04}"))
 }
 
-/// A name that is known to be one.
+/// Creates a name from text that is known to be valid.
 pub fn name(text: String) -> Name {
-    Name::new(text).unwrap_or_else(|| unreachable!("made from letters and digits"))
+    Name::new(text).unwrap_or_else(|| unreachable!("only letters, digits, hyphens and slashes"))
 }
 
-/// The address of a node's port; the node's number stands in the last bytes.
+/// Address of a node's port. The last three bytes encode the node number.
 pub fn address(node: usize, port: u16) -> SocketAddr {
     let [_, b, c, d] = (node as u32 + 1).to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, b, c, d)), port)
