--- a/bench/src/history.rs
+++ b/bench/src/history.rs
@@ -1,7 +1,7 @@
-//! Histories of a fleet and the rules that each must keep.
+//! Histories of a fleet and the rules that they must satisfy.
 //!
-//! A run records every publication, start, stop and version that comes into force. The checker
-//! reads the record afterwards and knows nothing of how the fleet decides.
+//! A run records publications, process starts and stops, and versions coming into force. The
+//! checker evaluates the records afterwards, independently of the implementation under test.
 
 pub mod calls;
 pub mod trial;
@@ -13,172 +13,98 @@
 use sycamore_core::hash::Hash;
 use sycamore_core::{Name, Time};
 
-/// A version and the digest of its body: two operators may publish one version twice.
+/// A version and the digest of its content. Two operators may publish the same version with
+/// different content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Publication {
-    /// The version.
     pub version: u64,
-    /// Digest of the preset's body.
+    /// Digest of the preset.
     pub digest: Hash,
 }
 
-/// What a node's configuration holds, held against what was published.
+/// Result of comparing a node's configuration with the published one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
-    /// Every route and service of the node's scope, as published.
+    /// All routes and services in the node's scope are as published.
     Complete,
-    /// This route's service is absent.
+    /// The service of this route is missing.
     DanglingRoute(Name),
-    /// This route or service is absent, or is not as published.
+    /// This route or service is missing or differs.
     Mismatch(Name),
-    /// Nothing was published under this version and digest.
+    /// Nothing was published with this version and digest.
     Unpublished,
 }
 
-/// One thing that happened, in order of time.
+/// A recorded event. Records are ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// An operator published; `valid` tells whether nodes may accept it.
+    /// An operator published a version.
     Published {
-        /// When.
         at: Time,
-        /// What.
         publication: Publication,
-        /// Whether it passes the checks.
+        /// Whether the version passes validation.
         valid: bool,
     },
-    /// A node's process started and knows nothing.
-    Started {
-        /// When.
-        at: Time,
-        /// Number of the node.
-        node: usize,
-    },
-    /// The newest version that a running neighbour held, from before the node started until the
-    /// node first had a version in force, and that the node could ask all the while.
-    NeighbourVersion {
-        /// When.
-        at: Time,
-        /// Number of the node.
-        node: usize,
-        /// That version.
-        version: u64,
-    },
+    /// A node's process started without any state.
+    Started { at: Time, node: usize },
+    /// The newest version held by a neighbour that was running and reachable from the node's start
+    /// until the node first had a version in force.
+    NeighbourVersion { at: Time, node: usize, version: u64 },
     /// A node's process stopped.
-    Stopped {
-        /// When.
-        at: Time,
-        /// Number of the node.
-        node: usize,
-    },
+    Stopped { at: Time, node: usize },
     /// A version came into force on a node.
     InForce {
-        /// When.
         at: Time,
-        /// Number of the node.
         node: usize,
-        /// The version.
         publication: Publication,
-        /// What the node holds.
+        /// Comparison with the published content.
         content: Content,
     },
-    /// The time within which every running node had to hold at least this version is over.
-    VersionDue {
-        /// When.
-        at: Time,
-        /// That version.
-        version: u64,
-    },
-    /// Calls to the platform in the busiest second so far, waiting watches counted.
+    /// From now on, every running node must hold at least this version.
+    VersionDue { at: Time, version: u64 },
+    /// Maximum number of platform calls in one second so far, including pending watches.
     PlatformPeak {
-        /// When.
         at: Time,
         /// Calls in that second.
         peak: u64,
-        /// Most calls allowed.
+        /// Maximum number allowed.
         limit: u64,
     },
 }
 
-/// A rule that a history breaks.
+/// A violation of the rules.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Violation {
-    /// {at}: node {node} went from version {from} back to {to}
-    VersionRegressed {
-        /// When.
-        at: Time,
-        /// Number of the node.
-        node: usize,
-        /// What it held.
-        from: u64,
-        /// What it holds now.
-        to: u64,
-    },
-    /// {at}: node {node} restarted and holds version {to}, although a neighbour remembered {recoverable}
+    /// {at}: node {node} regressed from version {from} to {to}
+    VersionRegressed { at: Time, node: usize, from: u64, to: u64 },
+    /// {at}: node {node} restarted with version {to}, although {recoverable} was recoverable
     VersionLost {
-        /// When.
         at: Time,
-        /// Number of the node.
         node: usize,
-        /// The lower of what it held before and what the neighbour held.
+        /// The lower of the version held before the restart and the neighbour's version.
         recoverable: u64,
-        /// What it holds now.
         to: u64,
     },
-    /// {at}: node {node} holds a bad version {version}
-    InvalidVersion {
-        /// When.
-        at: Time,
-        /// Number of the node.
-        node: usize,
-        /// The version.
-        version: u64,
-    },
-    /// {at}: node {node} holds version {version} not as published: {content:?}
-    ContentMismatch {
-        /// When.
-        at: Time,
-        /// Number of the node.
-        node: usize,
-        /// The version.
-        version: u64,
-        /// What is wrong.
-        content: Content,
-    },
-    /// {at}: nodes {node} and {other} hold two bodies of version {version}
+    /// {at}: node {node} put invalid version {version} in force
+    InvalidVersion { at: Time, node: usize, version: u64 },
+    /// {at}: node {node} holds version {version} with other content: {content:?}
+    ContentMismatch { at: Time, node: usize, version: u64, content: Content },
+    /// {at}: nodes {node} and {other} hold different content of version {version}
     Divergence {
-        /// When.
         at: Time,
-        /// A node with one body.
+        /// A node with the one content.
         node: usize,
-        /// A node with the other.
+        /// A node with the other content.
         other: usize,
-        /// The version.
         version: u64,
     },
-    /// {at}: node {node} holds version {held}, {due} is due
-    VersionOverdue {
-        /// When.
-        at: Time,
-        /// Number of the node.
-        node: usize,
-        /// What it holds.
-        held: u64,
-        /// What it should hold at least.
-        due: u64,
-    },
-    /// {at}: {peak} calls to the platform in one second, {limit} are allowed
-    PlatformOverLimit {
-        /// When.
-        at: Time,
-        /// Calls.
-        peak: u64,
-        /// Calls allowed.
-        limit: u64,
-    },
+    /// {at}: node {node} holds version {held}, expected at least {due}
+    VersionOverdue { at: Time, node: usize, held: u64, due: u64 },
+    /// {at}: {peak} platform calls in one second exceed the limit of {limit}
+    PlatformOverLimit { at: Time, peak: u64, limit: u64 },
 }
 
-/// Checks a whole history. Returns every violation, in order.
+/// Checks a history. Returns all violations in order.
 pub fn check(history: &[Record]) -> Vec<Violation> {
     let mut checker = Checker::default();
     for record in history {
@@ -197,11 +123,11 @@
 #[derive(Default)]
 struct Node {
     running: bool,
-    /// What it holds in this life.
+    /// Version held by the current process.
     held: Option<Publication>,
-    /// The highest version that it held in any life.
+    /// Highest version held by any process of this node.
     highest_held: u64,
-    /// What a neighbour remembered for this life.
+    /// Newest version that a neighbour held when the current process started.
     neighbour_version: u64,
 }
 
@@ -253,8 +179,8 @@
                 let from = held.version;
                 self.violations.push(Violation::VersionRegressed { at, node: number, from, to });
             }
-            // Of two bodies under one version the one with the higher digest stays; a node that
-            // went the other way could go to and fro for ever.
+            // Of two contents of one version, the higher digest wins. A fixed order prevents nodes
+            // from switching back and forth.
             Some(held) if to == held.version && publication.digest < held.digest => {
                 let violation =
                     Violation::Divergence { at, node: number, other: number, version: to };
@@ -290,8 +216,8 @@
         }
     }
 
-    /// All nodes must hold one body of each version once a fault's time is over. Before that two
-    /// bodies may be in force: readers on two sides of a cut can't know of each other.
+    /// Checks that all nodes hold the same content of each version. Before the due time they may
+    /// differ, since readers on both sides of a partition can't know of each other.
     fn check_divergence(&mut self, at: Time) {
         let mut bodies: IndexMap<u64, (usize, Hash)> = IndexMap::new();
         for (number, node) in &self.nodes {
@@ -315,8 +241,8 @@
     }
 }
 
-/// Holds a node's configuration against the preset that was published. `scope` names the services
-/// whose routes the node needs; `None` for all.
+/// Compares a node's configuration with the published preset. `scope` lists the services whose
+/// routes the node needs; `None` for all.
 pub fn compare_content(snapshot: &Snapshot, published: &Preset, scope: Option<&[Name]>) -> Content {
     for entry in snapshot.routes() {
         let service = snapshot.services().get(entry.service.0 as usize);
