--- a/bench/src/history/calls.rs
+++ b/bench/src/history/calls.rs
@@ -1,101 +1,64 @@
-//! Histories of calls and the rules that each must keep.
+//! Histories of calls and the rules that they must satisfy.
 
 use displaydoc::Display;
 use indexmap::IndexMap;
 use std::time::Duration;
 use sycamore_core::Time;
 
-/// What a caller was told.
+/// Outcome of a submission, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The answer to the request with this number.
+    /// Answered with the response to the request with this number.
     Answered(u64),
-    /// No target saw the request; come back after this time.
+    /// Not run by any target; the caller may retry after this time.
     NotRun(Duration),
-    /// A target may have run it.
+    /// Possibly run by a target.
     Unknown,
-    /// The connection broke.
     ConnectionLost,
 }
 
-/// One thing that happened to a call.
+/// A recorded event of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallRecord {
-    /// A caller sent a request, for the first time or again.
+    /// A caller submitted a request, for the first time or as a retry.
     Submitted {
-        /// When.
         at: Time,
-        /// Number of this sending.
+        /// Number of this submission.
         submission: usize,
-        /// Number of the request.
         request: u64,
-        /// Whether it may run only once.
+        /// Whether the request may run at most once.
         at_most_once: bool,
     },
-    /// A target took a request.
+    /// A target started to run a request.
     Ran {
-        /// When.
         at: Time,
-        /// Number of the node beside the target.
+        /// Node of the target.
         node: usize,
-        /// The sending that it belongs to.
         submission: usize,
-        /// Number of the request.
         request: u64,
     },
-    /// A sending came to its end.
-    Ended {
-        /// When.
-        at: Time,
-        /// Number of the sending.
-        submission: usize,
-        /// What the caller was told.
-        end: CallOutcome,
-    },
+    /// A submission ended.
+    Ended { at: Time, submission: usize, end: CallOutcome },
 }
 
-/// A rule that a history of calls breaks.
+/// A violation of the rules.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum CallViolation {
-    /// {at}: request {request} ran a second time, on node {node}
-    RanTwice {
-        /// When.
-        at: Time,
-        /// Number of the request.
-        request: u64,
-        /// Number of the node of the second run.
-        node: usize,
-    },
-    /// sending {submission} of request {request} was called not run, and ran
-    RanDespiteNotRun {
-        /// Number of the sending.
-        submission: usize,
-        /// Number of the request.
-        request: u64,
-    },
-    /// sending {submission} of request {request} got the answer to request {answer}
+    /// {at}: at-most-once request {request} ran a second time, on node {node}
+    RanTwice { at: Time, request: u64, node: usize },
+    /// submission {submission} of request {request} was reported as not run, but ran
+    RanDespiteNotRun { submission: usize, request: u64 },
+    /// submission {submission} of request {request} got the response to request {answer}
     WrongAnswer {
-        /// Number of the sending.
         submission: usize,
-        /// Number of the request.
         request: u64,
-        /// Number of the request that the answer belongs to.
+        /// Number of the request that the response belongs to.
         answer: u64,
     },
-    /// sending {submission} of request {request} was answered, and no target ran the request
-    AnsweredWithoutRun {
-        /// Number of the sending.
-        submission: usize,
-        /// Number of the request.
-        request: u64,
-    },
-    /// sending {submission} of request {request} never came to an end
-    NeverEnded {
-        /// Number of the sending.
-        submission: usize,
-        /// Number of the request.
-        request: u64,
-    },
+    /// submission {submission} of request {request} was answered, but no target ran the request
+    AnsweredWithoutRun { submission: usize, request: u64 },
+    /// submission {submission} of request {request} never ended
+    NeverEnded { submission: usize, request: u64 },
 }
 
 #[derive(Default)]
@@ -111,7 +74,7 @@
     runs: u32,
 }
 
-/// Checks a whole history of calls. Returns every violation.
+/// Checks a history of calls. Returns all violations.
 pub fn check_calls(history: &[CallRecord]) -> Vec<CallViolation> {
     let mut submissions: IndexMap<usize, SubmissionState> = IndexMap::new();
     let mut requests: IndexMap<u64, RequestState> = IndexMap::new();
