--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -1,4 +1,4 @@
-//! Trials: a small fleet under random faults from a seed, with its history.
+//! Trials: a small fleet with random faults drawn from a seed, and the checks of its history.
 
 use super::calls::{CallRecord, CallViolation, check_calls};
 use super::{Record, Violation, check};
@@ -14,73 +14,71 @@
 use sycamore_core::event::Event;
 use sycamore_core::member::VmState;
 
-/// How long faults go on.
+/// Time during which faults are injected.
 const FAULT_PERIOD: Duration = Duration::from_secs(180);
 
-/// Longest fault: whatever began last is over so long after the heal.
+/// Maximum duration of a fault. All faults are over this long after the last injection.
 const MAX_FAULT_DURATION: Duration = Duration::from_secs(40);
 
-/// How long a paused process does not run.
 const PAUSE_DURATION: Duration = Duration::from_secs(30);
 
-/// Time between two new requests.
+/// Interval between new requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Within so long of the heal every running node holds what the newest of them holds.
+/// Time after the recovery within which all running nodes agree on the newest version.
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Within so long of a publication to a sound fleet every node holds it.
+/// Time after a publication within which every node of a healthy fleet holds it.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How a trial is put together.
+/// Parameters of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Trial {
     /// Seed of the fleet, the faults and their times.
     pub seed: u64,
-    /// Whether links lose messages too; a real link resends them.
+    /// Whether links also lose messages, without retransmission.
     pub lossy: bool,
-    /// Whether callers send requests meanwhile.
+    /// Whether callers submit requests.
     pub sends_requests: bool,
 }
 
-/// What a trial came to.
+/// Result of a trial.
 #[derive(Clone, Debug)]
 pub struct TrialReport {
-    /// The trial.
     pub trial: Trial,
-    /// Rules broken by versions; empty for a sound history.
+    /// Violations of the rules for versions.
     pub violations: Vec<Violation>,
-    /// Rules broken by calls; empty for a sound history.
+    /// Violations of the rules for calls.
     pub call_violations: Vec<CallViolation>,
-    /// What happened to calls.
+    /// Records of all calls.
     pub calls: Vec<CallRecord>,
-    /// Everything that was recorded.
+    /// Records of the fleet.
     pub history: Vec<Record>,
-    /// What the nodes recorded for the time line, with their numbers.
+    /// Events emitted by the nodes, with the node numbers.
     pub events: Vec<(usize, Event)>,
-    /// What was done, with its time.
+    /// Scheduled actions with their times.
     pub plan: Vec<(Duration, Action)>,
 }
 
 impl Trial {
-    /// A trial over links that keep every message.
+    /// Creates a trial without message loss or callers.
     pub fn new(seed: u64) -> Trial {
         Trial { seed, lossy: false, sends_requests: false }
     }
 
-    /// The same trial over links that lose some.
+    /// Adds message loss.
     pub fn with_loss(mut self) -> Trial {
         self.lossy = true;
         self
     }
 
-    /// The same trial with callers.
+    /// Adds callers.
     pub fn with_calls(mut self) -> Trial {
         self.sends_requests = true;
         self
     }
 
-    /// Runs the trial and checks its history.
+    /// Runs the trial and checks its histories.
     pub fn run(self) -> TrialReport {
         let mut planner = Planner::new(self.seed);
         let plan = planner.plan();
@@ -109,7 +107,7 @@
     }
 }
 
-/// Draws a fleet and its faults.
+/// Draws the fleet and its faults from a seed.
 struct Planner {
     rng: Pcg64Mcg,
     size: Size,
@@ -142,7 +140,7 @@
         std::mem::take(&mut self.plan)
     }
 
-    /// The list misses VMs that run already.
+    /// Omits running VMs from the platform's lists for a while.
     fn add_missing_from_list(&mut self, all: &[usize]) {
         let nodes = all.iter().copied().filter(|_| self.rng.random_bool(0.1)).collect::<Vec<_>>();
         let listed = self.span(5, 60);
@@ -150,7 +148,8 @@
         self.add(listed, Action::SetListedState(nodes, Some(VmState::Live)));
     }
 
-    /// The list says late that VMs have gone, and later still that they are back.
+    /// Updates the platform's lists late: VMs disappear or change state some time after `at` and
+    /// return later.
     fn add_late_listing(&mut self, at: Duration, nodes: &[usize]) {
         let state = [None, Some(VmState::Gone), Some(VmState::Leaving)].choose(&mut self.rng);
         let state = state.copied().flatten();
@@ -163,7 +162,7 @@
         );
     }
 
-    /// Everything is mended; then agreement, one more version and its convergence are due.
+    /// Repairs everything, then requires agreement and the convergence of one more version.
     fn add_recovery(&mut self) {
         let recovered = FAULT_PERIOD + MAX_FAULT_DURATION;
         self.add(recovered, Action::HealLinks);
@@ -196,18 +195,19 @@
         }
     }
 
-    /// Two operators publish one version: at nearly the same moment, or one much later.
+    /// Two operators publish the same version with different content, shortly after each other or
+    /// up to 20 s apart.
     fn add_conflict(&mut self, at: Duration) {
         let apart = if self.rng.random_bool(0.7) { 50 } else { 20_000 };
         let gap = Duration::from_millis(self.rng.random_range(0..apart));
         self.add(at, Action::Publish(PublicationKind::Next));
         self.add(at + gap, Action::Publish(PublicationKind::Conflicting));
-        // The operators see the conflict and publish a version above both.
+        // The operators resolve the conflict by publishing a higher version.
         let resolved = at + gap + self.span(2, 10);
         self.add(resolved, Action::Publish(PublicationKind::Next));
     }
 
-    /// Versions that follow so closely that their messages cross.
+    /// Publishes versions in such quick succession that their messages overtake each other.
     fn add_version_burst(&mut self, at: Duration) {
         for index in 0..self.rng.random_range(2..6) {
             let gap = Duration::from_millis(index * self.rng.random_range(1..40));
@@ -312,8 +312,8 @@
     }
 }
 
-/// The seeds that the environment variable `SYCAMORE_SEEDS` names, separated by commas, or else
-/// `usual`.
+/// Seeds from the environment variable `SYCAMORE_SEEDS`, separated by commas, or `default` if it is
+/// not set.
 pub fn seeds(default: &[u64]) -> Vec<u64> {
     let Ok(list) = std::env::var("SYCAMORE_SEEDS") else { return default.to_vec() };
     list.split(',').filter_map(|seed| seed.trim().parse().ok()).collect()
