--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -53,7 +53,7 @@
     /// Bytes received from peers and the platform.
     pub received: u64,
     pub messages: u64,
-    /// CPU time of the state machines, measured as wall-clock time.
+    /// Wall-clock time spent in the state machines.
     pub busy: Duration,
 }
 
