--- a/bench/src/fleet/measure.rs
+++ b/bench/src/fleet/measure.rs
@@ -188,7 +188,7 @@
     #[serde(rename = "most_bytes_s")]
     pub max_bytes_s: f64,
     pub messages_s: f64,
-    /// CPU time of the state machines, in µs/s.
+    /// Wall-clock time spent in the state machines, in µs/s.
     #[serde(rename = "decider_us_s")]
     pub state_machine_us_s: f64,
 }
