--- a/bench/src/fleet/table.rs
+++ b/bench/src/fleet/table.rs
@@ -31,7 +31,7 @@
     println!("\nOurs by role, per node and second:");
     println!(
         "{:>6} {:>14} {:>6} {:>9} {:>9} {:>11} {:>9} {:>11}",
-        "nodes", "role", "count", "B sent", "B recv", "busiest B", "messages", "cpu us"
+        "nodes", "role", "count", "B sent", "B recv", "busiest B", "messages", "busy us"
     );
     for comparison in comparisons {
         for r in &comparison.fleet.figures.roles {
