--- a/bench/src/history.rs
+++ b/bench/src/history.rs
@@ -60,7 +60,7 @@
         /// Comparison with the published content.
         content: Content,
     },
-    /// From now on, every running node must hold at least this version.
+    /// At this time, every running node must hold at least this version.
     VersionDue { at: Time, version: u64 },
     /// Maximum number of platform calls in one second so far, including pending watches.
     PlatformPeak {
