--- a/bench/src/process_history.rs
+++ b/bench/src/process_history.rs
@@ -1,5 +1,5 @@
-//! History checks over real processes: a small deployment, callers that send again through other
-//! nodes, and faults drawn from a seed. Everything is recorded, and judged after the run.
+//! History checks with real processes: a small deployment, callers that retry through other nodes,
+//! and faults drawn from a seed. All events are recorded and checked after the run.
 
 pub mod callers;
 pub mod findings;
@@ -12,16 +12,17 @@
 use sycamore_standins::example::{Deployment, RouteRow};
 use sycamore_tools::load::mix::MixClass;
 
-/// Second number of the loopback addresses of the first trial.
+/// Second octet of the loopback addresses of the first network.
 const FIRST_NETWORK: u8 = 130;
-/// Networks that trials use.
+/// Number of networks available to concurrent trials.
 const NETWORKS: u8 = 60;
 
-/// Time that callers give a call; less than the longest pause of a node.
+/// Deadline of ordinary calls. Shorter than the longest pause of a node.
 const CALL_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Time that callers give a long call.
+/// Deadline of long calls.
 const LONG_CALL_DEADLINE: Duration = Duration::from_secs(8);
-/// How long a target works on a long call: longer than leaving targets may get new work.
+/// Work of a target for a long call. Exceeds the time during which draining targets may receive new
+/// work.
 const LONG_CALL_WORK: Duration = Duration::from_secs(4);
 
 const fn route(
@@ -51,7 +52,7 @@
     connections: 110,
 };
 
-/// What the callers of the trials ask for.
+/// Request classes of the callers.
 pub fn classes() -> Vec<MixClass> {
     let lookup = MixClass {
         name: "lookup".into(),
