--- a/bench/src/process_history/callers.rs
+++ b/bench/src/process_history/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that ask one thing after another until they are stopped.
+//! Callers that send requests one after another until they are stopped.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -21,22 +21,22 @@
 use sycamore_tools::load::history::{Outcome, Record};
 use sycamore_tools::load::mix::{Mix, MixClass};
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 32;
-/// Longest pause of a caller between two requests.
+/// Maximum pause of a caller between two requests.
 const MAX_PAUSE: Duration = Duration::from_millis(600);
-/// How long after its deadline a caller still waits. Long, so that a request counts as lost
-/// because nobody answered and not because the machine was busy.
+/// Time that a caller waits beyond its deadline, so that slow responses on a busy machine do not
+/// count as lost.
 const RESPONSE_GRACE: Duration = Duration::from_secs(20);
-/// Of so many requests one is an earlier signing again, with its own key, though its caller has
-/// been answered: what a caller does who has lost its memory.
+/// On average, one in this many requests repeats an earlier answered at-most-once request with its
+/// key, like a client that has lost its state.
 const RESEND_EVERY: u32 = 3;
-/// Longest wait for the answer to such a request.
+/// Timeout of a repeated request.
 const RESEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Highest number of a thing that requests are about.
+/// Highest resource number used in request paths.
 const MAX_RESOURCE_NUMBER: u32 = 1_000;
 
-/// The callers, in a thread of their own.
+/// Handle to the callers, which run in their own thread.
 #[derive(Debug)]
 pub struct Callers {
     stop: Arc<AtomicBool>,
@@ -44,7 +44,7 @@
 }
 
 impl Callers {
-    /// Starts them. `seed` decides what each asks for, where and when.
+    /// Starts the callers. All random choices derive from `seed`.
     pub fn start(mix: Mix, entries: Vec<SocketAddr>, seed: u64) -> Callers {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
@@ -52,7 +52,7 @@
         Callers { stop, thread }
     }
 
-    /// Lets each finish its request, and returns all records.
+    /// Lets each caller finish its current request and returns all records.
     pub fn stop(self) -> Vec<Record> {
         self.stop.store(true, Ordering::Release);
         self.thread.join().unwrap_or_default()
@@ -111,7 +111,7 @@
     }
 }
 
-/// A request that may run only once, as it was sent.
+/// An at-most-once request as it was sent.
 struct SentRequest {
     id: String,
     key: String,
@@ -120,7 +120,8 @@
 }
 
 impl SentRequest {
-    /// None for one that was refused: it may run yet, and the refusal would look untrue.
+    /// Returns `None` for requests reported as not run: repeating one could run it and contradict
+    /// the report.
     fn new(class: &MixClass, number: u32, record: &Record) -> Option<SentRequest> {
         if record.outcome == Outcome::NotRun {
             return None;
@@ -139,7 +140,7 @@
         req.body(Full::new(self.body.clone())).ok()
     }
 
-    /// Sends it once more. What comes back doesn't matter: targets write down what they run.
+    /// Sends the request again. The response is ignored, since targets log what they run.
     async fn resend(&self, entry: &Pool) {
         let Some(req) = self.request() else { return };
         let send = async {
