--- a/bench/src/process_history/findings.rs
+++ b/bench/src/process_history/findings.rs
@@ -1,40 +1,41 @@
-//! What a trial is judged by: the rules of every run, and two that need its plan.
+//! Rules that a trial is checked against: those of every run, and some that depend on its faults.
 
 use crate::demo::rules::{Evidence, Violations};
 use indexmap::IndexMap;
 use sycamore_standins::target::run_log::{Line, RunEvent};
 
-/// Start of the ids of requests that crash targets.
+/// Prefix of the ids of requests that crash targets.
 pub const CRASH_REQUEST_PREFIX: &str = "death-";
 
-/// Targets that one request may crash.
+/// Maximum number of targets that one request may crash.
 const MAX_CRASHES: usize = 2;
 
-/// How long a leaving target may still get new work.
+/// Time after the start of a drain during which a target may still receive new work.
 const DRAIN_GRACE_US: u64 = 3_000_000;
 
-/// How often each rule was broken.
+/// Number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// The rules of every run. Unknown outcomes are allowed: pauses and cuts lead to them too.
+    /// Violations of the general rules. Unknown outcomes are permitted, since pauses and partitions
+    /// cause them too.
     pub violations: Violations,
-    /// Requests that crashed a third target.
+    /// Requests that crashed more targets than permitted.
     pub excess_crashes: usize,
-    /// Runs that began on a target long after its node was asked to stop.
+    /// Runs that started on a draining target after the permitted time.
     pub late_work: usize,
-    /// Nodes that did not end by themselves when they were asked to.
+    /// Nodes that did not exit on request, or exited with an error.
     pub unclean_exits: usize,
 }
 
 impl Findings {
-    /// Judges a run.
+    /// Checks the evidence of a run.
     pub fn evaluate(evidence: &Evidence, unclean_exits: usize) -> Findings {
         let violations = Violations { unknown_unexplained: 0, ..Violations::find(evidence) };
         let (excess_crashes, late_work) = (excess_crashes(&evidence.runs), late_work(evidence));
         Findings { violations, excess_crashes, late_work, unclean_exits }
     }
 
-    /// Whether no rule was broken.
+    /// Whether there are no violations.
     pub fn is_clean(&self) -> bool {
         *self == Findings::default()
     }
