--- a/bench/src/process_history/forwarder.rs
+++ b/bench/src/process_history/forwarder.rs
@@ -1,9 +1,8 @@
-//! Links between nodes that a trial can cut: every connection to a node's `gate` or `peers` port
-//! passes through here.
+//! TCP forwarder through which all connections to the `gate` and `peers` ports of nodes pass, so
+//! that a trial can cut links between zones.
 //!
-//! Nodes are known to each other by the forwarder's addresses and listen on ports of their own. A
-//! cut link carries nothing and breaks nothing, as when packets are dropped; what waits goes on
-//! after the heal.
+//! Nodes advertise the forwarder's addresses and listen on other ports. A cut link delays data
+//! without closing connections, like dropped packets; delivery continues after the repair.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -17,25 +16,24 @@
 use std::time::{Duration, Instant};
 use sycamore_core::Name;
 
-/// How often a cut link looks whether it is healed.
+/// Interval at which a cut link checks whether it has been restored.
 const HEAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long the table of sockets is used before it is read again.
+/// Time after which the socket table is read again.
 const SOCKET_TABLE_TTL: Duration = Duration::from_millis(150);
 
-/// Bytes carried at once.
+/// Size of the copy buffer.
 const BUFFER_BYTES: usize = 65_536;
 
-/// A port that other nodes connect to.
+/// A forwarded port of a node.
 #[derive(Clone, Debug)]
 pub struct Port {
-    /// Zone of the node.
     pub zone: Name,
-    /// The address that others know.
+    /// Address that other nodes connect to.
     pub advertised: SocketAddr,
-    /// The address that the node listens on.
+    /// Address that the node listens on.
     pub listening: SocketAddr,
-    /// Whether the first message on a connection tells its sender's own address.
+    /// Whether to replace the sender's own address in the first data of a connection.
     pub rewrite_address: bool,
 }
 
@@ -46,7 +44,7 @@
     origins: OriginZones,
 }
 
-/// Carries connections in a thread of its own until it is dropped.
+/// Forwards connections in its own thread until dropped.
 #[derive(Debug)]
 pub struct Forwarder {
     state: Arc<Mutex<State>>,
@@ -55,7 +53,6 @@
 }
 
 impl Forwarder {
-    /// Listens on all ports.
     pub fn start(ports: Vec<Port>) -> io::Result<Forwarder> {
         let bind = |port: Port| Ok((TcpListener::bind(port.advertised)?, port));
         let listeners: io::Result<Vec<_>> = ports.into_iter().map(bind).collect();
@@ -70,9 +67,10 @@
             };
             let serving: Vec<_> = listeners.into_iter().map(serve).collect();
             future::block_on(executor.run(async {
-                // Fails once the sender is dropped, which is the sign to stop.
+                // Fails once the sender is dropped, which signals shutdown.
                 let _ = stopped.recv().await;
-                // They hold the executor, which would keep them and their sockets for ever.
+                // Cancel the tasks explicitly: they hold the executor and would keep themselves and
+                // their sockets alive.
                 for task in serving {
                     task.cancel().await;
                 }
@@ -81,17 +79,17 @@
         Ok(Forwarder { state, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Says in which zone a process runs, so that its connections are known.
+    /// Registers the zone of a process, to identify the origin of its connections.
     pub fn register_process(&self, process: u32, zone: Name) {
         lock(&self.state).zones.insert(process, zone);
     }
 
-    /// Cuts a zone from all others.
+    /// Cuts the links between a zone and all other zones.
     pub fn isolate(&self, zone: Name) {
         lock(&self.state).isolated.insert(zone);
     }
 
-    /// Heals every link.
+    /// Restores all links.
     pub fn heal(&self) {
         lock(&self.state).isolated.clear();
     }
@@ -120,7 +118,7 @@
     while let Ok((stream, from)) = listener.accept().await {
         let (state, port) = (state.clone(), port.clone());
         let connection = async move {
-            // A connection that breaks ends; both sides see that.
+            // A broken connection closes both sides, so the error needs no handling.
             let _ = forward_connection(&state, stream, from, &port).await;
             lock(&state).origins.remove(from);
         };
@@ -143,7 +141,7 @@
     Ok(())
 }
 
-/// The link that a connection runs over.
+/// The link that carries a connection.
 struct Link<'a> {
     state: &'a Mutex<State>,
     from: SocketAddr,
@@ -151,7 +149,7 @@
 }
 
 impl Link<'_> {
-    /// While some zone is cut off, a connection whose origin isn't known yet waits too.
+    /// While any zone is isolated, connections of unknown origin are held back as well.
     fn is_cut(&self) -> bool {
         let mut state = lock(self.state);
         let State { zones, isolated, origins } = &mut *state;
@@ -192,8 +190,9 @@
     }
 }
 
-/// A node introduces itself by the address that it listens on. Others would answer there, past
-/// the forwarder; the port that they know takes its place. Both have the same length.
+/// Replaces the listening port by the advertised one in the address that a node announces;
+/// otherwise its peers would bypass the forwarder. Only replaces ports of the same number of
+/// digits.
 fn replace_port(buf: &mut [u8], port: &Port) {
     let listening = format!(":{}", port.listening.port()).into_bytes();
     let advertised = format!(":{}", port.advertised.port()).into_bytes();
@@ -203,9 +202,9 @@
     }
 }
 
-/// Zones that connections come from. All nodes connect from one loopback address, so that the
-/// socket's owner is looked up; the whole table at once, since reading it takes tens of
-/// milliseconds on a machine with many sockets.
+/// Zones from which connections originate. All nodes connect from the same loopback address, so the
+/// zone is found through the process that owns the socket. The table is cached, since reading it is
+/// slow with many sockets.
 #[derive(Debug, Default)]
 struct OriginZones {
     zones: IndexMap<SocketAddr, Name>,
@@ -245,10 +244,10 @@
     }
 }
 
-/// Local addresses of connections into the network of `to`, by the names of their sockets.
+/// Local addresses of connections into the network of `to`, by socket name.
 fn read_socket_table(to: SocketAddr) -> IndexMap<String, SocketAddr> {
     let SocketAddr::V4(to) = to else { return IndexMap::new() };
-    // The table shows addresses as numbers in the byte order of the machine.
+    // The table contains addresses as hexadecimal numbers in native byte order.
     let [first, second, ..] = to.ip().octets();
     let network = format!("{second:02X}{first:02X}:");
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
