--- a/bench/src/process_history/plan.rs
+++ b/bench/src/process_history/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a trial, drawn from its seed.
+//! Fault schedule of a trial, drawn from its seed.
 
 use super::DEPLOYMENT;
 use rand::seq::IndexedRandom;
@@ -6,91 +6,72 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Rounds of faults after the first.
+/// Number of rounds after the first.
 const ROUNDS: usize = 4;
-/// How long a round lasts. The longest exceed the deadline of most calls.
+/// Duration of a round. The longest rounds exceed the deadline of most calls.
 const MIN_ROUND: Duration = Duration::from_millis(500);
 const MAX_ROUND: Duration = Duration::from_millis(2_500);
-/// Most changes of the platform's values that a restored backup lacks.
+/// Maximum number of changes that a platform rollback undoes.
 const MAX_ROLLBACK_CHANGES: u64 = 4;
 
-/// Something that goes wrong, or that operators do.
+/// A fault or operator action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A node is killed, and started again at the end of the round.
+    /// Kill a node and restart it at the end of the round.
     Kill {
-        /// Index of its VM.
         vm: usize,
-        /// Whether its target crashes with it.
+        /// Whether the target crashes as well.
         target: bool,
     },
-    /// A process stops running until the end of the round.
-    Pause {
-        /// Index of its VM.
-        vm: usize,
-    },
-    /// A zone reaches no other zone.
-    IsolateZone {
-        /// Index of the zone.
-        zone: usize,
-    },
-    /// A zone doesn't reach the platform.
-    IsolateFromPlatform {
-        /// Index of the zone.
-        zone: usize,
-    },
-    /// The platform closes every connection.
+    /// Pause a node until the end of the round.
+    Pause { vm: usize },
+    /// Cut a zone off from all other zones.
+    IsolateZone { zone: usize },
+    /// Cut a zone off from the platform.
+    IsolateFromPlatform { zone: usize },
+    /// The platform closes all connections.
     PlatformDown,
-    /// The platform takes requests and never answers.
+    /// The platform accepts requests but does not answer.
     PlatformUnresponsive,
-    /// The platform answers what is no value.
+    /// The platform answers with malformed data.
     PlatformMalformed,
-    /// The platform answers as it was so many changes ago.
+    /// The platform serves an earlier state.
     PlatformRollback {
-        /// How many.
+        /// Number of changes to go back.
         changes: u64,
     },
-    /// The platform's list calls a living VM gone.
-    ListedAsGone {
-        /// Index of the VM.
-        vm: usize,
-    },
-    /// A valid version with another preset.
-    Publish {
-        /// Index of the preset.
-        preset: usize,
-    },
-    /// A valid version that drops one target of each service, so that keys change their homes.
+    /// The platform lists a running VM as gone.
+    ListedAsGone { vm: usize },
+    /// Publish a valid version with another preset.
+    Publish { preset: usize },
+    /// Publish a valid version without the targets of one zone, which moves at-most-once keys to
+    /// other targets.
     DropZoneTargets {
-        /// Index of the zone whose targets are dropped.
+        /// Zone whose targets are dropped.
         zone: usize,
     },
-    /// A version that no node may accept.
+    /// Publish a version that fails validation.
     PublishInvalid,
-    /// Two operators publish different presets under the same version.
+    /// Publish different presets under the same version.
     PublishConflict,
-    /// Two operators publish two versions, and the lower one arrives last.
+    /// Publish two versions in the wrong order.
     PublishOutOfOrder,
-    /// A request that crashes each target that runs it, sent through every node.
+    /// Send a request that crashes every target that runs it, through every node.
     CrashingRequest,
-    /// A planned stop of a node, restarted once it has ended.
-    Drain {
-        /// Index of its VM.
-        vm: usize,
-    },
+    /// Drain and stop a node, and restart it afterwards.
+    Drain { vm: usize },
 }
 
-/// Faults that begin and end together.
+/// Faults that start and end together.
 #[derive(Clone, Debug)]
 pub struct Round {
-    /// The faults.
     pub faults: Vec<Fault>,
-    /// How long they last.
+    /// Duration of the faults.
     pub span: Duration,
 }
 
-/// The rounds of a trial. The first is a planned stop alone, since a call that an earlier fault has
-/// broken can't be told from one that the stop cut.
+/// Rounds of a trial. The first one only drains a node, because calls interrupted by the drain
+/// could not be distinguished from calls interrupted by earlier faults.
 pub fn rounds(seed: u64) -> Vec<Round> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let drain = Fault::Drain { vm: rng.random_range(0..vms()) };
