--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -1,4 +1,4 @@
-//! One trial: the processes, the faults of its plan, and what was recorded.
+//! Runs one trial: starts the processes, injects the faults and collects the evidence.
 
 use super::callers::Callers;
 use super::findings::{CRASH_REQUEST_PREFIX, Findings};
@@ -32,32 +32,30 @@
 use sycamore_tools::load::history::now_us;
 use sycamore_tools::load::mix::Mix;
 
-/// Limits that only a hanging process reaches, on a slow machine too.
+/// Generous timeouts that only a hanging process exceeds, even on a slow machine.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 const STOP_TIMEOUT: Duration = Duration::from_secs(60);
-/// Load before the first fault, and between two rounds.
+/// Time without faults before each round and after the last.
 const QUIET_PERIOD: Duration = Duration::from_millis(800);
-/// Port whose owner may use a network of addresses.
+/// Port that a trial binds to reserve a network of addresses.
 const RESERVATION_PORT: u16 = 7099;
-/// What is added to the ports that nodes listen on; the forwarder takes their places.
+/// Offset from the advertised ports to the ports on which nodes listen.
 const LISTEN_PORT_OFFSET: u16 = 100;
-/// Presets that operators choose from.
 const PRESETS: [&str; 3] = ["ordinary", "peak", "maintenance"];
 
-/// What a trial came to.
+/// Result of a trial.
 #[derive(Debug)]
 pub struct Report {
-    /// Rules broken.
     pub findings: Findings,
-    /// Everything that was recorded.
+    /// Records, samples and logs of the run.
     pub evidence: Evidence,
-    /// How long after the last publication, and the end of the faults, every node showed it.
+    /// Time from the last publication until every node had it in force.
     pub settle_time: Duration,
-    /// What was done, with its time.
+    /// Injected faults with their times.
     pub log: Vec<String>,
 }
 
-/// A trial under way.
+/// A running trial.
 struct Trial {
     stack: Stack,
     forwarder: Forwarder,
@@ -69,11 +67,11 @@
     settle_time: Duration,
     start: Instant,
     log: Vec<String>,
-    // Dropped last, once no process uses the addresses.
+    // Keeps the network reserved until all processes have ended.
     _reservation: TcpListener,
 }
 
-/// Runs the trial of a seed. Files go below `output`.
+/// Runs the trial of a seed and writes its files to `output`.
 pub fn run(seed: u64, output: &Path) -> io::Result<Report> {
     let mut trial = Trial::new(seed, output)?;
     trial.start_processes()?;
@@ -87,7 +85,7 @@
     trial.finish()
 }
 
-/// The deployment on addresses that no other trial uses now, and what keeps others off them.
+/// Finds a network that no other trial uses and reserves it while the listener is open.
 fn reserve_deployment(seed: u64) -> io::Result<(Deployment, TcpListener)> {
     let first = (seed % u64::from(NETWORKS)) as u8;
     let networks = (first..NETWORKS).chain(0..first).map(|network| FIRST_NETWORK + network);
@@ -99,7 +97,7 @@
     candidates.find_map(reservation).ok_or_else(|| io::ErrorKind::AddrInUse.into())
 }
 
-/// Makes a node listen behind the forwarder.
+/// Moves the listening ports of a node behind the forwarder.
 fn put_behind_forwarder(files: &Path, vm: &str) -> io::Result<[Port; 2]> {
     let path = files.join("nodes").join(format!("{vm}.json"));
     let mut settings = Settings::read(&path).map_err(io::Error::other)?;
@@ -243,7 +241,7 @@
         }
     }
 
-    /// Undoes a fault, if that needs anything.
+    /// Reverts a fault, if necessary.
     fn clear_fault(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Kill { vm, .. } | Fault::Drain { vm } => {
@@ -280,7 +278,7 @@
         http::put(control, &format!("/v1/kv/vms/{zone}"), body.into()).map(|_| ())
     }
 
-    /// Publishes the next version: a preset with a change.
+    /// Publishes a preset, modified by `change`, as the next version.
     fn publish_next(&mut self, name: &str, change: impl FnOnce(&mut Preset)) -> io::Result<()> {
         let base = if PRESETS.contains(&name) { name } else { PRESETS[0] };
         let file = self.stack.file(&format!("published/preset/{base}.json"));
@@ -304,7 +302,7 @@
         self.evidence.publications.push(publication);
     }
 
-    /// Asks a node to stop while long calls run on its target, and waits for its end.
+    /// Drains a node and waits until it exits.
     fn drain(&mut self, vm: usize) -> io::Result<()> {
         let vm = self.vm(vm);
         let Some(mut node) = self.stack.nodes.shift_remove(&vm) else { return Ok(()) };
@@ -317,8 +315,8 @@
         Ok(())
     }
 
-    /// Sends the same request through every node that runs, under an id of its own each time, so
-    /// that the targets' log tells how many targets each send has crashed.
+    /// Sends a crashing request through every running node. Each has its own id, so that the target
+    /// log shows how many targets it crashed.
     fn send_crashing_requests(&mut self) -> io::Result<()> {
         for settings in self.stack.settings.values() {
             self.crash_requests += 1;
@@ -336,7 +334,7 @@
                 async_io::Timer::after(Duration::from_secs(1)).await;
             };
             let send = async {
-                // What the caller is told doesn't matter here.
+                // The response is irrelevant here.
                 let _ = pool.send(req).await;
             };
             future::block_on(executor.run(future::or(send, timeout)));
@@ -344,7 +342,7 @@
         Ok(())
     }
 
-    /// Publishes a last version, with every fault healed, and waits until every node shows it.
+    /// Publishes a final version after all faults and waits until every node has it in force.
     fn settle(&mut self) -> io::Result<()> {
         self.publish_next(PRESETS[0], |_| {})?;
         let (admins, last): (Vec<_>, u64) =
@@ -355,7 +353,7 @@
             status.and_then(|status| status.in_force).is_some_and(|shown| shown.version >= last)
         };
         let published = Instant::now();
-        // The rules count it if some node never shows it.
+        // A timeout is reported by the rules.
         let _ = wait_until(STOP_TIMEOUT, || admins.iter().all(shows), "");
         self.settle_time = published.elapsed();
         std::thread::sleep(QUIET_PERIOD);
