--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -1,4 +1,4 @@
-//! Measures a fleet in memory beside the naive baseline, and checks histories of one.
+//! Measures a simulated fleet against a polling baseline, and checks histories of random faults.
 
 use cap::Cap;
 use getopts::{Matches, Options};
@@ -12,14 +12,14 @@
 use sycamore_bench::links::Profile;
 use sycamore_core::{Code, Fault, Result};
 
-/// Counts the memory in use, so that the memory of a fleet can be told from what is free.
+/// Tracks the allocated memory, excluding memory that is freed but still resident.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Exit code if the command line is not valid.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// Exit code if an aim is missed or a history breaks a rule.
+/// Exit code if nodes did not converge or a rule was violated.
 const EXIT_FAILED: u8 = 1;
 
 const USAGE: &str = "Usage: sycamore-fleet convergence|bytes|slopes|memory|history [options]
@@ -55,24 +55,24 @@
         ["memory"] => run_memory(&matches),
         ["history"] => run_histories(&matches),
         ["bytes"] => compare_all(&matches, table::bytes),
-        _ => Err(usage_fault("one command is needed; see --help")),
+        _ => Err(usage_fault("expected exactly one command; see --help")),
     }
 }
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optflag("h", "help", "print this");
-    options.optopt("", "sizes", "numbers of nodes (18,200,1000)", "N,N");
-    options.optopt("", "seed", "seed of every random choice (1)", "N");
-    options.optopt("", "seeds", "history: how many seeds, from --seed on (20)", "N");
-    options.optflag("", "spread-only", "without the call path's deciders and notes, for memory");
+    options.optflag("h", "help", "print this help");
+    options.optopt("", "sizes", "fleet sizes in nodes (18,200,1000)", "N,N");
+    options.optopt("", "seed", "seed of all random choices (1)", "N");
+    options.optopt("", "seeds", "history: number of seeds, starting at --seed (20)", "N");
+    options.optflag("", "spread-only", "run nodes without the call path, to save memory");
     options.optflag("", "lossy", "history: links lose 1 message in 100");
-    options.optflag("", "calls", "history: callers send requests too, and their ends are checked");
-    options.optflag("", "print", "history: print what was done and recorded");
-    options.optopt("", "versions", "versions published while counting (20)", "N");
-    options.optopt("", "changes", "changes a day (14000)", "N");
-    options.optopt("", "out", "slopes: file for the tables, in Markdown", "FILE");
-    options.optopt("", "links", "franchise or cooperative (franchise)", "NAME");
+    options.optflag("", "calls", "history: also submit requests and check their outcomes");
+    options.optflag("", "print", "history: print all actions and records");
+    options.optopt("", "versions", "versions to publish per measurement (20)", "N");
+    options.optopt("", "changes", "changes per day (14000)", "N");
+    options.optopt("", "out", "slopes: write the tables to this Markdown file", "FILE");
+    options.optopt("", "links", "link profile: franchise or cooperative (franchise)", "NAME");
     options.optopt(
         "",
         "faults",
@@ -189,14 +189,14 @@
 
 fn parse_disruption(text: &str) -> Result<Disruption> {
     let found = Disruption::ALL.into_iter().find(|disruption| disruption.name() == text);
-    found.ok_or_else(|| usage_fault(format!("no storm is called {text}")))
+    found.ok_or_else(|| usage_fault(format!("--faults: unknown disruption {text}")))
 }
 
 fn profile(matches: &Matches) -> Result<Profile> {
     match matches.opt_str("links").as_deref() {
         None | Some("franchise") => Ok(Profile::franchise()),
         Some("cooperative") => Ok(Profile::cooperative()),
-        Some(other) => Err(usage_fault(format!("no links are called {other}"))),
+        Some(other) => Err(usage_fault(format!("--links: unknown link profile {other}"))),
     }
 }
 
