--- a/bench/tests/history_calls.rs
+++ b/bench/tests/history_calls.rs
@@ -1,5 +1,5 @@
-//! Histories of calls: the checker on planted faults, and small fleets under random faults.
-//! `SYCAMORE_SEEDS=7,8 cargo test` runs other seeds.
+//! Call histories: the checker on histories with known violations, and simulated fleets with random
+//! faults. `SYCAMORE_SEEDS=7,8 cargo test` runs other seeds.
 
 use std::time::Duration;
 use sycamore_bench::history::calls::{CallOutcome, CallRecord, CallViolation, check_calls};
@@ -78,13 +78,11 @@
 
 #[test]
 fn history_calls_random_faults() {
-    // Story: callers look up and sign while processes die, pause and return, links are cut and
-    // versions move the homes of keys; a caller that is told nothing sends its signing again
-    // under the same key, maybe to another node. If any guard failed a grower would be billed
-    // twice, or be told "not run" of a signing that ran.
+    // Guards against at-most-once requests that run twice when retried through another node, and
+    // against reporting a request as not run although it ran.
     for seed in seeds(&[1, 2, 3, 28, 49]) {
         let report = Trial::new(seed).with_calls().run();
-        assert!(report.calls.len() > 1_000, "seed {seed} made no calls");
+        assert!(report.calls.len() > 1_000, "seed {seed} recorded too few calls");
         let shown: Vec<String> =
             report.call_violations.iter().take(5).map(|v| v.to_string()).collect();
         assert!(shown.is_empty(), "seed {seed}: {}", shown.join("\n"));
