--- a/bench/tests/history_checker.rs
+++ b/bench/tests/history_checker.rs
@@ -1,4 +1,4 @@
-//! The checker of histories, tried on histories with one planted fault each.
+//! The history checker on histories with one known violation each.
 
 use sycamore_bench::history::{Content, Publication, Record, Violation, check};
 use sycamore_core::hash::Hash;
@@ -111,7 +111,7 @@
     }
 }
 
-/// The bodies of a version published twice, the one with the lower digest first.
+/// Two contents of one version, ordered by digest.
 fn conflicting_bodies() -> [&'static str; 2] {
     let mut bodies = ["body", "rival"];
     bodies.sort_by_key(|body| Hash::of(body.as_bytes()));
