--- a/bench/tests/history_content.rs
+++ b/bench/tests/history_content.rs
@@ -1,4 +1,4 @@
-//! Content of a node's configuration held against what was published, with planted faults.
+//! Comparison of a node's configuration with the published one, with known differences.
 
 use std::sync::Arc;
 use sycamore_bench::fleet::workload::{Size, Workload, name, service_name};
