--- a/bench/tests/history_findings.rs
+++ b/bench/tests/history_findings.rs
@@ -1,4 +1,4 @@
-//! The rules that need a trial's plan find planted faults.
+//! The rules of process trials on evidence with one known violation each.
 
 use sycamore_bench::demo::rules::{Evidence, Stop};
 use sycamore_bench::process_history::findings::Findings;
@@ -10,7 +10,7 @@
     Line { run, at_us, vm: vm.into(), id: id.into(), key: None, event: RunEvent::Start }
 }
 
-/// A request of death that crashed two targets, and a planned stop of six seconds.
+/// A request that crashed two targets, and a drain of six seconds.
 fn clean() -> Evidence {
     let entry = "127.0.0.1:7000".parse().unwrap();
     let stop = Stop { vm: "a".into(), entry, at_us: 0, until_us: 6 * SECOND_US };
