--- a/bench/tests/history_process.rs
+++ b/bench/tests/history_process.rs
@@ -1,5 +1,5 @@
-//! Histories of real processes under faults from a seed. `SYCAMORE_SEEDS=1,7` or `SYCAMORE_SEEDS=1..40`
-//! gives the seeds, `SYCAMORE_SEEDS_AT_ONCE` how many run at the same time.
+//! Histories of real processes with random faults. `SYCAMORE_SEEDS=1,7` or `SYCAMORE_SEEDS=1..40`
+//! selects the seeds, `SYCAMORE_SEEDS_AT_ONCE` the number of concurrent trials.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -9,20 +9,20 @@
 use sycamore_tools::load::history::Outcome;
 use sycamore_tools::load::mix::MixClass;
 
-/// Seeds that run with all other tests.
+/// Seeds used by default.
 const SEEDS: [u64; 2] = [1, 2];
 
 fn seeds() -> Vec<u64> {
     let Ok(text) = std::env::var("SYCAMORE_SEEDS") else { return SEEDS.to_vec() };
-    let number = |text: &str| text.trim().parse::<u64>().expect("a seed is a number");
+    let number = |text: &str| text.trim().parse::<u64>().expect("seeds must be numbers");
     match text.split_once("..") {
         Some((first, end)) => (number(first)..number(end)).collect(),
         None => text.split(',').map(number).collect(),
     }
 }
 
-/// Builds the programs that the trials start. Cargo has done so already if it tests the whole
-/// workspace; otherwise they might be missing or old.
+/// Builds the binaries that the trials start, which may be missing or outdated unless Cargo tests
+/// the whole workspace.
 fn build_programs() -> PathBuf {
     let own = std::env::current_exe().unwrap();
     let programs = own.parent().and_then(Path::parent).unwrap();
@@ -42,7 +42,7 @@
     let report = match trial::run(seed, &output) {
         Ok(report) => report,
         Err(e) => {
-            println!("seed {seed}: the trial did not finish: {e}, see {}", output.display());
+            println!("seed {seed}: trial failed: {e}; see {}", output.display());
             return false;
         }
     };
@@ -58,11 +58,11 @@
         serde_json::to_vec(&report.evidence.samples).unwrap(),
     );
     println!("{}\n{:?}\nsee {}", report.log.join("\n"), report.findings, output.display());
-    println!("classes without an answer: {:?}", unanswered(&report));
+    println!("request classes without an answer: {:?}", unanswered(&report));
     false
 }
 
-/// Classes of which no request was answered: a trial shows nothing of them.
+/// Request classes without any answered request, which the trial therefore did not exercise.
 fn unanswered(report: &Report) -> Vec<String> {
     let answered = |class: &MixClass| {
         let mut records = report.evidence.records.iter();
@@ -84,15 +84,14 @@
         report.evidence.runs.len(),
         report.evidence.publications.len(),
         report.settle_time.as_secs_f64(),
-        if report.findings.is_clean() { "sound" } else { "BROKEN" },
+        if report.findings.is_clean() { "no violations" } else { "VIOLATIONS" },
     )
 }
 
 #[test]
 fn history_rules_hold_under_process_faults() {
-    // Story: nodes are killed, paused and cut off while operators publish good and bad versions
-    // and callers send again what got no answer. Whatever comes together, no caller is told
-    // what is not true, and no signing runs twice.
+    // Guards against untrue outcomes reported to callers and against signings that run twice, when
+    // kills, pauses, partitions and publications coincide.
     let (seeds, output) = (seeds(), build_programs());
     let at_once = std::env::var("SYCAMORE_SEEDS_AT_ONCE").ok().and_then(|text| text.parse().ok());
     let (next, broken) = (AtomicUsize::new(0), AtomicUsize::new(0));
@@ -105,5 +104,5 @@
             });
         }
     });
-    assert_eq!(broken.into_inner(), 0, "of {} seeds", seeds.len());
+    assert_eq!(broken.into_inner(), 0, "failed trials out of {}", seeds.len());
 }
