--- a/bench/tests/history_spread.rs
+++ b/bench/tests/history_spread.rs
@@ -1,5 +1,5 @@
-//! Histories of versions in small fleets under random faults. `SYCAMORE_SEEDS=7,8 cargo test` runs
-//! other seeds; `sycamore-fleet history --seed 7 --seeds 1 --print` shows one.
+//! Version histories of simulated fleets with random faults. `SYCAMORE_SEEDS=7,8 cargo test` runs
+//! other seeds; `sycamore-fleet history --seed 7 --seeds 1 --print` prints one.
 
 use sycamore_bench::history::trial::{Trial, seeds};
 
@@ -11,9 +11,8 @@
 
 #[test]
 fn history_random_faults() {
-    // Story: processes die alone, in zones and all together, links are cut and heal, the platform
-    // is away, stale or goes back, operators race and publish bad versions. A caller would see a
-    // route of an older version, or one whose service is gone, if any node broke a rule.
+    // Guards against version regressions, invalid or incomplete configurations and nodes that do
+    // not converge after crashes, partitions, platform outages and conflicting publications.
     for seed in seeds(&[1, 2, 3, 4, 6, 7, 8, 9, 10, 11, 12, 13]) {
         assert_no_violations(Trial::new(seed));
     }
@@ -21,10 +20,8 @@
 
 #[test]
 fn history_zone_unlisted() {
-    // Story: a zone is lost and returns, but the platform's list still says for some seconds that
-    // its VMs are gone or leaving. The zone's nodes learned that list, found no parent and no peer
-    // in it, and stayed on an old version until long after everything was mended. Seen on these
-    // seeds.
+    // Guards against nodes of a restarted zone that stay on an old version because the platform's
+    // VM list still shows the whole zone as gone or leaving.
     for seed in seeds(&[5, 27, 31, 84, 146, 148, 180, 248, 263, 279]) {
         assert_no_violations(Trial::new(seed));
     }
@@ -32,8 +29,8 @@
 
 #[test]
 fn history_platform_drops_watch() {
-    // Story: every reader sends its watch into an outage that swallows it, and waits for the whole
-    // length of the watch after the platform is back; the fleet stays behind for half a minute.
+    // Guards against readers that wait for the full watch duration after an outage in which the
+    // platform lost their watches.
     for seed in seeds(&[61, 85, 153]) {
         assert_no_violations(Trial::new(seed));
     }
@@ -41,10 +38,8 @@
 
 #[test]
 fn history_list_says_leaving() {
-    // Story: the platform's list says for a while that the VMs of a small zone are leaving or
-    // gone, although they run. No node counts itself as a reader then, each hangs below another,
-    // and none reads the platform again: versions published later reach nobody, long after the
-    // list, the links and the platform are right again. Seen on these seeds.
+    // Guards against a fleet without platform readers: while all VMs of a small zone are listed as
+    // leaving or gone, no node considers itself a reader and new versions reach nobody.
     for seed in seeds(&[22, 37, 41, 57, 65, 76, 96, 122, 132, 196, 220, 225, 238, 241, 243, 256]) {
         assert_no_violations(Trial::new(seed));
     }
@@ -52,10 +47,8 @@
 
 #[test]
 fn history_restart_beside_bad_version() {
-    // Story: VMs restart while the platform shows a bad version, or an older state than before,
-    // and the peers that hold the last good one can't send it in time. A node stayed without any
-    // version until the next good one (1062), or went back below the version of its life before
-    // (844, 928).
+    // Guards against nodes that restart while the platform serves an invalid or older version and
+    // then hold no version (seed 1062) or an older one than before (seeds 844 and 928).
     for seed in seeds(&[844, 928, 1062]) {
         assert_no_violations(Trial::new(seed));
     }
