--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -90,11 +90,11 @@
     let first = (seed % u64::from(NETWORKS)) as u8;
     let networks = (first..NETWORKS).chain(0..first).map(|network| FIRST_NETWORK + network);
     let mut candidates = networks.map(|network| Deployment { network, ..DEPLOYMENT });
-    let reservation = |found: Deployment| {
+    let reserve = |found: Deployment| {
         let at = SocketAddr::new(found.platform_control().ip(), RESERVATION_PORT);
         TcpListener::bind(at).ok().map(|reservation| (found, reservation))
     };
-    candidates.find_map(reservation).ok_or_else(|| io::ErrorKind::AddrInUse.into())
+    candidates.find_map(reserve).ok_or_else(|| io::ErrorKind::AddrInUse.into())
 }
 
 /// Moves the listening ports of a node behind the forwarder.
@@ -102,16 +102,13 @@
     let path = files.join("nodes").join(format!("{vm}.json"));
     let mut settings = Settings::read(&path).map_err(io::Error::other)?;
     let zone = settings.zone.clone();
-    let put_behind_forwarder = |address: &mut SocketAddr, rewrite_address| {
+    let move_port = |address: &mut SocketAddr, rewrite_address| {
         let advertised = *address;
         address.set_port(advertised.port() + LISTEN_PORT_OFFSET);
         Port { zone: zone.clone(), advertised, listening: *address, rewrite_address }
     };
     let listen = &mut settings.listen;
-    let ports = [
-        put_behind_forwarder(&mut listen.gate, false),
-        put_behind_forwarder(&mut listen.peers, true),
-    ];
+    let ports = [move_port(&mut listen.gate, false), move_port(&mut listen.peers, true)];
     std::fs::write(path, serde_json::to_vec_pretty(&settings)?)?;
     Ok(ports)
 }
