--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -24,12 +24,12 @@
 
 const USAGE: &str = "Usage: sycamore-fleet convergence|bytes|slopes|memory|history [options]
 
-Runs the spread's decisions of many nodes in one thread over in-memory links, in simulated time.
-convergence and bytes run the system and the naive baseline side by side; the last line is JSON.
-slopes lets one thing grow at a time and fits lines; with --out it writes the tables to a file.
-memory measures one node alone with presets of several sizes.
-history runs small fleets under random faults and checks what happened against the rules.
-Exit code: 0 done, 1 nodes were left behind or a rule was broken, 2 the command line is not valid.";
+Simulates many nodes in one thread over in-memory links, in simulated time.
+convergence and bytes measure the fleet and a polling baseline; the last line is JSON.
+slopes varies one factor at a time and fits lines; with --out it writes the tables to a file.
+memory measures a single node with presets of several sizes.
+history runs small fleets with random faults and checks their histories against the rules.
+Exit code: 0 success, 1 nodes did not converge or a rule was violated, 2 invalid command line.";
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -76,8 +76,8 @@
     options.optopt(
         "",
         "faults",
-        "storms: none, all, or some of rack,zone-cut,relays,zone,everything,source,regions; all is \
-         without regions, which takes an hour of simulated time (all)",
+        "disruptions: none, all, or a list of rack,zone-cut,relays,zone,everything,source,regions; \
+         all excludes regions, which simulates an hour (all)",
         "LIST",
     );
     options
