--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -4,7 +4,7 @@
 use crate::fleet::measure::{Convergence, Figures};
 use crate::fleet::platform::{Answer, CALLS_PER_S, Get, Platform};
 use crate::fleet::publication::Publication;
-use crate::fleet::run::StormFigures;
+use crate::fleet::run::DisruptionFigures;
 use crate::fleet::workload::{Size, Workload, name};
 use crate::links::{Links, PLATFORM_ZONE, Profile, Site};
 use bytes::Bytes;
@@ -21,7 +21,7 @@
 const LIMIT_PERCENT: u64 = 80;
 
 /// Longest wait for nodes that return to hold the last version.
-const LONGEST_STORM: Duration = Duration::from_secs(600);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Bytes of the head of a request and of an answer.
 const HEAD_BYTES: u64 = 120;
@@ -56,8 +56,8 @@
         let first = workload.publish();
         let links = Links::new(profile, Time::from_millis(0), seed);
         let convergence = Convergence::new(size.nodes);
-        let interval = shortest_interval(size.nodes, first.whole);
-        let whole = first.whole;
+        let interval = shortest_interval(size.nodes, first.preset_bytes);
+        let whole = first.preset_bytes;
         let platform = Platform::new();
         let lives = vec![0; size.nodes];
         let rng = Pcg64Mcg::seed_from_u64(seed);
@@ -67,7 +67,7 @@
         for node in 0..size.nodes {
             let phase = fleet.rng.random_range(0..interval.as_micros() as u64);
             fleet.links.after(Duration::from_micros(phase), Event::Poll(node, 0));
-            fleet.convergence.in_force(node, 1, Time::ZERO);
+            fleet.convergence.record_in_force(node, 1, Time::ZERO);
         }
         fleet
     }
@@ -109,14 +109,18 @@
     }
 
     /// Restarts these nodes at the same moment, and measures until each holds the last version.
-    pub fn return_at_once(mut self, storm: &'static str, nodes: &[usize]) -> StormFigures {
+    pub fn return_at_once(
+        mut self,
+        disruption: &'static str,
+        nodes: &[usize],
+    ) -> DisruptionFigures {
         let since = self.links.now();
         for node in nodes {
             self.lives[*node] += 1;
-            self.convergence.restarted(*node, since);
+            self.convergence.record_restart(*node, since);
             self.links.after(Duration::ZERO, Event::Poll(*node, self.lives[*node]));
         }
-        let end = since + LONGEST_STORM;
+        let end = since + RECOVERY_TIMEOUT;
         let mut last = since;
         while self.convergence.behind(1) > 0 && self.links.next_at() <= Some(end) {
             // Counting the nodes after each event would cost more than the run.
@@ -132,13 +136,13 @@
         let span = last.since(since);
         let calls = self.platform.calls();
         let bytes = self.links.traffic().bytes;
-        StormFigures {
-            storm,
+        DisruptionFigures {
+            disruption,
             recovered_ms: (behind == 0).then_some(span.as_micros() as f64 / 1_000.0),
             behind,
             platform_calls_peak: calls.peak,
             platform_over_limit: calls.over_limit,
-            across_bytes: self.links.traffic().across_bytes(),
+            cross_region_bytes: self.links.traffic().across_bytes(),
             bytes_per_node: bytes.iter().sum::<u64>() as f64 / self.size.nodes as f64,
         }
     }
@@ -165,11 +169,11 @@
             Event::Asked(node) => self.answer(node),
             Event::Answered(node, version) => {
                 if version > self.convergence.held(node) {
-                    self.convergence.in_force(node, version, self.links.now());
+                    self.convergence.record_in_force(node, version, self.links.now());
                 }
             }
             Event::Publish => {
-                let publication = self.workload.change();
+                let publication = self.workload.publish_change();
                 self.put(&publication);
             }
         }
@@ -180,7 +184,7 @@
         let mut index = None;
         for _ in 0..self.values() {
             let key = name("document".to_owned());
-            let get = Get { caller: node, key, above: None, until: now };
+            let get = Get { caller: node, key, min_index_exclusive: None, until: now };
             match self.platform.get(now, get) {
                 Some(Answer::Value(_, found)) => index = Some(found),
                 _ => return self.poll_later(node),
@@ -203,9 +207,9 @@
     }
 
     fn put(&mut self, publication: &Publication) {
-        self.whole = publication.whole;
+        self.whole = publication.preset_bytes;
         self.platform.put(name("document".to_owned()), Bytes::new());
-        self.convergence.published(publication.in_force.version, self.links.now());
+        self.convergence.record_published(publication.in_force.version, self.links.now());
         if publication.in_force.version == 1 {
             self.convergence.reset();
         }
--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -1,35 +1,35 @@
-//! Measures a fleet in memory beside the naive baseline, and checks histories of one.
+//! Measures a simulated fleet against a polling baseline, and checks histories of random faults.
 
 use cap::Cap;
 use getopts::{Matches, Options};
 use std::alloc::System;
 use std::process::ExitCode;
-use sycamore_bench::fleet::run::{Comparison, Plan, Storm, compare};
+use sycamore_bench::fleet::run::{Comparison, Disruption, Plan, compare};
 use sycamore_bench::fleet::slopes::{self, Factor};
 use sycamore_bench::fleet::workload::{CHANGES_PER_DAY, Size};
 use sycamore_bench::fleet::{Setup, memory, table};
-use sycamore_bench::history::trial::{Finding, Trial};
+use sycamore_bench::history::trial::{Trial, TrialReport};
 use sycamore_bench::links::Profile;
 use sycamore_core::{Code, Fault, Result};
 
-/// Counts the memory in use, so that the memory of a fleet can be told from what is free.
+/// Tracks the allocated memory, excluding memory that is freed but still resident.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Exit code if the command line is not valid.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// Exit code if an aim is missed or a history breaks a rule.
+/// Exit code if nodes did not converge or a rule was violated.
 const EXIT_FAILED: u8 = 1;
 
-const BRIEF: &str = "Usage: sycamore-fleet convergence|bytes|slopes|memory|history [options]
+const USAGE: &str = "Usage: sycamore-fleet convergence|bytes|slopes|memory|history [options]
 
-Runs the spread's decisions of many nodes in one thread over in-memory links, in simulated time.
-convergence and bytes run the system and the naive baseline side by side; the last line is JSON.
-slopes lets one thing grow at a time and fits lines; with --out it writes the tables to a file.
-memory measures one node alone with presets of several sizes.
-history runs small fleets under random faults and checks what happened against the rules.
-Exit code: 0 done, 1 nodes were left behind or a rule was broken, 2 the command line is not valid.";
+Simulates many nodes in one thread over in-memory links, in simulated time.
+convergence and bytes measure the fleet and a polling baseline; the last line is JSON.
+slopes varies one factor at a time and fits lines; with --out it writes the tables to a file.
+memory measures a single node with presets of several sizes.
+history runs small fleets with random faults and checks their histories against the rules.
+Exit code: 0 success, 1 nodes did not converge or a rule was violated, 2 invalid command line.";
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -44,40 +44,40 @@
 
 fn run(args: &[String]) -> Result<ExitCode> {
     let options = options();
-    let matches = options.parse(args).map_err(usage)?;
+    let matches = options.parse(args).map_err(usage_fault)?;
     if matches.opt_present("help") {
-        println!("{}", options.usage(BRIEF));
+        println!("{}", options.usage(USAGE));
         return Ok(ExitCode::SUCCESS);
     }
     match matches.free.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         ["convergence"] => compare_all(&matches, table::convergence),
-        ["slopes"] => slopes(&matches),
-        ["memory"] => memories(&matches),
-        ["history"] => histories(&matches),
+        ["slopes"] => run_slopes(&matches),
+        ["memory"] => run_memory(&matches),
+        ["history"] => run_histories(&matches),
         ["bytes"] => compare_all(&matches, table::bytes),
-        _ => Err(usage("one command is needed; see --help")),
+        _ => Err(usage_fault("expected exactly one command; see --help")),
     }
 }
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optflag("h", "help", "print this");
-    options.optopt("", "sizes", "numbers of nodes (18,200,1000)", "N,N");
-    options.optopt("", "seed", "seed of every random choice (1)", "N");
-    options.optopt("", "seeds", "history: how many seeds, from --seed on (20)", "N");
-    options.optflag("", "spread-only", "without the call path's deciders and notes, for memory");
+    options.optflag("h", "help", "print this help");
+    options.optopt("", "sizes", "fleet sizes in nodes (18,200,1000)", "N,N");
+    options.optopt("", "seed", "seed of all random choices (1)", "N");
+    options.optopt("", "seeds", "history: number of seeds, starting at --seed (20)", "N");
+    options.optflag("", "spread-only", "run nodes without the call path, to save memory");
     options.optflag("", "lossy", "history: links lose 1 message in 100");
-    options.optflag("", "calls", "history: callers send requests too, and their ends are checked");
-    options.optflag("", "print", "history: print what was done and recorded");
-    options.optopt("", "versions", "versions published while counting (20)", "N");
-    options.optopt("", "changes", "changes a day (14000)", "N");
-    options.optopt("", "out", "slopes: file for the tables, in Markdown", "FILE");
-    options.optopt("", "links", "franchise or cooperative (franchise)", "NAME");
+    options.optflag("", "calls", "history: also submit requests and check their outcomes");
+    options.optflag("", "print", "history: print all actions and records");
+    options.optopt("", "versions", "versions to publish per measurement (20)", "N");
+    options.optopt("", "changes", "changes per day (14000)", "N");
+    options.optopt("", "out", "slopes: write the tables to this Markdown file", "FILE");
+    options.optopt("", "links", "link profile: franchise or cooperative (franchise)", "NAME");
     options.optopt(
         "",
         "faults",
-        "storms: none, all, or some of rack,zone-cut,relays,zone,everything,source,regions; all is \
-         without regions, which takes an hour of simulated time (all)",
+        "disruptions: none, all, or a list of rack,zone-cut,relays,zone,everything,source,regions; \
+         all excludes regions, which simulates an hour (all)",
         "LIST",
     );
     options
@@ -90,7 +90,7 @@
         "changes",
         CHANGES_PER_DAY,
     )?);
-    let storms = storms(matches)?;
+    let disruptions = disruptions(matches)?;
     let mut comparisons = Vec::new();
     for nodes in sizes {
         let setup = Setup::new(Size::of(nodes as usize), number(matches, "seed", 1)?)
@@ -98,18 +98,19 @@
             .with_memory(memory_in_use)
             .with_spread_only(matches.opt_present("spread-only"));
         eprintln!("{nodes} nodes ...");
-        comparisons.push(compare(&setup, &plan, &storms));
+        comparisons.push(compare(&setup, &plan, &disruptions));
     }
     print(&comparisons);
     table::json(&comparisons);
     let behind = |c: &Comparison| {
-        c.ours.figures.behind > 0 || c.ours.storms.iter().any(|storm| storm.behind > 0)
+        c.fleet.figures.behind > 0
+            || c.fleet.disruptions.iter().any(|disruption| disruption.behind > 0)
     };
     let failed = comparisons.iter().any(behind);
     Ok(if failed { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
-fn slopes(matches: &Matches) -> Result<ExitCode> {
+fn run_slopes(matches: &Matches) -> Result<ExitCode> {
     let versions = number(matches, "versions", 10)? as usize;
     let options =
         slopes::Options { versions, seed: number(matches, "seed", 1)?, memory: memory_in_use };
@@ -132,7 +133,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn memories(matches: &Matches) -> Result<ExitCode> {
+fn run_memory(matches: &Matches) -> Result<ExitCode> {
     let options =
         slopes::Options { versions: 0, seed: number(matches, "seed", 1)?, memory: memory_in_use };
     let points = memory::measure(&options);
@@ -140,72 +141,72 @@
     for p in &points {
         println!("{:>7} {:>9} {:>14.0} {:>14.0}", p.nodes, p.services, p.full_kb, p.usual_kb);
     }
-    let line = memory::full_line(&points);
+    let line = memory::fit_full_scope(&points);
     println!("{}", serde_json::json!({ "points": points, "full_scope": line }));
     Ok(ExitCode::SUCCESS)
 }
 
-fn histories(matches: &Matches) -> Result<ExitCode> {
+fn run_histories(matches: &Matches) -> Result<ExitCode> {
     let first = number(matches, "seed", 1)?;
     let count = number(matches, "seeds", 20)?;
-    let mut broken = 0;
+    let mut failed = 0;
     for seed in first..first + count {
-        let (lossy, called) = (matches.opt_present("lossy"), matches.opt_present("calls"));
-        let finding = Trial { seed, lossy, called }.run();
-        let sound = finding.violations.is_empty() && finding.call_violations.is_empty();
-        broken += u64::from(!sound);
-        print_finding(&finding, matches.opt_present("print"));
+        let (lossy, sends_requests) = (matches.opt_present("lossy"), matches.opt_present("calls"));
+        let report = Trial { seed, lossy, sends_requests }.run();
+        let passed = report.violations.is_empty() && report.call_violations.is_empty();
+        failed += u64::from(!passed);
+        print_report(&report, matches.opt_present("print"));
     }
-    println!("{}", serde_json::json!({ "first": first, "seeds": count, "broken": broken }));
-    Ok(if broken > 0 { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
+    println!("{}", serde_json::json!({ "first": first, "seeds": count, "broken": failed }));
+    Ok(if failed > 0 { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
-fn print_finding(finding: &Finding, whole: bool) {
-    let count = finding.violations.len() + finding.call_violations.len();
+fn print_report(report: &TrialReport, whole: bool) {
+    let count = report.violations.len() + report.call_violations.len();
     if whole {
-        finding.calls.iter().for_each(|record| println!("{record:?}"));
-        finding.plan.iter().for_each(|(at, action)| println!("{at:?} {action:?}"));
-        finding.events.iter().for_each(|(node, event)| println!("node {node} {event:?}"));
-        finding.history.iter().for_each(|record| println!("{record:?}"));
+        report.calls.iter().for_each(|record| println!("{record:?}"));
+        report.plan.iter().for_each(|(at, action)| println!("{at:?} {action:?}"));
+        report.events.iter().for_each(|(node, event)| println!("node {node} {event:?}"));
+        report.history.iter().for_each(|record| println!("{record:?}"));
     }
     if count > 0 {
-        println!("seed {}: {count} violations", finding.trial.seed);
+        println!("seed {}: {count} violations", report.trial.seed);
         let shown = if whole { count } else { 3 };
-        finding.violations.iter().take(shown).for_each(|violation| println!("  {violation}"));
-        let calls = finding.call_violations.iter().take(shown);
+        report.violations.iter().take(shown).for_each(|violation| println!("  {violation}"));
+        let calls = report.call_violations.iter().take(shown);
         calls.for_each(|violation| println!("  {violation}"));
     }
 }
 
-fn storms(matches: &Matches) -> Result<Vec<Storm>> {
+fn disruptions(matches: &Matches) -> Result<Vec<Disruption>> {
     let list = matches.opt_str("faults").unwrap_or_else(|| "all".to_owned());
     match list.as_str() {
         "none" => Ok(Vec::new()),
-        "all" => Ok(Storm::USUAL.to_vec()),
-        names => names.split(',').map(storm).collect(),
+        "all" => Ok(Disruption::SHORT.to_vec()),
+        names => names.split(',').map(parse_disruption).collect(),
     }
 }
 
-fn storm(text: &str) -> Result<Storm> {
-    let found = Storm::ALL.into_iter().find(|storm| storm.name() == text);
-    found.ok_or_else(|| usage(format!("no storm is called {text}")))
+fn parse_disruption(text: &str) -> Result<Disruption> {
+    let found = Disruption::ALL.into_iter().find(|disruption| disruption.name() == text);
+    found.ok_or_else(|| usage_fault(format!("--faults: unknown disruption {text}")))
 }
 
 fn profile(matches: &Matches) -> Result<Profile> {
     match matches.opt_str("links").as_deref() {
         None | Some("franchise") => Ok(Profile::franchise()),
         Some("cooperative") => Ok(Profile::cooperative()),
-        Some(other) => Err(usage(format!("no links are called {other}"))),
+        Some(other) => Err(usage_fault(format!("--links: unknown link profile {other}"))),
     }
 }
 
 fn number(matches: &Matches, name: &str, default: u64) -> Result<u64> {
-    matches.opt_get_default(name, default).map_err(|e| usage(format!("--{name}: {e}")))
+    matches.opt_get_default(name, default).map_err(|e| usage_fault(format!("--{name}: {e}")))
 }
 
 fn numbers(matches: &Matches, name: &str, default: &[u64]) -> Result<Vec<u64>> {
     let Some(list) = matches.opt_str(name) else { return Ok(default.to_vec()) };
-    let parse = |text: &str| text.parse().map_err(|e| usage(format!("--{name}: {e}")));
+    let parse = |text: &str| text.parse().map_err(|e| usage_fault(format!("--{name}: {e}")));
     list.split(',').map(parse).collect()
 }
 
@@ -213,6 +214,6 @@
     ALLOCATOR.allocated() as u64
 }
 
-fn usage(detail: impl std::fmt::Display) -> Fault {
+fn usage_fault(detail: impl std::fmt::Display) -> Fault {
     Fault::new(Code::UsageInvalid).with_detail(detail)
 }
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,7 +1,8 @@
-//! A fleet in memory: the spread's decisions of many nodes in one thread, over in-memory links.
+//! In-memory simulation of a fleet: runs the state machines of many nodes in one thread and
+//! exchanges their messages over simulated links in simulated time.
 //!
-//! The fleet does what a node's adapters do: it carries messages, makes calls to the platform and
-//! wakes deciders. It decides nothing.
+//! [`Fleet`] takes the part of a node's I/O adapters: it delivers messages, calls the platform and
+//! fires timers. It makes no decisions about version distribution itself.
 
 pub mod calls;
 pub mod fault;
@@ -24,13 +25,13 @@
 
 use crate::history::Record;
 use crate::links::{Links, PLATFORM_ZONE, Site};
-use calls::{Calls, Step};
-use fault::{Action, Edition};
+use calls::{CallLoad, Step};
+use fault::{Action, PublicationKind};
 use indexmap::IndexMap;
 use measure::Convergence;
 use platform::{Answer, Platform};
-use slot::{Given, Load, Slot};
-use source::Caller;
+use slot::{Load, NodeInput, Slot};
+use source::SourceCallKey;
 use std::net::SocketAddr;
 use std::time::Duration;
 use sycamore_core::config::{InForce, Preset};
@@ -42,51 +43,51 @@
 use sycamore_core::{Code, Time};
 use workload::{Size, Workload};
 
-/// Where the platform stands.
+/// Location of the platform.
 pub const PLATFORM: Site = Site { region: 0, zone: PLATFORM_ZONE };
 
-/// When a fleet's clock starts: late enough that differences of times don't reach zero.
+/// Initial clock value, large enough that subtracting a timeout never saturates at zero.
 pub const START: Time = Time(1_000_000_000_000_000);
 
-/// How long a connection to a host that does not answer is tried.
+/// Timeout for connecting to a host that does not answer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-enum Happening {
+enum FleetEvent {
     Wake(usize, Time),
     Resume(usize),
-    Arrive { from: usize, to: usize, life: u32, msg: PeerMsg },
-    Refused { node: usize, life: u32, to: SocketAddr },
-    Asked(Caller, SourceCall),
-    Answered(Caller, Answer),
-    TimedOut(Caller),
-    WatchesDue,
-    Act(Action),
-    Call(Step),
+    PeerMessage { from: usize, to: usize, incarnation: u32, msg: PeerMsg },
+    PeerRefused { node: usize, incarnation: u32, to: SocketAddr },
+    SourceRequest(SourceCallKey, SourceCall),
+    SourceResponse(SourceCallKey, Answer),
+    SourceTimeout(SourceCallKey),
+    CheckWatches,
+    Action(Action),
+    CallStep(Step),
 }
 
-/// A fleet and its platform.
+/// The simulated nodes, the links between them and the platform.
 pub struct Fleet {
     setup: Setup,
-    links: Links<Happening>,
-    platform: Platform<Caller>,
+    links: Links<FleetEvent>,
+    platform: Platform<SourceCallKey>,
     slots: Vec<Slot>,
     workload: Workload,
     convergence: Convergence,
     history: Vec<Record>,
     events: Vec<(usize, Event)>,
-    published: IndexMap<InForce, Preset>,
+    published_presets: IndexMap<InForce, Preset>,
     last_cut: Vec<Time>,
-    listed: Vec<Option<VmState>>,
-    last_good: u64,
-    smallest: u64,
-    sizes: size::Sizes,
-    across_kinds: IndexMap<&'static str, u64>,
-    calls_made: Option<Calls>,
+    listed_states: Vec<Option<VmState>>,
+    last_valid_version: u64,
+    min_update_bytes: u64,
+    sizes: size::SizeCache,
+    cross_region_bytes: IndexMap<&'static str, u64>,
+    call_load: Option<CallLoad>,
     outputs: Vec<node::Output>,
 }
 
 impl Fleet {
-    /// A fleet whose nodes have not started, with version 1 published.
+    /// Creates a fleet with version 1 published and all processes stopped.
     pub fn new(setup: Setup) -> Fleet {
         let size = setup.size;
         let slots = (0..size.nodes).map(|node| Slot::new(&setup, node)).collect();
@@ -98,123 +99,121 @@
             convergence: Convergence::new(size.nodes),
             history: Vec::new(),
             events: Vec::new(),
-            published: IndexMap::new(),
+            published_presets: IndexMap::new(),
             last_cut: vec![Time::ZERO; size.zones],
-            listed: vec![Some(VmState::Live); size.nodes],
-            last_good: 0,
-            smallest: 0,
-            sizes: size::Sizes::default(),
-            across_kinds: IndexMap::new(),
-            calls_made: None,
+            listed_states: vec![Some(VmState::Live); size.nodes],
+            last_valid_version: 0,
+            min_update_bytes: 0,
+            sizes: size::SizeCache::default(),
+            cross_region_bytes: IndexMap::new(),
+            call_load: None,
             outputs: Vec::new(),
             setup,
         };
         fleet.publish_places();
-        fleet.publish(Edition::First);
+        fleet.publish(PublicationKind::First);
         fleet
     }
 
-    /// The size of the fleet.
     pub fn size(&self) -> Size {
         self.setup.size
     }
 
-    /// The time now.
     pub fn now(&self) -> Time {
         self.links.now()
     }
 
-    /// What went over the links so far.
+    /// Traffic counters of all links since the start.
     pub fn traffic(&self) -> crate::links::Traffic {
         self.links.traffic()
     }
 
-    /// The platform's counters.
-    pub fn calls(&self) -> platform::Calls {
+    /// Call counters of the platform.
+    pub fn calls(&self) -> platform::CallCounts {
         self.platform.calls()
     }
 
-    /// The measure of convergence.
+    /// Convergence measurements of the run.
     pub fn convergence(&mut self) -> &mut Convergence {
         &mut self.convergence
     }
 
-    /// Starts the count of the platform's busiest second anew.
+    /// Returns the peak number of platform calls in one second and resets it.
     pub fn take_peak(&mut self) -> u64 {
         self.platform.take_peak()
     }
 
-    /// Bytes of the smallest messages that could have carried all changes so far.
-    pub fn smallest(&self) -> u64 {
-        self.smallest
+    /// Total size of the smallest messages that could carry all changes published so far.
+    pub fn min_update_bytes(&self) -> u64 {
+        self.min_update_bytes
     }
 
-    /// The newest version that nodes must accept.
-    pub fn last_good(&self) -> u64 {
-        self.last_good
+    /// Newest published version that passes validation.
+    pub fn last_valid_version(&self) -> u64 {
+        self.last_valid_version
     }
 
-    /// The record so far.
+    /// Records so far, in the order of time.
     pub fn history(&self) -> &[Record] {
         &self.history
     }
 
-    /// What the nodes recorded for the time line, with their numbers.
+    /// Events emitted by the nodes, with the node numbers.
     pub fn events(&self) -> &[(usize, Event)] {
         &self.events
     }
 
-    /// Plans an action at a time from now.
-    pub fn plan(&mut self, after: Duration, action: Action) {
-        self.links.after(after, Happening::Act(action));
+    /// Schedules an action `after` the current time.
+    pub fn schedule(&mut self, after: Duration, action: Action) {
+        self.links.after(after, FleetEvent::Action(action));
     }
 
-    /// Runs until a time.
+    /// Processes all events up to and including `end`.
     pub fn run_until(&mut self, end: Time) {
         while self.links.next_at().is_some_and(|at| at <= end) {
             let Some(event) = self.links.pop() else { break };
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    /// Runs for a span from now. An event at its end keeps the clock moving.
+    /// Processes all events within `span` from now. Queues an event at the end so that the clock
+    /// advances that far.
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now() + span;
-        self.links.at(end, Happening::WatchesDue);
+        self.links.at(end, FleetEvent::CheckWatches);
         self.run_until(end);
     }
 
-    /// Runs until every running node holds at least `version`, at most for `span`. Returns how
-    /// long it took.
-    pub fn run_until_held(&mut self, version: u64, span: Duration) -> Option<Duration> {
+    /// Runs until every running node holds at least `version`, but no longer than `span`. Returns
+    /// the time until the last node had it in force, or `None` on timeout.
+    pub fn run_until_converged(&mut self, version: u64, span: Duration) -> Option<Duration> {
         let since = self.now();
         let end = since + span;
-        self.links.at(end, Happening::WatchesDue);
+        self.links.at(end, FleetEvent::CheckWatches);
         while self.behind(version) > 0 {
             if self.links.next_at().is_none_or(|at| at > end) {
                 return None;
             }
-            // Looking at every node after each event would cost more than the run.
+            // Checks only every few events, since the check visits all nodes.
             for _ in 0..self.slots.len().max(16) / 16 {
                 let Some(event) = self.links.pop() else { break };
-                self.take(event);
+                self.handle_event(event);
             }
         }
-        Some(self.last_in_force().since(since))
+        Some(self.last_in_force_at().since(since))
     }
 
-    /// Running nodes that hold less than `version`.
+    /// Number of running nodes that hold a version older than `version`.
     pub fn behind(&self, version: u64) -> usize {
         self.slots.iter().filter(|slot| slot.is_running() && slot.version() < version).count()
     }
 
-    /// The newest version that any running node holds.
-    pub fn newest_held(&self) -> u64 {
+    /// Newest version held by any running node.
+    pub fn newest_version_in_force(&self) -> u64 {
         self.slots.iter().filter(|slot| slot.is_running()).map(Slot::version).max().unwrap_or(0)
     }
 
-    /// Numbers of the nodes that the spread shows in a role above leaf, for faults that aim at
-    /// relays.
+    /// Numbers of the nodes whose role is not leaf, optionally of one region only.
     pub fn relays(&self, region: Option<u16>) -> Vec<usize> {
         let wanted = |node: &usize| region.is_none_or(|r| self.site(*node).region == r);
         (0..self.slots.len())
@@ -223,66 +222,71 @@
             .collect()
     }
 
-    /// Records the platform's busiest second.
-    pub fn record_calls(&mut self) {
+    pub fn record_platform_peak(&mut self) {
         let peak = self.platform.calls().peak;
         let limit = platform::CALLS_PER_S;
-        self.history.push(Record::Calls { at: self.now(), peak, limit });
+        self.history.push(Record::PlatformPeak { at: self.now(), peak, limit });
     }
 
-    /// What each node has carried since the last reset, with its role.
+    /// Role and load of each node since the last reset.
     pub fn loads(&self) -> Vec<(Role, Load)> {
         self.slots.iter().map(|slot| (slot.role(), slot.load)).collect()
     }
 
-    /// Starts the counters of every node anew.
+    /// Resets the load counters of every node.
     pub fn reset_loads(&mut self) {
         self.slots.iter_mut().for_each(|slot| slot.load = Load::default());
-        self.across_kinds.clear();
+        self.cross_region_bytes.clear();
     }
 
-    /// Bytes between regions since the last reset, by kind of message.
-    pub fn across_kinds(&self) -> &IndexMap<&'static str, u64> {
-        &self.across_kinds
+    /// Bytes sent between regions since the last reset, by message kind.
+    pub fn cross_region_bytes(&self) -> &IndexMap<&'static str, u64> {
+        &self.cross_region_bytes
     }
 
-    fn count_across(&mut self, sites: (Site, Site), kind: &'static str, size: u64) {
+    fn count_cross_region(&mut self, sites: (Site, Site), kind: &'static str, size: u64) {
         if sites.0.region != sites.1.region {
-            *self.across_kinds.entry(kind).or_default() += size;
+            *self.cross_region_bytes.entry(kind).or_default() += size;
         }
     }
 
-    fn count(&mut self, node: usize, sent: u64, received: u64) {
+    fn count_traffic(&mut self, node: usize, sent: u64, received: u64) {
         let load = &mut self.slots[node].load;
         load.sent += sent;
         load.received += received;
         load.messages += 1;
     }
 
-    fn last_in_force(&self) -> Time {
-        self.slots.iter().filter_map(|slot| slot.since).max().unwrap_or(START)
+    fn last_in_force_at(&self) -> Time {
+        self.slots.iter().filter_map(|slot| slot.in_force_since).max().unwrap_or(START)
     }
 
     fn site(&self, node: usize) -> Site {
         self.setup.size.site(node)
     }
 
-    fn take(&mut self, event: Happening) {
+    fn handle_event(&mut self, event: FleetEvent) {
         match event {
-            Happening::Wake(node, at) => self.wake(node, at),
-            Happening::Resume(node) => self.resume(node),
-            Happening::Arrive { from, to, life, msg } => self.arrive(from, to, life, msg),
-            Happening::Refused { node, life, to } => {
-                if self.slots[node].life == life {
-                    self.hand_in(node, Input::PeerFailed { to });
+            FleetEvent::Wake(node, at) => self.wake(node, at),
+            FleetEvent::Resume(node) => self.resume(node),
+            FleetEvent::PeerMessage { from, to, incarnation, msg } => {
+                self.receive(from, to, incarnation, msg)
+            }
+            FleetEvent::PeerRefused { node, incarnation, to } => {
+                if self.slots[node].incarnation == incarnation {
+                    self.handle_spread_input(node, Input::PeerFailed { to });
                 }
             }
-            Happening::Asked(caller, call) => self.asked(caller, call),
-            Happening::Answered(caller, answer) => self.answered(caller, answer),
-            Happening::TimedOut(caller) => self.end_call(caller, Err(Code::SourceUnreachable)),
-            Happening::WatchesDue => self.answer_watches(),
-            Happening::Act(action) => self.act(action),
-            Happening::Call(step) => self.step(step),
+            FleetEvent::SourceRequest(caller, call) => self.handle_source_request(caller, call),
+            FleetEvent::SourceResponse(caller, answer) => {
+                self.handle_source_response(caller, answer)
+            }
+            FleetEvent::SourceTimeout(caller) => {
+                self.complete_source_call(caller, Err(Code::SourceUnreachable))
+            }
+            FleetEvent::CheckWatches => self.answer_watches(),
+            FleetEvent::Action(action) => self.perform(action),
+            FleetEvent::CallStep(step) => self.step(step),
         }
     }
 
@@ -295,49 +299,54 @@
         let Some(wanted) = slot.wake else { return };
         if wanted > at {
             slot.queued_wake = Some(wanted);
-            self.links.at(wanted, Happening::Wake(node, wanted));
+            self.links.at(wanted, FleetEvent::Wake(node, wanted));
             return;
         }
         slot.wake = None;
-        self.hand_in(node, Input::Wake);
+        self.handle_spread_input(node, Input::Wake);
     }
 
     fn resume(&mut self, node: usize) {
         let backlog = self.slots[node].resume(self.links.now());
-        for given in backlog {
-            self.give(node, given);
+        for input in backlog {
+            self.handle_input(node, input);
         }
     }
 
-    fn arrive(&mut self, from: usize, to: usize, life: u32, msg: PeerMsg) {
+    fn receive(&mut self, from: usize, to: usize, incarnation: u32, msg: PeerMsg) {
         if self.slots[to].is_running() {
             let question = matches!(msg, PeerMsg::Ping(_) | PeerMsg::Pull(_));
-            if !(question && self.slots[to].silent) {
+            if !(question && self.slots[to].ignores_requests) {
                 let from = self.slots[from].peer.clone();
-                self.hand_in(to, Input::Peer { from, msg });
+                self.handle_spread_input(to, Input::Peer { from, msg });
             }
             return;
         }
-        // The host answers that nothing listens on the port.
+        // The process is down, so its host refuses the connection.
         let to = self.slots[to].peer.address;
         let sites = (self.site(slot::node_at(to)), self.site(from));
-        self.links.send(sites.0, sites.1, 0, Happening::Refused { node: from, life, to });
+        self.links.send(
+            sites.0,
+            sites.1,
+            0,
+            FleetEvent::PeerRefused { node: from, incarnation, to },
+        );
     }
 
-    fn hand_in(&mut self, node: usize, input: Input) {
-        self.give(node, Given::Spread(input));
+    fn handle_spread_input(&mut self, node: usize, input: Input) {
+        self.handle_input(node, NodeInput::Spread(input));
     }
 
-    /// Hands an input to a node's deciders and carries out what they want done.
-    fn give(&mut self, node: usize, given: Given) {
+    /// Passes an input to the node's state machines and executes the resulting outputs.
+    fn handle_input(&mut self, node: usize, input: NodeInput) {
         let now = self.links.now();
         let mut outputs = std::mem::take(&mut self.outputs);
-        self.slots[node].handle(now, given, &mut outputs);
+        self.slots[node].handle(now, input, &mut outputs);
         for output in outputs.drain(..) {
             match output {
-                node::Output::Spread(output) => self.carry_spread(node, output),
-                node::Output::Entry(output) => self.carry_entry(node, output),
-                node::Output::Gatekeeper(output) => self.carry_gate(node, output),
+                node::Output::Spread(output) => self.apply_spread_output(node, output),
+                node::Output::Entry(output) => self.apply_entry_output(node, output),
+                node::Output::Gatekeeper(output) => self.apply_gatekeeper_output(node, output),
                 node::Output::Event(event) => self.record_event(node, event),
             }
         }
@@ -345,17 +354,17 @@
     }
 
     fn record_event(&mut self, node: usize, event: Event) {
-        if self.setup.recorded {
+        if self.setup.record_history {
             self.events.push((node, event));
         }
     }
 
-    fn carry_spread(&mut self, node: usize, output: Output) {
+    fn apply_spread_output(&mut self, node: usize, output: Output) {
         match output {
-            Output::ReadSource(call) => self.ask(node, call),
-            Output::DropSource(id) => self.drop_call(node, id),
+            Output::ReadSource(call) => self.send_source_request(node, call),
+            Output::DropSource(id) => self.cancel_source_call(node, id),
             Output::Send { to, msg, .. } => self.send(node, to, msg),
-            Output::InForce(snapshot) => self.in_force(node, &snapshot),
+            Output::InForce(snapshot) => self.handle_in_force(node, &snapshot),
             Output::WakeAt(at) => self.wake_at(node, at),
             Output::View(view) => self.slots[node].view = Some(view),
             Output::Event(event) => self.record_event(node, event),
@@ -369,24 +378,25 @@
         slot.wake = Some(at);
         if slot.queued_wake.is_none_or(|queued| queued > at) {
             slot.queued_wake = Some(at);
-            self.links.at(at, Happening::Wake(node, at));
+            self.links.at(at, FleetEvent::Wake(node, at));
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, msg: PeerMsg) {
         let to_node = slot::node_at(to);
-        let life = self.slots[from].life;
+        let incarnation = self.slots[from].incarnation;
         if to_node >= self.slots.len() {
-            self.links.after(CONNECT_TIMEOUT, Happening::Refused { node: from, life, to });
+            self.links
+                .after(CONNECT_TIMEOUT, FleetEvent::PeerRefused { node: from, incarnation, to });
             return;
         }
-        let msg = if self.slots[from].lies { fault::corrupt(msg) } else { msg };
+        let msg = if self.slots[from].corrupts_messages { fault::corrupt(msg) } else { msg };
         let sites = (self.site(from), self.site(to_node));
-        let size = self.sizes.of(&msg);
-        self.count_across(sites, size::kind(&msg), size);
-        let arrive = Happening::Arrive { from, to: to_node, life, msg };
-        self.count(from, size, 0);
-        self.count(to_node, 0, size);
+        let size = self.sizes.wire_size(&msg);
+        self.count_cross_region(sites, size::kind(&msg), size);
+        let arrive = FleetEvent::PeerMessage { from, to: to_node, incarnation, msg };
+        self.count_traffic(from, size, 0);
+        self.count_traffic(to_node, 0, size);
         self.links.send(sites.0, sites.1, size, arrive);
     }
 }
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -1,7 +1,7 @@
-//! Faults and operators' acts, as a plan that a run carries out.
+//! Scheduled actions: faults, repairs and operator activity.
 
 use super::platform::Health;
-use super::{Fleet, Happening};
+use super::{Fleet, FleetEvent};
 use crate::history::Record;
 use crate::links::PLATFORM_ZONE;
 use bytes::Bytes;
@@ -10,71 +10,73 @@
 use sycamore_core::member::VmState;
 use sycamore_core::spread::PeerMsg;
 
-/// What an operator publishes.
+/// Kind of version that an operator publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Edition {
+pub enum PublicationKind {
     /// The first version.
     First,
-    /// The next version, with one change.
-    Change,
-    /// The next version, which must be refused.
-    Bad,
-    /// The last version again with another body: a second operator raced.
-    Rival,
+    /// The next version, with one valid change.
+    Next,
+    /// The next version, with content that fails validation.
+    Invalid,
+    /// The current version number again with different content, as when two operators publish
+    /// concurrently.
+    Conflicting,
 }
 
-/// Something done to the fleet or the platform.
+/// An action on the fleet or the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// An operator publishes.
-    Publish(Edition),
-    /// These processes start, or start again.
+    /// Publish a version.
+    Publish(PublicationKind),
+    /// Start or restart these processes.
     Start(Vec<usize>),
-    /// These processes are killed.
+    /// Kill these processes.
     Kill(Vec<usize>),
-    /// Every relay and reader of a region is killed, and starts again after a while.
-    KillRelays(u16, Duration),
-    /// Every process that does not run starts.
+    /// Kill every relay and platform reader of a region and restart them after the given time.
+    RestartRelays(u16, Duration),
+    /// Start every stopped process.
     StartStopped,
-    /// These processes don't run for a while, and then go on.
+    /// Suspend these processes for the given time.
     Pause(Vec<usize>, Duration),
-    /// This process takes questions and never answers, or answers again.
-    Silence(usize, bool),
-    /// What this process sends does not match its hash, or does again.
-    Lie(usize, bool),
-    /// No traffic between two zones; `None` stands for the platform.
-    Cut(u16, Option<u16>),
-    /// No traffic between a zone and every other zone.
+    /// Make a process ignore requests from peers, or answer them again.
+    SetUnresponsive(usize, bool),
+    /// Make a process send content that does not match its hash, or correct content again.
+    SetCorrupting(usize, bool),
+    /// Cut the link between two zones, or between a zone and the platform if `None`.
+    CutLink(u16, Option<u16>),
+    /// Cut the links between a zone and all other zones.
     CutZone(u16),
-    /// No traffic between two regions, or between the zones of one.
+    /// Cut the links between two regions, or between the zones of one region.
     CutRegions(u16, u16),
-    /// Every link works again.
+    /// Restore all links.
     HealLinks,
-    /// The platform behaves so.
-    Platform(Health),
-    /// The platform answers with a state so many changes ago.
-    PlatformBack(u64),
-    /// The platform's list says so of these VMs; `None` leaves them out.
-    List(Vec<usize>, Option<VmState>),
-    /// Links lose so many messages in a million, and delay some.
-    Trouble(u32, u32),
-    /// Every running node must hold at least this version by now.
-    RecordDue(u64),
-    /// Every running node must hold the last good version by now.
-    DemandLastGood,
-    /// Every running node must, a span from now, hold what the newest of them holds now.
-    DemandAgreement(Duration),
+    /// Set how the platform responds.
+    SetPlatformHealth(Health),
+    /// Make the platform serve its state as of this many changes ago.
+    RollBackPlatform(u64),
+    /// Set the state of these VMs in the platform's VM lists; `None` removes them.
+    SetListedState(Vec<usize>, Option<VmState>),
+    /// Set the loss (parts per million) and jitter (percent) of all links.
+    DegradeLinks(u32, u32),
+    /// Record that every running node must hold at least this version now.
+    CheckVersion(u64),
+    /// Record that every running node must hold the newest valid version now.
+    CheckLastValidVersion,
+    /// Record, after the given time, that every running node must hold the newest version currently
+    /// held by any node.
+    CheckAgreementAfter(Duration),
 }
 
 impl Fleet {
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn perform(&mut self, action: Action) {
         match action {
-            Action::Publish(edition) => self.publish(edition),
+            Action::Publish(kind) => self.publish(kind),
             Action::Start(nodes) => nodes.into_iter().for_each(|node| self.start(node)),
             Action::Kill(nodes) => nodes.into_iter().for_each(|node| self.kill(node)),
-            Action::KillRelays(region, away) => {
+            Action::RestartRelays(region, downtime) => {
                 let relays = self.relays(Some(region));
-                self.plan(away, Action::Start(relays.clone()));
+                self.schedule(downtime, Action::Start(relays.clone()));
                 relays.into_iter().for_each(|node| self.kill(node));
             }
             Action::StartStopped => {
@@ -83,40 +85,40 @@
                 nodes.into_iter().for_each(|node| self.start(node));
             }
             Action::Pause(nodes, span) => nodes.into_iter().for_each(|n| self.pause(n, span)),
-            Action::Silence(node, silent) => {
-                self.slots[node].silent = silent;
-                self.slots[node].troubled = self.links.now();
+            Action::SetUnresponsive(node, ignores_requests) => {
+                self.slots[node].ignores_requests = ignores_requests;
+                self.slots[node].last_impaired = self.links.now();
             }
-            Action::Lie(node, lies) => {
-                self.slots[node].lies = lies;
-                self.slots[node].troubled = self.links.now();
+            Action::SetCorrupting(node, corrupts_messages) => {
+                self.slots[node].corrupts_messages = corrupts_messages;
+                self.slots[node].last_impaired = self.links.now();
             }
-            Action::Cut(zone, other) => self.cut(zone, other.unwrap_or(PLATFORM_ZONE)),
+            Action::CutLink(zone, other) => self.cut(zone, other.unwrap_or(PLATFORM_ZONE)),
             Action::CutZone(zone) => self.cut_zone(zone),
             Action::CutRegions(a, b) => self.cut_regions(a, b),
             Action::HealLinks => self.links.heal_all(),
-            Action::Platform(health) => self.platform.set_health(health),
-            Action::PlatformBack(changes) => {
+            Action::SetPlatformHealth(health) => self.platform.set_health(health),
+            Action::RollBackPlatform(changes) => {
                 let index = self.platform.index().saturating_sub(changes);
                 self.platform.set_health(Health::AsOf(index));
             }
-            Action::List(nodes, state) => self.list(&nodes, state),
-            Action::Trouble(loss_ppm, jitter_percent) => {
+            Action::SetListedState(nodes, state) => self.set_listed_state(&nodes, state),
+            Action::DegradeLinks(loss_ppm, jitter_percent) => {
                 let profile = self.setup.profile.with_trouble(loss_ppm, jitter_percent);
                 self.links.set_profile(profile);
             }
-            Action::RecordDue(version) => self.record_due(version),
-            Action::DemandLastGood => self.record_due(self.last_good),
-            Action::DemandAgreement(span) => {
-                let newest = self.newest_held();
-                self.plan(span, Action::RecordDue(newest));
+            Action::CheckVersion(version) => self.record_due_version(version),
+            Action::CheckLastValidVersion => self.record_due_version(self.last_valid_version),
+            Action::CheckAgreementAfter(span) => {
+                let newest = self.newest_version_in_force();
+                self.schedule(span, Action::CheckVersion(newest));
             }
         }
     }
 
-    fn list(&mut self, nodes: &[usize], state: Option<VmState>) {
+    fn set_listed_state(&mut self, nodes: &[usize], state: Option<VmState>) {
         for node in nodes {
-            self.listed[*node] = state;
+            self.listed_states[*node] = state;
         }
         let mut zones: Vec<u16> = nodes.iter().map(|node| self.site(*node).zone).collect();
         zones.sort_unstable();
@@ -125,19 +127,19 @@
         self.answer_watches();
     }
 
-    fn record_due(&mut self, version: u64) {
-        self.history.push(Record::Due { at: self.links.now(), version });
+    fn record_due_version(&mut self, version: u64) {
+        self.history.push(Record::VersionDue { at: self.links.now(), version });
     }
 
     fn start(&mut self, node: usize) {
         self.kill(node);
-        let start = self.start_of(node);
+        let start = self.capture_start(node);
         self.slots[node].start(start);
-        self.convergence.restarted(node, self.links.now());
-        if self.setup.recorded {
+        self.convergence.record_restart(node, self.links.now());
+        if self.setup.record_history {
             self.history.push(Record::Started { at: self.links.now(), node });
         }
-        self.hand_in(node, sycamore_core::spread::Input::Start);
+        self.handle_spread_input(node, sycamore_core::spread::Input::Start);
     }
 
     fn kill(&mut self, node: usize) {
@@ -146,18 +148,18 @@
         }
         self.slots[node].stop();
         self.break_calls(node);
-        self.convergence.restarted(node, self.links.now());
-        if self.setup.recorded {
+        self.convergence.record_restart(node, self.links.now());
+        if self.setup.record_history {
             self.history.push(Record::Stopped { at: self.links.now(), node });
         }
-        self.platform.forget(|caller| caller.node == node);
+        self.platform.drop_watches(|caller| caller.node == node);
     }
 
     fn pause(&mut self, node: usize, span: Duration) {
         let now = self.links.now();
         if self.slots[node].is_running() {
             self.slots[node].pause(now);
-            self.links.after(span, Happening::Resume(node));
+            self.links.after(span, FleetEvent::Resume(node));
         }
     }
 
@@ -171,8 +173,9 @@
         }
         if b == PLATFORM_ZONE {
             let size = self.setup.size;
-            // A connection that is cut is given up by the platform; its caller only times out.
-            self.platform.forget(|caller| size.site(caller.node).zone == a);
+            // The platform drops the watches of cut connections. The callers notice only by
+            // timeout.
+            self.platform.drop_watches(|caller| size.site(caller.node).zone == a);
         }
     }
 
@@ -187,7 +190,7 @@
     fn cut_regions(&mut self, a: u16, b: u16) {
         let size = self.setup.size;
         let zones = |region: u16| {
-            (0..size.zones as u16).filter(move |zone| size.place_of(*zone).region == region)
+            (0..size.zones as u16).filter(move |zone| size.site_of_zone(*zone).region == region)
         };
         for zone in zones(a) {
             for other in zones(b).filter(|other| *other != zone) {
@@ -197,12 +200,12 @@
     }
 }
 
-/// Every number of a fleet's nodes in a zone.
+/// Numbers of the nodes in a zone.
 pub fn nodes_in_zone(size: &super::workload::Size, zone: u16) -> Vec<usize> {
     (zone as usize..size.nodes).step_by(size.zones).collect()
 }
 
-/// The message as a peer with broken memory sends it: content that does not match its hash.
+/// Alters a delta so that its content does not match its hash. Other messages are unchanged.
 pub fn corrupt(msg: PeerMsg) -> PeerMsg {
     match msg {
         PeerMsg::Delta(delta) => {
--- a/bench/src/fleet/memory.rs
+++ b/bench/src/fleet/memory.rs
@@ -1,54 +1,55 @@
-//! Memory of one node's decider, alone with presets of several sizes.
+//! Memory of a single node for presets of several fleet sizes.
 
-use super::run::start;
+use super::run::start_all;
 use super::slopes::{Line, Options};
 use super::workload::{CALLED_SERVICES, Size};
 use super::{Fleet, Setup};
 use serde::Serialize;
 use std::time::Duration;
 
-/// Sizes of the fleets that the presets are for.
-const FLEETS: [usize; 4] = [1_000, 5_000, 10_000, 23_000];
+/// Fleet sizes whose presets are measured.
+const FLEET_SIZES: [usize; 4] = [1_000, 5_000, 10_000, 23_000];
 
-/// The memory of one node at one size of the preset.
+/// Memory of one node for one preset size.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Point {
-    /// Nodes that the preset is for.
+pub struct MemoryPoint {
+    /// Fleet size that the preset is made for.
     pub nodes: usize,
-    /// Services in it.
+    /// Services in the preset.
     pub services: usize,
-    /// KB of a node that needs every route, as a reader of the platform does.
+    /// Memory in KB of a node whose scope covers every route.
     pub full_kb: f64,
-    /// KB of a node with the usual scope that reads the platform itself, its worst case.
+    /// Memory in KB of a node with the default scope that reads the platform itself, which is the
+    /// worst case.
     pub usual_kb: f64,
 }
 
-/// Measures every size.
-pub fn measure(options: &Options) -> Vec<Point> {
-    FLEETS.iter().map(|nodes| point(Size::of(*nodes), options)).collect()
+pub fn measure(options: &Options) -> Vec<MemoryPoint> {
+    FLEET_SIZES.iter().map(|nodes| measure_point(Size::of(*nodes), options)).collect()
 }
 
-/// The growth of a full scope with the number of nodes.
-pub fn full_line(points: &[Point]) -> Line {
+/// Fits the memory of a full scope against the fleet size.
+pub fn fit_full_scope(points: &[MemoryPoint]) -> Line {
     let points: Vec<(f64, f64)> = points.iter().map(|p| (p.nodes as f64, p.full_kb)).collect();
     Line::fit(&points)
 }
 
-fn point(size: Size, options: &Options) -> Point {
+fn measure_point(size: Size, options: &Options) -> MemoryPoint {
     let Size { nodes, services, .. } = size;
-    let full_kb = alone(size, usize::MAX, options);
-    let usual_kb = alone(size, CALLED_SERVICES, options);
-    Point { nodes, services, full_kb, usual_kb }
+    let full_kb = measure_node_kb(size, usize::MAX, options);
+    let usual_kb = measure_node_kb(size, CALLED_SERVICES, options);
+    MemoryPoint { nodes, services, full_kb, usual_kb }
 }
 
-/// Memory that one node takes from its start until it has a version in force and has settled.
-fn alone(preset: Size, called_services: usize, options: &Options) -> f64 {
+/// Measures the memory of a single node from its start until it has settled with a version in
+/// force.
+fn measure_node_kb(preset: Size, called_services: usize, options: &Options) -> f64 {
     let one = Size { nodes: 1, services: 1, zones: 1, regions: 1 };
     let setup =
         Setup::new(one, options.seed).with_preset_of(preset).with_called_services(called_services);
     let mut fleet = Fleet::new(setup);
     let before = (options.memory)();
-    start(&mut fleet);
+    start_all(&mut fleet);
     fleet.run_for(Duration::from_secs(60));
     (options.memory)().saturating_sub(before) as f64 / 1_024.0
 }
--- a/bench/src/fleet/platform.rs
+++ b/bench/src/fleet/platform.rs
@@ -1,135 +1,130 @@
-//! The platform in memory: keys with an index, watches, the limit on calls, outages and stale
-//! answers. docs/INTERFACES.md states the contract.
+//! In-memory platform: an indexed key-value store with watches, a rate limit, outages and stale
+//! reads. The contract is described in docs/INTERFACES.md.
 
 use bytes::Bytes;
 use indexmap::IndexMap;
 use sycamore_core::{Name, Time};
 
-/// Calls a second that the platform answers, over all readers.
+/// Rate limit over all callers, in calls per second.
 pub const CALLS_PER_S: u64 = 2_000;
 
-/// A read, with the place of the answer in the caller's hands.
+/// A read or watch of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Get<C> {
-    /// Who reads; given back with the answer.
+    /// Identifies the caller; returned with the answer.
     pub caller: C,
-    /// The key.
     pub key: Name,
-    /// Answer only once the key's index is above this; `None` reads at once.
-    pub above: Option<u64>,
-    /// Until when a watch waits.
+    /// Answer only once the index of the key exceeds this value; `None` answers immediately.
+    pub min_index_exclusive: Option<u64>,
+    /// Time at which a watch ends even without a change.
     pub until: Time,
 }
 
-/// What a call is answered.
+/// Answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The value and the index at which it last changed.
+    /// Value and the index of its last change.
     Value(Bytes, u64),
-    /// There is no such key.
+    /// The key does not exist.
     Missing,
-    /// Too many calls in this second.
+    /// The call exceeds the rate limit.
     OverLimit,
-    /// Nothing listens on the platform's port.
+    /// The connection was refused.
     Refused,
 }
 
-/// How the platform behaves now.
+/// How the platform responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It answers with its newest state.
+    /// Serves the current state.
     Up,
-    /// It does not answer.
+    /// Does not answer.
     Down,
-    /// Nothing listens on its port.
+    /// Refuses connections.
     Refusing,
-    /// It answers with the state as of this index: a stale replica, or a restored backup.
+    /// Serves the state as of this index, like a stale replica or a restored backup.
     AsOf(u64),
 }
 
-/// What was counted.
+/// Call counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Calls {
-    /// Calls that reached the platform.
+pub struct CallCounts {
     pub total: u64,
     /// Calls answered with [`Answer::OverLimit`].
     pub over_limit: u64,
-    /// Most calls begun in one second plus watches that were waiting at its start.
+    /// Maximum over all seconds of the calls in that second plus the pending watches.
     pub peak: u64,
 }
 
-/// Values kept of one key, for stale answers.
-const KEPT_VALUES: usize = 32;
+/// Previous values retained per key for stale reads.
+const MAX_VALUES_PER_KEY: usize = 32;
 
-/// The platform's state. `C` names a caller.
+/// The platform. `C` identifies a caller.
 pub struct Platform<C> {
     values: IndexMap<Name, Vec<(u64, Bytes)>>,
     index: u64,
     health: Health,
-    waiting: Vec<Get<C>>,
-    calls: Calls,
+    watches: Vec<Get<C>>,
+    calls: CallCounts,
     second: u64,
     this_second: u64,
 }
 
 impl<C: Clone> Platform<C> {
-    /// An empty platform.
     pub fn new() -> Platform<C> {
         Platform {
             values: IndexMap::new(),
             index: 0,
             health: Health::Up,
-            waiting: Vec::new(),
-            calls: Calls::default(),
+            watches: Vec::new(),
+            calls: CallCounts::default(),
             second: 0,
             this_second: 0,
         }
     }
 
-    /// The index of the last change.
+    /// Index of the last change.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// What was counted so far.
-    pub fn calls(&self) -> Calls {
+    pub fn calls(&self) -> CallCounts {
         self.calls
     }
 
-    /// Starts the count of the peak anew and returns what it was.
+    /// Returns the peak and resets it.
     pub fn take_peak(&mut self) -> u64 {
         std::mem::take(&mut self.calls.peak)
     }
 
-    /// How it behaves from now on. Watches that wait are lost in an outage.
+    /// Sets how the platform responds. An outage drops all pending watches.
     pub fn set_health(&mut self, health: Health) {
         self.health = health;
         if matches!(health, Health::Down | Health::Refusing) {
-            self.waiting.clear();
+            self.watches.clear();
         }
     }
 
-    /// Ends the watches of some callers, whose connections have closed.
-    pub fn forget(&mut self, gone: impl Fn(&C) -> bool) {
-        self.waiting.retain(|watch| !gone(&watch.caller));
+    /// Drops the watches of callers whose connections have closed.
+    pub fn drop_watches(&mut self, closed: impl Fn(&C) -> bool) {
+        self.watches.retain(|watch| !closed(&watch.caller));
     }
 
-    /// How it behaves.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Writes a value, as an operator or the platform itself does.
+    /// Writes a value.
     pub fn put(&mut self, key: Name, value: Bytes) {
         self.index += 1;
         let versions = self.values.entry(key).or_default();
-        if versions.len() == KEPT_VALUES {
+        if versions.len() == MAX_VALUES_PER_KEY {
             versions.remove(0);
         }
         versions.push((self.index, value));
     }
 
-    /// Takes a call. `None` means that it waits, or is lost in an outage.
+    /// Handles a call. `None` means that a watch is pending or that the call was lost in an outage.
     pub fn get(&mut self, now: Time, get: Get<C>) -> Option<Answer> {
         match self.health {
             Health::Down => return None,
@@ -141,30 +136,33 @@
             return Some(Answer::OverLimit);
         }
         let answer = self.read(&get.key);
-        match (&answer, get.above) {
-            (Answer::Value(_, index), Some(above)) if *index <= above && now < get.until => {
-                self.waiting.push(get);
+        match (&answer, get.min_index_exclusive) {
+            (Answer::Value(_, index), Some(min_index_exclusive))
+                if *index <= min_index_exclusive && now < get.until =>
+            {
+                self.watches.push(get);
                 None
             }
             _ => Some(answer),
         }
     }
 
-    /// Answers the watches whose key has changed or whose wait is over.
-    pub fn due(&mut self, now: Time) -> Vec<(C, Answer)> {
+    /// Removes and answers the watches whose key has changed or whose time is over.
+    pub fn take_due_watches(&mut self, now: Time) -> Vec<(C, Answer)> {
         let mut due = Vec::new();
-        let mut kept = Vec::new();
-        for watch in std::mem::take(&mut self.waiting) {
+        let mut pending = Vec::new();
+        for watch in std::mem::take(&mut self.watches) {
             let answer = self.read(&watch.key);
-            let above = watch.above.unwrap_or(0);
-            let changed = matches!(&answer, Answer::Value(_, index) if *index > above);
+            let min_index_exclusive = watch.min_index_exclusive.unwrap_or(0);
+            let changed =
+                matches!(&answer, Answer::Value(_, index) if *index > min_index_exclusive);
             if changed || now >= watch.until {
                 due.push((watch.caller, answer));
             } else {
-                kept.push(watch);
+                pending.push(watch);
             }
         }
-        self.waiting = kept;
+        self.watches = pending;
         due
     }
 
@@ -188,7 +186,7 @@
         }
         self.this_second += 1;
         self.calls.total += 1;
-        let with_waiting = self.this_second + self.waiting.len() as u64;
+        let with_waiting = self.this_second + self.watches.len() as u64;
         self.calls.peak = self.calls.peak.max(with_waiting);
     }
 }
--- a/bench/src/fleet/record.rs
+++ b/bench/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! What a fleet records of versions for its history.
+//! Recording of version changes in the history of a fleet.
 
 use super::Fleet;
 use super::publication::Publication;
@@ -10,26 +10,26 @@
 use sycamore_core::config::Snapshot;
 
 impl Fleet {
-    pub(super) fn in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
+    pub(super) fn handle_in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
         let now = self.links.now();
         let in_force = &snapshot.in_force;
-        if self.setup.recorded {
+        if self.setup.record_history {
             self.record_in_force(node, snapshot);
         }
-        self.convergence.in_force(node, in_force.version, now);
-        self.slots[node].take_in_force(in_force.clone(), now);
+        self.convergence.record_in_force(node, in_force.version, now);
+        self.slots[node].set_in_force(in_force.clone(), now);
     }
 
     pub(super) fn record_in_force(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
         let at = self.links.now();
         if self.slots[node].in_force.is_none() && self.setup.profile.loss_ppm == 0 {
-            let version = self.remembered(node);
-            self.history.push(Record::Remembered { at, node, version });
+            let version = self.newest_neighbour_version(node);
+            self.history.push(Record::NeighbourVersion { at, node, version });
         }
         let scope = self.slots[node].scope.as_deref();
-        let content = match self.published.get(&snapshot.in_force) {
-            Some(preset) => history::content(snapshot, preset, scope),
-            None => Content::Unknown,
+        let content = match self.published_presets.get(&snapshot.in_force) {
+            Some(preset) => history::compare_content(snapshot, preset, scope),
+            None => Content::Unpublished,
         };
         let publication = history::Publication {
             version: snapshot.in_force.version,
@@ -38,38 +38,40 @@
         self.history.push(Record::InForce { at, node, publication, content });
     }
 
-    /// The newest version that a neighbour held when the node started, of those that the node
-    /// could ask from then till now.
-    pub(super) fn remembered(&self, node: usize) -> u64 {
+    /// Newest version that any neighbour held when the node started, considering only neighbours
+    /// that have been reachable ever since.
+    pub(super) fn newest_neighbour_version(&self, node: usize) -> u64 {
         let Some(start) = &self.slots[node].start else { return 0 };
-        let could_ask = |other: usize, life: u32| {
+        let stayed_reachable = |other: usize, incarnation: u32| {
             let slot = &self.slots[other];
-            slot.life == life && slot.troubled < start.at && self.uncut_since(node, other, start.at)
+            slot.incarnation == incarnation
+                && slot.last_impaired < start.at
+                && self.connected_since(node, other, start.at)
         };
-        let versions = start.neighbours.iter().filter(|n| could_ask(n.node, n.life));
+        let versions = start.neighbours.iter().filter(|n| stayed_reachable(n.node, n.incarnation));
         versions.map(|neighbour| neighbour.version).max().unwrap_or(0)
     }
 
-    pub(super) fn uncut_since(&self, a: usize, b: usize, since: Time) -> bool {
+    pub(super) fn connected_since(&self, a: usize, b: usize, since: Time) -> bool {
         let sites = (self.site(a), self.site(b));
         let cut_before = |site: Site| self.last_cut[site.zone as usize] < since;
         let uncut = !self.links.is_cut(sites.0, sites.1);
         uncut && (sites.0.zone == sites.1.zone || cut_before(sites.0) && cut_before(sites.1))
     }
 
-    pub(super) fn start_of(&self, node: usize) -> Start {
+    pub(super) fn capture_start(&self, node: usize) -> Start {
         let zone = self.site(node).zone;
-        let near = |other: &usize| {
+        let is_neighbour = |other: &usize| {
             *other != node
                 && (self.site(*other).zone == zone || self.slots[node].seeds.contains(other))
         };
-        let askable = |other: &usize| {
+        let is_reachable = |other: &usize| {
             let slot = &self.slots[*other];
             slot.is_running()
-                && !slot.is_troubled()
+                && !slot.is_impaired()
                 && !self.links.is_cut(self.site(node), self.site(*other))
         };
-        let others = (0..self.slots.len()).filter(near).filter(askable);
+        let others = (0..self.slots.len()).filter(is_neighbour).filter(is_reachable);
         let neighbours = others.map(|other| self.slots[other].as_neighbour(other)).collect();
         Start { at: self.links.now(), neighbours }
     }
@@ -81,7 +83,7 @@
         let record = history::Publication { version, digest };
         self.history.push(Record::Published { at, publication: record, valid });
         if valid {
-            self.published.insert(in_force, publication.preset.clone());
+            self.published_presets.insert(in_force, publication.preset.clone());
         }
     }
 }
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -1,6 +1,7 @@
-//! Runs of a fleet in memory that measure it: ordinary change, and storms.
+//! Measured runs of a fleet: regular configuration changes and disruptions, compared with the
+//! polling baseline.
 
-use super::fault::{Action, Edition, nodes_in_zone};
+use super::fault::{Action, PublicationKind, nodes_in_zone};
 use super::measure::{Figures, RoleFigures, cpu_time};
 use super::workload::{CHANGES_PER_DAY, Size};
 use super::{Fleet, Setup};
@@ -9,211 +10,216 @@
 use std::time::Duration;
 use sycamore_core::place::Link;
 
-/// Longest wait for a fleet to hold a version.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Maximum time to wait until the fleet holds a version.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Quiet time after the start, before counting begins.
-const SETTLING: Duration = Duration::from_secs(30);
+/// Time without changes before each measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// How long a zone stays cut in the storm of that name.
-const CUT: Duration = Duration::from_secs(30);
+/// Duration of the zone partition and, doubled, of the platform outage.
+const PARTITION_DURATION: Duration = Duration::from_secs(30);
 
-/// How long regions stay apart, and the versions published meanwhile: one a minute, since one
-/// each six seconds would only take longer to run.
-const APART: Duration = Duration::from_secs(3_600);
-const APART_VERSIONS: u32 = 60;
+/// Duration of the region partition and number of versions published during it.
+const REGION_PARTITION_DURATION: Duration = Duration::from_secs(3_600);
+const REGION_PARTITION_VERSIONS: u32 = 60;
 
-/// Nodes of a rack.
-const RACK: usize = 40;
+const RACK_NODES: usize = 40;
 
-/// How long killed processes stay away.
-const AWAY: Duration = Duration::from_secs(10);
+/// Time between killing and restarting processes.
+const RESTART_DELAY: Duration = Duration::from_secs(10);
 
-/// What is run.
+/// Parameters of a measurement of regular changes.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Versions published while counting.
+    /// Versions to publish.
     pub versions: usize,
-    /// Time between two versions.
-    pub pause: Duration,
-    /// Restarts of single processes a minute while counting.
+    pub interval: Duration,
+    /// Rate of single process restarts during the measurement.
     pub restarts_per_minute: u32,
 }
 
 impl Plan {
-    /// So many versions at the users' rate.
+    /// Plans `versions` changes at the default rate.
     pub fn new(versions: usize) -> Plan {
-        Plan { versions, pause: pause_of(CHANGES_PER_DAY), restarts_per_minute: 0 }
+        Plan { versions, interval: interval_for(CHANGES_PER_DAY), restarts_per_minute: 0 }
     }
 
-    /// The same with another number of changes a day.
+    /// Sets the number of changes per day.
     pub fn with_changes_per_day(mut self, changes: u64) -> Plan {
-        self.pause = pause_of(changes);
+        self.interval = interval_for(changes);
         self
     }
 
-    /// The same with processes that restart.
     pub fn with_restarts_per_minute(mut self, restarts: u32) -> Plan {
         self.restarts_per_minute = restarts;
         self
     }
 }
 
-/// What goes wrong in a storm.
+/// A failure of part of the system, during which versions are published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Storm {
-    /// A zone is cut from all others and the platform, versions are published, the cut heals.
-    ZoneCut,
-    /// Every relay and reader of a region is killed at once and returns later.
-    Relays,
-    /// Every process of a zone is killed; all return at the same moment.
-    Zone,
-    /// Every process is killed; all return at the same moment.
-    Everything,
-    /// A rack of a zone fails for good.
-    Rack,
-    /// A region is cut from all others and the platform for an hour of changes.
-    Regions,
-    /// The platform is away while versions are published; it returns.
-    Source,
+pub enum Disruption {
+    /// A zone is cut off from all other zones and from the platform, then reconnected.
+    ZonePartition,
+    /// All relays and platform readers of a region are killed and restarted later.
+    RelayRestart,
+    /// All processes of a zone are killed and restarted simultaneously.
+    ZoneRestart,
+    /// All processes are killed and restarted simultaneously.
+    FleetRestart,
+    /// A rack in one zone fails permanently.
+    RackLoss,
+    /// A region is cut off from all other regions and from the platform for an hour of changes.
+    RegionPartition,
+    /// The platform does not answer for a while.
+    PlatformOutage,
 }
 
-impl Storm {
-    /// Every storm that takes at most a few minutes of simulated time.
-    pub const USUAL: [Storm; 6] =
-        [Storm::Rack, Storm::ZoneCut, Storm::Relays, Storm::Zone, Storm::Everything, Storm::Source];
+impl Disruption {
+    /// All disruptions that take at most a few minutes of simulated time.
+    pub const SHORT: [Disruption; 6] = [
+        Disruption::RackLoss,
+        Disruption::ZonePartition,
+        Disruption::RelayRestart,
+        Disruption::ZoneRestart,
+        Disruption::FleetRestart,
+        Disruption::PlatformOutage,
+    ];
 
-    /// Every storm.
-    pub const ALL: [Storm; 7] = [
-        Storm::Rack,
-        Storm::ZoneCut,
-        Storm::Relays,
-        Storm::Zone,
-        Storm::Everything,
-        Storm::Source,
-        Storm::Regions,
+    pub const ALL: [Disruption; 7] = [
+        Disruption::RackLoss,
+        Disruption::ZonePartition,
+        Disruption::RelayRestart,
+        Disruption::ZoneRestart,
+        Disruption::FleetRestart,
+        Disruption::PlatformOutage,
+        Disruption::RegionPartition,
     ];
 
-    /// Its name on the command line and in results.
+    /// Name on the command line and in the results.
     pub fn name(self) -> &'static str {
         match self {
-            Storm::ZoneCut => "zone-cut",
-            Storm::Relays => "relays",
-            Storm::Zone => "zone",
-            Storm::Everything => "everything",
-            Storm::Source => "source",
-            Storm::Rack => "rack",
-            Storm::Regions => "regions",
+            Disruption::ZonePartition => "zone-cut",
+            Disruption::RelayRestart => "relays",
+            Disruption::ZoneRestart => "zone",
+            Disruption::FleetRestart => "everything",
+            Disruption::PlatformOutage => "source",
+            Disruption::RackLoss => "rack",
+            Disruption::RegionPartition => "regions",
         }
     }
 }
 
-/// What a storm came to.
+/// Results of one disruption.
 #[derive(Clone, Debug, Serialize)]
-pub struct StormFigures {
-    /// The storm's name.
-    pub storm: &'static str,
-    /// From the heal, or from the return of the processes, until the last version was in force on
-    /// every node; `None` if it never was.
+pub struct DisruptionFigures {
+    #[serde(rename = "storm")]
+    pub disruption: &'static str,
+    /// Time from the repair or restart until the newest version is in force on every node; `None`
+    /// on timeout.
     pub recovered_ms: Option<f64>,
-    /// Nodes still without it when waiting ended.
+    /// Nodes without the newest version at the end.
     pub behind: usize,
-    /// Most platform calls in one second, waiting watches counted.
+    /// Maximum number of platform calls in one second, including pending watches.
     pub platform_calls_peak: u64,
-    /// Platform calls refused as too many.
+    /// Platform calls rejected by the rate limit.
     pub platform_over_limit: u64,
-    /// Bytes between regions from the beginning of the storm to its end.
-    pub across_bytes: u64,
-    /// Bytes of all links in the same span, a node.
+    /// Bytes between regions from the beginning of the disruption until recovery.
+    #[serde(rename = "across_bytes")]
+    pub cross_region_bytes: u64,
+    /// Bytes on all links per node during the same span.
     pub bytes_per_node: f64,
 }
 
-/// What a fleet came to.
+/// Results of all measurements of one system.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// From the start of every process until each had a version in force; `None` if one never had.
+    /// Time from the simultaneous start of all processes until every node has a version in force;
+    /// `None` on timeout.
     pub started_ms: Option<f64>,
-    /// Most platform calls in one second of that start.
+    /// Maximum number of platform calls in one second during that start.
     pub start_calls_peak: u64,
-    /// Ordinary change.
+    /// Results of regular changes.
     pub figures: Figures,
-    /// Bytes of the smallest messages that could carry a version: its compressed change, once a
-    /// region.
-    pub smallest_across_bytes: f64,
-    /// Bytes between regions that carry a version, for each of the smallest.
-    pub versions_to_smallest: f64,
-    /// All bytes between regions for each version, for each of the smallest.
-    pub across_to_smallest: f64,
-    /// Storms.
-    pub storms: Vec<StormFigures>,
+    /// Lower bound of the bytes between regions per version: the smallest update, sent once to each
+    /// other region.
+    #[serde(rename = "smallest_across_bytes")]
+    pub min_cross_region_bytes: f64,
+    /// Ratio of the bytes that carry versions between regions to the lower bound.
+    #[serde(rename = "versions_to_smallest")]
+    pub version_bytes_to_min: f64,
+    /// Ratio of all bytes between regions to the lower bound.
+    #[serde(rename = "across_to_smallest")]
+    pub cross_region_bytes_to_min: f64,
+    #[serde(rename = "storms")]
+    pub disruptions: Vec<DisruptionFigures>,
 }
 
-/// Both ways side by side.
+/// Results of the fleet and the polling baseline at one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// Nodes.
     pub nodes: usize,
-    /// Services.
     pub services: usize,
-    /// Availability zones.
     pub zones: usize,
-    /// Regions.
     pub regions: usize,
-    /// The system.
-    pub ours: Outcome,
-    /// Every node polls the whole document.
-    pub naive: Outcome,
+    /// The fleet.
+    #[serde(rename = "ours")]
+    pub fleet: Outcome,
+    /// The baseline, in which every node polls the complete document.
+    #[serde(rename = "naive")]
+    pub baseline: Outcome,
 }
 
-/// Runs both ways over the same links and the same changes.
-pub fn compare(setup: &Setup, plan: &Plan, storms: &[Storm]) -> Comparison {
+/// Measures the fleet and the baseline with the same links and changes.
+pub fn compare(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Comparison {
     let size = setup.size;
-    let ours = ours(setup, plan, storms);
-    let naive = naive(setup, plan, storms);
+    let fleet = run_fleet(setup, plan, disruptions);
+    let baseline = run_baseline(setup, plan, disruptions);
     let Size { nodes, services, zones, regions } = size;
-    Comparison { nodes, services, zones, regions, ours, naive }
+    Comparison { nodes, services, zones, regions, fleet, baseline }
 }
 
-/// Runs the system.
-pub fn ours(setup: &Setup, plan: &Plan, storms: &[Storm]) -> Outcome {
+/// Measures the fleet.
+pub fn run_fleet(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
     let before = (setup.memory)();
     let mut fleet = Fleet::new(setup.clone());
-    let started = start(&mut fleet);
+    let started = start_all(&mut fleet);
     let start_calls_peak = fleet.take_peak();
-    let mut figures = change(&mut fleet, plan);
+    let mut figures = measure_changes(&mut fleet, plan);
     let bytes = (setup.memory)().saturating_sub(before);
     figures.kb_per_node = bytes as f64 / 1_024.0 / setup.size.nodes as f64;
-    let smallest = smallest(setup, plan);
-    let across_to_smallest = figures.across_bytes_per_version / smallest;
-    let versions_to_smallest = figures.across_version_bytes / smallest;
-    let storms = storms.iter().map(|storm| weather(&mut fleet, *storm)).collect();
-    let started_ms = started.map(millis);
+    let min_cross_region_bytes = min_cross_region_bytes(setup, plan);
+    let cross_region_bytes_to_min = figures.cross_region_bytes_per_version / min_cross_region_bytes;
+    let version_bytes_to_min = figures.cross_region_version_bytes / min_cross_region_bytes;
+    let disruptions =
+        disruptions.iter().map(|disruption| run_disruption(&mut fleet, *disruption)).collect();
+    let started_ms = started.map(to_millis);
     Outcome {
         started_ms,
         start_calls_peak,
         figures,
-        smallest_across_bytes: smallest,
-        versions_to_smallest,
-        across_to_smallest,
-        storms,
+        min_cross_region_bytes,
+        version_bytes_to_min,
+        cross_region_bytes_to_min,
+        disruptions,
     }
 }
 
-fn naive(setup: &Setup, plan: &Plan, storms: &[Storm]) -> Outcome {
+fn run_baseline(setup: &Setup, plan: &Plan, disruptions: &[Disruption]) -> Outcome {
     let baseline = || Baseline::new(setup.size, setup.profile, setup.seed);
-    let figures = baseline().run(plan.versions, plan.pause);
-    let smallest = smallest(setup, plan);
-    let across_to_smallest = figures.across_bytes_per_version / smallest;
+    let figures = baseline().run(plan.versions, plan.interval);
+    let min_cross_region_bytes = min_cross_region_bytes(setup, plan);
+    let cross_region_bytes_to_min = figures.cross_region_bytes_per_version / min_cross_region_bytes;
     let all: Vec<usize> = (0..setup.size.nodes).collect();
     let start = baseline().return_at_once("everything", &all);
-    let mut storm_figures = Vec::new();
-    for storm in storms {
-        match storm {
-            Storm::Zone => {
+    let mut disruption_figures = Vec::new();
+    for disruption in disruptions {
+        match disruption {
+            Disruption::ZoneRestart => {
                 let zone = nodes_in_zone(&setup.size, 1);
-                storm_figures.push(baseline().return_at_once(storm.name(), &zone));
+                disruption_figures.push(baseline().return_at_once(disruption.name(), &zone));
             }
-            Storm::Everything => storm_figures.push(start.clone()),
+            Disruption::FleetRestart => disruption_figures.push(start.clone()),
             _ => {}
         }
     }
@@ -221,32 +227,32 @@
         started_ms: start.recovered_ms,
         start_calls_peak: start.platform_calls_peak,
         figures,
-        smallest_across_bytes: smallest,
-        versions_to_smallest: across_to_smallest,
-        across_to_smallest,
-        storms: storm_figures,
+        min_cross_region_bytes,
+        version_bytes_to_min: cross_region_bytes_to_min,
+        cross_region_bytes_to_min,
+        disruptions: disruption_figures,
     }
 }
 
-/// Starts every process at the same moment.
-pub fn start(fleet: &mut Fleet) -> Option<Duration> {
+/// Starts all processes simultaneously. Returns the time until version 1 is in force everywhere.
+pub fn start_all(fleet: &mut Fleet) -> Option<Duration> {
     let all = (0..fleet.size().nodes).collect();
     let now = fleet.now();
-    fleet.plan(Duration::ZERO, Action::Start(all));
+    fleet.schedule(Duration::ZERO, Action::Start(all));
     fleet.run_until(now);
-    fleet.run_until_held(1, PATIENCE)
+    fleet.run_until_converged(1, CONVERGENCE_TIMEOUT)
 }
 
-/// Publishes the plan's versions and measures.
-pub fn change(fleet: &mut Fleet, plan: &Plan) -> Figures {
-    fleet.run_for(SETTLING);
+/// Publishes the planned versions and measures the fleet meanwhile.
+pub fn measure_changes(fleet: &mut Fleet, plan: &Plan) -> Figures {
+    fleet.run_for(SETTLE_TIME);
     fleet.convergence().reset();
     fleet.take_peak();
     fleet.reset_loads();
     let (traffic, calls, cpu) = (fleet.traffic(), fleet.calls(), cpu_time());
-    let span = plan.pause * plan.versions as u32;
+    let span = plan.interval * plan.versions as u32;
     for index in 0..plan.versions {
-        fleet.plan(plan.pause * index as u32, Action::Publish(Edition::Change));
+        fleet.schedule(plan.interval * index as u32, Action::Publish(PublicationKind::Next));
     }
     plan_restarts(fleet, plan, span);
     fleet.run_for(span);
@@ -255,10 +261,10 @@
     let now = fleet.calls();
     let nodes = fleet.size().nodes;
     let roles = RoleFigures::all(&fleet.loads(), span);
-    let kinds = fleet.across_kinds().clone();
-    // The last version gets its time too; the rates are over the span before.
-    let last = fleet.last_good();
-    fleet.run_until_held(last, PATIENCE);
+    let kinds = fleet.cross_region_bytes().clone();
+    // Wait for the last version; the rates cover only the span before.
+    let last = fleet.last_valid_version();
+    fleet.run_until_converged(last, CONVERGENCE_TIMEOUT);
     let over_limit = now.over_limit - calls.over_limit;
     let figures = Figures::new(fleet.convergence())
         .with_traffic(&sent, nodes, span)
@@ -274,108 +280,111 @@
     for index in 0..count as usize {
         let at = span.mul_f64((index as f64 + 0.5) / count);
         let node = index * 7_919 % nodes;
-        fleet.plan(at, Action::Kill(vec![node]));
-        fleet.plan(at + Duration::from_secs(1), Action::Start(vec![node]));
+        fleet.schedule(at, Action::Kill(vec![node]));
+        fleet.schedule(at + Duration::from_secs(1), Action::Start(vec![node]));
     }
 }
 
-/// Puts a settled fleet through a storm and waits until it has recovered.
-pub fn weather(fleet: &mut Fleet, storm: Storm) -> StormFigures {
-    fleet.run_for(SETTLING);
+/// Runs a disruption on a settled fleet and waits for recovery.
+pub fn run_disruption(fleet: &mut Fleet, disruption: Disruption) -> DisruptionFigures {
+    fleet.run_for(SETTLE_TIME);
     fleet.take_peak();
     let (traffic, calls) = (fleet.traffic(), fleet.calls());
-    break_and_heal(fleet, storm);
-    let last = fleet.last_good();
-    let recovered = fleet.run_until_held(last, PATIENCE);
+    inject_and_repair(fleet, disruption);
+    let last = fleet.last_valid_version();
+    let recovered = fleet.run_until_converged(last, CONVERGENCE_TIMEOUT);
     let sent = fleet.traffic().since(&traffic);
     let now = fleet.calls();
-    StormFigures {
-        storm: storm.name(),
-        recovered_ms: recovered.map(millis),
+    DisruptionFigures {
+        disruption: disruption.name(),
+        recovered_ms: recovered.map(to_millis),
         behind: fleet.behind(last),
         platform_calls_peak: now.peak,
         platform_over_limit: now.over_limit - calls.over_limit,
-        across_bytes: sent.bytes[Link::CrossRegion as usize],
+        cross_region_bytes: sent.bytes[Link::CrossRegion as usize],
         bytes_per_node: sent.bytes.iter().sum::<u64>() as f64 / fleet.size().nodes as f64,
     }
 }
 
-/// Breaks things, publishes, and returns at the moment of the heal.
-fn break_and_heal(fleet: &mut Fleet, storm: Storm) {
-    let publish = || Action::Publish(Edition::Change);
+/// Injects the failure, publishes versions and returns once the failure is repaired.
+fn inject_and_repair(fleet: &mut Fleet, disruption: Disruption) {
+    let publish = || Action::Publish(PublicationKind::Next);
     let now = |fleet: &mut Fleet, action: Action| {
-        fleet.plan(Duration::ZERO, action);
+        fleet.schedule(Duration::ZERO, action);
         fleet.run_until(fleet.now());
     };
     let size = fleet.size();
-    match storm {
-        Storm::ZoneCut => {
+    match disruption {
+        Disruption::ZonePartition => {
             now(fleet, Action::CutZone(1));
-            now(fleet, Action::Cut(1, None));
-            fleet.plan(CUT / 2, publish());
-            fleet.run_for(CUT);
+            now(fleet, Action::CutLink(1, None));
+            fleet.schedule(PARTITION_DURATION / 2, publish());
+            fleet.run_for(PARTITION_DURATION);
             now(fleet, Action::HealLinks);
         }
-        Storm::Relays => {
+        Disruption::RelayRestart => {
             let relays = fleet.relays(Some(1.min(size.regions as u16 - 1)));
             now(fleet, Action::Kill(relays.clone()));
-            // Recovery is measured from here: the rest of the region must find other ways.
-            fleet.plan(AWAY, Action::Start(relays));
+            // Recovery is measured from here: the region must converge without these relays.
+            fleet.schedule(RESTART_DELAY, Action::Start(relays));
             now(fleet, publish());
         }
-        Storm::Zone | Storm::Everything => {
-            let nodes = match storm {
-                Storm::Zone => nodes_in_zone(&size, 1),
+        Disruption::ZoneRestart | Disruption::FleetRestart => {
+            let nodes = match disruption {
+                Disruption::ZoneRestart => nodes_in_zone(&size, 1),
                 _ => (0..size.nodes).collect(),
             };
             now(fleet, Action::Kill(nodes.clone()));
-            fleet.plan(AWAY / 2, publish());
-            fleet.run_for(AWAY);
+            fleet.schedule(RESTART_DELAY / 2, publish());
+            fleet.run_for(RESTART_DELAY);
             now(fleet, Action::Start(nodes));
         }
-        Storm::Rack => {
-            let rack = nodes_in_zone(&size, 1).into_iter().take(RACK);
+        Disruption::RackLoss => {
+            let rack = nodes_in_zone(&size, 1).into_iter().take(RACK_NODES);
             now(fleet, Action::Kill(rack.collect()));
             now(fleet, publish());
         }
-        Storm::Regions => {
+        Disruption::RegionPartition => {
             let region = size.regions as u16 - 1;
             let zones: Vec<u16> =
-                (0..size.zones as u16).filter(|z| size.place_of(*z).region == region).collect();
+                (0..size.zones as u16).filter(|z| size.site_of_zone(*z).region == region).collect();
             for zone in zones {
-                now(fleet, Action::Cut(zone, None));
+                now(fleet, Action::CutLink(zone, None));
             }
             for other in 0..region {
                 now(fleet, Action::CutRegions(region, other));
             }
-            for index in 0..APART_VERSIONS {
-                fleet.plan(APART / APART_VERSIONS * index, publish());
+            for index in 0..REGION_PARTITION_VERSIONS {
+                fleet.schedule(
+                    REGION_PARTITION_DURATION / REGION_PARTITION_VERSIONS * index,
+                    publish(),
+                );
             }
-            fleet.run_for(APART);
+            fleet.run_for(REGION_PARTITION_DURATION);
             now(fleet, Action::HealLinks);
         }
-        Storm::Source => {
-            now(fleet, Action::Platform(super::platform::Health::Down));
-            fleet.plan(CUT, publish());
-            fleet.run_for(CUT * 2);
-            now(fleet, Action::Platform(super::platform::Health::Up));
+        Disruption::PlatformOutage => {
+            now(fleet, Action::SetPlatformHealth(super::platform::Health::Down));
+            fleet.schedule(PARTITION_DURATION, publish());
+            fleet.run_for(PARTITION_DURATION * 2);
+            now(fleet, Action::SetPlatformHealth(super::platform::Health::Up));
         }
     }
 }
 
-/// Bytes between regions that a version needs at least, on average over the plan's.
-fn smallest(setup: &Setup, plan: &Plan) -> f64 {
+/// Average lower bound of the bytes between regions per version of the plan.
+fn min_cross_region_bytes(setup: &Setup, plan: &Plan) -> f64 {
     let mut workload = super::workload::Workload::new(setup.size, setup.seed);
     workload.publish();
-    let bytes: u64 = (0..plan.versions).map(|_| workload.change().smallest).sum();
+    let bytes: u64 = (0..plan.versions).map(|_| workload.publish_change().min_update_bytes).sum();
     let copies = setup.size.regions.saturating_sub(1).max(1) as f64;
     bytes as f64 / plan.versions.max(1) as f64 * copies
 }
 
-fn pause_of(changes_per_day: u64) -> Duration {
+fn interval_for(changes_per_day: u64) -> Duration {
     Duration::from_secs(86_400) / changes_per_day as u32
 }
 
-fn millis(span: Duration) -> f64 {
+fn to_millis(span: Duration) -> f64 {
     span.as_micros() as f64 / 1_000.0
 }
--- a/bench/src/fleet/size.rs
+++ b/bench/src/fleet/size.rs
@@ -1,4 +1,4 @@
-//! Bytes that a message takes on the wire, as a node's adapter encodes it.
+//! Size of messages on the wire, as encoded by the node's transport.
 
 use indexmap::IndexMap;
 use std::sync::Arc;
@@ -8,27 +8,27 @@
 use sycamore_node::spread::codec;
 use sycamore_node::spread::payload::PayloadCache;
 
-/// Contents whose size is kept.
-const KEPT: usize = 8_192;
+/// Maximum number of cached sizes per kind of content.
+const CACHE_CAPACITY: usize = 8_192;
 
-/// Names the content of a delta: its version, base and result.
+/// Identifies the content of a delta: version, base digest and result digest.
 type DeltaKey = (u64, Option<Hash>, Hash);
 
-/// Names a list of VMs: its zone and index.
+/// Identifies a VM list: zone and index.
 type ListKey = (Name, u64);
 
-/// Sizes of messages, with those of large contents kept: one content goes to many nodes, each of
-/// which holds its own copy, and is compressed here only once.
+/// Computes message sizes. Caches those of deltas and VM lists, since the same content is sent to
+/// many nodes and compressing it each time is expensive.
 #[derive(Debug, Default)]
-pub struct Sizes {
+pub struct SizeCache {
     payloads: PayloadCache,
     deltas: IndexMap<DeltaKey, u64>,
     lists: IndexMap<ListKey, u64>,
 }
 
-impl Sizes {
-    /// Bytes of a message and of the call that carries it, without the heads of TCP and IP.
-    pub fn of(&mut self, msg: &PeerMsg) -> u64 {
+impl SizeCache {
+    /// Size of a message including its HTTP call, without TCP and IP headers.
+    pub fn wire_size(&mut self, msg: &PeerMsg) -> u64 {
         match msg {
             PeerMsg::Delta(delta) => self.delta(delta),
             PeerMsg::Lists(lists) => lists.iter().map(|list| self.list(list)).sum(),
@@ -47,7 +47,7 @@
             return *size;
         }
         let size = self.encoded(&PeerMsg::Delta(delta.clone()));
-        keep(&mut self.deltas, key, size)
+        insert_bounded(&mut self.deltas, key, size)
     }
 
     fn list(&mut self, list: &Arc<ZoneList>) -> u64 {
@@ -56,11 +56,11 @@
             return *size;
         }
         let size = self.encoded(&PeerMsg::Lists(vec![list.clone()]));
-        keep(&mut self.lists, key, size)
+        insert_bounded(&mut self.lists, key, size)
     }
 }
 
-/// Kind of a message, for the counters.
+/// Message kind, as used in the traffic counters.
 pub fn kind(msg: &PeerMsg) -> &'static str {
     match msg {
         PeerMsg::Ping(_) | PeerMsg::Pong(_) => "ping and pong",
@@ -73,10 +73,10 @@
     }
 }
 
-fn keep<K: std::hash::Hash + Eq>(kept: &mut IndexMap<K, u64>, key: K, size: u64) -> u64 {
-    if kept.len() == KEPT {
-        kept.clear();
+fn insert_bounded<K: std::hash::Hash + Eq>(cache: &mut IndexMap<K, u64>, key: K, size: u64) -> u64 {
+    if cache.len() == CACHE_CAPACITY {
+        cache.clear();
     }
-    kept.insert(key, size);
+    cache.insert(key, size);
     size
 }
--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -1,4 +1,4 @@
-//! A place for a node's process: its decider, and what the transport knows of it.
+//! The process of one simulated node: its state machines and the transport state around them.
 
 use super::Setup;
 use super::workload::vm_name;
@@ -17,159 +17,147 @@
 use sycamore_core::status::Role;
 use sycamore_core::{Name, Time};
 
-/// Peers of its own zone that a node's settings name.
+/// Number of seed peers in the node's own zone.
 const ZONE_SEEDS: usize = 3;
 
-/// Peers of other zones that a node's settings name.
+/// Number of seed peers in other zones.
 const OTHER_SEEDS: usize = 2;
 
-/// Inputs that a paused process's sockets hold back; further ones are lost.
+/// Maximum number of inputs queued for a paused process; further inputs are dropped.
 const BACKLOG: usize = 4_096;
 
-/// A neighbour as it was when a node started.
+/// State of a neighbour at the time a node started.
 #[derive(Clone, Copy, Debug)]
 pub struct Neighbour {
-    /// Number of the node.
     pub node: usize,
-    /// Its life then.
-    pub life: u32,
-    /// The version that it held.
+    /// Incarnation of the neighbour's process.
+    pub incarnation: u32,
+    /// Version in force on the neighbour.
     pub version: u64,
 }
 
 /// The start of a process.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// When.
+    /// Time of the start.
     pub at: Time,
-    /// The neighbours that it could ask then.
+    /// Neighbours that were reachable at that time.
     pub neighbours: Vec<Neighbour>,
 }
 
-/// What a node has carried since the counters were last reset.
+/// Load of a node since the counters were last reset.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     /// Bytes sent to peers and the platform.
     pub sent: u64,
     /// Bytes received from peers and the platform.
     pub received: u64,
-    /// Messages sent and received.
     pub messages: u64,
-    /// Time that its decider took.
+    /// Wall-clock time spent in the state machines.
     pub busy: Duration,
 }
 
-/// An input to a node that owns what it names, so that a paused process can get it later.
+/// Input to a node's state machines. Owns its data, so that it can be queued for a paused process.
 #[derive(Debug)]
-pub enum Given {
-    /// To the spread.
+pub enum NodeInput {
+    /// Input to version distribution.
     Spread(Input),
-    /// A request from a caller.
-    Arrive {
-        /// The call at the entry node.
+    Request {
+        /// Call at the entry node.
         call: CallKey,
-        /// Its path.
         path: String,
-        /// Its `Idempotency-Key`.
         key: Option<RequestKey>,
     },
-    /// An attempt came to something.
-    Attempt {
-        /// The call at the entry node.
+    /// An attempt has ended.
+    AttemptEnded {
+        /// Call at the entry node.
         call: CallKey,
-        /// What it came to.
+        /// Outcome of the attempt.
         end: entry::AttemptEnd,
     },
-    /// The answer has gone out.
-    Close(CallKey),
-    /// The deadline at the entry node.
-    Expire {
-        /// The call at the entry node.
+    /// The response has been sent to the caller.
+    ResponseSent(CallKey),
+    /// The deadline has expired at the entry node.
+    DeadlineExpired {
+        /// Call at the entry node.
         call: CallKey,
     },
     /// A request from an entry node.
-    GateArrive {
-        /// The call at the gatekeeper.
+    GatekeeperRequest {
+        /// Call at the gatekeeper.
         call: CallKey,
-        /// Its path.
         path: String,
-        /// Its `Idempotency-Key`.
         key: Option<RequestKey>,
-        /// Its digest.
         digest: Hash,
-        /// Its fingerprint.
         fingerprint: Fingerprint,
-        /// Crashes that the entry node knows of.
+        /// Target crashes caused by this request so far, as known to the entry node.
         crashes: u32,
-        /// When its caller stops waiting.
+        /// Time until which the caller waits.
         deadline: Time,
     },
-    /// A waiting request's time is up.
-    QueueEnd(CallKey),
-    /// The entry node of a waiting request has gone away.
+    /// The queueing time of a request has expired.
+    QueueTimeout(CallKey),
+    /// The entry node of a queued request has closed its connection.
     Withdraw(CallKey),
-    /// A run has ended.
-    End {
-        /// The call at the gatekeeper.
+    /// The target has finished or failed a run.
+    RunEnded {
+        /// Call at the gatekeeper.
         call: CallKey,
-        /// How.
         end: gatekeeper::End,
     },
-    /// Time passes for the gatekeeper.
+    /// Periodic tick of the gatekeeper.
     Tick,
 }
 
-/// What decides for a node.
-enum Decider {
-    /// All of it.
+/// State machines of a running node.
+enum StateMachine {
+    /// Version distribution and the call path.
     Node(Box<Node>),
-    /// Only the spread, where memory does not suffice for all.
+    /// Version distribution only, to save memory.
     Spread(Box<Spread>),
 }
 
-/// One node.
+/// A node whose process can be started, stopped and paused.
 pub struct Slot {
-    /// How other nodes know it.
+    /// The node as known to its peers.
     pub peer: Peer,
-    /// Nodes that its settings name.
+    /// Numbers of the seed peers in the node's settings.
     pub seeds: Vec<usize>,
-    /// Services whose routes it needs.
+    /// Services whose routes the node needs; `None` for all.
     pub scope: Option<Vec<Name>>,
-    /// Starts so far: what belongs to an earlier life is dropped.
-    pub life: u32,
-    /// When the decider wants to be woken.
+    /// Number of starts and stops. Events addressed to an earlier incarnation are dropped.
+    pub incarnation: u32,
+    /// Time at which the node asked to be woken.
     pub wake: Option<Time>,
-    /// When the next wake is queued.
+    /// Time of the earliest wake event in the queue.
     pub queued_wake: Option<Time>,
-    /// Calls to the platform that have not ended.
+    /// Open calls to the platform.
     pub calls: HashSet<CallId>,
-    /// The version in force.
     pub in_force: Option<InForce>,
-    /// Since when.
-    pub since: Option<Time>,
-    /// What the decider shows on `/status`.
+    /// Time at which that version came into force.
+    pub in_force_since: Option<Time>,
+    /// State shown on `/status`.
     pub view: Option<View>,
-    /// Whether it takes questions and never answers.
-    pub silent: bool,
-    /// Whether what it sends does not match its hash.
-    pub lies: bool,
-    /// When it last was paused, silent or lying.
-    pub troubled: Time,
-    /// What it has carried.
+    /// Whether the process ignores requests from peers.
+    pub ignores_requests: bool,
+    /// Whether the content it sends does not match its hash.
+    pub corrupts_messages: bool,
+    /// Last time the process was paused or resumed, or one of the two flags above changed.
+    pub last_impaired: Time,
+    /// Load since the last reset.
     pub load: Load,
-    /// Its last start, while nothing is in force yet.
+    /// The last start, until a version is in force.
     pub start: Option<Start>,
-    decider: Option<Decider>,
+    state_machine: Option<StateMachine>,
     spread_only: bool,
     paused: bool,
-    backlog: Vec<Given>,
+    backlog: Vec<NodeInput>,
     fleet_vms: u32,
     platform_region: Name,
     seed: u64,
 }
 
 impl Slot {
-    /// A node whose process has not started.
     pub fn new(setup: &Setup, node: usize) -> Slot {
         let size = &setup.size;
         let member = size.member(node);
@@ -178,19 +166,19 @@
             peer,
             seeds: seeds(setup, node),
             scope: setup.preset_size.scope(node, setup.called_services),
-            life: 0,
+            incarnation: 0,
             wake: None,
             queued_wake: None,
             calls: HashSet::new(),
             in_force: None,
-            since: None,
+            in_force_since: None,
             view: None,
-            silent: false,
-            lies: false,
-            troubled: Time::ZERO,
+            ignores_requests: false,
+            corrupts_messages: false,
+            last_impaired: Time::ZERO,
             load: Load::default(),
             start: None,
-            decider: None,
+            state_machine: None,
             spread_only: setup.spread_only,
             paused: false,
             backlog: Vec::new(),
@@ -200,37 +188,37 @@
         }
     }
 
-    /// Whether the process runs, paused or not.
+    /// Whether the process is running or paused.
     pub fn is_running(&self) -> bool {
-        self.decider.is_some()
+        self.state_machine.is_some()
     }
 
-    /// Whether the process does not run for now.
+    /// Whether the process is paused.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
-    /// Whether it can't be expected to answer well.
-    pub fn is_troubled(&self) -> bool {
-        self.paused || self.silent || self.lies
+    /// Whether the process may not answer, or answer incorrectly.
+    pub fn is_impaired(&self) -> bool {
+        self.paused || self.ignores_requests || self.corrupts_messages
     }
 
-    /// The version in force; zero if none.
+    /// Version in force, or zero.
     pub fn version(&self) -> u64 {
         self.in_force.as_ref().map_or(0, |in_force| in_force.version)
     }
 
-    /// What it does for the spread.
+    /// Role in version distribution.
     pub fn role(&self) -> Role {
         self.view.as_ref().map_or(Role::Leaf, |view| view.role)
     }
 
-    /// How it looks to a node that starts now.
+    /// State as seen by a node that starts now.
     pub fn as_neighbour(&self, node: usize) -> Neighbour {
-        Neighbour { node, life: self.life, version: self.version() }
+        Neighbour { node, incarnation: self.incarnation, version: self.version() }
     }
 
-    /// Starts the process.
+    /// Starts the process, after stopping a running one.
     pub fn start(&mut self, start: Start) {
         self.stop();
         let cfg = Config {
@@ -245,17 +233,17 @@
         };
         let now = start.at;
         self.start = Some(start);
-        let seed = self.seed + u64::from(self.life);
-        self.decider = Some(match self.spread_only {
-            true => Decider::Spread(Box::new(Spread::new(cfg, seed))),
-            false => Decider::Node(Box::new(Node::new(cfg, now, seed))),
+        let seed = self.seed + u64::from(self.incarnation);
+        self.state_machine = Some(match self.spread_only {
+            true => StateMachine::Spread(Box::new(Spread::new(cfg, seed))),
+            false => StateMachine::Node(Box::new(Node::new(cfg, now, seed))),
         });
     }
 
-    /// Ends the process: it forgets everything.
+    /// Stops the process and discards its state.
     pub fn stop(&mut self) {
-        self.life += 1;
-        self.decider = None;
+        self.incarnation += 1;
+        self.state_machine = None;
         self.wake = None;
         self.queued_wake = None;
         self.calls.clear();
@@ -266,68 +254,84 @@
         self.backlog.clear();
     }
 
-    /// Stops the process from running until [`Slot::resume`].
+    /// Suspends the process until [`Slot::resume`].
     pub fn pause(&mut self, now: Time) {
         self.paused = true;
-        self.troubled = now;
+        self.last_impaired = now;
     }
 
-    /// Lets the process run again. Returns what came in meanwhile.
-    pub fn resume(&mut self, now: Time) -> Vec<Given> {
+    /// Resumes the process. Returns the inputs queued in the meantime.
+    pub fn resume(&mut self, now: Time) -> Vec<NodeInput> {
         if self.paused {
-            self.troubled = now;
+            self.last_impaired = now;
         }
         self.paused = false;
         std::mem::take(&mut self.backlog)
     }
 
-    /// A version has come into force.
-    pub fn take_in_force(&mut self, in_force: InForce, at: Time) {
+    /// Records the version that is now in force.
+    pub fn set_in_force(&mut self, in_force: InForce, at: Time) {
         self.in_force = Some(in_force);
-        self.since = Some(at);
+        self.in_force_since = Some(at);
         self.start = None;
     }
 
-    /// Hands an input to the deciders; a paused process gets it later.
-    pub fn handle(&mut self, now: Time, given: Given, out: &mut Vec<node::Output>) {
+    /// Passes an input to the state machines, or queues it if the process is paused. Ticks of a
+    /// paused process are dropped.
+    pub fn handle(&mut self, now: Time, input: NodeInput, out: &mut Vec<node::Output>) {
         if self.paused {
-            if self.backlog.len() < BACKLOG && !matches!(given, Given::Tick) {
-                self.backlog.push(given);
+            if self.backlog.len() < BACKLOG && !matches!(input, NodeInput::Tick) {
+                self.backlog.push(input);
             }
             return;
         }
-        let began = Instant::now();
-        match &mut self.decider {
-            Some(Decider::Node(node)) => hand_in(node, now, given, out),
-            Some(Decider::Spread(spread)) => hand_in_spread(spread, now, given, out),
+        let started = Instant::now();
+        match &mut self.state_machine {
+            Some(StateMachine::Node(node)) => handle_full(node, now, input, out),
+            Some(StateMachine::Spread(spread)) => handle_spread_only(spread, now, input, out),
             None => return,
         }
-        self.load.busy += began.elapsed();
+        self.load.busy += started.elapsed();
     }
 }
 
-fn hand_in_spread(spread: &mut Spread, now: Time, given: Given, out: &mut Vec<node::Output>) {
-    if let Given::Spread(input) = given {
-        let mut decided = Vec::new();
-        spread.handle(now, input, &mut decided);
-        out.extend(decided.into_iter().map(node::Output::Spread));
+fn handle_spread_only(
+    spread: &mut Spread,
+    now: Time,
+    input: NodeInput,
+    out: &mut Vec<node::Output>,
+) {
+    if let NodeInput::Spread(input) = input {
+        let mut outputs = Vec::new();
+        spread.handle(now, input, &mut outputs);
+        out.extend(outputs.into_iter().map(node::Output::Spread));
     }
 }
 
-fn hand_in(node: &mut Node, now: Time, given: Given, out: &mut Vec<node::Output>) {
-    let input = match given {
-        Given::Spread(input) => node::Input::Spread(input),
-        Given::Arrive { call, ref path, key } => {
+fn handle_full(node: &mut Node, now: Time, input: NodeInput, out: &mut Vec<node::Output>) {
+    let input = match input {
+        NodeInput::Spread(input) => node::Input::Spread(input),
+        NodeInput::Request { call, ref path, key } => {
             let arrival =
                 entry::Arrival { key, body_bytes: Some(0), ..entry::Arrival::new(call, "", path) };
             node::Input::Entry(entry::Input::Arrive(arrival))
         }
-        Given::Attempt { call, end } => {
+        NodeInput::AttemptEnded { call, end } => {
             node::Input::Entry(entry::Input::Attempt { call, end, replayable: true })
         }
-        Given::Close(call) => node::Input::Entry(entry::Input::Close(call)),
-        Given::Expire { call } => node::Input::Entry(entry::Input::Expire { call, sent: true }),
-        Given::GateArrive { call, ref path, key, digest, fingerprint, crashes, deadline } => {
+        NodeInput::ResponseSent(call) => node::Input::Entry(entry::Input::Close(call)),
+        NodeInput::DeadlineExpired { call } => {
+            node::Input::Entry(entry::Input::Expire { call, sent: true })
+        }
+        NodeInput::GatekeeperRequest {
+            call,
+            ref path,
+            key,
+            digest,
+            fingerprint,
+            crashes,
+            deadline,
+        } => {
             let digest = Some(digest);
             let arrival = gatekeeper::Arrival {
                 host: "",
@@ -343,15 +347,17 @@
             };
             node::Input::Gatekeeper(gatekeeper::Input::Arrive(arrival))
         }
-        Given::QueueEnd(call) => node::Input::Gatekeeper(gatekeeper::Input::Expire(call)),
-        Given::Withdraw(call) => node::Input::Gatekeeper(gatekeeper::Input::Withdraw(call)),
-        Given::End { call, end } => node::Input::Gatekeeper(gatekeeper::Input::End { call, end }),
-        Given::Tick => node::Input::Gatekeeper(gatekeeper::Input::Tick),
+        NodeInput::QueueTimeout(call) => node::Input::Gatekeeper(gatekeeper::Input::Expire(call)),
+        NodeInput::Withdraw(call) => node::Input::Gatekeeper(gatekeeper::Input::Withdraw(call)),
+        NodeInput::RunEnded { call, end } => {
+            node::Input::Gatekeeper(gatekeeper::Input::End { call, end })
+        }
+        NodeInput::Tick => node::Input::Gatekeeper(gatekeeper::Input::Tick),
     };
     node.handle(now, input, out);
 }
 
-/// The number of the node with an address, from [`super::workload::address`].
+/// Number of the node with an address created by [`super::workload::address`].
 pub fn node_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -362,14 +368,16 @@
     }
 }
 
-/// Seeds of a node: some of its zone and some of other zones, its own region first.
+/// Chooses seed peers from the node's own zone and from other zones, preferring those of its
+/// region.
 fn seeds(setup: &Setup, node: usize) -> Vec<usize> {
     let size = &setup.size;
     let site = size.site(node);
     let mut rng = Pcg64Mcg::seed_from_u64(setup.seed ^ node as u64);
     let in_zone: Vec<usize> = (node % size.zones..size.nodes).step_by(size.zones).collect();
-    let own = in_zone.sample(&mut rng, ZONE_SEEDS + 1).copied().filter(|other| *other != node);
-    let mut seeds: Vec<usize> = own.take(ZONE_SEEDS).collect();
+    let same_zone =
+        in_zone.sample(&mut rng, ZONE_SEEDS + 1).copied().filter(|other| *other != node);
+    let mut seeds: Vec<usize> = same_zone.take(ZONE_SEEDS).collect();
     let mut zones: Vec<usize> = (0..size.zones).filter(|z| *z != site.zone as usize).collect();
     zones.sort_by_key(|zone| (zone % size.regions != site.region as usize, *zone));
     for zone in zones.into_iter().take(OTHER_SEEDS) {
--- a/bench/src/fleet/workload.rs
+++ b/bench/src/fleet/workload.rs
@@ -1,4 +1,4 @@
-//! Presets of any size, and the changes that operators and churn make to them.
+//! Generates presets of any size and a sequence of changes to them.
 
 use super::publication::{Publication, Writer};
 use crate::links::Site;
@@ -13,30 +13,28 @@
 use sycamore_core::member::{Member, VmState};
 use sycamore_core::place::Place;
 
-/// Changes of configuration a day at the users' two-year size.
+/// Configuration changes per day at the two-year fleet size.
 pub const CHANGES_PER_DAY: u64 = 14_000;
 
-/// Services that a target calls besides its own, in fleets that have so many.
+/// Default number of services that a target calls besides its own.
 pub const CALLED_SERVICES: usize = 20;
 
-/// Fewest targets that churn leaves to a service.
-const FEWEST_TARGETS: usize = 2;
+/// Minimum number of targets left in each service.
+const MIN_TARGETS: usize = 2;
 
-/// How large a fleet is.
+/// Dimensions of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Nodes, each beside one target.
+    /// Number of nodes; each has one target.
     pub nodes: usize,
-    /// Services.
     pub services: usize,
-    /// Availability zones, over all regions.
+    /// Availability zones over all regions.
     pub zones: usize,
-    /// Regions.
     pub regions: usize,
 }
 
 impl Size {
-    /// The usual shape of a fleet of so many nodes: today's at 18, the two-year size at 23,000.
+    /// Default dimensions for a number of nodes: 18 is the current fleet, 23,000 the two-year size.
     pub fn of(nodes: usize) -> Size {
         let (services, zones, regions) = match nodes {
             0..=18 => (3, 6, 3),
@@ -47,34 +45,34 @@
         Size { nodes, services, zones, regions }
     }
 
-    /// The same fleet with another number of services.
+    /// Sets the number of services.
     pub fn with_services(mut self, services: usize) -> Size {
         self.services = services;
         self
     }
 
-    /// Where a node stands; neighbouring numbers stand in different zones.
+    /// Location of a node. Nodes are distributed over the zones in turn.
     pub fn site(&self, node: usize) -> Site {
-        self.place_of((node % self.zones) as u16)
+        self.site_of_zone((node % self.zones) as u16)
     }
 
-    /// Number of a zone's region, and of the zone.
-    pub fn place_of(&self, zone: u16) -> Site {
+    /// Location with the numbers of a zone and its region.
+    pub fn site_of_zone(&self, zone: u16) -> Site {
         Site { region: zone % self.regions as u16, zone }
     }
 
-    /// Name of a zone and its region.
+    /// Names of a zone and its region.
     pub fn place(&self, zone: u16) -> Place {
-        let site = self.place_of(zone);
+        let site = self.site_of_zone(zone);
         Place { region: region_name(site.region), zone: zone_name(site.zone) }
     }
 
-    /// The service whose target a node stands beside.
+    /// Service of the node's target.
     pub fn service_of(&self, node: usize) -> usize {
         node * self.services / self.nodes
     }
 
-    /// A node in the platform's list.
+    /// Entry of a node in the platform's VM list.
     pub fn member(&self, node: usize) -> Member {
         let site = self.site(node);
         Member {
@@ -88,14 +86,14 @@
     }
 
     /// Services whose routes a node needs; `None` for all.
-    pub fn scope(&self, node: usize, called: usize) -> Option<Vec<Name>> {
-        if self.services <= called {
+    pub fn scope(&self, node: usize, called_services: usize) -> Option<Vec<Name>> {
+        if self.services <= called_services {
             return None;
         }
-        let own = self.service_of(node);
-        let mut rng = Pcg64Mcg::seed_from_u64(own as u64);
-        let mut scope = vec![service_name(own)];
-        while scope.len() <= called {
+        let own_service = self.service_of(node);
+        let mut rng = Pcg64Mcg::seed_from_u64(own_service as u64);
+        let mut scope = vec![service_name(own_service)];
+        while scope.len() <= called_services {
             let name = service_name(rng.random_range(0..self.services));
             if !scope.contains(&name) {
                 scope.push(name);
@@ -104,13 +102,13 @@
         Some(scope)
     }
 
-    /// Services whose routes a node needs in the usual workload.
+    /// Services whose routes a node needs with [`CALLED_SERVICES`].
     pub fn usual_scope(&self, node: usize) -> Option<Vec<Name>> {
         self.scope(node, CALLED_SERVICES)
     }
 }
 
-/// A generator of publications.
+/// Generator of publications.
 pub struct Workload {
     size: Size,
     rng: Pcg64Mcg,
@@ -120,7 +118,7 @@
 }
 
 impl Workload {
-    /// A workload whose first publication is version 1.
+    /// Creates a workload whose first publication is version 1.
     pub fn new(size: Size, seed: u64) -> Workload {
         let preset = first_preset(&size);
         let writer = Writer::new(&preset);
@@ -128,18 +126,18 @@
         Workload { size, rng, preset, writer, removed: Vec::new() }
     }
 
-    /// The preset as last published.
     pub fn preset(&self) -> &Preset {
         &self.preset
     }
 
-    /// Publishes the preset as it is.
+    /// Publishes the current preset as the next version.
     pub fn publish(&mut self) -> Publication {
         self.writer.publish(&self.preset, b"")
     }
 
-    /// Changes one thing and publishes: mostly targets that come and go, some limits, some routes.
-    pub fn change(&mut self) -> Publication {
+    /// Makes one random change and publishes it: mostly targets added or removed, some limits and
+    /// routes.
+    pub fn publish_change(&mut self) -> Publication {
         let changed = match self.rng.random_range(0..100) {
             0..85 => self.change_target(),
             85..95 => self.change_limits(),
@@ -148,16 +146,16 @@
         self.writer.publish(&self.preset, &changed)
     }
 
-    /// The same version again with another body, as a second operator would publish it.
-    pub fn rival(&mut self) -> Publication {
+    /// Publishes different content under the current version, as a second operator might.
+    pub fn publish_conflicting(&mut self) -> Publication {
         let mut preset = self.preset.clone();
         let index = self.rng.random_range(0..preset.routes.len());
         preset.routes[index].deadline_ms += 7;
-        self.writer.rival(&preset)
+        self.writer.publish_conflicting(&preset)
     }
 
-    /// A next version that every node must refuse: a route names a service that isn't there.
-    pub fn bad(&mut self) -> Publication {
+    /// Publishes a version that fails validation because a route refers to an unknown service.
+    pub fn publish_invalid(&mut self) -> Publication {
         let mut preset = self.preset.clone();
         let index = self.rng.random_range(0..preset.routes.len());
         preset.routes[index].service = service_name(self.size.services + 1);
@@ -167,14 +165,14 @@
     fn change_target(&mut self) -> Vec<u8> {
         if self.removed.len() > self.size.nodes / 20 || self.rng.random_bool(0.5) {
             if let Some((service, target)) = self.removed.pop() {
-                let changed = json(&target);
+                let changed = to_json(&target);
                 self.preset.services[service].targets.push(target);
                 return changed;
             }
         }
         let service = self.rng.random_range(0..self.preset.services.len());
         let targets = &mut self.preset.services[service].targets;
-        if targets.len() <= FEWEST_TARGETS {
+        if targets.len() <= MIN_TARGETS {
             return self.change_limits();
         }
         let target = targets.remove(self.rng.random_range(0..targets.len()));
@@ -187,43 +185,39 @@
         let service = self.rng.random_range(0..self.preset.services.len());
         let limits = &mut self.preset.services[service].limits;
         limits.slots = self.rng.random_range(8..=24);
-        json(limits)
+        to_json(limits)
     }
 
     fn change_route(&mut self) -> Vec<u8> {
         let route = self.rng.random_range(0..self.preset.routes.len());
         let route = &mut self.preset.routes[route];
         route.deadline_ms = *[500, 1_000, 2_000, 4_000].choose(&mut self.rng).unwrap_or(&500);
-        json(route)
+        to_json(route)
     }
 }
 
-/// Name of a node's VM.
 pub fn vm_name(node: usize) -> Name {
     name(format!("vm-{node:05}"))
 }
 
-/// Name of a region.
 pub fn region_name(region: u16) -> Name {
     name(format!("region-{region:02}"))
 }
 
-/// Name of an availability zone.
 pub fn zone_name(zone: u16) -> Name {
     name(format!("zone-{zone:02}"))
 }
 
-/// Name of a service.
 pub fn service_name(service: usize) -> Name {
     name(format!("service-{service:04}"))
 }
 
-/// A name that is known to be one.
+/// Creates a name from text that is known to be valid.
 pub fn name(text: String) -> Name {
-    Name::new(text).unwrap_or_else(|| unreachable!("made from letters and digits"))
+    Name::new(text).unwrap_or_else(|| unreachable!("only letters, digits, hyphens and slashes"))
 }
 
-/// The address of a node's port; the node's number stands in the last bytes.
+/// Address of a node's port. The last three bytes encode the node number.
 pub fn address(node: usize, port: u16) -> SocketAddr {
     let [_, b, c, d] = (node as u32 + 1).to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, b, c, d)), port)
@@ -279,6 +273,6 @@
     }
 }
 
-fn json<T: serde::Serialize>(content: &T) -> Vec<u8> {
+fn to_json<T: serde::Serialize>(content: &T) -> Vec<u8> {
     serde_json::to_vec(content).unwrap_or_default()
 }
--- a/bench/src/history/calls.rs
+++ b/bench/src/history/calls.rs
@@ -1,159 +1,127 @@
-//! Histories of calls and the rules that each must keep.
+//! Histories of calls and the rules that they must satisfy.
 
 use displaydoc::Display;
 use indexmap::IndexMap;
 use std::time::Duration;
 use sycamore_core::Time;
 
-/// What a caller was told.
+/// Outcome of a submission, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
-    /// The answer to the request with this number.
+pub enum CallOutcome {
+    /// Answered with the response to the request with this number.
     Answered(u64),
-    /// No target saw the request; come back after this time.
+    /// Not run by any target; the caller may retry after this time.
     NotRun(Duration),
-    /// A target may have run it.
+    /// Possibly run by a target.
     Unknown,
-    /// The connection broke.
-    Broken,
+    ConnectionLost,
 }
 
-/// One thing that happened to a call.
+/// A recorded event of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallRecord {
-    /// A caller sent a request, for the first time or again.
+    /// A caller submitted a request, for the first time or as a retry.
     Submitted {
-        /// When.
         at: Time,
-        /// Number of this sending.
+        /// Number of this submission.
         submission: usize,
-        /// Number of the request.
         request: u64,
-        /// Whether it may run only once.
-        once: bool,
+        /// Whether the request may run at most once.
+        at_most_once: bool,
     },
-    /// A target took a request.
+    /// A target started to run a request.
     Ran {
-        /// When.
         at: Time,
-        /// Number of the node beside the target.
+        /// Node of the target.
         node: usize,
-        /// The sending that it belongs to.
         submission: usize,
-        /// Number of the request.
         request: u64,
     },
-    /// A sending came to its end.
-    Ended {
-        /// When.
-        at: Time,
-        /// Number of the sending.
-        submission: usize,
-        /// What the caller was told.
-        end: CallEnd,
-    },
+    /// A submission ended.
+    Ended { at: Time, submission: usize, end: CallOutcome },
 }
 
-/// A rule that a history of calls breaks.
+/// A violation of the rules.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum CallViolation {
-    /// {at}: request {request} ran a second time, on node {node}
-    RanTwice {
-        /// When.
-        at: Time,
-        /// Number of the request.
-        request: u64,
-        /// Number of the node of the second run.
-        node: usize,
-    },
-    /// sending {submission} of request {request} was called not run, and ran
-    NotRunRan {
-        /// Number of the sending.
-        submission: usize,
-        /// Number of the request.
-        request: u64,
-    },
-    /// sending {submission} of request {request} got the answer to request {answer}
+    /// {at}: at-most-once request {request} ran a second time, on node {node}
+    RanTwice { at: Time, request: u64, node: usize },
+    /// submission {submission} of request {request} was reported as not run, but ran
+    RanDespiteNotRun { submission: usize, request: u64 },
+    /// submission {submission} of request {request} got the response to request {answer}
     WrongAnswer {
-        /// Number of the sending.
         submission: usize,
-        /// Number of the request.
         request: u64,
-        /// Number of the request that the answer belongs to.
+        /// Number of the request that the response belongs to.
         answer: u64,
     },
-    /// sending {submission} of request {request} was answered, and no target ran the request
-    AnsweredUnrun {
-        /// Number of the sending.
-        submission: usize,
-        /// Number of the request.
-        request: u64,
-    },
-    /// sending {submission} of request {request} never came to an end
-    Unended {
-        /// Number of the sending.
-        submission: usize,
-        /// Number of the request.
-        request: u64,
-    },
+    /// submission {submission} of request {request} was answered, but no target ran the request
+    AnsweredWithoutRun { submission: usize, request: u64 },
+    /// submission {submission} of request {request} never ended
+    NeverEnded { submission: usize, request: u64 },
 }
 
 #[derive(Default)]
-struct Sending {
+struct SubmissionState {
     request: u64,
     ran: bool,
-    end: Option<CallEnd>,
+    end: Option<CallOutcome>,
 }
 
 #[derive(Default)]
-struct Asked {
-    once: bool,
+struct RequestState {
+    at_most_once: bool,
     runs: u32,
 }
 
-/// Checks a whole history of calls. Returns every violation.
+/// Checks a history of calls. Returns all violations.
 pub fn check_calls(history: &[CallRecord]) -> Vec<CallViolation> {
-    let mut sendings: IndexMap<usize, Sending> = IndexMap::new();
-    let mut requests: IndexMap<u64, Asked> = IndexMap::new();
+    let mut submissions: IndexMap<usize, SubmissionState> = IndexMap::new();
+    let mut requests: IndexMap<u64, RequestState> = IndexMap::new();
     let mut violations = Vec::new();
     for record in history {
         match *record {
-            CallRecord::Submitted { submission, request, once, .. } => {
-                sendings.insert(submission, Sending { request, ..Sending::default() });
-                requests.entry(request).or_default().once = once;
+            CallRecord::Submitted { submission, request, at_most_once, .. } => {
+                submissions
+                    .insert(submission, SubmissionState { request, ..SubmissionState::default() });
+                requests.entry(request).or_default().at_most_once = at_most_once;
             }
             CallRecord::Ran { at, node, submission, request } => {
-                sendings.entry(submission).or_default().ran = true;
-                let asked = requests.entry(request).or_default();
-                asked.runs += 1;
-                if asked.once && asked.runs > 1 {
+                submissions.entry(submission).or_default().ran = true;
+                let request_state = requests.entry(request).or_default();
+                request_state.runs += 1;
+                if request_state.at_most_once && request_state.runs > 1 {
                     violations.push(CallViolation::RanTwice { at, request, node });
                 }
             }
             CallRecord::Ended { submission, end, .. } => {
-                sendings.entry(submission).or_default().end = Some(end);
+                submissions.entry(submission).or_default().end = Some(end);
             }
         }
     }
-    for (submission, sending) in &sendings {
-        let runs = requests.get(&sending.request).map_or(0, |asked| asked.runs);
-        violations.extend(check_sending(*submission, sending, runs));
+    for (submission, state) in &submissions {
+        let runs = requests.get(&state.request).map_or(0, |request_state| request_state.runs);
+        violations.extend(check_submission(*submission, state, runs));
     }
     violations
 }
 
-fn check_sending(submission: usize, sending: &Sending, runs: u32) -> Option<CallViolation> {
-    let request = sending.request;
-    match sending.end {
-        None => Some(CallViolation::Unended { submission, request }),
-        Some(CallEnd::NotRun(_)) if sending.ran => {
-            Some(CallViolation::NotRunRan { submission, request })
+fn check_submission(
+    submission: usize,
+    state: &SubmissionState,
+    runs: u32,
+) -> Option<CallViolation> {
+    let request = state.request;
+    match state.end {
+        None => Some(CallViolation::NeverEnded { submission, request }),
+        Some(CallOutcome::NotRun(_)) if state.ran => {
+            Some(CallViolation::RanDespiteNotRun { submission, request })
         }
-        Some(CallEnd::Answered(answer)) if answer != request => {
+        Some(CallOutcome::Answered(answer)) if answer != request => {
             Some(CallViolation::WrongAnswer { submission, request, answer })
         }
-        Some(CallEnd::Answered(_)) if runs == 0 => {
-            Some(CallViolation::AnsweredUnrun { submission, request })
+        Some(CallOutcome::Answered(_)) if runs == 0 => {
+            Some(CallViolation::AnsweredWithoutRun { submission, request })
         }
         Some(_) => None,
     }
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -1,8 +1,8 @@
-//! Trials: a small fleet under random faults from a seed, with its history.
+//! Trials: a small fleet with random faults drawn from a seed, and the checks of its history.
 
 use super::calls::{CallRecord, CallViolation, check_calls};
 use super::{Record, Violation, check};
-use crate::fleet::fault::{Action, Edition, nodes_in_zone};
+use crate::fleet::fault::{Action, PublicationKind, nodes_in_zone};
 use crate::fleet::platform::Health;
 use crate::fleet::workload::Size;
 use crate::fleet::{Fleet, Setup};
@@ -14,74 +14,72 @@
 use sycamore_core::event::Event;
 use sycamore_core::member::VmState;
 
-/// How long faults go on.
-const TROUBLE: Duration = Duration::from_secs(180);
+/// Time during which faults are injected.
+const FAULT_PERIOD: Duration = Duration::from_secs(180);
 
-/// Longest fault: whatever began last is over so long after the heal.
-const LONGEST_FAULT: Duration = Duration::from_secs(40);
+/// Maximum duration of a fault. All faults are over this long after the last injection.
+const MAX_FAULT_DURATION: Duration = Duration::from_secs(40);
 
-/// How long a paused process does not run.
-const PAUSE: Duration = Duration::from_secs(30);
+const PAUSE_DURATION: Duration = Duration::from_secs(30);
 
-/// Time between two new requests.
-const CALL_PAUSE: Duration = Duration::from_millis(40);
+/// Interval between new requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Within so long of the heal every running node holds what the newest of them holds.
-const AGREEMENT: Duration = Duration::from_secs(10);
+/// Time after the recovery within which all running nodes agree on the newest version.
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Within so long of a publication to a sound fleet every node holds it.
-const CONVERGENCE: Duration = Duration::from_secs(3);
+/// Time after a publication within which every node of a healthy fleet holds it.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How a trial is put together.
+/// Parameters of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Trial {
     /// Seed of the fleet, the faults and their times.
     pub seed: u64,
-    /// Whether links lose messages too; a real link resends them.
+    /// Whether links also lose messages, without retransmission.
     pub lossy: bool,
-    /// Whether callers send requests meanwhile.
-    pub called: bool,
+    /// Whether callers submit requests.
+    pub sends_requests: bool,
 }
 
-/// What a trial came to.
+/// Result of a trial.
 #[derive(Clone, Debug)]
-pub struct Finding {
-    /// The trial.
+pub struct TrialReport {
     pub trial: Trial,
-    /// Rules broken by versions; empty for a sound history.
+    /// Violations of the rules for versions.
     pub violations: Vec<Violation>,
-    /// Rules broken by calls; empty for a sound history.
+    /// Violations of the rules for calls.
     pub call_violations: Vec<CallViolation>,
-    /// What happened to calls.
+    /// Records of all calls.
     pub calls: Vec<CallRecord>,
-    /// Everything that was recorded.
+    /// Records of the fleet.
     pub history: Vec<Record>,
-    /// What the nodes recorded for the time line, with their numbers.
+    /// Events emitted by the nodes, with the node numbers.
     pub events: Vec<(usize, Event)>,
-    /// What was done, with its time.
+    /// Scheduled actions with their times.
     pub plan: Vec<(Duration, Action)>,
 }
 
 impl Trial {
-    /// A trial over links that keep every message.
+    /// Creates a trial without message loss or callers.
     pub fn new(seed: u64) -> Trial {
-        Trial { seed, lossy: false, called: false }
+        Trial { seed, lossy: false, sends_requests: false }
     }
 
-    /// The same trial over links that lose some.
+    /// Adds message loss.
     pub fn with_loss(mut self) -> Trial {
         self.lossy = true;
         self
     }
 
-    /// The same trial with callers.
+    /// Adds callers.
     pub fn with_calls(mut self) -> Trial {
-        self.called = true;
+        self.sends_requests = true;
         self
     }
 
-    /// Runs the trial and checks its history.
-    pub fn run(self) -> Finding {
+    /// Runs the trial and checks its histories.
+    pub fn run(self) -> TrialReport {
         let mut planner = Planner::new(self.seed);
         let plan = planner.plan();
         let loss_ppm = if self.lossy { 10_000 } else { 0 };
@@ -89,25 +87,27 @@
         let setup = Setup::new(planner.size, self.seed)
             .with_profile(profile)
             .with_called_services(planner.called_services)
-            .with_record();
+            .with_history();
         let mut fleet = Fleet::new(setup);
         for (at, action) in &plan {
-            fleet.plan(*at, action.clone());
+            fleet.schedule(*at, action.clone());
         }
-        if self.called {
-            fleet.add_callers(CALL_PAUSE, TROUBLE + LONGEST_FAULT / 2);
+        if self.sends_requests {
+            fleet.add_callers(REQUEST_INTERVAL, FAULT_PERIOD + MAX_FAULT_DURATION / 2);
         }
-        fleet.run_for(TROUBLE + LONGEST_FAULT + AGREEMENT + CONVERGENCE * 2);
-        fleet.record_calls();
+        fleet.run_for(
+            FAULT_PERIOD + MAX_FAULT_DURATION + AGREEMENT_TIMEOUT + CONVERGENCE_TIMEOUT * 2,
+        );
+        fleet.record_platform_peak();
         let history = fleet.history().to_vec();
         let events = fleet.events().to_vec();
         let calls = fleet.call_history().to_vec();
         let (violations, call_violations) = (check(&history), check_calls(&calls));
-        Finding { trial: self, violations, call_violations, calls, history, events, plan }
+        TrialReport { trial: self, violations, call_violations, calls, history, events, plan }
     }
 }
 
-/// Draws a fleet and its faults.
+/// Draws the fleet and its faults from a seed.
 struct Planner {
     rng: Pcg64Mcg,
     size: Size,
@@ -130,113 +130,115 @@
     fn plan(&mut self) -> Vec<(Duration, Action)> {
         let all: Vec<usize> = (0..self.size.nodes).collect();
         self.add(Duration::ZERO, Action::Start(all.clone()));
-        self.add_unlisted(&all);
+        self.add_missing_from_list(&all);
         let mut at = Duration::from_millis(self.rng.random_range(0..15_000));
-        while at < TROUBLE {
+        while at < FAULT_PERIOD {
             self.add_random(at);
             at += Duration::from_millis(self.rng.random_range(1..6_000));
         }
-        self.add_heal();
+        self.add_recovery();
         std::mem::take(&mut self.plan)
     }
 
-    /// The list misses VMs that run already.
-    fn add_unlisted(&mut self, all: &[usize]) {
+    /// Omits running VMs from the platform's lists for a while.
+    fn add_missing_from_list(&mut self, all: &[usize]) {
         let nodes = all.iter().copied().filter(|_| self.rng.random_bool(0.1)).collect::<Vec<_>>();
         let listed = self.span(5, 60);
-        self.add(Duration::ZERO, Action::List(nodes.clone(), None));
-        self.add(listed, Action::List(nodes, Some(VmState::Live)));
+        self.add(Duration::ZERO, Action::SetListedState(nodes.clone(), None));
+        self.add(listed, Action::SetListedState(nodes, Some(VmState::Live)));
     }
 
-    /// The list says late that VMs have gone, and later still that they are back.
-    fn add_lagging(&mut self, at: Duration, nodes: &[usize]) {
+    /// Updates the platform's lists late: VMs disappear or change state some time after `at` and
+    /// return later.
+    fn add_late_listing(&mut self, at: Duration, nodes: &[usize]) {
         let state = [None, Some(VmState::Gone), Some(VmState::Leaving)].choose(&mut self.rng);
         let state = state.copied().flatten();
-        let gone = at + self.span(0, 30);
-        let back = gone + self.span(1, 30);
-        self.add(gone, Action::List(nodes.to_vec(), state));
+        let delisted_at = at + self.span(0, 30);
+        let relisted_at = delisted_at + self.span(1, 30);
+        self.add(delisted_at, Action::SetListedState(nodes.to_vec(), state));
         self.add(
-            back.min(TROUBLE + LONGEST_FAULT),
-            Action::List(nodes.to_vec(), Some(VmState::Live)),
+            relisted_at.min(FAULT_PERIOD + MAX_FAULT_DURATION),
+            Action::SetListedState(nodes.to_vec(), Some(VmState::Live)),
         );
     }
 
-    /// Everything is mended; then agreement, one more version and its convergence are due.
-    fn add_heal(&mut self) {
-        let healed = TROUBLE + LONGEST_FAULT;
-        self.add(healed, Action::HealLinks);
-        self.add(healed, Action::Platform(Health::Up));
+    /// Repairs everything, then requires agreement and the convergence of one more version.
+    fn add_recovery(&mut self) {
+        let recovered = FAULT_PERIOD + MAX_FAULT_DURATION;
+        self.add(recovered, Action::HealLinks);
+        self.add(recovered, Action::SetPlatformHealth(Health::Up));
         for node in 0..self.size.nodes {
-            self.add(healed, Action::Silence(node, false));
-            self.add(healed, Action::Lie(node, false));
+            self.add(recovered, Action::SetUnresponsive(node, false));
+            self.add(recovered, Action::SetCorrupting(node, false));
         }
         let all = (0..self.size.nodes).collect();
-        self.add(healed, Action::List(all, Some(VmState::Live)));
-        self.add(healed, Action::StartStopped);
-        self.add(healed, Action::DemandAgreement(AGREEMENT));
-        let last = healed + AGREEMENT;
-        self.add(last, Action::Publish(Edition::Change));
-        self.add(last + CONVERGENCE, Action::DemandLastGood);
+        self.add(recovered, Action::SetListedState(all, Some(VmState::Live)));
+        self.add(recovered, Action::StartStopped);
+        self.add(recovered, Action::CheckAgreementAfter(AGREEMENT_TIMEOUT));
+        let last = recovered + AGREEMENT_TIMEOUT;
+        self.add(last, Action::Publish(PublicationKind::Next));
+        self.add(last + CONVERGENCE_TIMEOUT, Action::CheckLastValidVersion);
     }
 
     fn add_random(&mut self, at: Duration) {
         match self.rng.random_range(0..100) {
-            0..30 => self.add(at, Action::Publish(Edition::Change)),
-            30..34 => self.add(at, Action::Publish(Edition::Bad)),
-            34..38 => self.add_race(at),
-            38..43 => self.add_crossing(at),
+            0..30 => self.add(at, Action::Publish(PublicationKind::Next)),
+            30..34 => self.add(at, Action::Publish(PublicationKind::Invalid)),
+            34..38 => self.add_conflict(at),
+            38..43 => self.add_version_burst(at),
             43..53 => self.add_kill(at),
             53..60 => self.add_pause(at),
-            60..65 => self.add_silence(at),
-            65..70 => self.add_lie(at),
-            70..85 => self.add_cut(at),
+            60..65 => self.add_unresponsive(at),
+            65..70 => self.add_corruption(at),
+            70..85 => self.add_partition(at),
             _ => self.add_outage(at),
         }
     }
 
-    /// Two operators publish one version: at nearly the same moment, or one much later.
-    fn add_race(&mut self, at: Duration) {
+    /// Two operators publish the same version with different content, shortly after each other or
+    /// up to 20 s apart.
+    fn add_conflict(&mut self, at: Duration) {
         let apart = if self.rng.random_bool(0.7) { 50 } else { 20_000 };
         let gap = Duration::from_millis(self.rng.random_range(0..apart));
-        self.add(at, Action::Publish(Edition::Change));
-        self.add(at + gap, Action::Publish(Edition::Rival));
-        // The operators see the conflict and publish a version above both.
-        let mended = at + gap + self.span(2, 10);
-        self.add(mended, Action::Publish(Edition::Change));
+        self.add(at, Action::Publish(PublicationKind::Next));
+        self.add(at + gap, Action::Publish(PublicationKind::Conflicting));
+        // The operators resolve the conflict by publishing a higher version.
+        let resolved = at + gap + self.span(2, 10);
+        self.add(resolved, Action::Publish(PublicationKind::Next));
     }
 
-    /// Versions that follow so closely that their messages cross.
-    fn add_crossing(&mut self, at: Duration) {
+    /// Publishes versions in such quick succession that their messages overtake each other.
+    fn add_version_burst(&mut self, at: Duration) {
         for index in 0..self.rng.random_range(2..6) {
             let gap = Duration::from_millis(index * self.rng.random_range(1..40));
-            self.add(at + gap, Action::Publish(Edition::Change));
+            self.add(at + gap, Action::Publish(PublicationKind::Next));
         }
     }
 
     fn add_kill(&mut self, at: Duration) {
-        let away = self.span(0, 20);
+        let downtime = self.span(0, 20);
         match self.rng.random_range(0..10) {
             0..4 => {
                 let node = self.node();
-                self.add_lagging(at, &[node]);
+                self.add_late_listing(at, &[node]);
                 self.add(at, Action::Kill(vec![node]));
-                self.add(at + away, Action::Start(vec![node]));
+                self.add(at + downtime, Action::Start(vec![node]));
             }
             4..6 => {
                 let zone = self.zone();
                 let nodes = nodes_in_zone(&self.size, zone);
-                self.add_lagging(at, &nodes);
+                self.add_late_listing(at, &nodes);
                 self.add(at, Action::Kill(nodes.clone()));
-                self.add(at + away, Action::Start(nodes));
+                self.add(at + downtime, Action::Start(nodes));
             }
             6..9 => {
                 let region = self.rng.random_range(0..self.size.regions) as u16;
-                self.add(at, Action::KillRelays(region, away));
+                self.add(at, Action::RestartRelays(region, downtime));
             }
             _ => {
                 let all: Vec<usize> = (0..self.size.nodes).collect();
                 self.add(at, Action::Kill(all.clone()));
-                self.add(at + away, Action::Start(all));
+                self.add(at + downtime, Action::Start(all));
             }
         }
     }
@@ -244,29 +246,29 @@
     fn add_pause(&mut self, at: Duration) {
         let count = self.rng.random_range(1..=3);
         let nodes = (0..self.size.nodes).sample(&mut self.rng, count);
-        self.add(at, Action::Pause(nodes, PAUSE));
+        self.add(at, Action::Pause(nodes, PAUSE_DURATION));
     }
 
-    fn add_silence(&mut self, at: Duration) {
+    fn add_unresponsive(&mut self, at: Duration) {
         let node = self.node();
-        self.add(at, Action::Silence(node, true));
+        self.add(at, Action::SetUnresponsive(node, true));
         let until = at + self.span(5, 40);
-        self.add(until, Action::Silence(node, false));
+        self.add(until, Action::SetUnresponsive(node, false));
     }
 
-    fn add_lie(&mut self, at: Duration) {
+    fn add_corruption(&mut self, at: Duration) {
         let node = self.node();
-        self.add(at, Action::Lie(node, true));
+        self.add(at, Action::SetCorrupting(node, true));
         let until = at + self.span(5, 40);
-        self.add(until, Action::Lie(node, false));
+        self.add(until, Action::SetCorrupting(node, false));
     }
 
-    fn add_cut(&mut self, at: Duration) {
+    fn add_partition(&mut self, at: Duration) {
         let zone = self.zone();
         let cuts = match self.rng.random_range(0..4) {
-            0 => vec![Action::Cut(zone, None)],
+            0 => vec![Action::CutLink(zone, None)],
             1 => vec![Action::CutZone(zone)],
-            2 => vec![Action::CutZone(zone), Action::Cut(zone, None)],
+            2 => vec![Action::CutZone(zone), Action::CutLink(zone, None)],
             _ => {
                 let other = self.rng.random_range(0..self.size.regions) as u16;
                 vec![Action::CutRegions(zone % self.size.regions as u16, other)]
@@ -282,15 +284,15 @@
     fn add_outage(&mut self, at: Duration) {
         let changes = self.rng.random_range(1..12);
         let kinds = [
-            Action::Platform(Health::Down),
-            Action::Platform(Health::Refusing),
-            Action::PlatformBack(0),
-            Action::PlatformBack(changes),
+            Action::SetPlatformHealth(Health::Down),
+            Action::SetPlatformHealth(Health::Refusing),
+            Action::RollBackPlatform(0),
+            Action::RollBackPlatform(changes),
         ];
         let outage = kinds.choose(&mut self.rng).cloned();
-        self.add(at, outage.unwrap_or(Action::Platform(Health::Down)));
+        self.add(at, outage.unwrap_or(Action::SetPlatformHealth(Health::Down)));
         let until = at + self.span(3, 40);
-        self.add(until, Action::Platform(Health::Up));
+        self.add(until, Action::SetPlatformHealth(Health::Up));
     }
 
     fn add(&mut self, at: Duration, action: Action) {
@@ -310,9 +312,9 @@
     }
 }
 
-/// The seeds that the environment variable `SYCAMORE_SEEDS` names, separated by commas, or else
-/// `usual`.
-pub fn seeds(usual: &[u64]) -> Vec<u64> {
-    let Ok(list) = std::env::var("SYCAMORE_SEEDS") else { return usual.to_vec() };
+/// Seeds from the environment variable `SYCAMORE_SEEDS`, separated by commas, or `default` if it is
+/// not set.
+pub fn seeds(default: &[u64]) -> Vec<u64> {
+    let Ok(list) = std::env::var("SYCAMORE_SEEDS") else { return default.to_vec() };
     list.split(',').filter_map(|seed| seed.trim().parse().ok()).collect()
 }
--- a/bench/src/process_history/forwarder.rs
+++ b/bench/src/process_history/forwarder.rs
@@ -1,9 +1,8 @@
-//! Links between nodes that a trial can cut: every connection to a node's `gate` or `peers` port
-//! passes through here.
+//! TCP forwarder through which all connections to the `gate` and `peers` ports of nodes pass, so
+//! that a trial can cut links between zones.
 //!
-//! Nodes are known to each other by the forwarder's addresses and listen on ports of their own. A
-//! cut link carries nothing and breaks nothing, as when packets are dropped; what waits goes on
-//! after the heal.
+//! Nodes advertise the forwarder's addresses and listen on other ports. A cut link delays data
+//! without closing connections, like dropped packets; delivery continues after the repair.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -17,36 +16,35 @@
 use std::time::{Duration, Instant};
 use sycamore_core::Name;
 
-/// How often a cut link looks whether it is healed.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which a cut link checks whether it has been restored.
+const HEAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long the table of sockets is used before it is read again.
-const TABLE_LIFE: Duration = Duration::from_millis(150);
+/// Time after which the socket table is read again.
+const SOCKET_TABLE_TTL: Duration = Duration::from_millis(150);
 
-/// Bytes carried at once.
+/// Size of the copy buffer.
 const BUFFER_BYTES: usize = 65_536;
 
-/// A port that other nodes connect to.
+/// A forwarded port of a node.
 #[derive(Clone, Debug)]
 pub struct Port {
-    /// Zone of the node.
     pub zone: Name,
-    /// The address that others know.
-    pub known: SocketAddr,
-    /// The address that the node listens on.
-    pub real: SocketAddr,
-    /// Whether the first message on a connection tells its sender's own address.
-    pub introduces: bool,
+    /// Address that other nodes connect to.
+    pub advertised: SocketAddr,
+    /// Address that the node listens on.
+    pub listening: SocketAddr,
+    /// Whether to replace the sender's own address in the first data of a connection.
+    pub rewrite_address: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     zones: IndexMap<u32, Name>,
     isolated: IndexSet<Name>,
-    origins: Origins,
+    origins: OriginZones,
 }
 
-/// Carries connections in a thread of its own until it is dropped.
+/// Forwards connections in its own thread until dropped.
 #[derive(Debug)]
 pub struct Forwarder {
     state: Arc<Mutex<State>>,
@@ -55,9 +53,8 @@
 }
 
 impl Forwarder {
-    /// Listens on all ports.
     pub fn start(ports: Vec<Port>) -> io::Result<Forwarder> {
-        let bind = |port: Port| Ok((TcpListener::bind(port.known)?, port));
+        let bind = |port: Port| Ok((TcpListener::bind(port.advertised)?, port));
         let listeners: io::Result<Vec<_>> = ports.into_iter().map(bind).collect();
         let listeners = listeners?;
         let state = Arc::new(Mutex::new(State::default()));
@@ -66,13 +63,14 @@
         let thread = std::thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
             let serve = |(listener, port)| {
-                executor.spawn(serve(executor.clone(), shared.clone(), listener, port))
+                executor.spawn(accept_connections(executor.clone(), shared.clone(), listener, port))
             };
             let serving: Vec<_> = listeners.into_iter().map(serve).collect();
             future::block_on(executor.run(async {
-                // Fails once the sender is dropped, which is the sign to stop.
+                // Fails once the sender is dropped, which signals shutdown.
                 let _ = stopped.recv().await;
-                // They hold the executor, which would keep them and their sockets for ever.
+                // Cancel the tasks explicitly: they hold the executor and would keep themselves and
+                // their sockets alive.
                 for task in serving {
                     task.cancel().await;
                 }
@@ -81,17 +79,17 @@
         Ok(Forwarder { state, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Says in which zone a process runs, so that its connections are known.
-    pub fn place(&self, process: u32, zone: Name) {
+    /// Registers the zone of a process, to identify the origin of its connections.
+    pub fn register_process(&self, process: u32, zone: Name) {
         lock(&self.state).zones.insert(process, zone);
     }
 
-    /// Cuts a zone from all others.
+    /// Cuts the links between a zone and all other zones.
     pub fn isolate(&self, zone: Name) {
         lock(&self.state).isolated.insert(zone);
     }
 
-    /// Heals every link.
+    /// Restores all links.
     pub fn heal(&self) {
         lock(&self.state).isolated.clear();
     }
@@ -110,7 +108,7 @@
     state.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-async fn serve(
+async fn accept_connections(
     executor: Rc<LocalExecutor<'static>>,
     state: Arc<Mutex<State>>,
     listener: TcpListener,
@@ -120,29 +118,30 @@
     while let Ok((stream, from)) = listener.accept().await {
         let (state, port) = (state.clone(), port.clone());
         let connection = async move {
-            // A connection that breaks ends; both sides see that.
-            let _ = carry(&state, stream, from, &port).await;
-            lock(&state).origins.forget(from);
+            // A broken connection closes both sides, so the error needs no handling.
+            let _ = forward_connection(&state, stream, from, &port).await;
+            lock(&state).origins.remove(from);
         };
         executor.spawn(connection).detach();
     }
 }
 
-async fn carry(
+async fn forward_connection(
     state: &Mutex<State>,
-    near: Async<TcpStream>,
+    inbound: Async<TcpStream>,
     from: SocketAddr,
     port: &Port,
 ) -> io::Result<()> {
     let link = Link { state, from, port };
-    link.healed().await;
-    let far = Async::<TcpStream>::connect(port.real).await?;
-    let rewrite = port.introduces.then_some(port);
-    future::try_zip(link.copy(&near, &far, rewrite), link.copy(&far, &near, None)).await?;
+    link.wait_until_healed().await;
+    let outbound = Async::<TcpStream>::connect(port.listening).await?;
+    let rewrite = port.rewrite_address.then_some(port);
+    future::try_zip(link.copy(&inbound, &outbound, rewrite), link.copy(&outbound, &inbound, None))
+        .await?;
     Ok(())
 }
 
-/// The link that a connection runs over.
+/// The link that carries a connection.
 struct Link<'a> {
     state: &'a Mutex<State>,
     from: SocketAddr,
@@ -150,21 +149,23 @@
 }
 
 impl Link<'_> {
-    /// While some zone is cut off, a connection whose origin isn't known yet waits too.
+    /// While any zone is isolated, connections of unknown origin are held back as well.
     fn is_cut(&self) -> bool {
         let mut state = lock(self.state);
         let State { zones, isolated, origins } = &mut *state;
         if isolated.is_empty() {
             return false;
         }
-        let Some(origin) = origins.find(self.from, self.port.known, zones) else { return true };
+        let Some(origin) = origins.zone_of(self.from, self.port.advertised, zones) else {
+            return true;
+        };
         let zone = &self.port.zone;
         origin != *zone && (isolated.contains(&origin) || isolated.contains(zone))
     }
 
-    async fn healed(&self) {
+    async fn wait_until_healed(&self) {
         while self.is_cut() {
-            Timer::after(POLL).await;
+            Timer::after(HEAL_POLL_INTERVAL).await;
         }
     }
 
@@ -177,60 +178,61 @@
         let mut buf = vec![0; BUFFER_BYTES];
         loop {
             let count = from.read(&mut buf).await?;
-            self.healed().await;
+            self.wait_until_healed().await;
             if count == 0 {
                 return to.get_ref().shutdown(Shutdown::Write);
             }
             if let Some(port) = rewrite.take() {
-                rewrite_address(&mut buf[..count], port);
+                replace_port(&mut buf[..count], port);
             }
             to.write_all(&buf[..count]).await?;
         }
     }
 }
 
-/// A node introduces itself by the address that it listens on. Others would answer there, past
-/// the forwarder; the port that they know takes its place. Both have the same length.
-fn rewrite_address(buf: &mut [u8], port: &Port) {
-    let real = format!(":{}", port.real.port()).into_bytes();
-    let known = format!(":{}", port.known.port()).into_bytes();
-    let found = buf.windows(real.len()).position(|window| window == real);
-    if let Some(at) = found.filter(|_| real.len() == known.len()) {
-        buf[at..at + known.len()].copy_from_slice(&known);
+/// Replaces the listening port by the advertised one in the address that a node announces;
+/// otherwise its peers would bypass the forwarder. Only replaces ports of the same number of
+/// digits.
+fn replace_port(buf: &mut [u8], port: &Port) {
+    let listening = format!(":{}", port.listening.port()).into_bytes();
+    let advertised = format!(":{}", port.advertised.port()).into_bytes();
+    let found = buf.windows(listening.len()).position(|window| window == listening);
+    if let Some(at) = found.filter(|_| listening.len() == advertised.len()) {
+        buf[at..at + advertised.len()].copy_from_slice(&advertised);
     }
 }
 
-/// Zones that connections come from. All nodes connect from one loopback address, so that the
-/// socket's owner is looked up; the whole table at once, since reading it takes tens of
-/// milliseconds on a machine with many sockets.
+/// Zones from which connections originate. All nodes connect from the same loopback address, so the
+/// zone is found through the process that owns the socket. The table is cached, since reading it is
+/// slow with many sockets.
 #[derive(Debug, Default)]
-struct Origins {
+struct OriginZones {
     zones: IndexMap<SocketAddr, Name>,
     read_at: Option<Instant>,
 }
 
-impl Origins {
-    fn find(
+impl OriginZones {
+    fn zone_of(
         &mut self,
         from: SocketAddr,
         to: SocketAddr,
         processes: &IndexMap<u32, Name>,
     ) -> Option<Name> {
-        let known = self.zones.get(&from).cloned();
-        let fresh = self.read_at.is_some_and(|at| at.elapsed() < TABLE_LIFE);
-        if known.is_some() || fresh {
-            return known;
+        let zone = self.zones.get(&from).cloned();
+        let fresh = self.read_at.is_some_and(|at| at.elapsed() < SOCKET_TABLE_TTL);
+        if zone.is_some() || fresh {
+            return zone;
         }
-        self.read(to, processes);
+        self.refresh(to, processes);
         self.zones.get(&from).cloned()
     }
 
-    fn forget(&mut self, from: SocketAddr) {
+    fn remove(&mut self, from: SocketAddr) {
         self.zones.swap_remove(&from);
     }
 
-    fn read(&mut self, to: SocketAddr, processes: &IndexMap<u32, Name>) {
-        let sockets = sockets(to);
+    fn refresh(&mut self, to: SocketAddr, processes: &IndexMap<u32, Name>) {
+        let sockets = read_socket_table(to);
         for (process, zone) in processes {
             let files = std::fs::read_dir(format!("/proc/{process}/fd")).into_iter().flatten();
             let links = files.filter_map(|file| std::fs::read_link(file.ok()?.path()).ok());
@@ -242,10 +244,10 @@
     }
 }
 
-/// Local addresses of connections into the network of `to`, by the names of their sockets.
-fn sockets(to: SocketAddr) -> IndexMap<String, SocketAddr> {
+/// Local addresses of connections into the network of `to`, by socket name.
+fn read_socket_table(to: SocketAddr) -> IndexMap<String, SocketAddr> {
     let SocketAddr::V4(to) = to else { return IndexMap::new() };
-    // The table shows addresses as numbers in the byte order of the machine.
+    // The table contains addresses as hexadecimal numbers in native byte order.
     let [first, second, ..] = to.ip().octets();
     let network = format!("{second:02X}{first:02X}:");
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -1,7 +1,7 @@
-//! One trial: the processes, the faults of its plan, and what was recorded.
+//! Runs one trial: starts the processes, injects the faults and collects the evidence.
 
 use super::callers::Callers;
-use super::findings::{DEATH_ID, Findings};
+use super::findings::{CRASH_REQUEST_PREFIX, Findings};
 use super::forwarder::{Forwarder, Port};
 use super::plan::{self, Fault, Round};
 use super::{DEPLOYMENT, FIRST_NETWORK, NETWORKS, classes};
@@ -32,97 +32,95 @@
 use sycamore_tools::load::history::now_us;
 use sycamore_tools::load::mix::Mix;
 
-/// Limits that only a hanging process reaches, on a slow machine too.
-const START_LIMIT: Duration = Duration::from_secs(60);
-const END_LIMIT: Duration = Duration::from_secs(60);
-/// Load before the first fault, and between two rounds.
-const QUIET: Duration = Duration::from_millis(800);
-/// Port whose owner may use a network of addresses.
-const CLAIM_PORT: u16 = 7099;
-/// What is added to the ports that nodes listen on; the forwarder takes their places.
-const REAL_PORT_OFFSET: u16 = 100;
-/// Presets that operators choose from.
+/// Generous timeouts that only a hanging process exceeds, even on a slow machine.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time without faults before each round and after the last.
+const QUIET_PERIOD: Duration = Duration::from_millis(800);
+/// Port that a trial binds to reserve a network of addresses.
+const RESERVATION_PORT: u16 = 7099;
+/// Offset from the advertised ports to the ports on which nodes listen.
+const LISTEN_PORT_OFFSET: u16 = 100;
 const PRESETS: [&str; 3] = ["ordinary", "peak", "maintenance"];
 
-/// What a trial came to.
+/// Result of a trial.
 #[derive(Debug)]
 pub struct Report {
-    /// Rules broken.
     pub findings: Findings,
-    /// Everything that was recorded.
+    /// Records, samples and logs of the run.
     pub evidence: Evidence,
-    /// How long after the last publication, and the end of the faults, every node showed it.
-    pub settled: Duration,
-    /// What was done, with its time.
+    /// Time from the last publication until every node had it in force.
+    pub settle_time: Duration,
+    /// Injected faults with their times.
     pub log: Vec<String>,
 }
 
-/// A trial under way.
+/// A running trial.
 struct Trial {
     stack: Stack,
     forwarder: Forwarder,
     evidence: Evidence,
     faults: Faults,
     version: u64,
-    hanging: usize,
-    deaths: usize,
-    settled: Duration,
+    unclean_exits: usize,
+    crash_requests: usize,
+    settle_time: Duration,
     start: Instant,
     log: Vec<String>,
-    // Dropped last, once no process uses the addresses.
-    _claim: TcpListener,
+    // Keeps the network reserved until all processes have ended.
+    _reservation: TcpListener,
 }
 
-/// Runs the trial of a seed. Files go below `output`.
+/// Runs the trial of a seed and writes its files to `output`.
 pub fn run(seed: u64, output: &Path) -> io::Result<Report> {
     let mut trial = Trial::new(seed, output)?;
-    trial.begin()?;
-    let observer = Observer::start(trial.watched());
+    trial.start_processes()?;
+    let observer = Observer::start(trial.watched_nodes());
     let entries = trial.stack.settings.values().map(|node| node.listen.calls).collect();
     let callers = Callers::start(Mix { classes: classes() }, entries, seed);
-    let result = trial.disturb(&plan::rounds(seed)).and_then(|()| trial.settle());
+    let result = trial.run_rounds(&plan::rounds(seed)).and_then(|()| trial.settle());
     trial.evidence.records = callers.stop();
     trial.evidence.samples = observer.stop().samples;
     result?;
-    trial.end()
+    trial.finish()
 }
 
-/// The deployment on addresses that no other trial uses now, and what keeps others off them.
-fn free_deployment(seed: u64) -> io::Result<(Deployment, TcpListener)> {
+/// Finds a network that no other trial uses and reserves it while the listener is open.
+fn reserve_deployment(seed: u64) -> io::Result<(Deployment, TcpListener)> {
     let first = (seed % u64::from(NETWORKS)) as u8;
     let networks = (first..NETWORKS).chain(0..first).map(|network| FIRST_NETWORK + network);
     let mut candidates = networks.map(|network| Deployment { network, ..DEPLOYMENT });
-    let claim = |found: Deployment| {
-        let at = SocketAddr::new(found.platform_control().ip(), CLAIM_PORT);
-        TcpListener::bind(at).ok().map(|claim| (found, claim))
+    let reserve = |found: Deployment| {
+        let at = SocketAddr::new(found.platform_control().ip(), RESERVATION_PORT);
+        TcpListener::bind(at).ok().map(|reservation| (found, reservation))
     };
-    candidates.find_map(claim).ok_or_else(|| io::ErrorKind::AddrInUse.into())
+    candidates.find_map(reserve).ok_or_else(|| io::ErrorKind::AddrInUse.into())
 }
 
-/// Makes a node listen behind the forwarder.
-fn hide(files: &Path, vm: &str) -> io::Result<[Port; 2]> {
+/// Moves the listening ports of a node behind the forwarder.
+fn put_behind_forwarder(files: &Path, vm: &str) -> io::Result<[Port; 2]> {
     let path = files.join("nodes").join(format!("{vm}.json"));
     let mut settings = Settings::read(&path).map_err(io::Error::other)?;
     let zone = settings.zone.clone();
-    let hide = |address: &mut SocketAddr, introduces| {
-        let known = *address;
-        address.set_port(known.port() + REAL_PORT_OFFSET);
-        Port { zone: zone.clone(), known, real: *address, introduces }
+    let move_port = |address: &mut SocketAddr, rewrite_address| {
+        let advertised = *address;
+        address.set_port(advertised.port() + LISTEN_PORT_OFFSET);
+        Port { zone: zone.clone(), advertised, listening: *address, rewrite_address }
     };
     let listen = &mut settings.listen;
-    let ports = [hide(&mut listen.gate, false), hide(&mut listen.peers, true)];
+    let ports = [move_port(&mut listen.gate, false), move_port(&mut listen.peers, true)];
     std::fs::write(path, serde_json::to_vec_pretty(&settings)?)?;
     Ok(ports)
 }
 
 impl Trial {
     fn new(seed: u64, output: &Path) -> io::Result<Trial> {
-        let (deployment, claim) = free_deployment(seed)?;
+        let (deployment, reservation) = reserve_deployment(seed)?;
         let files = output.join("files");
         example::write(&deployment, &files)?;
         let mut ports = Vec::new();
         for vm in deployment.vms() {
-            ports.extend(hide(&files, &vm.name)?);
+            ports.extend(put_behind_forwarder(&files, &vm.name)?);
         }
         Ok(Trial {
             stack: Stack::new(deployment, &files, output)?,
@@ -130,50 +128,50 @@
             evidence: Evidence::default(),
             faults: Faults::default(),
             version: 1,
-            hanging: 0,
-            deaths: 0,
-            settled: Duration::ZERO,
+            unclean_exits: 0,
+            crash_requests: 0,
+            settle_time: Duration::ZERO,
             start: Instant::now(),
             log: Vec::new(),
-            _claim: claim,
+            _reservation: reservation,
         })
     }
 
-    fn begin(&mut self) -> io::Result<()> {
+    fn start_processes(&mut self) -> io::Result<()> {
         self.stack.start_standins()?;
-        self.record(1, true);
+        self.record_publication(1, true);
         for vm in self.vms() {
             self.start_node(&vm)?;
         }
-        let admins: Vec<_> = self.watched().iter().map(|node| node.admin).collect();
+        let admins: Vec<_> = self.watched_nodes().iter().map(|node| node.admin).collect();
         let ready = || admins.iter().all(|admin| http::get(*admin, "/ready").is_ok());
-        wait_until(START_LIMIT, ready, "not all nodes became ready")
+        wait_until(START_TIMEOUT, ready, "not all nodes became ready")
     }
 
     fn start_node(&mut self, vm: &str) -> io::Result<()> {
         self.stack.start_node(vm)?;
         let zone = self.stack.settings[vm].zone.clone();
-        self.forwarder.place(self.stack.nodes[vm].id(), zone);
+        self.forwarder.register_process(self.stack.nodes[vm].id(), zone);
         Ok(())
     }
 
-    fn disturb(&mut self, rounds: &[Round]) -> io::Result<()> {
+    fn run_rounds(&mut self, rounds: &[Round]) -> io::Result<()> {
         for round in rounds {
-            std::thread::sleep(QUIET);
+            std::thread::sleep(QUIET_PERIOD);
             let at = self.start.elapsed().as_secs_f64();
             self.log.push(format!("{at:>5.1} s  {:?} {:?}", round.span, round.faults));
             for fault in &round.faults {
-                self.cause(*fault)?;
+                self.inject_fault(*fault)?;
             }
             std::thread::sleep(round.span);
             for fault in &round.faults {
-                self.end_fault(*fault)?;
+                self.clear_fault(*fault)?;
             }
         }
         Ok(())
     }
 
-    fn cause(&mut self, fault: Fault) -> io::Result<()> {
+    fn inject_fault(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Kill { vm, target } => {
                 let vm = self.vm(vm);
@@ -188,28 +186,32 @@
                 self.node(vm).into_iter().for_each(Process::pause);
                 Ok(())
             }
-            Fault::CutZone { zone } => {
+            Fault::IsolateZone { zone } => {
                 self.forwarder.isolate(self.zone(zone));
                 Ok(())
             }
-            Fault::CutPlatform { zone } => {
+            Fault::IsolateFromPlatform { zone } => {
                 let deployment = &self.stack.deployment;
                 let number = deployment.zones()[zone].2;
                 self.faults.blocked.push(deployment.platform_address(number).ip());
                 self.stack.set_faults(&self.faults)
             }
-            Fault::Down => self.with_faults(|faults| faults.down = true),
-            Fault::Silent => self.with_faults(|faults| faults.unresponsive = true),
-            Fault::Rubbish => self.with_faults(|faults| faults.malformed = true),
-            Fault::Back { changes } => {
+            Fault::PlatformDown => self.update_platform_faults(|faults| faults.down = true),
+            Fault::PlatformUnresponsive => {
+                self.update_platform_faults(|faults| faults.unresponsive = true)
+            }
+            Fault::PlatformMalformed => {
+                self.update_platform_faults(|faults| faults.malformed = true)
+            }
+            Fault::PlatformRollback { changes } => {
                 let control = self.stack.deployment.platform_control();
                 let counts: Counts = serde_json::from_slice(&http::get(control, "/counts")?)?;
                 let index = counts.index.saturating_sub(changes);
-                self.with_faults(|faults| faults.as_of = Some(index))
+                self.update_platform_faults(|faults| faults.as_of = Some(index))
             }
-            Fault::Unlisted { vm } => self.list(vm, VmState::Gone),
+            Fault::ListedAsGone { vm } => self.set_listed_state(vm, VmState::Gone),
             Fault::Publish { preset } => self.publish_next(PRESETS[preset], |_| {}),
-            Fault::Move { zone } => {
+            Fault::DropZoneTargets { zone } => {
                 let zone = self.zone(zone);
                 self.publish_next("moved", |preset| {
                     for service in preset.services.values_mut() {
@@ -217,13 +219,13 @@
                     }
                 })
             }
-            Fault::Invalid => self.publish_invalid(),
-            Fault::Conflict => {
+            Fault::PublishInvalid => self.publish_invalid(),
+            Fault::PublishConflict => {
                 self.publish_next("peak", |_| {})?;
                 self.version -= 1;
                 self.publish_next("maintenance", |_| {})
             }
-            Fault::Crossing => {
+            Fault::PublishOutOfOrder => {
                 self.version += 1;
                 self.publish_next("peak", |_| {})?;
                 self.version -= 2;
@@ -231,13 +233,13 @@
                 self.version += 1;
                 Ok(())
             }
-            Fault::Death => self.send_death(),
+            Fault::CrashingRequest => self.send_crashing_requests(),
             Fault::Drain { vm } => self.drain(vm),
         }
     }
 
-    /// Undoes a fault, if that needs anything.
-    fn end_fault(&mut self, fault: Fault) -> io::Result<()> {
+    /// Reverts a fault, if necessary.
+    fn clear_fault(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Kill { vm, .. } | Fault::Drain { vm } => {
                 let vm = self.vm(vm);
@@ -247,22 +249,22 @@
                 self.node(vm).into_iter().for_each(Process::resume);
                 Ok(())
             }
-            Fault::CutZone { .. } => {
+            Fault::IsolateZone { .. } => {
                 self.forwarder.heal();
                 Ok(())
             }
-            Fault::Unlisted { vm } => self.list(vm, VmState::Live),
-            _ => self.with_faults(|faults| *faults = Faults::default()),
+            Fault::ListedAsGone { vm } => self.set_listed_state(vm, VmState::Live),
+            _ => self.update_platform_faults(|faults| *faults = Faults::default()),
         }
     }
 
-    fn with_faults(&mut self, change: impl FnOnce(&mut Faults)) -> io::Result<()> {
+    fn update_platform_faults(&mut self, change: impl FnOnce(&mut Faults)) -> io::Result<()> {
         let before = self.faults.clone();
         change(&mut self.faults);
         if self.faults == before { Ok(()) } else { self.stack.set_faults(&self.faults) }
     }
 
-    fn list(&self, vm: usize, state: VmState) -> io::Result<()> {
+    fn set_listed_state(&self, vm: usize, state: VmState) -> io::Result<()> {
         let (vm, zone) = (self.vm(vm), self.stack.settings[vm].zone.clone());
         let file = self.stack.file(&format!("published/vms/{zone}.json"));
         let mut list: VmList = serde_json::from_slice(&std::fs::read(file)?)?;
@@ -273,7 +275,7 @@
         http::put(control, &format!("/v1/kv/vms/{zone}"), body.into()).map(|_| ())
     }
 
-    /// Publishes the next version: a preset with a change.
+    /// Publishes a preset, modified by `change`, as the next version.
     fn publish_next(&mut self, name: &str, change: impl FnOnce(&mut Preset)) -> io::Result<()> {
         let base = if PRESETS.contains(&name) { name } else { PRESETS[0] };
         let file = self.stack.file(&format!("published/preset/{base}.json"));
@@ -282,42 +284,45 @@
         change(&mut preset);
         std::fs::write(self.stack.file("next.json"), serde_json::to_vec(&preset)?)?;
         self.version += 1;
-        self.record(self.version, true);
+        self.record_publication(self.version, true);
         self.stack.publish(self.version, name, "next.json").map(|_| ())
     }
 
     fn publish_invalid(&mut self) -> io::Result<()> {
         self.version += 1;
-        self.record(self.version, false);
+        self.record_publication(self.version, false);
         self.stack.publish(self.version, "dangling", "refused/dangling.json").map(|_| ())
     }
 
-    fn record(&mut self, version: u64, valid: bool) {
+    fn record_publication(&mut self, version: u64, valid: bool) {
         let publication = Publication { version, at_us: now_us(), valid };
         self.evidence.publications.push(publication);
     }
 
-    /// Asks a node to stop while long calls run on its target, and waits for its end.
+    /// Drains a node and waits until it exits.
     fn drain(&mut self, vm: usize) -> io::Result<()> {
         let vm = self.vm(vm);
         let Some(mut node) = self.stack.nodes.shift_remove(&vm) else { return Ok(()) };
         let at_us = now_us();
         node.terminate();
-        let ended = node.wait(END_LIMIT);
-        self.hanging += usize::from(!ended || node.exit_code() != Some(0));
+        let ended = node.wait(STOP_TIMEOUT);
+        self.unclean_exits += usize::from(!ended || node.exit_code() != Some(0));
         let entry = self.stack.settings[&vm].listen.calls;
         self.evidence.drains.push(Stop { vm, entry, at_us, until_us: now_us() });
         Ok(())
     }
 
-    /// Sends the same request through every node that runs, under an id of its own each time, so
-    /// that the targets' log tells how many targets each send has crashed.
-    fn send_death(&mut self) -> io::Result<()> {
+    /// Sends a crashing request through every running node. Each has its own id, so that the target
+    /// log shows how many targets it crashed.
+    fn send_crashing_requests(&mut self) -> io::Result<()> {
         for settings in self.stack.settings.values() {
-            self.deaths += 1;
+            self.crash_requests += 1;
             let req = Request::get("/contracts/1?crash=1")
                 .header("host", "sycamore")
-                .header("x-sycamore-request-id", format!("{DEATH_ID}{}", self.deaths))
+                .header(
+                    "x-sycamore-request-id",
+                    format!("{CRASH_REQUEST_PREFIX}{}", self.crash_requests),
+                )
                 .header("x-sycamore-deadline-ms", "1000");
             let req = req.body(Full::new(Bytes::new())).map_err(io::Error::other)?;
             let executor = Rc::new(LocalExecutor::new());
@@ -326,7 +331,7 @@
                 async_io::Timer::after(Duration::from_secs(1)).await;
             };
             let send = async {
-                // What the caller is told doesn't matter here.
+                // The response is irrelevant here.
                 let _ = pool.send(req).await;
             };
             future::block_on(executor.run(future::or(send, timeout)));
@@ -334,36 +339,37 @@
         Ok(())
     }
 
-    /// Publishes a last version, with every fault healed, and waits until every node shows it.
+    /// Publishes a final version after all faults and waits until every node has it in force.
     fn settle(&mut self) -> io::Result<()> {
         self.publish_next(PRESETS[0], |_| {})?;
         let (admins, last): (Vec<_>, u64) =
-            (self.watched().iter().map(|node| node.admin).collect(), self.version);
+            (self.watched_nodes().iter().map(|node| node.admin).collect(), self.version);
         let shows = |admin: &SocketAddr| {
             let body = http::get(*admin, "/status").ok();
             let status = body.and_then(|body| serde_json::from_slice::<Status>(&body).ok());
             status.and_then(|status| status.in_force).is_some_and(|shown| shown.version >= last)
         };
         let published = Instant::now();
-        // The rules count it if some node never shows it.
-        let _ = wait_until(END_LIMIT, || admins.iter().all(shows), "");
-        self.settled = published.elapsed();
-        std::thread::sleep(QUIET);
+        // A timeout is reported by the rules.
+        let _ = wait_until(STOP_TIMEOUT, || admins.iter().all(shows), "");
+        self.settle_time = published.elapsed();
+        std::thread::sleep(QUIET_PERIOD);
         Ok(())
     }
 
-    fn end(mut self) -> io::Result<Report> {
+    fn finish(mut self) -> io::Result<Report> {
         self.evidence.lasting = self.vms();
         for node in self.stack.nodes.values() {
             node.terminate();
         }
         for node in self.stack.nodes.values_mut() {
-            self.hanging += usize::from(!node.wait(END_LIMIT) || node.exit_code() != Some(0));
+            self.unclean_exits +=
+                usize::from(!node.wait(STOP_TIMEOUT) || node.exit_code() != Some(0));
         }
         self.evidence.runs = run_log::read(Path::new(&self.stack.output("runs.jsonl")))?;
-        let findings = Findings::find(&self.evidence, self.hanging);
-        let Trial { evidence, settled, log, .. } = self;
-        Ok(Report { findings, evidence, settled, log })
+        let findings = Findings::evaluate(&self.evidence, self.unclean_exits);
+        let Trial { evidence, settle_time, log, .. } = self;
+        Ok(Report { findings, evidence, settle_time, log })
     }
 
     fn vms(&self) -> Vec<String> {
@@ -384,7 +390,7 @@
         zones[index].clone()
     }
 
-    fn watched(&self) -> Vec<Watched> {
+    fn watched_nodes(&self) -> Vec<Watched> {
         let nodes = self.stack.settings.iter();
         nodes.map(|(vm, node)| Watched { vm: vm.clone(), admin: node.listen.admin }).collect()
     }
