--- a/tools/src/client.rs
+++ b/tools/src/client.rs
@@ -16,7 +16,7 @@
 use sycamore_node::clock::Clock;
 
 /// Largest answer taken, in bytes: room for a full ring of events.
-const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Asks nodes and the platform, each request on a connection of its own.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     /// The body.
     pub body: T,
     /// Half-way between the request and its answer.
-    pub at: Time,
+    pub midpoint: Time,
     /// Time from the request to the head of its answer.
     pub round_trip: Duration,
 }
@@ -53,22 +53,22 @@
         address: SocketAddr,
         path: &str,
     ) -> Result<Reply<T>> {
-        let place = format!("{address}{path}");
+        let url = format!("{address}{path}");
         let timed_out = async {
             Timer::after(self.timeout).await;
             let detail = format!("no answer within {} ms", self.timeout.as_millis());
             Err(Fault::new(Code::NodeUnreachable).with_detail(detail))
         };
-        let reply = future::or(self.exchange(address, path), timed_out).await;
-        let reply = reply.map_err(|fault| fault.with_location(&place))?;
+        let reply = future::or(self.send_request(address, path), timed_out).await;
+        let reply = reply.map_err(|fault| fault.with_location(&url))?;
         let body = input::parse_json(&reply.body, Code::NodeInvalid).map_err(|fault| {
-            let inner = format!("{place}: {}", fault.location);
+            let inner = format!("{url}: {}", fault.location);
             fault.with_location(inner)
         })?;
-        Ok(Reply { body, at: reply.at, round_trip: reply.round_trip })
+        Ok(Reply { body, midpoint: reply.midpoint, round_trip: reply.round_trip })
     }
 
-    async fn exchange(&self, address: SocketAddr, path: &str) -> Result<Reply<Bytes>> {
+    async fn send_request(&self, address: SocketAddr, path: &str) -> Result<Reply<Bytes>> {
         let stream = Async::<TcpStream>::connect(address).await.map_err(unreachable)?;
         let io = FuturesIo::new(stream);
         let (mut sender, connection) =
@@ -76,24 +76,24 @@
         let req = Request::get(path).header(HOST, address.to_string());
         let req = req.body(Empty::<Bytes>::new()).map_err(unreachable)?;
         let exchange = async {
-            let sent = self.clock.now();
+            let sent_at = self.clock.now();
             let response = sender.send_request(req).await.map_err(unreachable)?;
-            let round_trip = self.clock.now().since(sent);
+            let round_trip = self.clock.now().since(sent_at);
             if response.status() != StatusCode::OK {
                 let detail = format!("answered {}", response.status());
                 return Err(Fault::new(Code::NodeInvalid).with_detail(detail));
             }
-            let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(unreachable)?.to_bytes();
-            Ok(Reply { body, at: sent + round_trip / 2, round_trip })
+            Ok(Reply { body, midpoint: sent_at + round_trip / 2, round_trip })
         };
         // The connection makes no progress unless it is polled beside the exchange; when it ends
         // the exchange learns of it.
-        let drive = async {
+        let connection_driver = async {
             let _ = connection.await;
             future::pending().await
         };
-        future::or(exchange, drive).await
+        future::or(exchange, connection_driver).await
     }
 }
 
--- a/tools/src/status/report.rs
+++ b/tools/src/status/report.rs
@@ -187,7 +187,7 @@
                     in_force: status.in_force.clone(),
                     since: status
                         .in_force_since
-                        .map(|since| corrected(since, status.now, reply.at)),
+                        .map(|since| corrected(since, status.now, reply.midpoint)),
                     leaving: listed_leaving || status.draining,
                     lag: lag(status, expected),
                 }
--- a/tools/src/timeline/record.rs
+++ b/tools/src/timeline/record.rs
@@ -77,7 +77,7 @@
 
     /// The record of a process that this tool asked.
     pub fn from_reply(reply: Reply<Events>) -> Record {
-        let skew = Skew::new(reply.at, reply.body.now, reply.round_trip);
+        let skew = Skew::new(reply.midpoint, reply.body.now, reply.round_trip);
         Record { skew: Some(skew), ..Record::new(reply.body) }
     }
 
