--- a/tools/src/fleet.rs
+++ b/tools/src/fleet.rs
@@ -22,11 +22,11 @@
 
 /// Where a tool learns of the nodes, and how it asks them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct FleetOptions {
     /// Files with VM lists.
-    pub lists: Vec<PathBuf>,
+    pub vm_list_files: Vec<PathBuf>,
     /// Admin addresses of single nodes.
-    pub nodes: Vec<SocketAddr>,
+    pub node_addresses: Vec<SocketAddr>,
     /// Address of the platform.
     pub platform: Option<SocketAddr>,
     /// Longest wait for one answer.
@@ -52,7 +52,7 @@
 }
 
 /// Adds the options that say which nodes to ask.
-pub fn with_options(command_line: CommandLine) -> CommandLine {
+pub fn add_options(command_line: CommandLine) -> CommandLine {
     command_line
         .with_values("vms", "VM list in JSON, as under the key vms/<zone>", "FILE")
         .with_values("node", "admin address of one node", "IP:PORT")
@@ -61,17 +61,17 @@
         .with_value("concurrency", "nodes asked at once (default 256)", "N")
 }
 
-impl Fleet {
-    /// Takes the options of [`with_options`].
-    pub fn parse(matches: &Matches) -> Result<Fleet> {
+impl FleetOptions {
+    /// Takes the options of [`add_options`].
+    pub fn parse(matches: &Matches) -> Result<FleetOptions> {
         let timeout = command_line::value(matches, "timeout-ms")?;
         let concurrency = command_line::value(matches, "concurrency")?;
         if concurrency == Some(0) {
             return Err(usage("--concurrency: found 0, allowed from 1"));
         }
-        Ok(Fleet {
-            lists: matches.opt_strs("vms").into_iter().map(PathBuf::from).collect(),
-            nodes: command_line::values(matches, "node")?,
+        Ok(FleetOptions {
+            vm_list_files: matches.opt_strs("vms").into_iter().map(PathBuf::from).collect(),
+            node_addresses: command_line::values(matches, "node")?,
             platform: command_line::value(matches, "platform")?,
             timeout: timeout.map_or(DEFAULT_TIMEOUT, Duration::from_millis),
             concurrency: concurrency.unwrap_or(DEFAULT_CONCURRENCY),
@@ -80,7 +80,7 @@
 
     /// Whether no source of nodes is given.
     pub fn is_empty(&self) -> bool {
-        self.lists.is_empty() && self.nodes.is_empty() && self.platform.is_none()
+        self.vm_list_files.is_empty() && self.node_addresses.is_empty() && self.platform.is_none()
     }
 
     /// A client for these nodes.
@@ -89,16 +89,16 @@
     }
 
     /// The nodes to ask, each once. VMs that are gone are left out.
-    pub async fn resolve(&self, client: &Client) -> Result<Vec<Node>> {
+    pub async fn resolve_nodes(&self, client: &Client) -> Result<Vec<Node>> {
         let mut nodes = IndexMap::new();
-        for admin in &self.nodes {
+        for admin in &self.node_addresses {
             nodes.insert(*admin, Node { admin: *admin, member: None });
         }
-        for path in &self.lists {
+        for path in &self.vm_list_files {
             add_members(&mut nodes, input::read_json(path)?);
         }
         if let Some(platform) = self.platform {
-            for list in platform_lists(client, platform).await? {
+            for list in fetch_vm_lists(client, platform).await? {
                 add_members(&mut nodes, list);
             }
         }
@@ -106,9 +106,9 @@
     }
 
     /// The publication that operators last made; none without a platform to ask.
-    pub async fn published(&self, client: &Client) -> Result<Option<InForce>> {
+    pub async fn fetch_publication(&self, client: &Client) -> Result<Option<InForce>> {
         match self.platform {
-            Some(platform) => Ok(Some(platform_value(client, platform, "in-force").await?)),
+            Some(platform) => Ok(Some(fetch_platform_key(client, platform, "in-force").await?)),
             None => Ok(None),
         }
     }
@@ -122,28 +122,28 @@
     }
 }
 
-async fn platform_lists(client: &Client, platform: SocketAddr) -> Result<Vec<VmList>> {
-    let zones: Zones = platform_value(client, platform, "zones").await?;
+async fn fetch_vm_lists(client: &Client, platform: SocketAddr) -> Result<Vec<VmList>> {
+    let zones: Zones = fetch_platform_key(client, platform, "zones").await?;
     let mut lists = Vec::new();
     for place in zones.zones {
         let key = format!("vms/{}", place.zone);
-        lists.push(platform_value(client, platform, &key).await?);
+        lists.push(fetch_platform_key(client, platform, &key).await?);
     }
     Ok(lists)
 }
 
-async fn platform_value<T: serde::de::DeserializeOwned>(
+async fn fetch_platform_key<T: serde::de::DeserializeOwned>(
     client: &Client,
     platform: SocketAddr,
     key: &str,
 ) -> Result<T> {
     let reply = client.get(platform, &format!("/v1/kv/{key}")).await;
-    let reply = reply.map_err(|fault| Fault { code: source_code(fault.code), ..fault })?;
+    let reply = reply.map_err(|fault| Fault { code: to_platform_code(fault.code), ..fault })?;
     Ok(reply.body)
 }
 
 /// The platform's failures have codes of their own.
-fn source_code(code: Code) -> Code {
+fn to_platform_code(code: Code) -> Code {
     match code {
         Code::NodeInvalid => Code::SourceInvalid,
         _ => Code::SourceUnreachable,
--- a/tools/src/status.rs
+++ b/tools/src/status.rs
@@ -27,7 +27,7 @@
 
 async fn watch(cfg: &Config) -> Result<Report> {
     let client = cfg.fleet.client();
-    let nodes = cfg.fleet.resolve(&client).await?;
+    let nodes = cfg.fleet.resolve_nodes(&client).await?;
     if nodes.is_empty() {
         return Err(Fault::new(Code::FleetBehind).with_detail("the lists name no node"));
     }
@@ -47,6 +47,8 @@
 async fn expected_version(cfg: &Config, client: &Client) -> Result<Option<u64>> {
     match cfg.version {
         Some(version) => Ok(Some(version)),
-        None => Ok(cfg.fleet.published(client).await?.map(|published| published.version)),
+        None => {
+            Ok(cfg.fleet.fetch_publication(client).await?.map(|publication| publication.version))
+        }
     }
 }
--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -1,7 +1,7 @@
 //! The command line of `sycamore-status`, parsed once.
 
 use crate::command_line::{self, CommandLine, no_arguments, usage};
-use crate::fleet::{self, Fleet};
+use crate::fleet::{self, FleetOptions};
 use getopts::Matches;
 use std::time::Duration;
 use sycamore_core::Result;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     /// The nodes.
-    pub fleet: Fleet,
+    pub fleet: FleetOptions,
     /// The version that should be in force; absent for the one published, or without a platform
     /// for the newest that any node holds.
     pub version: Option<u64>,
@@ -34,7 +34,7 @@
 /// The options of the tool.
 pub fn command_line() -> CommandLine {
     let line = CommandLine::new("sycamore-status", "(--vms|--node|--platform) ... [options]");
-    fleet::with_options(line)
+    fleet::add_options(line)
         .with_value("version-in-force", "version to ask for (default: the one published)", "N")
         .with_value("wait", "longest wait until it is in force everywhere", "SECONDS")
         .with_flag("all", "list every node, not only those that lag")
@@ -45,7 +45,7 @@
     /// Takes the options of [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         no_arguments(matches)?;
-        let fleet = Fleet::parse(matches)?;
+        let fleet = FleetOptions::parse(matches)?;
         if fleet.is_empty() {
             return Err(usage("one of --vms, --node and --platform is required"));
         }
--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -50,7 +50,7 @@
 /// it early.
 async fn gather(cfg: &Config, store: &mut Store) -> Result<()> {
     let client = cfg.fleet.client();
-    let nodes = cfg.fleet.resolve(&client).await?;
+    let nodes = cfg.fleet.resolve_nodes(&client).await?;
     if cfg.follow.is_zero() {
         ask(cfg, &client, &nodes, store).await;
         return save(cfg, store);
@@ -82,7 +82,7 @@
         if client.now().since(resolved) >= RESOLVE_EVERY {
             resolved = client.now();
             // While the platform is down the nodes known so far are asked on.
-            nodes = cfg.fleet.resolve(client).await.unwrap_or(nodes);
+            nodes = cfg.fleet.resolve_nodes(client).await.unwrap_or(nodes);
         }
     }
     Ok(())
--- a/tools/src/timeline/config.rs
+++ b/tools/src/timeline/config.rs
@@ -1,7 +1,7 @@
 //! The command line of `sycamore-timeline`, parsed once.
 
 use crate::command_line::{self, CommandLine, usage};
-use crate::fleet::{self, Fleet};
+use crate::fleet::{self, FleetOptions};
 use getopts::Matches;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     /// The nodes to ask; may be empty.
-    pub fleet: Fleet,
+    pub fleet: FleetOptions,
     /// Files with events: answers of `/events`, or records that `--save` wrote.
     pub files: Vec<PathBuf>,
     /// Directory that records are read from and written to.
@@ -52,7 +52,7 @@
 pub fn command_line() -> CommandLine {
     let line =
         CommandLine::new("sycamore-timeline", "[EVENTS.json ... | --request ID LOG ...] [options]");
-    fleet::with_options(line)
+    fleet::add_options(line)
         .with_value("save", "read and keep records of processes in this directory", "DIR")
         .with_value("follow", "poll the nodes for this long; a signal ends it early", "SECONDS")
         .with_value("interval-ms", "pause between two polls (default 500)", "MS")
@@ -65,7 +65,7 @@
 impl Config {
     /// Takes the options of [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
-        let fleet = Fleet::parse(matches)?;
+        let fleet = FleetOptions::parse(matches)?;
         let files: Vec<_> = matches.free.iter().map(PathBuf::from).collect();
         let save = matches.opt_str("save").map(PathBuf::from);
         if matches.opt_present("request") {
@@ -95,7 +95,7 @@
 }
 
 /// Refuses options that would be passed over in silence.
-fn check_request(matches: &Matches, fleet: &Fleet) -> Result<()> {
+fn check_request(matches: &Matches, fleet: &FleetOptions) -> Result<()> {
     if matches.free.is_empty() {
         return Err(usage("--request needs the nodes' log files"));
     }
