--- a/tools/src/survey.rs
+++ b/tools/src/fan_out.rs
@@ -8,7 +8,7 @@
 
 /// One node's answer.
 #[derive(Debug)]
-pub struct Answer<T> {
+pub struct NodeResponse<T> {
     /// The node asked.
     pub node: Node,
     /// What it said, or why it didn't.
@@ -16,18 +16,19 @@
 }
 
 /// Asks every node for `path`, `concurrency` of them at once. Answers are in the nodes' order.
-pub async fn ask<T: DeserializeOwned>(
+pub async fn query_nodes<T: DeserializeOwned>(
     client: &Client,
     nodes: &[Node],
     path: &str,
     concurrency: usize,
-) -> Vec<Answer<T>> {
-    let questions = nodes.iter().enumerate().map(|(index, node)| async move {
+) -> Vec<NodeResponse<T>> {
+    let requests = nodes.iter().enumerate().map(|(index, node)| async move {
         let reply = client.get(node.admin, path).await;
-        (index, Answer { node: node.clone(), reply })
+        (index, NodeResponse { node: node.clone(), reply })
     });
     // Not `buffered`: one silent node would hold back the questions behind it.
-    let mut answers: Vec<_> = stream::iter(questions).buffer_unordered(concurrency).collect().await;
-    answers.sort_by_key(|(index, _)| *index);
-    answers.into_iter().map(|(_, answer)| answer).collect()
+    let mut responses: Vec<_> =
+        stream::iter(requests).buffer_unordered(concurrency).collect().await;
+    responses.sort_by_key(|(index, _)| *index);
+    responses.into_iter().map(|(_, answer)| answer).collect()
 }
--- a/tools/src/lib.rs
+++ b/tools/src/lib.rs
@@ -5,10 +5,10 @@
 pub mod check;
 pub mod client;
 pub mod command_line;
+pub mod fan_out;
 pub mod fleet;
 pub mod input;
 pub mod load;
 pub mod status;
-pub mod survey;
 pub mod text;
 pub mod timeline;
--- a/tools/src/status.rs
+++ b/tools/src/status.rs
@@ -7,7 +7,7 @@
 pub use config::Config;
 
 use crate::client::Client;
-use crate::survey;
+use crate::fan_out;
 use async_io::Timer;
 use report::Report;
 use std::io::Write;
@@ -34,8 +34,9 @@
     let version = expected_version(cfg, &client).await?;
     let end = client.now() + cfg.wait;
     loop {
-        let answers = survey::ask(&client, &nodes, "/status", cfg.fleet.concurrency).await;
-        let report = Report::new(&answers, version, client.now());
+        let responses =
+            fan_out::query_nodes(&client, &nodes, "/status", cfg.fleet.concurrency).await;
+        let report = Report::new(&responses, version, client.now());
         if report.everywhere || client.now() >= end {
             return Ok(report);
         }
--- a/tools/src/status/report.rs
+++ b/tools/src/status/report.rs
@@ -1,6 +1,6 @@
 //! What `sycamore-status` reports.
 
-use crate::survey::Answer;
+use crate::fan_out::NodeResponse;
 use indexmap::{IndexMap, IndexSet};
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -112,9 +112,9 @@
 impl Report {
     /// Judges the answers of a fleet. Without an expected version it is the newest that any node
     /// holds.
-    pub fn new(answers: &[Answer<Status>], expected: Option<u64>, asked: Time) -> Report {
-        let expected = Expected::new(answers, expected);
-        let fleet: Vec<_> = answers.iter().map(|a| NodeReport::new(a, &expected)).collect();
+    pub fn new(responses: &[NodeResponse<Status>], expected: Option<u64>, asked: Time) -> Report {
+        let expected = Expected::new(responses, expected);
+        let fleet: Vec<_> = responses.iter().map(|a| NodeReport::new(a, &expected)).collect();
         let version = expected.version;
         let count = |pick: &dyn Fn(&NodeReport) -> bool| fleet.iter().filter(|n| pick(n)).count();
         let lagging = count(&|node| node.lag.is_some() && !node.leaving);
@@ -158,8 +158,8 @@
 }
 
 impl Expected {
-    fn new(answers: &[Answer<Status>], version: Option<u64>) -> Expected {
-        let replies = || answers.iter().filter_map(|answer| answer.reply.as_ref().ok());
+    fn new(responses: &[NodeResponse<Status>], version: Option<u64>) -> Expected {
+        let replies = || responses.iter().filter_map(|response| response.reply.as_ref().ok());
         let in_force = || replies().filter_map(|reply| reply.body.in_force.as_ref());
         let newest = in_force().map(|in_force| in_force.version).max();
         let version = version.or(newest).unwrap_or(0);
@@ -172,17 +172,17 @@
 }
 
 impl NodeReport {
-    fn new(answer: &Answer<Status>, expected: &Expected) -> NodeReport {
-        let member = answer.node.member.as_ref();
+    fn new(response: &NodeResponse<Status>, expected: &Expected) -> NodeReport {
+        let member = response.node.member.as_ref();
         let listed_leaving = member.is_some_and(|member| member.state == VmState::Leaving);
-        match &answer.reply {
+        match &response.reply {
             Ok(reply) => {
                 let status = &reply.body;
                 NodeReport {
                     vm: Some(status.vm.clone()),
                     region: Some(status.region.clone()),
                     zone: Some(status.zone.clone()),
-                    admin: answer.node.admin,
+                    admin: response.node.admin,
                     role: Some(status.role),
                     in_force: status.in_force.clone(),
                     since: status
@@ -196,7 +196,7 @@
                 vm: member.map(|member| member.vm.clone()),
                 region: member.map(|member| member.region.clone()),
                 zone: member.map(|member| member.zone.clone()),
-                admin: answer.node.admin,
+                admin: response.node.admin,
                 role: None,
                 in_force: None,
                 since: None,
--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -11,8 +11,8 @@
 pub use config::Config;
 
 use crate::client::Client;
+use crate::fan_out;
 use crate::fleet::Node;
-use crate::survey;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
@@ -90,9 +90,9 @@
 
 async fn ask(cfg: &Config, client: &Client, nodes: &[Node], store: &mut Store) {
     let concurrency = cfg.fleet.concurrency;
-    for answer in survey::ask::<Events>(client, nodes, "/events", concurrency).await {
+    for response in fan_out::query_nodes::<Events>(client, nodes, "/events", concurrency).await {
         // A node that does not answer shows in the time line as one that is no longer seen.
-        if let Ok(reply) = answer.reply {
+        if let Ok(reply) = response.reply {
             store.take(reply);
         }
     }
