--- a/tools/src/status/output.rs
+++ b/tools/src/status/output.rs
@@ -3,7 +3,7 @@
 use super::config::{Config, Format};
 use super::report::{Lag, NodeReport, Report};
 use crate::command_line::output_failed;
-use crate::text::utc;
+use crate::text::format_utc;
 use std::fmt::{self, Display, Formatter};
 use std::io::Write;
 use sycamore_core::{Name, Result, Time};
@@ -63,7 +63,7 @@
     match report.everywhere_since {
         Some(since) => {
             let age = seconds(report.asked, since);
-            write!(f, "in force everywhere since {} ({age:.1} s ago", utc(since))?;
+            write!(f, "in force everywhere since {} ({age:.1} s ago", format_utc(since))?;
             if let Some(first) = report.first_since {
                 write!(f, ", {:.3} s after the first node", seconds(since, first))?;
             }
--- a/tools/src/timeline/output.rs
+++ b/tools/src/timeline/output.rs
@@ -4,7 +4,7 @@
 use super::merge::{Lane, Mark, Process, Timeline, VersionSpan};
 use super::picture;
 use crate::command_line::output_failed;
-use crate::text::utc;
+use crate::text::format_utc;
 use std::fmt::{self, Display, Formatter};
 use std::io::Write;
 use sycamore_core::{Code, Result, Time};
@@ -57,7 +57,7 @@
 impl Display for Text<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let timeline = self.0;
-        writeln!(f, "from {} to {}", utc(timeline.start), utc(timeline.end))?;
+        writeln!(f, "from {} to {}", format_utc(timeline.start), format_utc(timeline.end))?;
         for span in &timeline.versions {
             writeln!(f, "{} {}", at(timeline, span.first), describe_version(span))?;
         }
--- a/tools/src/timeline/picture.rs
+++ b/tools/src/timeline/picture.rs
@@ -6,7 +6,7 @@
 
 use super::merge::{Band, Lane, Process, Timeline, VersionSpan};
 use super::output::{describe, describe_version};
-use crate::text::utc;
+use crate::text::format_utc;
 use glyph::Glyph;
 use scale::Scale;
 use std::collections::BTreeSet;
@@ -111,7 +111,7 @@
         let length = timeline.end.since(timeline.start).as_secs_f64();
         let vms = timeline.lanes.len();
         let processes: usize = timeline.lanes.iter().map(|lane| lane.processes.len()).sum();
-        let start = utc(timeline.start);
+        let start = format_utc(timeline.start);
         format!("{start} + {length:.1} s, {vms} VMs, {processes} processes; seconds from the start")
     }
 
