--- a/tools/src/status.rs
+++ b/tools/src/status.rs
@@ -15,32 +15,32 @@
 use sycamore_core::{Code, Fault, Result};
 
 /// Pause between two surveys while waiting.
-const SURVEY_PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Asks the fleet, again until the version is in force everywhere or the wait is over, and
 /// reports. Returns whether it is in force everywhere.
 pub fn run(cfg: &Config, out: &mut dyn Write) -> Result<bool> {
-    let report = async_io::block_on(watch(cfg))?;
+    let report = async_io::block_on(poll_until_in_force(cfg))?;
     output::write(&report, cfg, out)?;
     Ok(report.everywhere)
 }
 
-async fn watch(cfg: &Config) -> Result<Report> {
+async fn poll_until_in_force(cfg: &Config) -> Result<Report> {
     let client = cfg.fleet.client();
     let nodes = cfg.fleet.resolve_nodes(&client).await?;
     if nodes.is_empty() {
         return Err(Fault::new(Code::FleetBehind).with_detail("the lists name no node"));
     }
     let version = expected_version(cfg, &client).await?;
-    let end = client.now() + cfg.wait;
+    let deadline = client.now() + cfg.wait;
     loop {
         let responses =
             fan_out::query_nodes(&client, &nodes, "/status", cfg.fleet.concurrency).await;
         let report = Report::new(&responses, version, client.now());
-        if report.everywhere || client.now() >= end {
+        if report.everywhere || client.now() >= deadline {
             return Ok(report);
         }
-        Timer::after(SURVEY_PAUSE).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
