--- a/tools/src/status.rs
+++ b/tools/src/status.rs
@@ -32,7 +32,7 @@
         return Err(Fault::new(Code::FleetBehind).with_detail("the lists name no node"));
     }
     let version = expected_version(cfg, &client).await?;
-    let deadline = client.now() + cfg.wait;
+    let deadline = client.now() + cfg.wait_timeout;
     loop {
         let responses =
             fan_out::query_nodes(&client, &nodes, "/status", cfg.fleet.concurrency).await;
@@ -46,7 +46,7 @@
 
 /// The version named on the command line, or the one published.
 async fn expected_version(cfg: &Config, client: &Client) -> Result<Option<u64>> {
-    match cfg.version {
+    match cfg.expected_version {
         Some(version) => Ok(Some(version)),
         None => {
             Ok(cfg.fleet.fetch_publication(client).await?.map(|publication| publication.version))
--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -13,11 +13,11 @@
     pub fleet: FleetOptions,
     /// The version that should be in force; absent for the one published, or without a platform
     /// for the newest that any node holds.
-    pub version: Option<u64>,
+    pub expected_version: Option<u64>,
     /// How long to wait for it.
-    pub wait: Duration,
+    pub wait_timeout: Duration,
     /// Whether to list every node rather than those that lag.
-    pub all: bool,
+    pub list_all: bool,
     /// Form of the report.
     pub format: Format,
 }
@@ -53,9 +53,9 @@
         let formats = [("text", Format::Text), ("json", Format::Json)];
         Ok(Config {
             fleet,
-            version: command_line::value(matches, "version-in-force")?,
-            wait: wait.map_or(Duration::ZERO, Duration::from_secs),
-            all: matches.opt_present("all"),
+            expected_version: command_line::value(matches, "version-in-force")?,
+            wait_timeout: wait.map_or(Duration::ZERO, Duration::from_secs),
+            list_all: matches.opt_present("all"),
             format: command_line::choice(matches, "format", &formats)?,
         })
     }
--- a/tools/src/status/output.rs
+++ b/tools/src/status/output.rs
@@ -15,7 +15,7 @@
 pub fn write(report: &Report, cfg: &Config, out: &mut dyn Write) -> Result<()> {
     match cfg.format {
         Format::Text => {
-            let text = Text { report, all: cfg.all };
+            let text = Text { report, list_all: cfg.list_all };
             write!(out, "{text}").map_err(output_failed)
         }
         Format::Json => {
@@ -28,7 +28,7 @@
 /// A report for people.
 struct Text<'a> {
     report: &'a Report,
-    all: bool,
+    list_all: bool,
 }
 
 impl Display for Text<'_> {
@@ -43,8 +43,8 @@
         for refusal in &report.refusals {
             writeln!(f, "refused by {} nodes: {}", refusal.nodes, refusal.fault)?;
         }
-        let lagging = report.fleet.iter().filter(|node| self.all || node.lag.is_some());
-        let listed = if self.all { usize::MAX } else { MAX_LISTED };
+        let lagging = report.fleet.iter().filter(|node| self.list_all || node.lag.is_some());
+        let listed = if self.list_all { usize::MAX } else { MAX_LISTED };
         for node in lagging.clone().take(listed) {
             write_node(f, node, report.asked)?;
         }
