--- a/tools/src/client.rs
+++ b/tools/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP requests of the tools to nodes and to the platform.
+//! HTTP client for the admin ports of nodes and for the platform.
 
 use crate::input;
 use async_io::{Async, Timer};
@@ -15,39 +15,37 @@
 use sycamore_core::{Code, Fault, Result, Time};
 use sycamore_node::clock::Clock;
 
-/// Largest answer taken, in bytes: room for a full ring of events.
+/// Maximum response body size. Large enough for a full event ring buffer.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Asks nodes and the platform, each request on a connection of its own.
+/// HTTP client that opens a new connection for each request.
 #[derive(Clone, Debug)]
 pub struct Client {
     timeout: Duration,
     clock: Clock,
 }
 
-/// An answer, and when it was given by the asking process's clock.
+/// Deserialized response with the timing of its exchange.
 #[derive(Debug)]
 pub struct Reply<T> {
-    /// The body.
     pub body: T,
-    /// Half-way between the request and its answer.
+    /// Midpoint between request and response by the local clock.
     pub midpoint: Time,
-    /// Time from the request to the head of its answer.
+    /// Time from sending the request to receiving the response head.
     pub round_trip: Duration,
 }
 
 impl Client {
-    /// A client that gives up on an answer after `timeout`.
+    /// Creates a client whose requests fail after `timeout`.
     pub fn new(timeout: Duration) -> Client {
         Client { timeout, clock: Clock::new() }
     }
 
-    /// The time now.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Asks for a JSON document.
+    /// Sends a GET request and deserializes the JSON response.
     pub async fn get<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -56,7 +54,7 @@
         let url = format!("{address}{path}");
         let timed_out = async {
             Timer::after(self.timeout).await;
-            let detail = format!("no answer within {} ms", self.timeout.as_millis());
+            let detail = format!("no response within {} ms", self.timeout.as_millis());
             Err(Fault::new(Code::NodeUnreachable).with_detail(detail))
         };
         let reply = future::or(self.send_request(address, path), timed_out).await;
@@ -80,15 +78,15 @@
             let response = sender.send_request(req).await.map_err(unreachable)?;
             let round_trip = self.clock.now().since(sent_at);
             if response.status() != StatusCode::OK {
-                let detail = format!("answered {}", response.status());
+                let detail = format!("unexpected HTTP status {}", response.status());
                 return Err(Fault::new(Code::NodeInvalid).with_detail(detail));
             }
             let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(unreachable)?.to_bytes();
             Ok(Reply { body, midpoint: sent_at + round_trip / 2, round_trip })
         };
-        // The connection makes no progress unless it is polled beside the exchange; when it ends
-        // the exchange learns of it.
+        // hyper makes progress only while the connection future is polled. When the connection
+        // closes, `exchange` returns the error, so this future never completes.
         let connection_driver = async {
             let _ = connection.await;
             future::pending().await
--- a/tools/tests/operators/status.rs
+++ b/tools/tests/operators/status.rs
@@ -130,7 +130,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let run = ask(&[silent.local_addr().unwrap()], &["--timeout-ms", "100"]);
     assert_eq!(run.code, Some(1));
-    assert!(run.stdout.contains("no answer within 100 ms"), "{}", run.stdout);
+    assert!(run.stdout.contains("no response within 100 ms"), "{}", run.stdout);
 }
 
 #[test]
