--- a/tools/src/fleet.rs
+++ b/tools/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Which nodes a tool asks.
+//! Command-line options that select the nodes to query, and their resolution to addresses.
 
 use crate::client::Client;
 use crate::command_line::{self, CommandLine, usage};
@@ -14,55 +14,55 @@
 use sycamore_core::place::Place;
 use sycamore_core::{Code, Fault, Result};
 
-/// Longest wait for one node's answer unless `--timeout-ms` says otherwise.
+/// Default of `--timeout-ms`.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Nodes asked at once unless `--concurrency` says otherwise.
+/// Default of `--concurrency`.
 const DEFAULT_CONCURRENCY: usize = 256;
 
-/// Where a tool learns of the nodes, and how it asks them.
+/// Sources of node addresses, and limits for querying them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetOptions {
-    /// Files with VM lists.
+    /// JSON files with VM lists.
     pub vm_list_files: Vec<PathBuf>,
-    /// Admin addresses of single nodes.
+    /// Admin addresses of individual nodes.
     pub node_addresses: Vec<SocketAddr>,
-    /// Address of the platform.
+    /// Platform to read VM lists and the publication from.
     pub platform: Option<SocketAddr>,
-    /// Longest wait for one answer.
+    /// Timeout of a single request.
     pub timeout: Duration,
-    /// Nodes asked at once.
+    /// Maximum number of concurrent requests.
     pub concurrency: usize,
 }
 
-/// A node to ask.
+/// A node to query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// Address of its admin port.
+    /// Address of the admin port.
     pub admin: SocketAddr,
-    /// Its entry in a VM list; none for a node given by address.
+    /// Entry in a VM list; `None` for a node given by address.
     pub member: Option<Member>,
 }
 
-/// Value of the platform's key `zones`.
+/// Value of the platform key `zones`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Zones {
     zones: Vec<Place>,
 }
 
-/// Adds the options that say which nodes to ask.
+/// Adds the options that select the nodes to query.
 pub fn add_options(command_line: CommandLine) -> CommandLine {
     command_line
-        .with_values("vms", "VM list in JSON, as under the key vms/<zone>", "FILE")
-        .with_values("node", "admin address of one node", "IP:PORT")
+        .with_values("vms", "JSON VM list, in the format of the platform key vms/<zone>", "FILE")
+        .with_values("node", "admin address of a node", "IP:PORT")
         .with_value("platform", "read the VM lists from the platform", "IP:PORT")
-        .with_value("timeout-ms", "longest wait for one node (default 1000)", "MS")
-        .with_value("concurrency", "nodes asked at once (default 256)", "N")
+        .with_value("timeout-ms", "timeout of a request to a node (default 1000)", "MS")
+        .with_value("concurrency", "maximum concurrent requests (default 256)", "N")
 }
 
 impl FleetOptions {
-    /// Takes the options of [`add_options`].
+    /// Parses the options added by [`add_options`].
     pub fn parse(matches: &Matches) -> Result<FleetOptions> {
         let timeout = command_line::value(matches, "timeout-ms")?;
         let concurrency = command_line::value(matches, "concurrency")?;
@@ -78,17 +78,17 @@
         })
     }
 
-    /// Whether no source of nodes is given.
+    /// Returns true if no source of nodes was given.
     pub fn is_empty(&self) -> bool {
         self.vm_list_files.is_empty() && self.node_addresses.is_empty() && self.platform.is_none()
     }
 
-    /// A client for these nodes.
+    /// Creates a client with the configured timeout.
     pub fn client(&self) -> Client {
         Client::new(self.timeout)
     }
 
-    /// The nodes to ask, each once. VMs that are gone are left out.
+    /// Resolves all sources to a deduplicated list of nodes, without VMs in state `gone`.
     pub async fn resolve_nodes(&self, client: &Client) -> Result<Vec<Node>> {
         let mut nodes = IndexMap::new();
         for admin in &self.node_addresses {
@@ -105,7 +105,7 @@
         Ok(nodes.into_values().collect())
     }
 
-    /// The publication that operators last made; none without a platform to ask.
+    /// Fetches the latest publication, or `None` if no platform is configured.
     pub async fn fetch_publication(&self, client: &Client) -> Result<Option<InForce>> {
         match self.platform {
             Some(platform) => Ok(Some(fetch_platform_key(client, platform, "in-force").await?)),
@@ -142,7 +142,7 @@
     Ok(reply.body)
 }
 
-/// The platform's failures have codes of their own.
+/// Maps error codes of node requests to those of platform requests.
 fn to_platform_code(code: Code) -> Code {
     match code {
         Code::NodeInvalid => Code::SourceInvalid,
