--- a/tools/src/fan_out.rs
+++ b/tools/src/fan_out.rs
@@ -1,4 +1,4 @@
-//! One question to every node of a fleet.
+//! Concurrent queries of all nodes of a fleet.
 
 use crate::client::{Client, Reply};
 use crate::fleet::Node;
@@ -6,16 +6,15 @@
 use serde::de::DeserializeOwned;
 use sycamore_core::Result;
 
-/// One node's answer.
+/// Result of querying one node.
 #[derive(Debug)]
 pub struct NodeResponse<T> {
-    /// The node asked.
     pub node: Node,
-    /// What it said, or why it didn't.
     pub reply: Result<Reply<T>>,
 }
 
-/// Asks every node for `path`, `concurrency` of them at once. Answers are in the nodes' order.
+/// Requests `path` from every node with at most `concurrency` requests in flight. Responses are in
+/// the order of `nodes`.
 pub async fn query_nodes<T: DeserializeOwned>(
     client: &Client,
     nodes: &[Node],
@@ -26,7 +25,7 @@
         let reply = client.get(node.admin, path).await;
         (index, NodeResponse { node: node.clone(), reply })
     });
-    // Not `buffered`: one silent node would hold back the questions behind it.
+    // `buffered` would let one unresponsive node delay the requests queued behind it.
     let mut responses: Vec<_> =
         stream::iter(requests).buffer_unordered(concurrency).collect().await;
     responses.sort_by_key(|(index, _)| *index);
