--- a/tools/src/text.rs
+++ b/tools/src/text.rs
@@ -1,11 +1,11 @@
-//! Text for people that several tools write.
+//! Text formatting shared by the tools.
 
 use std::fmt::Display;
 use std::time::{Duration, UNIX_EPOCH};
 use sycamore_core::Time;
 
-/// A time as RFC 3339 text in UTC, to the millisecond.
+/// Formats a time as RFC 3339 in UTC with millisecond precision.
 pub fn format_utc(time: Time) -> impl Display {
-    // Rounded down here: the formatter would print the microseconds cut off otherwise.
+    // Truncated to milliseconds, because `format_rfc3339_millis` may print more digits otherwise.
     humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(time.as_millis()))
 }
