--- a/tools/src/bin/sycamore-status.rs
+++ b/tools/src/bin/sycamore-status.rs
@@ -1,4 +1,4 @@
-//! `sycamore-status`: is a version in force everywhere, since when, and who lags and why?
+//! `sycamore-status`: reports whether a version is in force on every node, and which nodes lag.
 
 use std::process::ExitCode;
 use sycamore_tools::status::{self, Config, config};
