--- a/tools/src/bin/sycamore-timeline.rs
+++ b/tools/src/bin/sycamore-timeline.rs
@@ -1,4 +1,4 @@
-//! `sycamore-timeline`: the events of all processes in one time line.
+//! `sycamore-timeline`: merges the events of all processes into one timeline.
 
 use std::process::ExitCode;
 use sycamore_tools::timeline::{self, Config, config};
