--- a/tools/src/status.rs
+++ b/tools/src/status.rs
@@ -1,4 +1,4 @@
-//! Tells whether a version is in force on every node, since when, and who lags and why.
+//! Reports whether a version is in force on every node, since when, and why nodes lag.
 
 pub mod config;
 pub mod output;
@@ -14,11 +14,11 @@
 use std::time::Duration;
 use sycamore_core::{Code, Fault, Result};
 
-/// Pause between two surveys while waiting.
+/// Interval between two polls of all nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Asks the fleet, again until the version is in force everywhere or the wait is over, and
-/// reports. Returns whether it is in force everywhere.
+/// Polls the nodes until the version is in force everywhere or the wait timeout expires, then
+/// writes the report. Returns whether the version is in force everywhere.
 pub fn run(cfg: &Config, out: &mut dyn Write) -> Result<bool> {
     let report = async_io::block_on(poll_until_in_force(cfg))?;
     output::write(&report, cfg, out)?;
@@ -29,7 +29,7 @@
     let client = cfg.fleet.client();
     let nodes = cfg.fleet.resolve_nodes(&client).await?;
     if nodes.is_empty() {
-        return Err(Fault::new(Code::FleetBehind).with_detail("the lists name no node"));
+        return Err(Fault::new(Code::FleetBehind).with_detail("the VM lists contain no nodes"));
     }
     let version = expected_version(cfg, &client).await?;
     let deadline = client.now() + cfg.wait_timeout;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The version named on the command line, or the one published.
+/// Returns the version given on the command line, or else the published one.
 async fn expected_version(cfg: &Config, client: &Client) -> Result<Option<u64>> {
     match cfg.expected_version {
         Some(version) => Ok(Some(version)),
