--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -1,4 +1,4 @@
-//! The command line of `sycamore-status`, parsed once.
+//! Command-line options of `sycamore-status`.
 
 use crate::command_line::{self, CommandLine, no_arguments, usage};
 use crate::fleet::{self, FleetOptions};
@@ -6,43 +6,42 @@
 use std::time::Duration;
 use sycamore_core::Result;
 
-/// What to ask whom.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The nodes.
+    /// Nodes to query.
     pub fleet: FleetOptions,
-    /// The version that should be in force; absent for the one published, or without a platform
-    /// for the newest that any node holds.
+    /// Version to check for. Defaults to the published version or, without a platform, to the
+    /// newest version on any node.
     pub expected_version: Option<u64>,
-    /// How long to wait for it.
+    /// How long to wait until the version is in force everywhere.
     pub wait_timeout: Duration,
-    /// Whether to list every node rather than those that lag.
+    /// List all nodes, not only those that lag.
     pub list_all: bool,
-    /// Form of the report.
     pub format: Format,
 }
 
-/// Form of the report.
+/// Output format of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object.
+    /// A single JSON object.
     Json,
 }
 
-/// The options of the tool.
+/// Returns the command-line definition.
 pub fn command_line() -> CommandLine {
     let line = CommandLine::new("sycamore-status", "(--vms|--node|--platform) ... [options]");
     fleet::add_options(line)
-        .with_value("version-in-force", "version to ask for (default: the one published)", "N")
-        .with_value("wait", "longest wait until it is in force everywhere", "SECONDS")
+        .with_value("version-in-force", "version to check for (default: the published one)", "N")
+        .with_value("wait", "maximum time to wait until it is in force everywhere", "SECONDS")
         .with_flag("all", "list every node, not only those that lag")
         .with_value("format", "text (default) or json", "FORMAT")
 }
 
 impl Config {
-    /// Takes the options of [`command_line()`].
+    /// Parses the options defined by [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         no_arguments(matches)?;
         let fleet = FleetOptions::parse(matches)?;
