--- a/tools/src/status/output.rs
+++ b/tools/src/status/output.rs
@@ -1,7 +1,7 @@
 //! The report of `sycamore-status` as text or JSON.
 
 use super::config::{Config, Format};
-use super::report::{Lag, NodeReport, Report};
+use super::report::{LagReason, NodeReport, Report};
 use crate::command_line::output_failed;
 use crate::text::format_utc;
 use std::fmt::{self, Display, Formatter};
@@ -88,21 +88,21 @@
     writeln!(f, "{}", if node.leaving { ", leaving" } else { "" })
 }
 
-impl Display for Lag {
+impl Display for LagReason {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Lag::Unreachable { fault } => write!(f, "{fault}"),
-            Lag::OtherDigest { found } => {
+            LagReason::Unreachable { fault } => write!(f, "{fault}"),
+            LagReason::OtherDigest { found } => {
                 write!(f, "SPLIT: version {} with digest {}", found.version, found.digest)
             }
-            Lag::Refused { version, fault } => {
+            LagReason::Refused { version, fault } => {
                 write!(f, "version {version}, last refusal: {fault}")
             }
-            Lag::Fetching { version, parent } => {
+            LagReason::Fetching { version, parent } => {
                 write!(f, "version {version}, heard of a newer one, fetching from ")?;
                 write_parent(f, parent.as_ref())
             }
-            Lag::NotHeard { version, parent, platform_answers } => {
+            LagReason::NotHeard { version, parent, platform_answers } => {
                 write!(f, "version {version}, heard of no newer one, parent ")?;
                 write_parent(f, parent.as_ref())?;
                 match platform_answers {
--- a/tools/src/status/report.rs
+++ b/tools/src/status/report.rs
@@ -12,7 +12,7 @@
 /// Why a node does not hold the expected version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "why")]
-pub enum Lag {
+pub enum LagReason {
     /// It did not answer.
     Unreachable {
         /// The failure.
@@ -68,7 +68,7 @@
     /// Whether it is leaving, by its own word or by the list.
     pub leaving: bool,
     /// Why it lags; null if it does not.
-    pub lag: Option<Lag>,
+    pub lag: Option<LagReason>,
 }
 
 /// The report on a fleet.
@@ -113,10 +113,11 @@
     /// Judges the answers of a fleet. Without an expected version it is the newest that any node
     /// holds.
     pub fn new(responses: &[NodeResponse<Status>], expected: Option<u64>, asked: Time) -> Report {
-        let expected = Expected::new(responses, expected);
+        let expected = ExpectedVersion::new(responses, expected);
         let fleet: Vec<_> = responses.iter().map(|a| NodeReport::new(a, &expected)).collect();
         let version = expected.version;
-        let count = |pick: &dyn Fn(&NodeReport) -> bool| fleet.iter().filter(|n| pick(n)).count();
+        let count =
+            |predicate: &dyn Fn(&NodeReport) -> bool| fleet.iter().filter(|n| predicate(n)).count();
         let lagging = count(&|node| node.lag.is_some() && !node.leaving);
         let holding = count(&|node| node.lag.is_none() && node.version() == version);
         let everywhere = lagging == 0 && version > 0;
@@ -132,17 +133,17 @@
             newer: count(&|node| node.version() > version),
             lagging,
             leaving: count(&|node| node.lag.is_some() && node.leaving),
-            refusals: refusals(&fleet),
+            refusals: count_refusals(&fleet),
             fleet,
         }
     }
 }
 
 /// Few nodes read a body that is refused, and the others never hear of it; together they tell why.
-fn refusals(fleet: &[NodeReport]) -> Vec<Refusal> {
+fn count_refusals(fleet: &[NodeReport]) -> Vec<Refusal> {
     let mut nodes = IndexMap::<&str, usize>::new();
     for lag in fleet.iter().filter_map(|node| node.lag.as_ref()) {
-        if let Lag::Refused { fault, .. } = lag {
+        if let LagReason::Refused { fault, .. } = lag {
             *nodes.entry(fault).or_default() += 1;
         }
     }
@@ -150,31 +151,32 @@
 }
 
 /// What every node should hold.
-struct Expected {
+struct ExpectedVersion {
     version: u64,
     /// The publication that most nodes hold under this version. Two digests under one version are
     /// a split fleet, which nodes rule out; a report that took any digest for right would hide it.
     publication: Option<InForce>,
 }
 
-impl Expected {
-    fn new(responses: &[NodeResponse<Status>], version: Option<u64>) -> Expected {
+impl ExpectedVersion {
+    fn new(responses: &[NodeResponse<Status>], version: Option<u64>) -> ExpectedVersion {
         let replies = || responses.iter().filter_map(|response| response.reply.as_ref().ok());
         let in_force = || replies().filter_map(|reply| reply.body.in_force.as_ref());
         let newest = in_force().map(|in_force| in_force.version).max();
         let version = version.or(newest).unwrap_or(0);
         let held = || in_force().filter(|in_force| in_force.version == version);
-        let distinct: IndexSet<_> = held().collect();
-        let holders = |publication: &InForce| held().filter(|i| *i == publication).count();
-        let publication = distinct.into_iter().max_by_key(|publication| holders(publication));
-        Expected { version, publication: publication.cloned() }
+        let publications: IndexSet<_> = held().collect();
+        let count_holders = |publication: &InForce| held().filter(|i| *i == publication).count();
+        let publication =
+            publications.into_iter().max_by_key(|publication| count_holders(publication));
+        ExpectedVersion { version, publication: publication.cloned() }
     }
 }
 
 impl NodeReport {
-    fn new(response: &NodeResponse<Status>, expected: &Expected) -> NodeReport {
+    fn new(response: &NodeResponse<Status>, expected: &ExpectedVersion) -> NodeReport {
         let member = response.node.member.as_ref();
-        let listed_leaving = member.is_some_and(|member| member.state == VmState::Leaving);
+        let leaving_in_list = member.is_some_and(|member| member.state == VmState::Leaving);
         match &response.reply {
             Ok(reply) => {
                 let status = &reply.body;
@@ -187,9 +189,9 @@
                     in_force: status.in_force.clone(),
                     since: status
                         .in_force_since
-                        .map(|since| corrected(since, status.now, reply.midpoint)),
-                    leaving: listed_leaving || status.draining,
-                    lag: lag(status, expected),
+                        .map(|since| to_local_clock(since, status.now, reply.midpoint)),
+                    leaving: leaving_in_list || status.draining,
+                    lag: lag_reason(status, expected),
                 }
             }
             Err(fault) => NodeReport {
@@ -200,8 +202,8 @@
                 role: None,
                 in_force: None,
                 since: None,
-                leaving: listed_leaving,
-                lag: Some(Lag::Unreachable { fault: fault.to_string() }),
+                leaving: leaving_in_list,
+                lag: Some(LagReason::Unreachable { fault: fault.to_string() }),
             },
         }
     }
@@ -213,31 +215,31 @@
 }
 
 /// Why a node that answered does not hold what it should.
-fn lag(status: &Status, expected: &Expected) -> Option<Lag> {
+fn lag_reason(status: &Status, expected: &ExpectedVersion) -> Option<LagReason> {
     let version = status.in_force.as_ref().map_or(0, |in_force| in_force.version);
     match &status.in_force {
         Some(_) if version > expected.version => return None,
         Some(found) if version == expected.version => {
             let other = Some(found) != expected.publication.as_ref();
-            return other.then(|| Lag::OtherDigest { found: found.clone() });
+            return other.then(|| LagReason::OtherDigest { found: found.clone() });
         }
         _ => {}
     }
     let parent = status.parent.clone();
     if status.newest_heard < expected.version {
         let platform_answers = status.platform_answers;
-        return Some(Lag::NotHeard { version, parent, platform_answers });
+        return Some(LagReason::NotHeard { version, parent, platform_answers });
     }
     Some(match &status.last_refusal {
-        Some(fault) => Lag::Refused { version, fault: fault.clone() },
-        None => Lag::Fetching { version, parent },
+        Some(fault) => LagReason::Refused { version, fault: fault.clone() },
+        None => LagReason::Fetching { version, parent },
     })
 }
 
 /// A node's time by this tool's clock: the node's clock read `now` when this tool's read `at`.
-fn corrected(time: Time, now: Time, at: Time) -> Time {
-    match time > now {
-        true => at + time.since(now),
-        false => at - now.since(time),
+fn to_local_clock(time: Time, node_now: Time, local_now: Time) -> Time {
+    match time > node_now {
+        true => local_now + time.since(node_now),
+        false => local_now - node_now.since(time),
     }
 }
