--- a/tools/src/status/output.rs
+++ b/tools/src/status/output.rs
@@ -9,13 +9,13 @@
 use sycamore_core::{Name, Result, Time};
 
 /// Nodes listed without `--all`: a zone that is cut off would fill the screen.
-const MAX_LISTED: usize = 40;
+const MAX_LISTED_NODES: usize = 40;
 
 /// Writes the report.
 pub fn write(report: &Report, cfg: &Config, out: &mut dyn Write) -> Result<()> {
     match cfg.format {
         Format::Text => {
-            let text = Text { report, list_all: cfg.list_all };
+            let text = TextReport { report, list_all: cfg.list_all };
             write!(out, "{text}").map_err(output_failed)
         }
         Format::Json => {
@@ -26,15 +26,15 @@
 }
 
 /// A report for people.
-struct Text<'a> {
+struct TextReport<'a> {
     report: &'a Report,
     list_all: bool,
 }
 
-impl Display for Text<'_> {
+impl Display for TextReport<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let report = self.report;
-        write_answer(f, report)?;
+        write_summary(f, report)?;
         writeln!(
             f,
             "nodes: {}, holding {}, newer {}, lagging {}, leaving {}",
@@ -43,29 +43,29 @@
         for refusal in &report.refusals {
             writeln!(f, "refused by {} nodes: {}", refusal.nodes, refusal.fault)?;
         }
-        let lagging = report.fleet.iter().filter(|node| self.list_all || node.lag.is_some());
-        let listed = if self.list_all { usize::MAX } else { MAX_LISTED };
-        for node in lagging.clone().take(listed) {
+        let nodes = report.fleet.iter().filter(|node| self.list_all || node.lag.is_some());
+        let limit = if self.list_all { usize::MAX } else { MAX_LISTED_NODES };
+        for node in nodes.clone().take(limit) {
             write_node(f, node, report.asked)?;
         }
-        match lagging.count().saturating_sub(listed) {
+        match nodes.count().saturating_sub(limit) {
             0 => Ok(()),
             more => writeln!(f, "  and {more} more; --all lists them"),
         }
     }
 }
 
-fn write_answer(f: &mut Formatter<'_>, report: &Report) -> fmt::Result {
+fn write_summary(f: &mut Formatter<'_>, report: &Report) -> fmt::Result {
     if report.version == 0 {
         return writeln!(f, "no version is in force anywhere");
     }
     write!(f, "version {} is ", report.version)?;
     match report.everywhere_since {
         Some(since) => {
-            let age = seconds(report.asked, since);
+            let age = seconds_between(report.asked, since);
             write!(f, "in force everywhere since {} ({age:.1} s ago", format_utc(since))?;
             if let Some(first) = report.first_since {
-                write!(f, ", {:.3} s after the first node", seconds(since, first))?;
+                write!(f, ", {:.3} s after the first node", seconds_between(since, first))?;
             }
             writeln!(f, ")")
         }
@@ -83,7 +83,7 @@
         None => write!(f, "version {}", node.version())?,
     }
     if let Some(since) = node.since {
-        write!(f, ", since {:.1} s", seconds(asked, since))?;
+        write!(f, ", since {:.1} s", seconds_between(asked, since))?;
     }
     writeln!(f, "{}", if node.leaving { ", leaving" } else { "" })
 }
@@ -119,6 +119,6 @@
     write!(f, "{}", parent.map_or("none", Name::as_str))
 }
 
-fn seconds(later: Time, earlier: Time) -> f64 {
+fn seconds_between(later: Time, earlier: Time) -> f64 {
     later.since(earlier).as_secs_f64()
 }
