--- a/tools/src/timeline/picture.rs
+++ b/tools/src/timeline/picture.rs
@@ -176,14 +176,14 @@
         }
         let middle = y + LANE / 2.0;
         for mark in &process.marks {
-            if let Some(glyph) = Glyph::of_event(mark.kind) {
+            if let Some(glyph) = Glyph::for_event(mark.kind) {
                 let x = self.scale.x(mark.at);
                 let seconds = mark.at.since(self.timeline.start).as_secs_f64();
                 let tip = tip(&format!("{seconds:.3} s: {}", describe(mark)));
                 group = group.add(glyph.draw(x, middle).add(tip));
             }
         }
-        match Glyph::of_end(process.end) {
+        match Glyph::for_end(process.end) {
             Some(glyph) => group.add(glyph.draw(self.scale.x(process.ended), middle)),
             None => group,
         }
@@ -222,9 +222,9 @@
         let ends: BTreeSet<_> = processes().map(|process| process.end).collect();
         let of_kinds = kinds
             .into_iter()
-            .filter_map(|kind| Some((Glyph::of_event(kind)?, kind.name().replace('-', " "))));
+            .filter_map(|kind| Some((Glyph::for_event(kind)?, kind.name().replace('-', " "))));
         let of_ends = ends.into_iter().filter_map(|end| {
-            let glyph = Glyph::of_end(end)?;
+            let glyph = Glyph::for_end(end)?;
             Some((glyph, glyph::end_label(end).to_owned()))
         });
         let columns = ((RIGHT - LEFT) / LEGEND_WIDTH).floor();
--- a/tools/src/timeline/picture/glyph.rs
+++ b/tools/src/timeline/picture/glyph.rs
@@ -6,7 +6,7 @@
 use sycamore_core::event::EventKind;
 
 /// Half of a glyph's size, in pixels.
-const RADIUS: f64 = 5.0;
+const HALF_SIZE: f64 = 5.0;
 
 /// A mark's shape and colour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shape {
     /// Points to the right.
-    Arrow,
+    RightTriangle,
     /// Points down.
-    Wedge,
+    DownTriangle,
     Square,
     Diamond,
     Cross,
@@ -38,13 +38,13 @@
 impl Glyph {
     /// The mark of a change of state; none for those that bands show, or that every spread of a
     /// version brings on every node.
-    pub fn of_event(kind: EventKind) -> Option<Glyph> {
+    pub fn for_event(kind: EventKind) -> Option<Glyph> {
         let (shape, color, fill) = match kind {
             EventKind::VersionHeard | EventKind::VersionInForce => return None,
-            EventKind::Started => (Shape::Arrow, "#1a7f37", Fill::Solid),
+            EventKind::Started => (Shape::RightTriangle, "#1a7f37", Fill::Solid),
             EventKind::VersionRefused => (Shape::Diamond, "#cf222e", Fill::Solid),
-            EventKind::SourceLost => (Shape::Wedge, "#d96c00", Fill::Solid),
-            EventKind::SourceBack => (Shape::Wedge, "#d96c00", Fill::Hollow),
+            EventKind::SourceLost => (Shape::DownTriangle, "#d96c00", Fill::Solid),
+            EventKind::SourceBack => (Shape::DownTriangle, "#d96c00", Fill::Hollow),
             EventKind::ParentChosen => (Shape::Bar, "#0550ae", Fill::Hollow),
             EventKind::ParentLost => (Shape::Bar, "#0550ae", Fill::Solid),
             EventKind::TargetLost => (Shape::Square, "#8f3f1f", Fill::Solid),
@@ -62,7 +62,7 @@
     }
 
     /// The mark of a process that ended without a word.
-    pub fn of_end(end: End) -> Option<Glyph> {
+    pub fn for_end(end: End) -> Option<Glyph> {
         match end {
             End::Running | End::Stopped => None,
             End::Killed => Some(Glyph { shape: Shape::Cross, color: "#cf222e", fill: Fill::Solid }),
@@ -94,13 +94,13 @@
 
 impl Shape {
     fn outline(self, x: f64, y: f64) -> Data {
-        let r = RADIUS;
+        let r = HALF_SIZE;
         let start = Data::new().move_to((x, y));
         match self {
-            Shape::Arrow => {
+            Shape::RightTriangle => {
                 start.move_by((-r * 0.4, -r)).line_by((r * 1.4, r)).line_by((-r * 1.4, r)).close()
             }
-            Shape::Wedge => {
+            Shape::DownTriangle => {
                 start.move_by((-r, -r * 0.8)).line_by((2.0 * r, 0)).line_by((-r, 1.7 * r)).close()
             }
             Shape::Square => {
