--- a/tools/src/timeline/picture.rs
+++ b/tools/src/timeline/picture.rs
@@ -8,7 +8,7 @@
 use super::output::{describe, describe_version};
 use crate::text::format_utc;
 use glyph::Glyph;
-use scale::Scale;
+use scale::TimeScale;
 use std::collections::BTreeSet;
 use svg::Document;
 use svg::node::element::{Group, Line, Rectangle, Text, Title};
@@ -45,7 +45,7 @@
 
 /// Draws the time line.
 pub fn draw(timeline: &Timeline, title: &str) -> Document {
-    let scale = Scale::new(timeline.start, timeline.end, LEFT, RIGHT);
+    let scale = TimeScale::new(timeline.start, timeline.end, LEFT, RIGHT);
     let lanes_top = TOP + LABEL_ROWS as f64 * ROW + 8.0;
     let placed = place(&timeline.lanes, lanes_top);
     let lanes_end = placed.iter().map(|lane| lane.y + LANE).fold(lanes_top, f64::max);
@@ -94,7 +94,7 @@
 /// What every part of the picture is drawn by.
 struct Picture<'a> {
     timeline: &'a Timeline,
-    scale: Scale,
+    scale: TimeScale,
     lanes_top: f64,
     lanes_end: f64,
 }
