--- a/tools/src/timeline/merge.rs
+++ b/tools/src/timeline/merge.rs
@@ -1,6 +1,6 @@
 //! One time line out of the records of all processes, by this tool's clock.
 
-use super::record::Record;
+use super::record::ProcessRecord;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -114,14 +114,14 @@
 
 impl Timeline {
     /// Merges the records of processes, which are in order of their VM and start.
-    pub fn new<'a>(records: impl Iterator<Item = &'a Record>) -> Timeline {
-        let mut by_vm = BTreeMap::<_, Vec<&Record>>::new();
+    pub fn new<'a>(records: impl Iterator<Item = &'a ProcessRecord>) -> Timeline {
+        let mut by_vm = BTreeMap::<_, Vec<&ProcessRecord>>::new();
         for record in records {
             by_vm.entry((&record.region, &record.zone, &record.vm)).or_default().push(record);
         }
         let all = || by_vm.values().flatten();
-        let end = all().map(|r| r.corrected(r.last_seen)).max().unwrap_or(Time::ZERO);
-        let firsts = all().map(|r| r.corrected(r.started));
+        let end = all().map(|r| r.to_local_clock(r.last_seen)).max().unwrap_or(Time::ZERO);
+        let firsts = all().map(|r| r.to_local_clock(r.started));
         let start = firsts.min().unwrap_or(end);
         let lanes: Vec<_> = by_vm.values().filter_map(|records| lane(records, end)).collect();
         Timeline { start, end, versions: versions(&lanes), lanes }
@@ -140,9 +140,9 @@
     }
 }
 
-fn lane(records: &[&Record], end: Time) -> Option<Lane> {
+fn lane(records: &[&ProcessRecord], end: Time) -> Option<Lane> {
     let first = records.first()?;
-    let next = records.iter().skip(1).map(|record| Some(record.corrected(record.started)));
+    let next = records.iter().skip(1).map(|record| Some(record.to_local_clock(record.started)));
     let next = next.chain([None]);
     Some(Lane {
         region: first.region.clone(),
@@ -152,12 +152,12 @@
     })
 }
 
-fn process(record: &Record, next_start: Option<Time>, end: Time) -> Process {
-    let last_seen = record.corrected(record.last_seen);
+fn process(record: &ProcessRecord, next_start: Option<Time>, end: Time) -> Process {
+    let last_seen = record.to_local_clock(record.last_seen);
     let stop = record.events.iter().rev().find(|event| event.kind == EventKind::Stopped);
     let unseen = end.since(last_seen) > UNSEEN_AFTER;
     let (ended, how) = match (stop, next_start) {
-        (Some(stop), _) => (record.corrected(stop.at), End::Stopped),
+        (Some(stop), _) => (record.to_local_clock(stop.at), End::Stopped),
         // The last events of a planned stop are seldom read: the process ends with them.
         (None, next) if drains(record) && (next.is_some() || unseen) => (last_seen, End::Stopped),
         (None, Some(next)) => (last_seen.min(next), End::Killed),
@@ -165,7 +165,7 @@
         (None, None) => (end, End::Running),
     };
     Process {
-        started: record.corrected(record.started),
+        started: record.to_local_clock(record.started),
         ended,
         end: how,
         dropped: record.dropped,
@@ -176,13 +176,13 @@
 }
 
 /// Whether a planned stop has begun.
-fn drains(record: &Record) -> bool {
+fn drains(record: &ProcessRecord) -> bool {
     record.events.iter().any(|event| event.kind == EventKind::Draining)
 }
 
-fn marks(record: &Record) -> Vec<Mark> {
+fn marks(record: &ProcessRecord) -> Vec<Mark> {
     let mark = |event: &sycamore_core::event::Event| Mark {
-        at: record.corrected(event.at),
+        at: record.to_local_clock(event.at),
         kind: event.kind,
         version: event.version,
         peer: event.peer.clone(),
@@ -191,10 +191,10 @@
     record.events.iter().map(mark).collect()
 }
 
-fn bands(record: &Record, ended: Time) -> Vec<Band> {
+fn bands(record: &ProcessRecord, ended: Time) -> Vec<Band> {
     let mut bands: Vec<Band> = Vec::new();
     for event in record.events.iter().filter(|event| event.kind == EventKind::VersionInForce) {
-        let from = record.corrected(event.at);
+        let from = record.to_local_clock(event.at);
         if let Some(last) = bands.last_mut() {
             last.to = from;
         }
--- a/tools/src/timeline/store.rs
+++ b/tools/src/timeline/store.rs
@@ -3,7 +3,7 @@
 //! A node keeps its events in memory only, so that they die with it. Records that were polled
 //! before and saved keep them.
 
-use super::record::{ProcessId, Record};
+use super::record::{ProcessId, ProcessRecord};
 use crate::client::Reply;
 use crate::command_line::output_failed;
 use crate::input;
@@ -18,7 +18,7 @@
 /// Records by process.
 #[derive(Debug, Default)]
 pub struct Store {
-    records: BTreeMap<ProcessId, Record>,
+    records: BTreeMap<ProcessId, ProcessRecord>,
     unsaved: BTreeSet<ProcessId>,
 }
 
@@ -35,13 +35,13 @@
     }
 
     /// The records, by VM and then by start.
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    pub fn records(&self) -> impl Iterator<Item = &ProcessRecord> {
         self.records.values()
     }
 
     /// Takes a node's answer.
     pub fn take(&mut self, reply: Reply<Events>) {
-        let record = Record::from_reply(reply);
+        let record = ProcessRecord::from_reply(reply);
         self.unsaved.insert(record.id());
         self.merge(record);
     }
@@ -51,7 +51,7 @@
         let probe: Probe = input::read_json(path)?;
         let record = match probe.last_seen {
             Some(_) => input::read_json(path)?,
-            None => Record::new(input::read_json(path)?),
+            None => ProcessRecord::new(input::read_json(path)?),
         };
         self.merge(record);
         Ok(())
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    fn merge(&mut self, record: Record) {
+    fn merge(&mut self, record: ProcessRecord) {
         match self.records.get_mut(&record.id()) {
             Some(known) => known.merge(record),
             None => {
