--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -19,7 +19,7 @@
 use merge::Timeline;
 use std::io::Write;
 use std::time::Duration;
-use store::Store;
+use store::RecordStore;
 use sycamore_core::status::Events;
 use sycamore_core::{Code, Fault, Result, Time};
 
@@ -31,12 +31,12 @@
     if let Some(id) = &cfg.request {
         return request::run(id, &cfg.files, out);
     }
-    let mut store = Store::new();
+    let mut store = RecordStore::new();
     for path in &cfg.files {
-        store.read(path)?;
+        store.load_file(path)?;
     }
     if let Some(dir) = &cfg.save {
-        store.read_dir(dir)?;
+        store.load_dir(dir)?;
     }
     if !cfg.fleet.is_empty() {
         async_io::block_on(gather(cfg, &mut store))?;
@@ -48,7 +48,7 @@
 
 /// Asks the fleet once, or again and again until the time to follow has passed or a signal ends
 /// it early.
-async fn gather(cfg: &Config, store: &mut Store) -> Result<()> {
+async fn gather(cfg: &Config, store: &mut RecordStore) -> Result<()> {
     let client = cfg.fleet.client();
     let nodes = cfg.fleet.resolve_nodes(&client).await?;
     if cfg.follow.is_zero() {
@@ -72,7 +72,7 @@
     client: &Client,
     mut nodes: Vec<Node>,
     end: Time,
-    store: &mut Store,
+    store: &mut RecordStore,
 ) -> Result<()> {
     let mut resolved = client.now();
     while client.now() < end {
@@ -88,17 +88,17 @@
     Ok(())
 }
 
-async fn ask(cfg: &Config, client: &Client, nodes: &[Node], store: &mut Store) {
+async fn ask(cfg: &Config, client: &Client, nodes: &[Node], store: &mut RecordStore) {
     let concurrency = cfg.fleet.concurrency;
     for response in fan_out::query_nodes::<Events>(client, nodes, "/events", concurrency).await {
         // A node that does not answer shows in the time line as one that is no longer seen.
         if let Ok(reply) = response.reply {
-            store.take(reply);
+            store.insert_reply(reply);
         }
     }
 }
 
-fn save(cfg: &Config, store: &mut Store) -> Result<()> {
+fn save(cfg: &Config, store: &mut RecordStore) -> Result<()> {
     match &cfg.save {
         Some(dir) => store.save(dir),
         None => Ok(()),
--- a/tools/src/timeline/store.rs
+++ b/tools/src/timeline/store.rs
@@ -17,21 +17,21 @@
 
 /// Records by process.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct RecordStore {
     records: BTreeMap<ProcessId, ProcessRecord>,
-    unsaved: BTreeSet<ProcessId>,
+    dirty: BTreeSet<ProcessId>,
 }
 
 /// Tells a record from an answer of `/events` by a field that only records have.
 #[derive(Deserialize)]
-struct Probe {
+struct FormatProbe {
     last_seen: Option<IgnoredAny>,
 }
 
-impl Store {
+impl RecordStore {
     /// A store without records.
-    pub fn new() -> Store {
-        Store::default()
+    pub fn new() -> RecordStore {
+        RecordStore::default()
     }
 
     /// The records, by VM and then by start.
@@ -40,15 +40,15 @@
     }
 
     /// Takes a node's answer.
-    pub fn take(&mut self, reply: Reply<Events>) {
+    pub fn insert_reply(&mut self, reply: Reply<Events>) {
         let record = ProcessRecord::from_reply(reply);
-        self.unsaved.insert(record.id());
+        self.dirty.insert(record.id());
         self.merge(record);
     }
 
-    /// Takes a file: an answer of `/events`, or a record that [`Store::save`] wrote.
-    pub fn read(&mut self, path: &Path) -> Result<()> {
-        let probe: Probe = input::read_json(path)?;
+    /// Takes a file: an answer of `/events`, or a record that [`RecordStore::save`] wrote.
+    pub fn load_file(&mut self, path: &Path) -> Result<()> {
+        let probe: FormatProbe = input::read_json(path)?;
         let record = match probe.last_seen {
             Some(_) => input::read_json(path)?,
             None => ProcessRecord::new(input::read_json(path)?),
@@ -58,14 +58,14 @@
     }
 
     /// Takes every JSON file of a directory; one that does not exist yet is empty.
-    pub fn read_dir(&mut self, dir: &Path) -> Result<()> {
+    pub fn load_dir(&mut self, dir: &Path) -> Result<()> {
         if !dir.exists() {
             return Ok(());
         }
         for entry in fs::read_dir(dir).map_err(|e| unreadable(dir, e))? {
             let path = entry.map_err(|e| unreadable(dir, e))?.path();
             if path.extension().is_some_and(|extension| extension == "json") {
-                self.read(&path)?;
+                self.load_file(&path)?;
             }
         }
         Ok(())
@@ -75,12 +75,12 @@
     /// replaced whole, so that a reader or a kill never leaves half of one.
     pub fn save(&mut self, dir: &Path) -> Result<()> {
         fs::create_dir_all(dir).map_err(|e| output_failed(e).with_location(dir.display()))?;
-        for id in std::mem::take(&mut self.unsaved) {
+        for id in std::mem::take(&mut self.dirty) {
             let json = serde_json::to_vec(&self.records[&id]).map_err(output_failed)?;
-            let path = dir.join(format!("{}-{}.json", file_name(&id), id.started.0));
-            let partial = path.with_extension("partial");
-            fs::write(&partial, json)
-                .and_then(|()| fs::rename(&partial, &path))
+            let path = dir.join(format!("{}-{}.json", sanitized_vm_name(&id), id.started.0));
+            let temp_path = path.with_extension("partial");
+            fs::write(&temp_path, json)
+                .and_then(|()| fs::rename(&temp_path, &path))
                 .map_err(|e| output_failed(e).with_location(path.display()))?;
         }
         Ok(())
@@ -88,7 +88,7 @@
 
     fn merge(&mut self, record: ProcessRecord) {
         match self.records.get_mut(&record.id()) {
-            Some(known) => known.merge(record),
+            Some(existing) => existing.merge(record),
             None => {
                 self.records.insert(record.id(), record);
             }
@@ -97,11 +97,11 @@
 }
 
 /// The VM's name without characters that mean something in a path.
-fn file_name(id: &ProcessId) -> String {
+fn sanitized_vm_name(id: &ProcessId) -> String {
     let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     id.vm.as_str().chars().map(safe).collect()
 }
 
-fn unreadable(place: &Path, cause: impl std::fmt::Display) -> Fault {
-    Fault::new(Code::InputUnreadable).with_location(place.display()).with_detail(cause)
+fn unreadable(path: &Path, cause: impl std::fmt::Display) -> Fault {
+    Fault::new(Code::InputUnreadable).with_location(path.display()).with_detail(cause)
 }
