--- a/tools/src/status/report.rs
+++ b/tools/src/status/report.rs
@@ -1,4 +1,4 @@
-//! What `sycamore-status` reports.
+//! Report of `sycamore-status`: which nodes hold the expected version, and why others lag.
 
 use crate::fan_out::NodeResponse;
 use indexmap::{IndexMap, IndexSet};
@@ -13,105 +13,102 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "why")]
 pub enum LagReason {
-    /// It did not answer.
+    /// The node did not respond.
     Unreachable {
-        /// The failure.
+        /// Error of the request.
         fault: String,
     },
-    /// It holds the same version with another digest.
+    /// The node holds the expected version number with a different digest.
     OtherDigest {
-        /// What it holds.
+        /// Publication in force on the node.
         found: InForce,
     },
-    /// It heard of the version; the last one it refused, and why.
+    /// The node has heard of the version, and its most recent version update was refused.
     Refused {
-        /// The version in force there; zero if none.
+        /// Version in force on the node; zero if none.
         version: u64,
-        /// The refusal.
+        /// Error of the refusal.
         fault: String,
     },
-    /// It heard of the version but does not hold it whole yet.
+    /// The node has heard of the version but has not fetched it completely.
     Fetching {
-        /// The version in force there; zero if none.
+        /// Version in force on the node; zero if none.
         version: u64,
-        /// Where it takes versions from.
+        /// Peer that the node fetches versions from.
         parent: Option<Name>,
     },
-    /// It has not heard of the version.
+    /// The node has not heard of the version.
     NotHeard {
-        /// The version in force there; zero if none.
+        /// Version in force on the node; zero if none.
         version: u64,
-        /// Where it takes versions from.
+        /// Peer that the node fetches versions from.
         parent: Option<Name>,
-        /// Whether the platform answered its last call; null if it made none.
+        /// Whether the node's last call to the platform succeeded; null if it has made none.
         platform_answers: Option<bool>,
     },
 }
 
-/// One node.
+/// State of one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeReport {
-    /// Its VM; null if it did not answer and no list names it.
+    /// VM of the node; null if it did not respond and is in no VM list.
     pub vm: Option<Name>,
-    /// Region of the VM.
     pub region: Option<Name>,
     /// Availability zone of the VM.
     pub zone: Option<Name>,
-    /// Address of its admin port.
+    /// Address of the admin port.
     pub admin: SocketAddr,
-    /// What it does for the spread.
+    /// Role in version distribution.
     pub role: Option<Role>,
-    /// The version in force there.
+    /// Publication in force on the node.
     pub in_force: Option<InForce>,
-    /// Since when, by this tool's clock.
+    /// When it was put into force, by this tool's clock.
     pub since: Option<Time>,
-    /// Whether it is leaving, by its own word or by the list.
+    /// Whether the node or its VM list reports it as leaving.
     pub leaving: bool,
-    /// Why it lags; null if it does not.
+    /// Why the node lags; null if it does not.
     pub lag: Option<LagReason>,
 }
 
-/// The report on a fleet.
+/// State of all queried nodes.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The version asked for.
+    /// The expected version.
     pub version: u64,
-    /// Whether every node holds it or a newer one. Nodes that are leaving don't count.
+    /// Whether every node that is not leaving holds this version or a newer one.
     pub everywhere: bool,
     /// When it came into force on the last node, by this tool's clock; null unless everywhere.
     pub everywhere_since: Option<Time>,
     /// When it came into force on the first node, by this tool's clock.
     pub first_since: Option<Time>,
-    /// When the fleet was asked.
+    /// When the nodes were queried.
     pub asked: Time,
-    /// Nodes asked.
+    /// Number of nodes queried.
     pub nodes: usize,
-    /// Nodes that hold the version.
+    /// Number of nodes that hold the expected version.
     pub holding: usize,
-    /// Nodes that hold a newer one.
+    /// Number of nodes that hold a newer version.
     pub newer: usize,
-    /// Nodes that lag.
+    /// Number of nodes that lag, without those that are leaving.
     pub lagging: usize,
-    /// Nodes that lag but are leaving.
+    /// Number of leaving nodes that lag.
     pub leaving: usize,
-    /// Why nodes that heard of the version refused it, each reason once.
+    /// Distinct refusal errors with the number of nodes that reported each.
     pub refusals: Vec<Refusal>,
-    /// Every node.
+    /// All queried nodes.
     pub fleet: Vec<NodeReport>,
 }
 
-/// One reason that nodes refused a version for.
+/// A refusal error and how many nodes reported it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Refusal {
-    /// The reason.
     pub fault: String,
-    /// Nodes that gave it.
+    /// Number of nodes that reported it.
     pub nodes: usize,
 }
 
 impl Report {
-    /// Judges the answers of a fleet. Without an expected version it is the newest that any node
-    /// holds.
+    /// Evaluates the responses. `expected` defaults to the newest version in force on any node.
     pub fn new(responses: &[NodeResponse<Status>], expected: Option<u64>, asked: Time) -> Report {
         let expected = ExpectedVersion::new(responses, expected);
         let fleet: Vec<_> = responses.iter().map(|a| NodeReport::new(a, &expected)).collect();
@@ -139,7 +136,7 @@
     }
 }
 
-/// Few nodes read a body that is refused, and the others never hear of it; together they tell why.
+/// Groups refusals by error text. Only the few nodes that fetched a refused document report why.
 fn count_refusals(fleet: &[NodeReport]) -> Vec<Refusal> {
     let mut nodes = IndexMap::<&str, usize>::new();
     for lag in fleet.iter().filter_map(|node| node.lag.as_ref()) {
@@ -150,11 +147,11 @@
     nodes.into_iter().map(|(fault, nodes)| Refusal { fault: fault.to_owned(), nodes }).collect()
 }
 
-/// What every node should hold.
+/// The version that every node is expected to hold.
 struct ExpectedVersion {
     version: u64,
-    /// The publication that most nodes hold under this version. Two digests under one version are
-    /// a split fleet, which nodes rule out; a report that took any digest for right would hide it.
+    /// The publication of this version that most nodes hold. Nodes with a different digest are
+    /// reported, because one version number must not identify two documents.
     publication: Option<InForce>,
 }
 
@@ -208,13 +205,13 @@
         }
     }
 
-    /// The version in force there; zero if none.
+    /// Version in force on the node; zero if none.
     pub fn version(&self) -> u64 {
         self.in_force.as_ref().map_or(0, |in_force| in_force.version)
     }
 }
 
-/// Why a node that answered does not hold what it should.
+/// Returns why a node that responded does not hold the expected version, or `None` if it does.
 fn lag_reason(status: &Status, expected: &ExpectedVersion) -> Option<LagReason> {
     let version = status.in_force.as_ref().map_or(0, |in_force| in_force.version);
     match &status.in_force {
@@ -236,7 +233,8 @@
     })
 }
 
-/// A node's time by this tool's clock: the node's clock read `now` when this tool's read `at`.
+/// Converts a node's timestamp to this tool's clock. The node's clock showed `node_now` when this
+/// tool's clock showed `local_now`.
 fn to_local_clock(time: Time, node_now: Time, local_now: Time) -> Time {
     match time > node_now {
         true => local_now + time.since(node_now),
