--- a/tools/src/status/output.rs
+++ b/tools/src/status/output.rs
@@ -1,4 +1,4 @@
-//! The report of `sycamore-status` as text or JSON.
+//! Text and JSON output of the `sycamore-status` report.
 
 use super::config::{Config, Format};
 use super::report::{LagReason, NodeReport, Report};
@@ -8,10 +8,10 @@
 use std::io::Write;
 use sycamore_core::{Name, Result, Time};
 
-/// Nodes listed without `--all`: a zone that is cut off would fill the screen.
+/// Maximum number of nodes listed without `--all`.
 const MAX_LISTED_NODES: usize = 40;
 
-/// Writes the report.
+/// Writes the report in the configured format.
 pub fn write(report: &Report, cfg: &Config, out: &mut dyn Write) -> Result<()> {
     match cfg.format {
         Format::Text => {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A report for people.
+/// Human-readable form of a report.
 struct TextReport<'a> {
     report: &'a Report,
     list_all: bool,
