--- a/tools/src/timeline/picture/glyph.rs
+++ b/tools/src/timeline/picture/glyph.rs
@@ -1,14 +1,15 @@
-//! How changes of state look: what is lost is filled, what comes back is hollow.
+//! Glyphs of events. Filled glyphs mark failures and starts, hollow ones recoveries and
+//! completions.
 
 use crate::timeline::merge::End;
 use svg::node::element::Path;
 use svg::node::element::path::Data;
 use sycamore_core::event::EventKind;
 
-/// Half of a glyph's size, in pixels.
+/// Half the width of a glyph, in pixels.
 const HALF_SIZE: f64 = 5.0;
 
-/// A mark's shape and colour.
+/// Shape and colour of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Glyph {
     shape: Shape,
@@ -18,9 +19,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shape {
-    /// Points to the right.
     RightTriangle,
-    /// Points down.
     DownTriangle,
     Square,
     Diamond,
@@ -36,8 +35,8 @@
 }
 
 impl Glyph {
-    /// The mark of a change of state; none for those that bands show, or that every spread of a
-    /// version brings on every node.
+    /// Returns the glyph of an event, or `None` for `VersionInForce`, which is drawn as a band, and
+    /// for `VersionHeard`, which every node records for each version.
     pub fn for_event(kind: EventKind) -> Option<Glyph> {
         let (shape, color, fill) = match kind {
             EventKind::VersionHeard | EventKind::VersionInForce => return None,
@@ -61,7 +60,7 @@
         Some(Glyph { shape, color, fill })
     }
 
-    /// The mark of a process that ended without a word.
+    /// Returns the glyph of a process that ended without a recorded stop.
     pub fn for_end(end: End) -> Option<Glyph> {
         match end {
             End::Running | End::Stopped => None,
@@ -70,7 +69,7 @@
         }
     }
 
-    /// The mark around a place.
+    /// Draws the glyph centred at the given point.
     pub fn draw(self, x: f64, y: f64) -> Path {
         let path = Path::new().set("d", self.shape.outline(x, y)).set("stroke", self.color);
         let fill = match self.fill {
@@ -82,7 +81,7 @@
     }
 }
 
-/// What the mark of an end means.
+/// Returns the legend label of a process end.
 pub fn end_label(end: End) -> &'static str {
     match end {
         End::Running => "running",
