--- a/tools/src/timeline/picture/scale.rs
+++ b/tools/src/timeline/picture/scale.rs
@@ -1,12 +1,12 @@
-//! Time on the horizontal axis.
+//! Mapping of time to the horizontal axis.
 
 use std::time::Duration;
 use sycamore_core::Time;
 
-/// Most ticks on the axis.
+/// Maximum number of tick intervals on the axis.
 const MAX_TICKS: f64 = 14.0;
 
-/// Maps times to places between two edges.
+/// Linear scale from time to x coordinates.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeScale {
     start: Time,
@@ -15,30 +15,30 @@
     right: f64,
 }
 
-/// A mark on the axis.
+/// A tick of the axis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tick {
-    /// Place.
+    /// X coordinate.
     pub x: f64,
-    /// Seconds since the start.
+    /// Seconds since the start of the scale.
     pub label: String,
 }
 
 impl TimeScale {
-    /// A scale that puts `start` at `left` and `end` at `right`.
+    /// Creates a scale that maps `start` to `left` and `end` to `right`.
     pub fn new(start: Time, end: Time, left: f64, right: f64) -> TimeScale {
-        // A time line with one event would have no length to divide by.
+        // Avoids a division by zero for a timeline with a single event.
         let duration = end.since(start).max(Duration::from_millis(1));
         TimeScale { start, duration, left, right }
     }
 
-    /// The place of a time; one outside the scale is put at its edge.
+    /// Returns the x coordinate of a time, clamped to the scale.
     pub fn x(&self, time: Time) -> f64 {
         let fraction = time.since(self.start).as_secs_f64() / self.duration.as_secs_f64();
         self.left + fraction.min(1.0) * (self.right - self.left)
     }
 
-    /// Ticks at round numbers of seconds.
+    /// Returns ticks at round numbers of seconds.
     pub fn ticks(&self) -> Vec<Tick> {
         let duration = self.duration.as_secs_f64();
         let step = round_step(duration / MAX_TICKS);
@@ -53,7 +53,7 @@
     }
 }
 
-/// The smallest of 1, 2 and 5 times a power of ten that is at least `smallest`.
+/// Returns the smallest of 1, 2 and 5 times a power of ten that is at least `min_step`.
 fn round_step(min_step: f64) -> f64 {
     let power = 10f64.powf(min_step.log10().floor());
     let steps = [1.0, 2.0, 5.0].map(|digit| digit * power);
