--- a/tools/src/timeline/record.rs
+++ b/tools/src/timeline/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of one process: its events over all polls, and how its clock differs.
+//! Events of one process from all polls, and the offset of its clock.
 
 use crate::client::Reply;
 use serde::{Deserialize, Serialize};
@@ -7,53 +7,50 @@
 use sycamore_core::status::Events;
 use sycamore_core::{Name, Time};
 
-/// Events kept of one process, which bounds the memory of a long run.
+/// Maximum number of events kept per process, to bound memory.
 const MAX_EVENTS_PER_PROCESS: usize = 100_000;
 
-/// Names a process: a VM's node is another process after each restart.
+/// Identifies a process. Each restart of a node on a VM is a new process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProcessId {
-    /// The VM.
     pub vm: Name,
-    /// When the process started, by its own clock.
+    /// Start time by the clock of the process.
     pub started: Time,
 }
 
-/// What is kept of one process. All times in it are by the process's own clock.
+/// Recorded state of one process. All times are by the clock of the process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessRecord {
-    /// The VM.
     pub vm: Name,
-    /// Region of the VM.
     pub region: Name,
     /// Availability zone of the VM.
     pub zone: Name,
-    /// When the process started.
+    /// Start time of the process.
     pub started: Time,
-    /// When it last answered.
+    /// Time of its most recent response.
     pub last_seen: Time,
-    /// Events that were lost before they were read, or no longer fitted here.
+    /// Number of events evicted before they were read, or beyond the limit of this record.
     pub dropped: u64,
-    /// What its clock differs by; null if it was never asked by this tool.
+    /// Clock offset; null if this tool has never queried the process.
     pub skew: Option<ClockSkew>,
-    /// Its events, oldest first.
+    /// Events, oldest first.
     pub events: Vec<Event>,
 }
 
-/// What a process's clock differs by, measured by one exchange.
+/// Clock offset of a process, measured by one HTTP exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClockSkew {
-    /// This tool's clock less the process's, in microseconds.
+    /// This tool's clock minus the clock of the process, in microseconds.
     pub offset_us: i64,
-    /// Round trip of the exchange, in microseconds. The offset is right to within half of it.
+    /// Round-trip time in microseconds. The error of the offset is at most half of it.
     pub round_trip_us: u64,
 }
 
 impl ClockSkew {
-    /// Measures by an exchange: the process's clock read `now` half-way through it, when this
-    /// tool's clock read `at`.
+    /// Computes the offset from an exchange. The clock of the process showed `process_time` when
+    /// this tool's clock showed `local_time`, the midpoint of the exchange.
     pub fn new(local_time: Time, process_time: Time, round_trip: Duration) -> ClockSkew {
         let round_trip_us = u64::try_from(round_trip.as_micros()).unwrap_or(u64::MAX);
         ClockSkew { offset_us: local_time.0.wrapping_sub(process_time.0) as i64, round_trip_us }
@@ -61,7 +58,7 @@
 }
 
 impl ProcessRecord {
-    /// The record of a process whose clock is taken as right.
+    /// Creates a record without a clock offset.
     pub fn new(events: Events) -> ProcessRecord {
         ProcessRecord {
             vm: events.vm,
@@ -75,28 +72,27 @@
         }
     }
 
-    /// The record of a process that this tool asked.
+    /// Creates a record from a response to this tool, with the measured clock offset.
     pub fn from_reply(reply: Reply<Events>) -> ProcessRecord {
         let skew = ClockSkew::new(reply.midpoint, reply.body.now, reply.round_trip);
         ProcessRecord { skew: Some(skew), ..ProcessRecord::new(reply.body) }
     }
 
-    /// Which process it is.
     pub fn id(&self) -> ProcessId {
         ProcessId { vm: self.vm.clone(), started: self.started }
     }
 
-    /// A time of the process by this tool's clock.
+    /// Converts a timestamp of the process to this tool's clock.
     pub fn to_local_clock(&self, time: Time) -> Time {
         let offset_us = self.skew.map_or(0, |skew| skew.offset_us);
         Time(time.0.saturating_add_signed(offset_us))
     }
 
-    /// Adds what another record of the same process knows.
+    /// Merges another record of the same process into this one.
     pub fn merge(&mut self, other: ProcessRecord) {
         self.last_seen = self.last_seen.max(other.last_seen);
         self.dropped = self.dropped.max(other.dropped);
-        // The exchange with the shortest round trip measured the clock best.
+        // A shorter round trip gives a more accurate offset.
         let skews = self.skew.into_iter().chain(other.skew);
         self.skew = skews.min_by_key(|skew| skew.round_trip_us);
         for event in other.events {
