--- a/tools/src/timeline/store.rs
+++ b/tools/src/timeline/store.rs
@@ -1,7 +1,6 @@
-//! The records of all processes, in memory and in a directory.
+//! Records of all processes, in memory and persisted to a directory.
 //!
-//! A node keeps its events in memory only, so that they die with it. Records that were polled
-//! before and saved keep them.
+//! A node keeps its events in memory only and loses them when it exits. Saved records preserve them.
 
 use super::record::{ProcessId, ProcessRecord};
 use crate::client::Reply;
@@ -22,31 +21,30 @@
     dirty: BTreeSet<ProcessId>,
 }
 
-/// Tells a record from an answer of `/events` by a field that only records have.
+/// Distinguishes a saved record from a `/events` response by a field that only records have.
 #[derive(Deserialize)]
 struct FormatProbe {
     last_seen: Option<IgnoredAny>,
 }
 
 impl RecordStore {
-    /// A store without records.
     pub fn new() -> RecordStore {
         RecordStore::default()
     }
 
-    /// The records, by VM and then by start.
+    /// Iterates over the records, ordered by VM and start time.
     pub fn records(&self) -> impl Iterator<Item = &ProcessRecord> {
         self.records.values()
     }
 
-    /// Takes a node's answer.
+    /// Adds the `/events` response of a node.
     pub fn insert_reply(&mut self, reply: Reply<Events>) {
         let record = ProcessRecord::from_reply(reply);
         self.dirty.insert(record.id());
         self.merge(record);
     }
 
-    /// Takes a file: an answer of `/events`, or a record that [`RecordStore::save`] wrote.
+    /// Loads a file: a `/events` response, or a record written by [`RecordStore::save`].
     pub fn load_file(&mut self, path: &Path) -> Result<()> {
         let probe: FormatProbe = input::read_json(path)?;
         let record = match probe.last_seen {
@@ -57,7 +55,7 @@
         Ok(())
     }
 
-    /// Takes every JSON file of a directory; one that does not exist yet is empty.
+    /// Loads every JSON file of a directory. A missing directory is treated as empty.
     pub fn load_dir(&mut self, dir: &Path) -> Result<()> {
         if !dir.exists() {
             return Ok(());
@@ -71,8 +69,8 @@
         Ok(())
     }
 
-    /// Writes the records that have changed since the last save, one file each. A file is
-    /// replaced whole, so that a reader or a kill never leaves half of one.
+    /// Writes the records that changed since the last save, one file each. Files are replaced
+    /// atomically, so that neither a reader nor a crash leaves a truncated one.
     pub fn save(&mut self, dir: &Path) -> Result<()> {
         fs::create_dir_all(dir).map_err(|e| output_failed(e).with_location(dir.display()))?;
         for id in std::mem::take(&mut self.dirty) {
@@ -96,7 +94,7 @@
     }
 }
 
-/// The VM's name without characters that mean something in a path.
+/// Replaces characters of the VM name that are unsafe in a file name.
 fn sanitized_vm_name(id: &ProcessId) -> String {
     let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     id.vm.as_str().chars().map(safe).collect()
