--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -24,7 +24,7 @@
 use sycamore_core::{Code, Fault, Result, Time};
 
 /// How often the list of nodes is read again while following a fleet.
-const RESOLVE_EVERY: Duration = Duration::from_secs(5);
+const RESOLVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Gathers the events, merges and writes them. Returns whether any process was heard of.
 pub fn run(cfg: &Config, out: &mut dyn Write) -> Result<bool> {
@@ -39,7 +39,7 @@
         store.load_dir(dir)?;
     }
     if !cfg.fleet.is_empty() {
-        async_io::block_on(gather(cfg, &mut store))?;
+        async_io::block_on(collect_events(cfg, &mut store))?;
     }
     let timeline = Timeline::new(store.records());
     output::write(&timeline, cfg, out)?;
@@ -48,39 +48,39 @@
 
 /// Asks the fleet once, or again and again until the time to follow has passed or a signal ends
 /// it early.
-async fn gather(cfg: &Config, store: &mut RecordStore) -> Result<()> {
+async fn collect_events(cfg: &Config, store: &mut RecordStore) -> Result<()> {
     let client = cfg.fleet.client();
     let nodes = cfg.fleet.resolve_nodes(&client).await?;
     if cfg.follow.is_zero() {
-        ask(cfg, &client, &nodes, store).await;
-        return save(cfg, store);
+        poll_once(cfg, &client, &nodes, store).await;
+        return save_records(cfg, store);
     }
-    let end = client.now() + cfg.follow;
+    let deadline = client.now() + cfg.follow;
     let mut signals = Signals::new([Signal::Term, Signal::Int])
         .map_err(|e| Fault::new(Code::OutputFailed).with_location("signals").with_detail(e))?;
-    let stopped = async {
+    let signalled = async {
         signals.next().await;
         Ok(())
     };
     // A signal may end the poll between two saves, so that the last state is saved once more.
-    future::or(follow(cfg, &client, nodes, end, store), stopped).await?;
-    save(cfg, store)
+    future::or(poll_until(cfg, &client, nodes, deadline, store), signalled).await?;
+    save_records(cfg, store)
 }
 
-async fn follow(
+async fn poll_until(
     cfg: &Config,
     client: &Client,
     mut nodes: Vec<Node>,
-    end: Time,
+    deadline: Time,
     store: &mut RecordStore,
 ) -> Result<()> {
-    let mut resolved = client.now();
-    while client.now() < end {
-        ask(cfg, client, &nodes, store).await;
-        save(cfg, store)?;
+    let mut last_resolved = client.now();
+    while client.now() < deadline {
+        poll_once(cfg, client, &nodes, store).await;
+        save_records(cfg, store)?;
         Timer::after(cfg.interval).await;
-        if client.now().since(resolved) >= RESOLVE_EVERY {
-            resolved = client.now();
+        if client.now().since(last_resolved) >= RESOLVE_INTERVAL {
+            last_resolved = client.now();
             // While the platform is down the nodes known so far are asked on.
             nodes = cfg.fleet.resolve_nodes(client).await.unwrap_or(nodes);
         }
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-async fn ask(cfg: &Config, client: &Client, nodes: &[Node], store: &mut RecordStore) {
+async fn poll_once(cfg: &Config, client: &Client, nodes: &[Node], store: &mut RecordStore) {
     let concurrency = cfg.fleet.concurrency;
     for response in fan_out::query_nodes::<Events>(client, nodes, "/events", concurrency).await {
         // A node that does not answer shows in the time line as one that is no longer seen.
@@ -98,7 +98,7 @@
     }
 }
 
-fn save(cfg: &Config, store: &mut RecordStore) -> Result<()> {
+fn save_records(cfg: &Config, store: &mut RecordStore) -> Result<()> {
     match &cfg.save {
         Some(dir) => store.save(dir),
         None => Ok(()),
