--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -35,7 +35,7 @@
     for path in &cfg.files {
         store.load_file(path)?;
     }
-    if let Some(dir) = &cfg.save {
+    if let Some(dir) = &cfg.record_dir {
         store.load_dir(dir)?;
     }
     if !cfg.fleet.is_empty() {
@@ -51,11 +51,11 @@
 async fn collect_events(cfg: &Config, store: &mut RecordStore) -> Result<()> {
     let client = cfg.fleet.client();
     let nodes = cfg.fleet.resolve_nodes(&client).await?;
-    if cfg.follow.is_zero() {
+    if cfg.follow_duration.is_zero() {
         poll_once(cfg, &client, &nodes, store).await;
         return save_records(cfg, store);
     }
-    let deadline = client.now() + cfg.follow;
+    let deadline = client.now() + cfg.follow_duration;
     let mut signals = Signals::new([Signal::Term, Signal::Int])
         .map_err(|e| Fault::new(Code::OutputFailed).with_location("signals").with_detail(e))?;
     let signalled = async {
@@ -78,7 +78,7 @@
     while client.now() < deadline {
         poll_once(cfg, client, &nodes, store).await;
         save_records(cfg, store)?;
-        Timer::after(cfg.interval).await;
+        Timer::after(cfg.poll_interval).await;
         if client.now().since(last_resolved) >= RESOLVE_INTERVAL {
             last_resolved = client.now();
             // While the platform is down the nodes known so far are asked on.
@@ -99,7 +99,7 @@
 }
 
 fn save_records(cfg: &Config, store: &mut RecordStore) -> Result<()> {
-    match &cfg.save {
+    match &cfg.record_dir {
         Some(dir) => store.save(dir),
         None => Ok(()),
     }
--- a/tools/src/timeline/config.rs
+++ b/tools/src/timeline/config.rs
@@ -8,10 +8,10 @@
 use sycamore_core::Result;
 
 /// Pause between two polls unless `--interval-ms` says otherwise.
-const DEFAULT_INTERVAL: Duration = Duration::from_millis(500);
+const DEFAULT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Options that say nothing about the story of one request, which is text from files.
-const NOT_FOR_REQUEST: [&str; 8] =
+const OPTIONS_INVALID_WITH_REQUEST: [&str; 8] =
     ["save", "follow", "interval-ms", "format", "output", "title", "timeout-ms", "concurrency"];
 
 /// Where events come from and what is drawn of them.
@@ -22,11 +22,11 @@
     /// Files with events: answers of `/events`, or records that `--save` wrote.
     pub files: Vec<PathBuf>,
     /// Directory that records are read from and written to.
-    pub save: Option<PathBuf>,
+    pub record_dir: Option<PathBuf>,
     /// How long to poll the nodes; zero for once.
-    pub follow: Duration,
+    pub follow_duration: Duration,
     /// Pause between two polls.
-    pub interval: Duration,
+    pub poll_interval: Duration,
     /// Form of the time line.
     pub format: Format,
     /// File to write to; absent for standard output.
@@ -67,11 +67,11 @@
     pub fn parse(matches: &Matches) -> Result<Config> {
         let fleet = FleetOptions::parse(matches)?;
         let files: Vec<_> = matches.free.iter().map(PathBuf::from).collect();
-        let save = matches.opt_str("save").map(PathBuf::from);
+        let record_dir = matches.opt_str("save").map(PathBuf::from);
         if matches.opt_present("request") {
-            check_request(matches, &fleet)?;
+            check_request_options(matches, &fleet)?;
         }
-        if fleet.is_empty() && files.is_empty() && save.is_none() {
+        if fleet.is_empty() && files.is_empty() && record_dir.is_none() {
             return Err(usage("a file, --save, --vms, --node or --platform is required"));
         }
         let follow = command_line::value(matches, "follow")?;
@@ -83,9 +83,9 @@
         Ok(Config {
             fleet,
             files,
-            save,
-            follow: follow.map_or(Duration::ZERO, Duration::from_secs),
-            interval: interval.map_or(DEFAULT_INTERVAL, Duration::from_millis),
+            record_dir,
+            follow_duration: follow.map_or(Duration::ZERO, Duration::from_secs),
+            poll_interval: interval.map_or(DEFAULT_POLL_INTERVAL, Duration::from_millis),
             format: command_line::choice(matches, "format", &formats)?,
             output: matches.opt_str("output").map(PathBuf::from),
             request: matches.opt_str("request"),
@@ -95,14 +95,14 @@
 }
 
 /// Refuses options that would be passed over in silence.
-fn check_request(matches: &Matches, fleet: &FleetOptions) -> Result<()> {
+fn check_request_options(matches: &Matches, fleet: &FleetOptions) -> Result<()> {
     if matches.free.is_empty() {
         return Err(usage("--request needs the nodes' log files"));
     }
     if !fleet.is_empty() {
         return Err(usage("--request reads log files only, no --vms, --node or --platform"));
     }
-    match NOT_FOR_REQUEST.iter().find(|option| matches.opt_present(option)) {
+    match OPTIONS_INVALID_WITH_REQUEST.iter().find(|option| matches.opt_present(option)) {
         Some(option) => Err(usage(format!("--{option} has no effect beside --request"))),
         None => Ok(()),
     }
