--- a/tools/src/timeline/merge.rs
+++ b/tools/src/timeline/merge.rs
@@ -9,7 +9,7 @@
 
 /// A process that has not answered for this long before the end of the time line counts as no
 /// longer seen.
-const UNSEEN_AFTER: Duration = Duration::from_secs(2);
+const UNSEEN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The time line. All times are by this tool's clock.
 #[derive(Debug, Serialize)]
@@ -61,21 +61,21 @@
     /// Until when it ran, or was last seen.
     pub ended: Time,
     /// How it ended.
-    pub end: End,
+    pub end: ProcessEnd,
     /// Events that were lost before they were read.
     pub dropped: u64,
     /// Error of the times, in microseconds; null if its clock was never compared.
     pub error_us: Option<u64>,
     /// Versions in force, one after the other.
-    pub bands: Vec<Band>,
+    pub bands: Vec<VersionBand>,
     /// Changes of state, oldest first.
-    pub marks: Vec<Mark>,
+    pub marks: Vec<EventMark>,
 }
 
 /// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum ProcessEnd {
     /// It runs on.
     Running,
     /// By a planned stop.
@@ -88,7 +88,7 @@
 
 /// A version in force on one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Band {
+pub struct VersionBand {
     /// The version.
     pub version: u64,
     /// From when.
@@ -99,7 +99,7 @@
 
 /// A change of state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Mark {
+pub struct EventMark {
     /// When.
     pub at: Time,
     /// What changed.
@@ -121,26 +121,26 @@
         }
         let all = || by_vm.values().flatten();
         let end = all().map(|r| r.to_local_clock(r.last_seen)).max().unwrap_or(Time::ZERO);
-        let firsts = all().map(|r| r.to_local_clock(r.started));
-        let start = firsts.min().unwrap_or(end);
-        let lanes: Vec<_> = by_vm.values().filter_map(|records| lane(records, end)).collect();
-        Timeline { start, end, versions: versions(&lanes), lanes }
+        let starts = all().map(|r| r.to_local_clock(r.started));
+        let start = starts.min().unwrap_or(end);
+        let lanes: Vec<_> = by_vm.values().filter_map(|records| build_lane(records, end)).collect();
+        Timeline { start, end, versions: build_version_spans(&lanes), lanes }
     }
 
     /// Every mark with its lane, in the order of time.
-    pub fn marks(&self) -> Vec<(&Lane, &Mark)> {
-        let of_lane = |lane: &'_ Lane| lane.processes.iter().flat_map(|p| &p.marks).count();
-        let mut marks = Vec::with_capacity(self.lanes.iter().map(of_lane).sum());
+    pub fn marks(&self) -> Vec<(&Lane, &EventMark)> {
+        let marks_in_lane = |lane: &'_ Lane| lane.processes.iter().flat_map(|p| &p.marks).count();
+        let mut marks = Vec::with_capacity(self.lanes.iter().map(marks_in_lane).sum());
         for lane in &self.lanes {
-            let of_processes = lane.processes.iter().flat_map(|process| &process.marks);
-            marks.extend(of_processes.map(|mark| (lane, mark)));
+            let lane_marks = lane.processes.iter().flat_map(|process| &process.marks);
+            marks.extend(lane_marks.map(|mark| (lane, mark)));
         }
         marks.sort_by_key(|(_, mark)| mark.at);
         marks
     }
 }
 
-fn lane(records: &[&ProcessRecord], end: Time) -> Option<Lane> {
+fn build_lane(records: &[&ProcessRecord], end: Time) -> Option<Lane> {
     let first = records.first()?;
     let next = records.iter().skip(1).map(|record| Some(record.to_local_clock(record.started)));
     let next = next.chain([None]);
@@ -148,40 +148,42 @@
         region: first.region.clone(),
         zone: first.zone.clone(),
         vm: first.vm.clone(),
-        processes: records.iter().zip(next).map(|(r, next)| process(r, next, end)).collect(),
+        processes: records.iter().zip(next).map(|(r, next)| build_process(r, next, end)).collect(),
     })
 }
 
-fn process(record: &ProcessRecord, next_start: Option<Time>, end: Time) -> Process {
+fn build_process(record: &ProcessRecord, next_start: Option<Time>, end: Time) -> Process {
     let last_seen = record.to_local_clock(record.last_seen);
     let stop = record.events.iter().rev().find(|event| event.kind == EventKind::Stopped);
-    let unseen = end.since(last_seen) > UNSEEN_AFTER;
-    let (ended, how) = match (stop, next_start) {
-        (Some(stop), _) => (record.to_local_clock(stop.at), End::Stopped),
+    let unseen = end.since(last_seen) > UNSEEN_TIMEOUT;
+    let (ended, end_kind) = match (stop, next_start) {
+        (Some(stop), _) => (record.to_local_clock(stop.at), ProcessEnd::Stopped),
         // The last events of a planned stop are seldom read: the process ends with them.
-        (None, next) if drains(record) && (next.is_some() || unseen) => (last_seen, End::Stopped),
-        (None, Some(next)) => (last_seen.min(next), End::Killed),
-        (None, None) if unseen => (last_seen, End::Unseen),
-        (None, None) => (end, End::Running),
+        (None, next) if is_draining(record) && (next.is_some() || unseen) => {
+            (last_seen, ProcessEnd::Stopped)
+        }
+        (None, Some(next)) => (last_seen.min(next), ProcessEnd::Killed),
+        (None, None) if unseen => (last_seen, ProcessEnd::Unseen),
+        (None, None) => (end, ProcessEnd::Running),
     };
     Process {
         started: record.to_local_clock(record.started),
         ended,
-        end: how,
+        end: end_kind,
         dropped: record.dropped,
         error_us: record.skew.map(|skew| skew.round_trip_us / 2),
-        bands: bands(record, ended),
-        marks: marks(record),
+        bands: build_bands(record, ended),
+        marks: build_marks(record),
     }
 }
 
 /// Whether a planned stop has begun.
-fn drains(record: &ProcessRecord) -> bool {
+fn is_draining(record: &ProcessRecord) -> bool {
     record.events.iter().any(|event| event.kind == EventKind::Draining)
 }
 
-fn marks(record: &ProcessRecord) -> Vec<Mark> {
-    let mark = |event: &sycamore_core::event::Event| Mark {
+fn build_marks(record: &ProcessRecord) -> Vec<EventMark> {
+    let mark = |event: &sycamore_core::event::Event| EventMark {
         at: record.to_local_clock(event.at),
         kind: event.kind,
         version: event.version,
@@ -191,34 +193,34 @@
     record.events.iter().map(mark).collect()
 }
 
-fn bands(record: &ProcessRecord, ended: Time) -> Vec<Band> {
-    let mut bands: Vec<Band> = Vec::new();
+fn build_bands(record: &ProcessRecord, ended: Time) -> Vec<VersionBand> {
+    let mut bands: Vec<VersionBand> = Vec::new();
     for event in record.events.iter().filter(|event| event.kind == EventKind::VersionInForce) {
         let from = record.to_local_clock(event.at);
         if let Some(last) = bands.last_mut() {
             last.to = from;
         }
-        bands.push(Band { version: event.version.unwrap_or(0), from, to: ended });
+        bands.push(VersionBand { version: event.version.unwrap_or(0), from, to: ended });
     }
     bands
 }
 
-fn versions(lanes: &[Lane]) -> Vec<VersionSpan> {
+fn build_version_spans(lanes: &[Lane]) -> Vec<VersionSpan> {
     let processes = || lanes.iter().flat_map(|lane| &lane.processes);
     let mut first = BTreeMap::<u64, Time>::new();
     for band in processes().flat_map(|process| &process.bands) {
-        let known = first.entry(band.version).or_insert(band.from);
-        *known = band.from.min(*known);
+        let earliest = first.entry(band.version).or_insert(band.from);
+        *earliest = band.from.min(*earliest);
     }
     let span = |(version, first): (u64, Time)| {
-        let runs = |process: &&Process| process.started <= first && process.ended >= first;
-        let running: Vec<_> = processes().filter(runs).collect();
-        let took = running.iter().filter_map(|process| {
+        let is_running = |process: &&Process| process.started <= first && process.ended >= first;
+        let running: Vec<_> = processes().filter(is_running).collect();
+        let took_at = running.iter().filter_map(|process| {
             process.bands.iter().find(|band| band.version == version).map(|band| band.from)
         });
-        let took: Vec<_> = took.collect();
-        let last = took.iter().copied().max().unwrap_or(first);
-        VersionSpan { version, first, last, nodes: took.len(), running: running.len() }
+        let took_at: Vec<_> = took_at.collect();
+        let last = took_at.iter().copied().max().unwrap_or(first);
+        VersionSpan { version, first, last, nodes: took_at.len(), running: running.len() }
     };
     first.into_iter().map(span).collect()
 }
--- a/tools/src/timeline/output.rs
+++ b/tools/src/timeline/output.rs
@@ -1,7 +1,7 @@
 //! The time line as text, JSON or a picture.
 
 use super::config::{Config, Format};
-use super::merge::{Lane, Mark, Process, Timeline, VersionSpan};
+use super::merge::{EventMark, Lane, Process, Timeline, VersionSpan};
 use super::picture;
 use crate::command_line::output_failed;
 use crate::text::format_utc;
@@ -28,7 +28,7 @@
 }
 
 /// A mark in one line, without its time and place.
-pub fn describe(mark: &Mark) -> String {
+pub fn describe(mark: &EventMark) -> String {
     let mut text = mark.kind.name();
     if let Some(version) = mark.version {
         text += &format!(" version {version}");
--- a/tools/src/timeline/picture.rs
+++ b/tools/src/timeline/picture.rs
@@ -4,7 +4,7 @@
 pub mod glyph;
 pub mod scale;
 
-use super::merge::{Band, Lane, Process, Timeline, VersionSpan};
+use super::merge::{Lane, Process, Timeline, VersionBand, VersionSpan};
 use super::output::{describe, describe_version};
 use crate::text::format_utc;
 use glyph::Glyph;
@@ -189,7 +189,7 @@
         }
     }
 
-    fn band(&self, group: Group, band: &Band, y: f64) -> Group {
+    fn band(&self, group: Group, band: &VersionBand, y: f64) -> Group {
         let name = format!("v{}", band.version);
         let color = self.color(band.version);
         let group = group.add(self.bar(band.from, band.to, y).set("fill", color).add(tip(&name)));
--- a/tools/src/timeline/picture/glyph.rs
+++ b/tools/src/timeline/picture/glyph.rs
@@ -1,7 +1,7 @@
 //! Glyphs of events. Filled glyphs mark failures and starts, hollow ones recoveries and
 //! completions.
 
-use crate::timeline::merge::End;
+use crate::timeline::merge::ProcessEnd;
 use svg::node::element::Path;
 use svg::node::element::path::Data;
 use sycamore_core::event::EventKind;
@@ -61,11 +61,15 @@
     }
 
     /// Returns the glyph of a process that ended without a recorded stop.
-    pub fn for_end(end: End) -> Option<Glyph> {
+    pub fn for_end(end: ProcessEnd) -> Option<Glyph> {
         match end {
-            End::Running | End::Stopped => None,
-            End::Killed => Some(Glyph { shape: Shape::Cross, color: "#cf222e", fill: Fill::Solid }),
-            End::Unseen => Some(Glyph { shape: Shape::Cross, color: "#888", fill: Fill::Solid }),
+            ProcessEnd::Running | ProcessEnd::Stopped => None,
+            ProcessEnd::Killed => {
+                Some(Glyph { shape: Shape::Cross, color: "#cf222e", fill: Fill::Solid })
+            }
+            ProcessEnd::Unseen => {
+                Some(Glyph { shape: Shape::Cross, color: "#888", fill: Fill::Solid })
+            }
         }
     }
 
@@ -82,12 +86,12 @@
 }
 
 /// Returns the legend label of a process end.
-pub fn end_label(end: End) -> &'static str {
+pub fn end_label(end: ProcessEnd) -> &'static str {
     match end {
-        End::Running => "running",
-        End::Stopped => "stopped",
-        End::Killed => "killed",
-        End::Unseen => "no longer answers",
+        ProcessEnd::Running => "running",
+        ProcessEnd::Stopped => "stopped",
+        ProcessEnd::Killed => "killed",
+        ProcessEnd::Unseen => "no longer answers",
     }
 }
 
