--- a/tools/src/timeline/output.rs
+++ b/tools/src/timeline/output.rs
@@ -12,12 +12,12 @@
 /// Writes the time line to the file of `--output` or to `out`.
 pub fn write(timeline: &Timeline, cfg: &Config, out: &mut dyn Write) -> Result<()> {
     let text = match cfg.format {
-        Format::Text => Text(timeline).to_string(),
+        Format::Text => TextTimeline(timeline).to_string(),
         Format::Json => {
             let json = serde_json::to_string_pretty(timeline).map_err(output_failed)?;
             json + "\n"
         }
-        Format::Svg => picture::draw(timeline, &cfg.title).to_string() + "\n",
+        Format::Svg => picture::render(timeline, &cfg.title).to_string() + "\n",
     };
     match &cfg.output {
         Some(path) => {
@@ -28,7 +28,7 @@
 }
 
 /// A mark in one line, without its time and place.
-pub fn describe(mark: &EventMark) -> String {
+pub fn describe_mark(mark: &EventMark) -> String {
     let mut text = mark.kind.name();
     if let Some(version) = mark.version {
         text += &format!(" version {version}");
@@ -52,14 +52,14 @@
 }
 
 /// A time line for people.
-struct Text<'a>(&'a Timeline);
+struct TextTimeline<'a>(&'a Timeline);
 
-impl Display for Text<'_> {
+impl Display for TextTimeline<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let timeline = self.0;
         writeln!(f, "from {} to {}", format_utc(timeline.start), format_utc(timeline.end))?;
         for span in &timeline.versions {
-            writeln!(f, "{} {}", at(timeline, span.first), describe_version(span))?;
+            writeln!(f, "{} {}", format_offset(timeline, span.first), describe_version(span))?;
         }
         for lane in &timeline.lanes {
             for process in &lane.processes {
@@ -67,8 +67,8 @@
             }
         }
         for (lane, mark) in timeline.marks() {
-            let time = at(timeline, mark.at);
-            writeln!(f, "{time} {:<12} {:<16} {}", lane.zone, lane.vm, describe(mark))?;
+            let time = format_offset(timeline, mark.at);
+            writeln!(f, "{time} {:<12} {:<16} {}", lane.zone, lane.vm, describe_mark(mark))?;
         }
         Ok(())
     }
@@ -81,8 +81,14 @@
     process: &Process,
 ) -> fmt::Result {
     let end = serde_json::to_value(process.end).unwrap_or_default();
-    write!(f, "{} {:<12} {:<16} process ", at(timeline, process.started), lane.zone, lane.vm)?;
-    write!(f, "{} at{}", end.as_str().unwrap_or_default(), at(timeline, process.ended))?;
+    write!(
+        f,
+        "{} {:<12} {:<16} process ",
+        format_offset(timeline, process.started),
+        lane.zone,
+        lane.vm
+    )?;
+    write!(f, "{} at{}", end.as_str().unwrap_or_default(), format_offset(timeline, process.ended))?;
     match process.error_us {
         Some(error_us) => write!(f, ", times to within {error_us} us")?,
         None => write!(f, ", clock not compared")?,
@@ -94,6 +100,6 @@
 }
 
 /// Seconds since the start of the time line.
-fn at(timeline: &Timeline, time: Time) -> String {
+fn format_offset(timeline: &Timeline, time: Time) -> String {
     format!("{:>+11.3} s", time.since(timeline.start).as_secs_f64())
 }
--- a/tools/src/timeline/picture.rs
+++ b/tools/src/timeline/picture.rs
@@ -5,7 +5,7 @@
 pub mod scale;
 
 use super::merge::{Lane, Process, Timeline, VersionBand, VersionSpan};
-use super::output::{describe, describe_version};
+use super::output::{describe_mark, describe_version};
 use crate::text::format_utc;
 use glyph::Glyph;
 use scale::TimeScale;
@@ -44,7 +44,7 @@
     ["#a6cee3", "#b2df8a", "#fdd49e", "#cab2d6", "#fccde5", "#ccebc5", "#ffed6f", "#bdd7e7"];
 
 /// Draws the time line.
-pub fn draw(timeline: &Timeline, title: &str) -> Document {
+pub fn render(timeline: &Timeline, title: &str) -> Document {
     let scale = TimeScale::new(timeline.start, timeline.end, LEFT, RIGHT);
     let lanes_top = TOP + LABEL_ROWS as f64 * ROW + 8.0;
     let placed = place(&timeline.lanes, lanes_top);
@@ -179,7 +179,7 @@
             if let Some(glyph) = Glyph::for_event(mark.kind) {
                 let x = self.scale.x(mark.at);
                 let seconds = mark.at.since(self.timeline.start).as_secs_f64();
-                let tip = tip(&format!("{seconds:.3} s: {}", describe(mark)));
+                let tip = tip(&format!("{seconds:.3} s: {}", describe_mark(mark)));
                 group = group.add(glyph.draw(x, middle).add(tip));
             }
         }
