--- a/tools/src/timeline/picture.rs
+++ b/tools/src/timeline/picture.rs
@@ -15,29 +15,29 @@
 use sycamore_core::Time;
 
 /// Width of the picture, in pixels, as are all sizes here.
-const WIDTH: f64 = 1_500.0;
+const PICTURE_WIDTH: f64 = 1_500.0;
 /// Left edge of the lanes; the names of VMs stand to its left.
-const LEFT: f64 = 170.0;
+const LANES_LEFT: f64 = 170.0;
 /// Right edge of the lanes.
-const RIGHT: f64 = WIDTH - 30.0;
+const LANES_RIGHT: f64 = PICTURE_WIDTH - 30.0;
 /// Height of one lane.
-const LANE: f64 = 18.0;
+const LANE_HEIGHT: f64 = 18.0;
 /// Height of a band within its lane.
-const BAND: f64 = 12.0;
+const BAND_HEIGHT: f64 = 12.0;
 /// Height of a zone's heading.
-const HEADING: f64 = 20.0;
+const HEADING_HEIGHT: f64 = 20.0;
 /// Height of one row of labels.
-const ROW: f64 = 15.0;
+const LABEL_ROW_HEIGHT: f64 = 15.0;
 /// Rows of labels over the lanes, used in turn so that close versions stay readable.
 const LABEL_ROWS: usize = 3;
 /// Width that one label of a version needs.
 const LABEL_WIDTH: f64 = 215.0;
 /// Width of one entry of the legend.
-const LEGEND_WIDTH: f64 = 180.0;
+const LEGEND_ENTRY_WIDTH: f64 = 180.0;
 /// Narrowest band that its version is written in.
-const BAND_LABEL_WIDTH: f64 = 28.0;
+const MIN_LABELLED_BAND_WIDTH: f64 = 28.0;
 /// Top of the labels.
-const TOP: f64 = 58.0;
+const LABELS_TOP: f64 = 58.0;
 
 /// Colours of versions, in turn.
 const VERSION_COLORS: [&str; 8] =
@@ -45,26 +45,26 @@
 
 /// Draws the time line.
 pub fn render(timeline: &Timeline, title: &str) -> Document {
-    let scale = TimeScale::new(timeline.start, timeline.end, LEFT, RIGHT);
-    let lanes_top = TOP + LABEL_ROWS as f64 * ROW + 8.0;
-    let placed = place(&timeline.lanes, lanes_top);
-    let lanes_end = placed.iter().map(|lane| lane.y + LANE).fold(lanes_top, f64::max);
-    let picture = Picture { timeline, scale, lanes_top, lanes_end };
-    let legend = picture.legend(lanes_end + 44.0);
+    let scale = TimeScale::new(timeline.start, timeline.end, LANES_LEFT, LANES_RIGHT);
+    let lanes_top = LABELS_TOP + LABEL_ROWS as f64 * LABEL_ROW_HEIGHT + 8.0;
+    let placed = place_lanes(&timeline.lanes, lanes_top);
+    let lanes_end = placed.iter().map(|lane| lane.y + LANE_HEIGHT).fold(lanes_top, f64::max);
+    let renderer = Renderer { timeline, scale, lanes_top, lanes_end };
+    let legend = renderer.legend(lanes_end + 44.0);
     let height = lanes_end + 60.0 + legend.height;
     let mut document = Document::new()
-        .set("viewBox", (0, 0, WIDTH, height))
-        .set("width", WIDTH)
+        .set("viewBox", (0, 0, PICTURE_WIDTH, height))
+        .set("width", PICTURE_WIDTH)
         .set("height", height)
         .set("font-family", "sans-serif")
         .set("font-size", 11)
         .add(Rectangle::new().set("width", "100%").set("height", "100%").set("fill", "white"))
         .add(text(16.0, 24.0, title).set("font-size", 17).set("font-weight", "bold"))
-        .add(text(16.0, 43.0, &picture.subtitle()).set("fill", "#555"))
-        .add(picture.axis())
-        .add(picture.versions());
+        .add(text(16.0, 43.0, &renderer.subtitle()).set("fill", "#555"))
+        .add(renderer.axis())
+        .add(renderer.versions());
     for lane in &placed {
-        document = document.add(picture.lane(lane));
+        document = document.add(renderer.lane(lane));
     }
     document.add(legend.group)
 }
@@ -79,20 +79,20 @@
 }
 
 /// Stacks the lanes, with room for a heading over each zone.
-fn place(lanes: &[Lane], top: f64) -> Vec<PlacedLane<'_>> {
+fn place_lanes(lanes: &[Lane], top: f64) -> Vec<PlacedLane<'_>> {
     let mut y = top;
     let mut placed: Vec<PlacedLane<'_>> = Vec::with_capacity(lanes.len());
     for lane in lanes {
         let heading = placed.last().is_none_or(|above| above.lane.zone != lane.zone);
-        y += if heading { HEADING } else { 0.0 };
+        y += if heading { HEADING_HEIGHT } else { 0.0 };
         placed.push(PlacedLane { lane, y, heading });
-        y += LANE;
+        y += LANE_HEIGHT;
     }
     placed
 }
 
 /// What every part of the picture is drawn by.
-struct Picture<'a> {
+struct Renderer<'a> {
     timeline: &'a Timeline,
     scale: TimeScale,
     lanes_top: f64,
@@ -105,7 +105,7 @@
     height: f64,
 }
 
-impl Picture<'_> {
+impl Renderer<'_> {
     fn subtitle(&self) -> String {
         let timeline = self.timeline;
         let length = timeline.end.since(timeline.start).as_secs_f64();
@@ -120,7 +120,7 @@
         for tick in self.scale.ticks() {
             let y = self.lanes_end + 16.0;
             let label = text(tick.x, y, &tick.label).set("text-anchor", "middle");
-            let line = vertical(tick.x, self.lanes_top, self.lanes_end + 4.0);
+            let line = vertical_line(tick.x, self.lanes_top, self.lanes_end + 4.0);
             group = group.add(line.set("stroke", "#e4e4e4")).add(label);
         }
         group
@@ -132,9 +132,9 @@
         let mut row_ends = [f64::MIN; LABEL_ROWS];
         for span in &self.timeline.versions {
             let x = self.scale.x(span.first);
-            let line = vertical(x, TOP + 4.0, self.lanes_end).set("stroke", "#888");
-            group =
-                group.add(line.set("stroke-dasharray", "2 3").add(tip(&describe_version(span))));
+            let line = vertical_line(x, LABELS_TOP + 4.0, self.lanes_end).set("stroke", "#888");
+            group = group
+                .add(line.set("stroke-dasharray", "2 3").add(tooltip(&describe_version(span))));
             // A label that fits in no row is left out; its line still tells on hovering.
             if let Some(row) = row_ends.iter().position(|end| *end <= x) {
                 row_ends[row] = x + LABEL_WIDTH;
@@ -145,9 +145,9 @@
     }
 
     fn version_label(&self, span: &VersionSpan, x: f64, row: usize) -> Text {
-        let y = TOP + (row as f64 + 0.8) * ROW;
+        let y = LABELS_TOP + (row as f64 + 0.8) * LABEL_ROW_HEIGHT;
         let (x, anchor) =
-            if x + LABEL_WIDTH > WIDTH { (x - 3.0, "end") } else { (x + 3.0, "start") };
+            if x + LABEL_WIDTH > PICTURE_WIDTH { (x - 3.0, "end") } else { (x + 3.0, "start") };
         text(x, y, &describe_version(span)).set("text-anchor", anchor).set("fill", "#333")
     }
 
@@ -157,10 +157,10 @@
         if *heading {
             let name = format!("{} / {}", lane.region, lane.zone);
             let label = text(16.0, y - 5.0, &name).set("font-weight", "bold");
-            let line = Line::new().set("x1", 16).set("x2", RIGHT).set("stroke", "#bbb");
+            let line = Line::new().set("x1", 16).set("x2", LANES_RIGHT).set("stroke", "#bbb");
             group = group.add(line.set("y1", y - 1.0).set("y2", y - 1.0)).add(label);
         }
-        let name = text(LEFT - 8.0, y + 13.0, lane.vm.as_str()).set("text-anchor", "end");
+        let name = text(LANES_LEFT - 8.0, y + 13.0, lane.vm.as_str()).set("text-anchor", "end");
         group = group.add(name);
         for process in &lane.processes {
             group = self.process(group, process, *y);
@@ -169,18 +169,19 @@
     }
 
     fn process(&self, group: Group, process: &Process, y: f64) -> Group {
-        let life = self.bar(process.started, process.ended, y).set("fill", "#f1f1f1");
-        let mut group = group.add(life.set("stroke", "#ccc").add(tip("no version in force")));
+        let lifetime = self.bar(process.started, process.ended, y).set("fill", "#f1f1f1");
+        let mut group =
+            group.add(lifetime.set("stroke", "#ccc").add(tooltip("no version in force")));
         for band in &process.bands {
             group = self.band(group, band, y);
         }
-        let middle = y + LANE / 2.0;
+        let middle = y + LANE_HEIGHT / 2.0;
         for mark in &process.marks {
             if let Some(glyph) = Glyph::for_event(mark.kind) {
                 let x = self.scale.x(mark.at);
                 let seconds = mark.at.since(self.timeline.start).as_secs_f64();
-                let tip = tip(&format!("{seconds:.3} s: {}", describe_mark(mark)));
-                group = group.add(glyph.draw(x, middle).add(tip));
+                let tooltip = tooltip(&format!("{seconds:.3} s: {}", describe_mark(mark)));
+                group = group.add(glyph.draw(x, middle).add(tooltip));
             }
         }
         match Glyph::for_end(process.end) {
@@ -191,10 +192,11 @@
 
     fn band(&self, group: Group, band: &VersionBand, y: f64) -> Group {
         let name = format!("v{}", band.version);
-        let color = self.color(band.version);
-        let group = group.add(self.bar(band.from, band.to, y).set("fill", color).add(tip(&name)));
+        let color = self.version_color(band.version);
+        let group =
+            group.add(self.bar(band.from, band.to, y).set("fill", color).add(tooltip(&name)));
         let (from, to) = (self.scale.x(band.from), self.scale.x(band.to));
-        if to - from < BAND_LABEL_WIDTH {
+        if to - from < MIN_LABELLED_BAND_WIDTH {
             return group;
         }
         let label = text((from + to) / 2.0, y + 12.5, &name).set("text-anchor", "middle");
@@ -205,12 +207,12 @@
         let (from, to) = (self.scale.x(from), self.scale.x(to));
         Rectangle::new()
             .set("x", from)
-            .set("y", y + (LANE - BAND) / 2.0)
+            .set("y", y + (LANE_HEIGHT - BAND_HEIGHT) / 2.0)
             .set("width", (to - from).max(1.0))
-            .set("height", BAND)
+            .set("height", BAND_HEIGHT)
     }
 
-    fn color(&self, version: u64) -> &'static str {
+    fn version_color(&self, version: u64) -> &'static str {
         let index = self.timeline.versions.iter().position(|span| span.version == version);
         VERSION_COLORS[index.unwrap_or(0) % VERSION_COLORS.len()]
     }
@@ -220,29 +222,29 @@
         let processes = || self.timeline.lanes.iter().flat_map(|lane| &lane.processes);
         let kinds: BTreeSet<_> = processes().flat_map(|p| &p.marks).map(|m| m.kind).collect();
         let ends: BTreeSet<_> = processes().map(|process| process.end).collect();
-        let of_kinds = kinds
+        let event_entries = kinds
             .into_iter()
             .filter_map(|kind| Some((Glyph::for_event(kind)?, kind.name().replace('-', " "))));
-        let of_ends = ends.into_iter().filter_map(|end| {
+        let end_entries = ends.into_iter().filter_map(|end| {
             let glyph = Glyph::for_end(end)?;
             Some((glyph, glyph::end_label(end).to_owned()))
         });
-        let columns = ((RIGHT - LEFT) / LEGEND_WIDTH).floor();
+        let columns = ((LANES_RIGHT - LANES_LEFT) / LEGEND_ENTRY_WIDTH).floor();
         let bands = text(16.0, top, "bands: version in force").set("fill", "#555");
         let mut group = Group::new().add(bands);
-        let mut height = ROW;
-        for (index, (glyph, label)) in of_kinds.chain(of_ends).enumerate() {
+        let mut height = LABEL_ROW_HEIGHT;
+        for (index, (glyph, label)) in event_entries.chain(end_entries).enumerate() {
             let row = (index as f64 / columns).floor();
-            let x = LEFT + (index as f64 - row * columns) * LEGEND_WIDTH;
-            let y = top + row * ROW;
+            let x = LANES_LEFT + (index as f64 - row * columns) * LEGEND_ENTRY_WIDTH;
+            let y = top + row * LABEL_ROW_HEIGHT;
             group = group.add(glyph.draw(x, y - 4.0)).add(text(x + 10.0, y, &label));
-            height = (row + 1.0) * ROW;
+            height = (row + 1.0) * LABEL_ROW_HEIGHT;
         }
         Legend { group, height }
     }
 }
 
-fn vertical(x: f64, from: f64, to: f64) -> Line {
+fn vertical_line(x: f64, from: f64, to: f64) -> Line {
     Line::new().set("x1", x).set("x2", x).set("y1", from).set("y2", to)
 }
 
@@ -251,6 +253,6 @@
 }
 
 /// What a viewer shows when the pointer rests on an element.
-fn tip(content: &str) -> Title {
+fn tooltip(content: &str) -> Title {
     Title::new(content)
 }
