--- a/tools/src/timeline/request.rs
+++ b/tools/src/timeline/request.rs
@@ -14,7 +14,7 @@
 
 /// A log line about a request (docs/OPERATIONS.md). Fields that are not named here are passed over.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Line {
+pub struct TraceLine {
     /// When it was written, by its node's clock; RFC 3339.
     pub time: String,
     /// The node.
@@ -49,46 +49,47 @@
 ///
 /// A line may have text before its JSON object, as whoever collects logs puts it there; what is no
 /// line about a request is passed over.
-pub fn read(request: &str, files: &[PathBuf]) -> Result<Vec<Line>> {
+pub fn read_lines(request: &str, files: &[PathBuf]) -> Result<Vec<TraceLine>> {
     let mut lines = Vec::new();
     for path in files {
-        lines.extend(read_file(request, path)?);
+        lines.extend(read_file_lines(request, path)?);
     }
-    lines.sort_by(|a: &Line, b: &Line| a.time.cmp(&b.time));
+    lines.sort_by(|a: &TraceLine, b: &TraceLine| a.time.cmp(&b.time));
     Ok(lines)
 }
 
-fn read_file(request: &str, path: &Path) -> Result<Vec<Line>> {
+fn read_file_lines(request: &str, path: &Path) -> Result<Vec<TraceLine>> {
     let buf = input::read(path)?;
     let text = String::from_utf8_lossy(&buf);
-    let named = text.lines().filter(|line| line.contains(request));
+    let candidates = text.lines().filter(|line| line.contains(request));
     let object = |line: &str| line.find('{').map(|start| line[start..].to_owned());
-    let parsed = named.filter_map(object).filter_map(|text| serde_json::from_str(&text).ok());
-    Ok(parsed.filter(|line: &Line| line.request == request).collect())
+    let parsed = candidates.filter_map(object).filter_map(|text| serde_json::from_str(&text).ok());
+    Ok(parsed.filter(|line: &TraceLine| line.request == request).collect())
 }
 
 /// Writes the story of a request and its cause. Returns whether any line told of it.
 pub fn run(request: &str, files: &[PathBuf], out: &mut dyn Write) -> Result<bool> {
-    let lines = read(request, files)?;
-    let failed = |e| output_failed(e).with_location("standard output");
+    let lines = read_lines(request, files)?;
+    let write_failed = |e| output_failed(e).with_location("standard output");
     if lines.is_empty() {
-        writeln!(out, "no line about {request}").map_err(failed)?;
+        writeln!(out, "no line about {request}").map_err(write_failed)?;
         return Ok(false);
     }
-    writeln!(out, "request {request}").map_err(failed)?;
+    writeln!(out, "request {request}").map_err(write_failed)?;
     let width = lines.iter().map(|line| line.vm.len()).max().unwrap_or(0);
     for line in &lines {
-        writeln!(out, "  {}  {:<width$}  {}", line.time, line.vm, told(line)).map_err(failed)?;
+        writeln!(out, "  {}  {:<width$}  {}", line.time, line.vm, describe_step(line))
+            .map_err(write_failed)?;
     }
-    writeln!(out, "cause: {}", cause(&lines)).map_err(failed)?;
+    writeln!(out, "cause: {}", cause(&lines)).map_err(write_failed)?;
     Ok(true)
 }
 
 /// A line in words.
-fn told(line: &Line) -> String {
+fn describe_step(line: &TraceLine) -> String {
     let target = line.target.as_deref().unwrap_or("a target");
     let load = line.load.as_deref().map(|load| format!(", load {load}")).unwrap_or_default();
-    let code = code(line.code);
+    let code = format_code(line.code);
     match line.step {
         Step::Forwarded => {
             let attempt = line.attempt.unwrap_or(1);
@@ -102,9 +103,10 @@
         Step::Answered => format!("answered with status {}", line.status.unwrap_or_default()),
         Step::Ended => {
             let outcome = line.outcome.as_deref().unwrap_or("ended");
-            let back = line.retry_after_ms;
-            let back = back.map(|ms| format!("; come back in {ms} ms")).unwrap_or_default();
-            format!("the caller is told {outcome}: {code}{back}")
+            let retry_after = line.retry_after_ms;
+            let retry_after =
+                retry_after.map(|ms| format!("; come back in {ms} ms")).unwrap_or_default();
+            format!("the caller is told {outcome}: {code}{retry_after}")
         }
         Step::GateRefused => format!("refused by the gatekeeper: {code}{load}"),
         Step::GateQueued => format!("waits for a slot{load}"),
@@ -113,7 +115,7 @@
 }
 
 /// A result code with its meaning.
-pub(super) fn code(number: Option<u16>) -> String {
+pub(super) fn format_code(number: Option<u16>) -> String {
     match number.and_then(Code::from_number) {
         Some(code) => format!("{} ({code})", code.number()),
         None => "no code".to_owned(),
--- a/tools/src/timeline/request/cause.rs
+++ b/tools/src/timeline/request/cause.rs
@@ -1,12 +1,12 @@
 //! Why a request ended as it did, by the lines about it.
 
-use super::{Line, code};
+use super::{TraceLine, format_code};
 use indexmap::IndexSet;
 use sycamore_core::Code;
 use sycamore_node::calls::trace::Step;
 
 /// The cause in one sentence.
-pub fn cause(lines: &[Line]) -> String {
+pub fn cause(lines: &[TraceLine]) -> String {
     let Some(last) = lines.iter().rfind(|line| matches!(line.step, Step::Answered | Step::Ended))
     else {
         return unfinished(lines);
@@ -18,9 +18,9 @@
 }
 
 /// No entry node said how it ended: its process has ended, or its lines are missing.
-fn unfinished(lines: &[Line]) -> String {
+fn unfinished(lines: &[TraceLine]) -> String {
     match lines.last() {
-        Some(Line { step: Step::GateRun, vm, .. }) => format!(
+        Some(TraceLine { step: Step::GateRun, vm, .. }) => format!(
             "it ran beside {vm} and no entry node says how it ended: the entry node went away, or \
              its lines were dropped"
         ),
@@ -28,7 +28,7 @@
     }
 }
 
-fn answered(lines: &[Line], last: &Line) -> String {
+fn answered(lines: &[TraceLine], last: &TraceLine) -> String {
     let failures = lines.iter().filter(|line| line.step == Step::AttemptFailed).count();
     let queued = lines.iter().any(|line| line.step == Step::GateQueued);
     let status = last.status.unwrap_or_default();
@@ -40,7 +40,7 @@
     }
 }
 
-fn ended(lines: &[Line], last: &Line) -> String {
+fn ended(lines: &[TraceLine], last: &TraceLine) -> String {
     let number = last.code.and_then(Code::from_number);
     let ran = lines.iter().any(|line| line.step == Step::GateRun);
     let queued = lines.iter().any(|line| line.step == Step::GateQueued);
@@ -73,12 +73,12 @@
         }
         Some(Code::TargetFailed) => format!("sent and lost: the target {sent_to} broke off"),
         Some(Code::GatekeeperUnreachable) => format!("not sent: {sent_to} could not be reached"),
-        _ => format!("ended with {}", code(last.code)),
+        _ => format!("ended with {}", format_code(last.code)),
     }
 }
 
 /// The nodes that refused it.
-fn at(lines: &[Line]) -> String {
+fn at(lines: &[TraceLine]) -> String {
     let refused = lines.iter().filter(|line| line.step == Step::GateRefused);
     let vms: IndexSet<&str> = refused.map(|line| line.vm.as_str()).collect();
     let named: Vec<&str> = vms.into_iter().collect();
@@ -90,7 +90,7 @@
 }
 
 /// The load with the last refusal.
-fn last_load(lines: &[Line]) -> String {
+fn last_load(lines: &[TraceLine]) -> String {
     let refused = lines.iter().rfind(|line| line.step == Step::GateRefused);
     match refused.and_then(|line| line.load.as_deref()) {
         Some(load) => {
@@ -100,6 +100,6 @@
     }
 }
 
-fn version_text(line: &Line) -> String {
+fn version_text(line: &TraceLine) -> String {
     line.version.map_or_else(|| "none".to_owned(), |version| version.to_string())
 }
