--- a/tools/src/timeline/request.rs
+++ b/tools/src/timeline/request.rs
@@ -5,7 +5,7 @@
 
 use crate::command_line::output_failed;
 use crate::input;
-use cause::cause;
+use cause::describe_cause;
 use serde::Deserialize;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -81,7 +81,7 @@
         writeln!(out, "  {}  {:<width$}  {}", line.time, line.vm, describe_step(line))
             .map_err(write_failed)?;
     }
-    writeln!(out, "cause: {}", cause(&lines)).map_err(write_failed)?;
+    writeln!(out, "cause: {}", describe_cause(&lines)).map_err(write_failed)?;
     Ok(true)
 }
 
--- a/tools/src/timeline/request/cause.rs
+++ b/tools/src/timeline/request/cause.rs
@@ -6,19 +6,19 @@
 use sycamore_node::calls::trace::Step;
 
 /// The cause in one sentence.
-pub fn cause(lines: &[TraceLine]) -> String {
+pub fn describe_cause(lines: &[TraceLine]) -> String {
     let Some(last) = lines.iter().rfind(|line| matches!(line.step, Step::Answered | Step::Ended))
     else {
-        return unfinished(lines);
+        return unfinished_cause(lines);
     };
     match last.step {
-        Step::Answered => answered(lines, last),
-        _ => ended(lines, last),
+        Step::Answered => answered_cause(lines, last),
+        _ => ended_cause(lines, last),
     }
 }
 
 /// No entry node said how it ended: its process has ended, or its lines are missing.
-fn unfinished(lines: &[TraceLine]) -> String {
+fn unfinished_cause(lines: &[TraceLine]) -> String {
     match lines.last() {
         Some(TraceLine { step: Step::GateRun, vm, .. }) => format!(
             "it ran beside {vm} and no entry node says how it ended: the entry node went away, or \
@@ -28,25 +28,29 @@
     }
 }
 
-fn answered(lines: &[TraceLine], last: &TraceLine) -> String {
+fn answered_cause(lines: &[TraceLine], last: &TraceLine) -> String {
     let failures = lines.iter().filter(|line| line.step == Step::AttemptFailed).count();
     let queued = lines.iter().any(|line| line.step == Step::GateQueued);
     let status = last.status.unwrap_or_default();
-    let whose = if status >= 500 { "the target's own failure" } else { "the target's answer" };
-    let waited = if queued { ", after waiting for a slot" } else { "" };
+    let origin = if status >= 500 { "the target's own failure" } else { "the target's answer" };
+    let queue_note = if queued { ", after waiting for a slot" } else { "" };
     match failures {
-        0 => format!("{whose}, status {status}{waited}"),
-        _ => format!("{whose}, status {status}, after {failures} attempts that failed{waited}"),
+        0 => format!("{origin}, status {status}{queue_note}"),
+        _ => {
+            format!("{origin}, status {status}, after {failures} attempts that failed{queue_note}")
+        }
     }
 }
 
-fn ended(lines: &[TraceLine], last: &TraceLine) -> String {
+fn ended_cause(lines: &[TraceLine], last: &TraceLine) -> String {
     let number = last.code.and_then(Code::from_number);
     let ran = lines.iter().any(|line| line.step == Step::GateRun);
     let queued = lines.iter().any(|line| line.step == Step::GateQueued);
-    let sent_to = lines.iter().rev().find_map(|line| line.target.as_deref()).unwrap_or("none");
+    let last_target = lines.iter().rev().find_map(|line| line.target.as_deref()).unwrap_or("none");
     match number {
-        Some(Code::QueueFull) => format!("turned away: {} full{}", at(lines), last_load(lines)),
+        Some(Code::QueueFull) => {
+            format!("turned away: {} full{}", refusing_targets(lines), last_refusal_load(lines))
+        }
         Some(Code::QueueTimeout) => {
             "turned away after waiting for a slot: those that could be in time went first"
                 .to_owned()
@@ -60,29 +64,33 @@
         ),
         Some(Code::NoTarget) => "turned away: no target of its service is known there".to_owned(),
         Some(Code::DeadlinePassed) if ran => {
-            format!("late by its run: {sent_to} had it until the deadline")
+            format!("late by its run: {last_target} had it until the deadline")
         }
         Some(Code::DeadlinePassed) if queued => {
             "late by its wait for a slot: none came free before the deadline".to_owned()
         }
         Some(Code::DeadlinePassed) => {
-            format!("late on the way: no gatekeeper says that it came; last sent to {sent_to}")
+            format!("late on the way: no gatekeeper says that it came; last sent to {last_target}")
         }
         Some(Code::AnswerLost) => {
-            format!("sent and lost: the node beside {sent_to} went away or its connection broke")
+            format!(
+                "sent and lost: the node beside {last_target} went away or its connection broke"
+            )
+        }
+        Some(Code::TargetFailed) => format!("sent and lost: the target {last_target} broke off"),
+        Some(Code::GatekeeperUnreachable) => {
+            format!("not sent: {last_target} could not be reached")
         }
-        Some(Code::TargetFailed) => format!("sent and lost: the target {sent_to} broke off"),
-        Some(Code::GatekeeperUnreachable) => format!("not sent: {sent_to} could not be reached"),
         _ => format!("ended with {}", format_code(last.code)),
     }
 }
 
 /// The nodes that refused it.
-fn at(lines: &[TraceLine]) -> String {
+fn refusing_targets(lines: &[TraceLine]) -> String {
     let refused = lines.iter().filter(|line| line.step == Step::GateRefused);
     let vms: IndexSet<&str> = refused.map(|line| line.vm.as_str()).collect();
-    let named: Vec<&str> = vms.into_iter().collect();
-    match named.as_slice() {
+    let names: Vec<&str> = vms.into_iter().collect();
+    match names.as_slice() {
         [] => "the target was".to_owned(),
         [one] => format!("the target beside {one} was"),
         several => format!("the targets beside {} were", several.join(", ")),
@@ -90,7 +98,7 @@
 }
 
 /// The load with the last refusal.
-fn last_load(lines: &[TraceLine]) -> String {
+fn last_refusal_load(lines: &[TraceLine]) -> String {
     let refused = lines.iter().rfind(|line| line.step == Step::GateRefused);
     match refused.and_then(|line| line.load.as_deref()) {
         Some(load) => {
