--- a/tools/src/status/report.rs
+++ b/tools/src/status/report.rs
@@ -23,7 +23,7 @@
         /// Publication in force on the node.
         found: InForce,
     },
-    /// The node has heard of the version, and its most recent version update was refused.
+    /// The node has heard of the version but has refused a publication.
     Refused {
         /// Version in force on the node; zero if none.
         version: u64,
