--- a/tools/src/timeline/store.rs
+++ b/tools/src/timeline/store.rs
@@ -70,7 +70,7 @@
     }
 
     /// Writes the records that changed since the last save, one file each. Files are replaced
-    /// atomically, so that neither a reader nor a crash leaves a truncated one.
+    /// atomically, so that a reader never sees a truncated one, even if this tool is killed.
     pub fn save(&mut self, dir: &Path) -> Result<()> {
         fs::create_dir_all(dir).map_err(|e| output_failed(e).with_location(dir.display()))?;
         for id in std::mem::take(&mut self.dirty) {
