--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Merges the events of all processes into one time line: text, JSON, or one picture.
+//! Merges the events of all processes into one timeline, written as text, JSON or SVG.
 
 pub mod config;
 pub mod merge;
@@ -23,10 +23,10 @@
 use sycamore_core::status::Events;
 use sycamore_core::{Code, Fault, Result, Time};
 
-/// How often the list of nodes is read again while following a fleet.
+/// Interval at which the list of nodes is refreshed while polling.
 const RESOLVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Gathers the events, merges and writes them. Returns whether any process was heard of.
+/// Collects, merges and writes the events. Returns whether any process was found.
 pub fn run(cfg: &Config, out: &mut dyn Write) -> Result<bool> {
     if let Some(id) = &cfg.request {
         return request::run(id, &cfg.files, out);
@@ -46,8 +46,7 @@
     Ok(!timeline.lanes.is_empty())
 }
 
-/// Asks the fleet once, or again and again until the time to follow has passed or a signal ends
-/// it early.
+/// Polls the nodes once, or repeatedly for `follow_duration` or until SIGTERM or SIGINT.
 async fn collect_events(cfg: &Config, store: &mut RecordStore) -> Result<()> {
     let client = cfg.fleet.client();
     let nodes = cfg.fleet.resolve_nodes(&client).await?;
@@ -62,7 +61,7 @@
         signals.next().await;
         Ok(())
     };
-    // A signal may end the poll between two saves, so that the last state is saved once more.
+    // A signal may cancel the poll between two saves, so the latest records are saved again.
     future::or(poll_until(cfg, &client, nodes, deadline, store), signalled).await?;
     save_records(cfg, store)
 }
@@ -81,7 +80,7 @@
         Timer::after(cfg.poll_interval).await;
         if client.now().since(last_resolved) >= RESOLVE_INTERVAL {
             last_resolved = client.now();
-            // While the platform is down the nodes known so far are asked on.
+            // Keep polling the known nodes while the platform is unavailable.
             nodes = cfg.fleet.resolve_nodes(client).await.unwrap_or(nodes);
         }
     }
@@ -91,7 +90,7 @@
 async fn poll_once(cfg: &Config, client: &Client, nodes: &[Node], store: &mut RecordStore) {
     let concurrency = cfg.fleet.concurrency;
     for response in fan_out::query_nodes::<Events>(client, nodes, "/events", concurrency).await {
-        // A node that does not answer shows in the time line as one that is no longer seen.
+        // A node that does not respond is shown as `unseen` in the timeline.
         if let Ok(reply) = response.reply {
             store.insert_reply(reply);
         }
