--- a/tools/src/timeline/config.rs
+++ b/tools/src/timeline/config.rs
@@ -1,4 +1,4 @@
-//! The command line of `sycamore-timeline`, parsed once.
+//! Command-line options of `sycamore-timeline`.
 
 use crate::command_line::{self, CommandLine, usage};
 use crate::fleet::{self, FleetOptions};
@@ -7,63 +7,62 @@
 use std::time::Duration;
 use sycamore_core::Result;
 
-/// Pause between two polls unless `--interval-ms` says otherwise.
+/// Default of `--interval-ms`.
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Options that say nothing about the story of one request, which is text from files.
+/// Options that have no effect with `--request` and are rejected with it.
 const OPTIONS_INVALID_WITH_REQUEST: [&str; 8] =
     ["save", "follow", "interval-ms", "format", "output", "title", "timeout-ms", "concurrency"];
 
-/// Where events come from and what is drawn of them.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The nodes to ask; may be empty.
+    /// Nodes to query; may be empty.
     pub fleet: FleetOptions,
-    /// Files with events: answers of `/events`, or records that `--save` wrote.
+    /// Files with events: `/events` responses, or records written by `--save`.
     pub files: Vec<PathBuf>,
-    /// Directory that records are read from and written to.
+    /// Directory of saved records.
     pub record_dir: Option<PathBuf>,
-    /// How long to poll the nodes; zero for once.
+    /// How long to poll the nodes; zero polls once.
     pub follow_duration: Duration,
-    /// Pause between two polls.
+    /// Delay between two polls.
     pub poll_interval: Duration,
-    /// Form of the time line.
     pub format: Format,
     /// File to write to; absent for standard output.
     pub output: Option<PathBuf>,
-    /// Title of the picture.
+    /// Title of the SVG picture.
     pub title: String,
-    /// Id of the one request whose story is told from log files.
+    /// Id of the request to trace in log files.
     pub request: Option<String>,
 }
 
-/// Form of the time line.
+/// Output format of the timeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// One line an event.
+    /// One line per event.
     Text,
-    /// One JSON object.
+    /// A single JSON object.
     Json,
-    /// A picture.
+    /// An SVG picture.
     Svg,
 }
 
-/// The options of the tool.
+/// Returns the command-line definition.
 pub fn command_line() -> CommandLine {
     let line =
         CommandLine::new("sycamore-timeline", "[EVENTS.json ... | --request ID LOG ...] [options]");
     fleet::add_options(line)
-        .with_value("save", "read and keep records of processes in this directory", "DIR")
-        .with_value("follow", "poll the nodes for this long; a signal ends it early", "SECONDS")
-        .with_value("interval-ms", "pause between two polls (default 500)", "MS")
+        .with_value("save", "load and save process records in this directory", "DIR")
+        .with_value("follow", "poll the nodes for this long, or until SIGTERM or SIGINT", "SECONDS")
+        .with_value("interval-ms", "delay between two polls (default 500)", "MS")
         .with_value("format", "text (default), json or svg", "FORMAT")
         .with_value("output", "write to this file instead of standard output", "FILE")
         .with_value("title", "title of the picture", "TEXT")
-        .with_value("request", "tell the story of one request from nodes' log files", "ID")
+        .with_value("request", "print the trace of one request from log files of nodes", "ID")
 }
 
 impl Config {
-    /// Takes the options of [`command_line()`].
+    /// Parses the options defined by [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         let fleet = FleetOptions::parse(matches)?;
         let files: Vec<_> = matches.free.iter().map(PathBuf::from).collect();
@@ -76,7 +75,7 @@
         }
         let follow = command_line::value(matches, "follow")?;
         if follow.is_some() && fleet.is_empty() {
-            return Err(usage("--follow needs --vms, --node or --platform"));
+            return Err(usage("--follow requires --vms, --node or --platform"));
         }
         let interval = command_line::value(matches, "interval-ms")?;
         let formats = [("text", Format::Text), ("json", Format::Json), ("svg", Format::Svg)];
@@ -94,16 +93,18 @@
     }
 }
 
-/// Refuses options that would be passed over in silence.
+/// Rejects options that `--request` would silently ignore.
 fn check_request_options(matches: &Matches, fleet: &FleetOptions) -> Result<()> {
     if matches.free.is_empty() {
-        return Err(usage("--request needs the nodes' log files"));
+        return Err(usage("--request requires log files of nodes"));
     }
     if !fleet.is_empty() {
-        return Err(usage("--request reads log files only, no --vms, --node or --platform"));
+        return Err(usage(
+            "--request reads log files only and excludes --vms, --node and --platform",
+        ));
     }
     match OPTIONS_INVALID_WITH_REQUEST.iter().find(|option| matches.opt_present(option)) {
-        Some(option) => Err(usage(format!("--{option} has no effect beside --request"))),
+        Some(option) => Err(usage(format!("--{option} can't be combined with --request"))),
         None => Ok(()),
     }
 }
