--- a/tools/src/timeline/merge.rs
+++ b/tools/src/timeline/merge.rs
@@ -1,4 +1,4 @@
-//! One time line out of the records of all processes, by this tool's clock.
+//! Merges the records of all processes into one timeline by this tool's clock.
 
 use super::record::ProcessRecord;
 use serde::Serialize;
@@ -7,68 +7,62 @@
 use sycamore_core::event::EventKind;
 use sycamore_core::{Name, Time};
 
-/// A process that has not answered for this long before the end of the time line counts as no
-/// longer seen.
+/// A process whose last response is older than this at the end of the timeline is `Unseen`.
 const UNSEEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time line. All times are by this tool's clock.
+/// Merged timeline. All times are by this tool's clock.
 #[derive(Debug, Serialize)]
 pub struct Timeline {
-    /// Time of the first event.
+    /// Start of the earliest process.
     pub start: Time,
-    /// When a process was last seen.
+    /// Time of the latest response of any process.
     pub end: Time,
-    /// What became of each version.
+    /// Rollout of each version.
     pub versions: Vec<VersionSpan>,
-    /// One lane a VM, by region and zone.
+    /// One lane per VM, ordered by region and zone.
     pub lanes: Vec<Lane>,
 }
 
-/// How a version came into force.
+/// Rollout of a version.
 #[derive(Debug, Serialize)]
 pub struct VersionSpan {
-    /// The version.
     pub version: u64,
     /// When it came into force on the first node.
     pub first: Time,
     /// When it came into force on the last node that was running at `first`. Nodes started later
-    /// take it late without lagging.
+    /// are not counted.
     pub last: Time,
-    /// Nodes that were running at `first` and took it.
+    /// Number of nodes that were running at `first` and put the version into force.
     pub nodes: usize,
-    /// Nodes that were running at `first`. Some may have gone on to a newer version.
+    /// Number of nodes that were running at `first`. Some may have skipped to a newer version.
     pub running: usize,
 }
 
-/// The processes of one VM, one after the other.
+/// The processes of one VM.
 #[derive(Debug, Serialize)]
 pub struct Lane {
-    /// Region of the VM.
     pub region: Name,
     /// Availability zone of the VM.
     pub zone: Name,
-    /// The VM.
     pub vm: Name,
-    /// Its processes, oldest first.
+    /// Processes, oldest first.
     pub processes: Vec<Process>,
 }
 
-/// One process.
+/// Lifetime and events of one process.
 #[derive(Debug, Serialize)]
 pub struct Process {
-    /// When it started.
     pub started: Time,
-    /// Until when it ran, or was last seen.
+    /// When it ended or last responded.
     pub ended: Time,
-    /// How it ended.
     pub end: ProcessEnd,
-    /// Events that were lost before they were read.
+    /// Number of events evicted before they were read.
     pub dropped: u64,
-    /// Error of the times, in microseconds; null if its clock was never compared.
+    /// Maximum clock error in microseconds; null if the clock offset was never measured.
     pub error_us: Option<u64>,
-    /// Versions in force, one after the other.
+    /// Versions in force, in chronological order.
     pub bands: Vec<VersionBand>,
-    /// Changes of state, oldest first.
+    /// Events, oldest first.
     pub marks: Vec<EventMark>,
 }
 
@@ -76,44 +70,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessEnd {
-    /// It runs on.
+    /// Still running at the end of the timeline.
     Running,
-    /// By a planned stop.
+    /// Ended by a planned stop.
     Stopped,
-    /// Another process of the VM started though this one had not stopped.
+    /// Replaced by another process of the VM without a recorded stop.
     Killed,
-    /// It no longer answers: killed, paused or cut off.
+    /// No longer responds: killed, paused or disconnected.
     Unseen,
 }
 
-/// A version in force on one process.
+/// Period in which a version was in force on one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct VersionBand {
-    /// The version.
     pub version: u64,
-    /// From when.
     pub from: Time,
-    /// Until when.
     pub to: Time,
 }
 
-/// A change of state.
+/// An event in the timeline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct EventMark {
-    /// When.
     pub at: Time,
-    /// What changed.
     pub kind: EventKind,
-    /// The version concerned.
+    /// The affected version.
     pub version: Option<u64>,
-    /// The peer or VM concerned.
+    /// The affected peer or VM.
     pub peer: Option<Name>,
     /// Number of the result code.
     pub code: Option<u16>,
 }
 
 impl Timeline {
-    /// Merges the records of processes, which are in order of their VM and start.
+    /// Merges records, which must be ordered by VM and start time.
     pub fn new<'a>(records: impl Iterator<Item = &'a ProcessRecord>) -> Timeline {
         let mut by_vm = BTreeMap::<_, Vec<&ProcessRecord>>::new();
         for record in records {
@@ -127,7 +116,7 @@
         Timeline { start, end, versions: build_version_spans(&lanes), lanes }
     }
 
-    /// Every mark with its lane, in the order of time.
+    /// Returns all events with their lanes, in chronological order.
     pub fn marks(&self) -> Vec<(&Lane, &EventMark)> {
         let marks_in_lane = |lane: &'_ Lane| lane.processes.iter().flat_map(|p| &p.marks).count();
         let mut marks = Vec::with_capacity(self.lanes.iter().map(marks_in_lane).sum());
@@ -158,7 +147,7 @@
     let unseen = end.since(last_seen) > UNSEEN_TIMEOUT;
     let (ended, end_kind) = match (stop, next_start) {
         (Some(stop), _) => (record.to_local_clock(stop.at), ProcessEnd::Stopped),
-        // The last events of a planned stop are seldom read: the process ends with them.
+        // A process exits right after recording `Stopped`, so a poll rarely reads that event.
         (None, next) if is_draining(record) && (next.is_some() || unseen) => {
             (last_seen, ProcessEnd::Stopped)
         }
@@ -177,7 +166,7 @@
     }
 }
 
-/// Whether a planned stop has begun.
+/// Returns whether a planned stop has begun.
 fn is_draining(record: &ProcessRecord) -> bool {
     record.events.iter().any(|event| event.kind == EventKind::Draining)
 }
