--- a/tools/src/timeline/output.rs
+++ b/tools/src/timeline/output.rs
@@ -1,4 +1,4 @@
-//! The time line as text, JSON or a picture.
+//! Text, JSON and SVG output of the timeline.
 
 use super::config::{Config, Format};
 use super::merge::{EventMark, Lane, Process, Timeline, VersionSpan};
@@ -9,7 +9,7 @@
 use std::io::Write;
 use sycamore_core::{Code, Result, Time};
 
-/// Writes the time line to the file of `--output` or to `out`.
+/// Writes the timeline to the file given by `--output`, or else to `out`.
 pub fn write(timeline: &Timeline, cfg: &Config, out: &mut dyn Write) -> Result<()> {
     let text = match cfg.format {
         Format::Text => TextTimeline(timeline).to_string(),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A mark in one line, without its time and place.
+/// Formats an event on one line, without its time and VM.
 pub fn describe_mark(mark: &EventMark) -> String {
     let mut text = mark.kind.name();
     if let Some(version) = mark.version {
@@ -45,13 +45,13 @@
     text
 }
 
-/// How a version came into force, in one line.
+/// Formats the rollout of a version on one line.
 pub fn describe_version(span: &VersionSpan) -> String {
     let ms = span.last.since(span.first).as_micros() as f64 / 1_000.0;
     format!("version {}: {} of {} nodes in {ms:.1} ms", span.version, span.nodes, span.running)
 }
 
-/// A time line for people.
+/// Human-readable form of a timeline.
 struct TextTimeline<'a>(&'a Timeline);
 
 impl Display for TextTimeline<'_> {
@@ -90,8 +90,8 @@
     )?;
     write!(f, "{} at{}", end.as_str().unwrap_or_default(), format_offset(timeline, process.ended))?;
     match process.error_us {
-        Some(error_us) => write!(f, ", times to within {error_us} us")?,
-        None => write!(f, ", clock not compared")?,
+        Some(error_us) => write!(f, ", clock error up to {error_us} us")?,
+        None => write!(f, ", clock offset unknown")?,
     }
     match process.dropped {
         0 => writeln!(f),
@@ -99,7 +99,7 @@
     }
 }
 
-/// Seconds since the start of the time line.
+/// Formats a time as seconds since the start of the timeline.
 fn format_offset(timeline: &Timeline, time: Time) -> String {
     format!("{:>+11.3} s", time.since(timeline.start).as_secs_f64())
 }
