--- a/tools/src/timeline/picture.rs
+++ b/tools/src/timeline/picture.rs
@@ -1,5 +1,5 @@
-//! The time line as one SVG picture: a lane per VM grouped by availability zone, versions as
-//! coloured bands, changes of state as marks, and a legend.
+//! Renders the timeline as SVG: one lane per VM grouped by availability zone, versions in force as
+//! coloured bands, events as glyphs, and a legend.
 
 pub mod glyph;
 pub mod scale;
@@ -14,36 +14,33 @@
 use svg::node::element::{Group, Line, Rectangle, Text, Title};
 use sycamore_core::Time;
 
-/// Width of the picture, in pixels, as are all sizes here.
+/// Width of the picture. All sizes are in pixels.
 const PICTURE_WIDTH: f64 = 1_500.0;
-/// Left edge of the lanes; the names of VMs stand to its left.
+/// Left edge of the lanes, to the right of the VM names.
 const LANES_LEFT: f64 = 170.0;
-/// Right edge of the lanes.
 const LANES_RIGHT: f64 = PICTURE_WIDTH - 30.0;
-/// Height of one lane.
 const LANE_HEIGHT: f64 = 18.0;
 /// Height of a band within its lane.
 const BAND_HEIGHT: f64 = 12.0;
-/// Height of a zone's heading.
+/// Height of a zone heading.
 const HEADING_HEIGHT: f64 = 20.0;
-/// Height of one row of labels.
+/// Height of a row of version labels or legend entries.
 const LABEL_ROW_HEIGHT: f64 = 15.0;
-/// Rows of labels over the lanes, used in turn so that close versions stay readable.
+/// Rows of version labels above the lanes. Several rows keep labels of close versions readable.
 const LABEL_ROWS: usize = 3;
-/// Width that one label of a version needs.
+/// Width reserved for a version label.
 const LABEL_WIDTH: f64 = 215.0;
-/// Width of one entry of the legend.
 const LEGEND_ENTRY_WIDTH: f64 = 180.0;
-/// Narrowest band that its version is written in.
+/// Minimum width of a band that shows its version number.
 const MIN_LABELLED_BAND_WIDTH: f64 = 28.0;
-/// Top of the labels.
+/// Top of the version labels.
 const LABELS_TOP: f64 = 58.0;
 
-/// Colours of versions, in turn.
+/// Band colours, assigned to versions in rotation.
 const VERSION_COLORS: [&str; 8] =
     ["#a6cee3", "#b2df8a", "#fdd49e", "#cab2d6", "#fccde5", "#ccebc5", "#ffed6f", "#bdd7e7"];
 
-/// Draws the time line.
+/// Renders the timeline.
 pub fn render(timeline: &Timeline, title: &str) -> Document {
     let scale = TimeScale::new(timeline.start, timeline.end, LANES_LEFT, LANES_RIGHT);
     let lanes_top = LABELS_TOP + LABEL_ROWS as f64 * LABEL_ROW_HEIGHT + 8.0;
@@ -69,16 +66,16 @@
     document.add(legend.group)
 }
 
-/// A lane and its place in the picture.
+/// A lane with its position in the picture.
 struct PlacedLane<'a> {
     lane: &'a Lane,
     /// Top of the lane.
     y: f64,
-    /// Whether the zone's heading stands over it.
+    /// Whether a zone heading is drawn above the lane.
     heading: bool,
 }
 
-/// Stacks the lanes, with room for a heading over each zone.
+/// Stacks the lanes vertically, with space for a heading above each zone.
 fn place_lanes(lanes: &[Lane], top: f64) -> Vec<PlacedLane<'_>> {
     let mut y = top;
     let mut placed: Vec<PlacedLane<'_>> = Vec::with_capacity(lanes.len());
@@ -91,7 +88,7 @@
     placed
 }
 
-/// What every part of the picture is drawn by.
+/// Renders the parts of the picture.
 struct Renderer<'a> {
     timeline: &'a Timeline,
     scale: TimeScale,
@@ -99,7 +96,7 @@
     lanes_end: f64,
 }
 
-/// The legend and the room that it takes.
+/// The rendered legend and its height.
 struct Legend {
     group: Group,
     height: f64,
@@ -126,7 +123,7 @@
         group
     }
 
-    /// A line and a label for each version, where it came into force first.
+    /// Renders a line and a label for each version, at the time it first came into force.
     fn versions(&self) -> Group {
         let mut group = Group::new();
         let mut row_ends = [f64::MIN; LABEL_ROWS];
@@ -135,7 +132,7 @@
             let line = vertical_line(x, LABELS_TOP + 4.0, self.lanes_end).set("stroke", "#888");
             group = group
                 .add(line.set("stroke-dasharray", "2 3").add(tooltip(&describe_version(span))));
-            // A label that fits in no row is left out; its line still tells on hovering.
+            // A label that fits in no row is omitted; the tooltip of the line has the same text.
             if let Some(row) = row_ends.iter().position(|end| *end <= x) {
                 row_ends[row] = x + LABEL_WIDTH;
                 group = group.add(self.version_label(span, x, row));
@@ -217,7 +214,7 @@
         VERSION_COLORS[index.unwrap_or(0) % VERSION_COLORS.len()]
     }
 
-    /// The marks that stand in the picture, each with what it means.
+    /// Renders the legend of the glyphs that occur in the picture.
     fn legend(&self, top: f64) -> Legend {
         let processes = || self.timeline.lanes.iter().flat_map(|lane| &lane.processes);
         let kinds: BTreeSet<_> = processes().flat_map(|p| &p.marks).map(|m| m.kind).collect();
@@ -252,7 +249,7 @@
     Text::new(content).set("x", x).set("y", y)
 }
 
-/// What a viewer shows when the pointer rests on an element.
+/// Creates a `<title>` element, which viewers show as a tooltip.
 fn tooltip(content: &str) -> Title {
     Title::new(content)
 }
