--- a/tools/src/timeline/request.rs
+++ b/tools/src/timeline/request.rs
@@ -1,5 +1,4 @@
-//! The story of one request, from the log lines of several nodes: what happened in order, and the
-//! cause of its end.
+//! Traces one request through the log files of several nodes and determines why it ended.
 
 mod cause;
 
@@ -12,43 +11,41 @@
 use sycamore_core::{Code, Result};
 use sycamore_node::calls::trace::Step;
 
-/// A log line about a request (docs/OPERATIONS.md). Fields that are not named here are passed over.
+/// A log line about a request (docs/OPERATIONS.md). Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TraceLine {
-    /// When it was written, by its node's clock; RFC 3339.
+    /// RFC 3339 timestamp by the clock of the node.
     pub time: String,
-    /// The node.
+    /// VM of the node that wrote the line.
     pub vm: String,
-    /// Id of the request.
+    /// Request id.
     pub request: String,
-    /// What was decided.
     pub step: Step,
-    /// Attempt, from 1.
+    /// Attempt number, starting at 1.
     pub attempt: Option<u32>,
-    /// Name of the target.
     pub target: Option<String>,
-    /// Number of the result code.
+    /// Result code number.
     pub code: Option<u16>,
     /// `answered`, `not-run` or `unknown`.
     pub outcome: Option<String>,
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub status: Option<u16>,
-    /// Load of the target: running, slots, waiting, and ms that a newcomer would wait.
+    /// Load of the target: running, slots, queued, and the expected queueing delay in ms.
     pub load: Option<String>,
-    /// Version in force at the entry node.
+    /// Version in force on the entry node.
     pub version: Option<u64>,
-    /// Whether the target may have run it.
+    /// Whether the target may have run the request.
     pub sent: Option<bool>,
-    /// Time left for the request, in ms.
+    /// Time left until the deadline, in ms.
     pub left_ms: Option<u64>,
-    /// When the caller is to come back, in ms.
+    /// Delay after which the caller may retry, in ms.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Reads the lines about `request` from log files, in the order of their times.
+/// Reads the lines about `request` from log files, sorted by time.
 ///
-/// A line may have text before its JSON object, as whoever collects logs puts it there; what is no
-/// line about a request is passed over.
+/// Text before the JSON object of a line, such as a prefix added by a log collector, and unrelated
+/// lines are ignored.
 pub fn read_lines(request: &str, files: &[PathBuf]) -> Result<Vec<TraceLine>> {
     let mut lines = Vec::new();
     for path in files {
@@ -67,7 +64,7 @@
     Ok(parsed.filter(|line: &TraceLine| line.request == request).collect())
 }
 
-/// Writes the story of a request and its cause. Returns whether any line told of it.
+/// Writes the trace of a request and the cause of its end. Returns whether any line was found.
 pub fn run(request: &str, files: &[PathBuf], out: &mut dyn Write) -> Result<bool> {
     let lines = read_lines(request, files)?;
     let write_failed = |e| output_failed(e).with_location("standard output");
@@ -85,7 +82,7 @@
     Ok(true)
 }
 
-/// A line in words.
+/// Describes the step of a line.
 fn describe_step(line: &TraceLine) -> String {
     let target = line.target.as_deref().unwrap_or("a target");
     let load = line.load.as_deref().map(|load| format!(", load {load}")).unwrap_or_default();
@@ -114,7 +111,7 @@
     }
 }
 
-/// A result code with its meaning.
+/// Formats a result code with its description.
 pub(super) fn format_code(number: Option<u16>) -> String {
     match number.and_then(Code::from_number) {
         Some(code) => format!("{} ({code})", code.number()),
