--- a/tools/src/timeline/request/cause.rs
+++ b/tools/src/timeline/request/cause.rs
@@ -1,11 +1,11 @@
-//! Why a request ended as it did, by the lines about it.
+//! Determines from log lines why a request ended.
 
 use super::{TraceLine, format_code};
 use indexmap::IndexSet;
 use sycamore_core::Code;
 use sycamore_node::calls::trace::Step;
 
-/// The cause in one sentence.
+/// Describes the cause on one line.
 pub fn describe_cause(lines: &[TraceLine]) -> String {
     let Some(last) = lines.iter().rfind(|line| matches!(line.step, Step::Answered | Step::Ended))
     else {
@@ -17,14 +17,15 @@
     }
 }
 
-/// No entry node said how it ended: its process has ended, or its lines are missing.
+/// Describes a request whose end was not logged by any entry node.
 fn unfinished_cause(lines: &[TraceLine]) -> String {
     match lines.last() {
         Some(TraceLine { step: Step::GateRun, vm, .. }) => format!(
-            "it ran beside {vm} and no entry node says how it ended: the entry node went away, or \
-             its lines were dropped"
+            "it ran on the target beside {vm}, but no entry node logged its end: the entry node \
+             exited or its log lines were dropped"
         ),
-        _ => "no entry node says how it ended: it went away, or its lines were dropped".to_owned(),
+        _ => "no entry node logged its end: the entry node exited or its log lines were dropped"
+            .to_owned(),
     }
 }
 
@@ -37,7 +38,7 @@
     match failures {
         0 => format!("{origin}, status {status}{queue_note}"),
         _ => {
-            format!("{origin}, status {status}, after {failures} attempts that failed{queue_note}")
+            format!("{origin}, status {status}, after {failures} failed attempts{queue_note}")
         }
     }
 }
@@ -52,32 +53,34 @@
             format!("turned away: {} full{}", refusing_targets(lines), last_refusal_load(lines))
         }
         Some(Code::QueueTimeout) => {
-            "turned away after waiting for a slot: those that could be in time went first"
+            "turned away after waiting for a slot: requests that could still be in time went first"
                 .to_owned()
         }
         Some(Code::NotConfigured) => {
-            "turned away: its entry node had just started and knew no configuration".to_owned()
+            "turned away: its entry node had just started and had no configuration yet".to_owned()
         }
         Some(Code::NoRoute) => format!(
-            "turned away: version {} of the entry node has no such route",
+            "turned away: version {} in force on the entry node has no route for its path",
             version_text(last)
         ),
-        Some(Code::NoTarget) => "turned away: no target of its service is known there".to_owned(),
+        Some(Code::NoTarget) => "turned away: no target of its service can take it".to_owned(),
         Some(Code::DeadlinePassed) if ran => {
             format!("late by its run: {last_target} had it until the deadline")
         }
         Some(Code::DeadlinePassed) if queued => {
-            "late by its wait for a slot: none came free before the deadline".to_owned()
+            "late by its wait for a slot: no slot became free before the deadline".to_owned()
         }
         Some(Code::DeadlinePassed) => {
-            format!("late on the way: no gatekeeper says that it came; last sent to {last_target}")
+            format!("late in transit: no gatekeeper logged its arrival; last sent to {last_target}")
         }
         Some(Code::AnswerLost) => {
             format!(
                 "sent and lost: the node beside {last_target} went away or its connection broke"
             )
         }
-        Some(Code::TargetFailed) => format!("sent and lost: the target {last_target} broke off"),
+        Some(Code::TargetFailed) => {
+            format!("sent and lost: target {last_target} closed the connection before it answered")
+        }
         Some(Code::GatekeeperUnreachable) => {
             format!("not sent: {last_target} could not be reached")
         }
@@ -85,7 +88,7 @@
     }
 }
 
-/// The nodes that refused it.
+/// Formats the targets whose gatekeepers refused the request.
 fn refusing_targets(lines: &[TraceLine]) -> String {
     let refused = lines.iter().filter(|line| line.step == Step::GateRefused);
     let vms: IndexSet<&str> = refused.map(|line| line.vm.as_str()).collect();
@@ -97,7 +100,7 @@
     }
 }
 
-/// The load with the last refusal.
+/// Formats the load that was logged with the last refusal.
 fn last_refusal_load(lines: &[TraceLine]) -> String {
     let refused = lines.iter().rfind(|line| line.step == Step::GateRefused);
     match refused.and_then(|line| line.load.as_deref()) {
