--- a/tools/tests/operators/fake_nodes.rs
+++ b/tools/tests/operators/fake_nodes.rs
@@ -13,31 +13,35 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// Bodies by path; a path that is missing is answered 404.
-type Bodies = Arc<Mutex<IndexMap<String, String>>>;
+/// ResponseBodies by path; a path that is missing is answered 404.
+type ResponseBodies = Arc<Mutex<IndexMap<String, String>>>;
 
 /// A running set of admin ports.
 pub struct FakeNodes {
     /// Their addresses.
     pub addresses: Vec<SocketAddr>,
-    bodies: Vec<Bodies>,
+    bodies: Vec<ResponseBodies>,
     _stop: async_channel::Sender<()>,
 }
 
 impl FakeNodes {
     /// Starts `count` ports, each with the bodies that `make` gives for its index.
-    pub fn start(count: usize, make: impl Fn(usize) -> IndexMap<String, String>) -> FakeNodes {
+    pub fn start(
+        count: usize,
+        make_bodies: impl Fn(usize) -> IndexMap<String, String>,
+    ) -> FakeNodes {
         let bind = |_| Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
         let listeners: Vec<_> = (0..count).map(bind).collect();
         let addresses = listeners.iter().map(|l| l.get_ref().local_addr().unwrap()).collect();
-        let bodies: Vec<Bodies> = (0..count).map(|i| Arc::new(Mutex::new(make(i)))).collect();
+        let bodies: Vec<ResponseBodies> =
+            (0..count).map(|i| Arc::new(Mutex::new(make_bodies(i)))).collect();
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let served = bodies.clone();
+        let served_bodies = bodies.clone();
         std::thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
-            for (listener, bodies) in listeners.into_iter().zip(served) {
+            for (listener, bodies) in listeners.into_iter().zip(served_bodies) {
                 let spawner = executor.clone();
-                executor.spawn(accept(spawner, listener, bodies)).detach();
+                executor.spawn(accept_connections(spawner, listener, bodies)).detach();
             }
             let _ = async_io::block_on(executor.run(stopped.recv()));
         });
@@ -45,22 +49,22 @@
     }
 
     /// Changes what a port answers on a path.
-    pub fn answer(&self, index: usize, path: &str, body: String) {
+    pub fn set_response(&self, index: usize, path: &str, body: String) {
         self.bodies[index].lock().unwrap().insert(path.to_owned(), body);
     }
 }
 
-async fn accept(
+async fn accept_connections(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
-    bodies: Bodies,
+    bodies: ResponseBodies,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        executor.spawn(serve(stream, bodies.clone())).detach();
+        executor.spawn(serve_connection(stream, bodies.clone())).detach();
     }
 }
 
-async fn serve(stream: Async<TcpStream>, bodies: Bodies) {
+async fn serve_connection(stream: Async<TcpStream>, bodies: ResponseBodies) {
     let service = service_fn(move |req: hyper::Request<hyper::body::Incoming>| {
         let body = bodies.lock().unwrap().get(req.uri().path()).cloned();
         let status = if body.is_some() { StatusCode::OK } else { StatusCode::NOT_FOUND };
--- a/tools/tests/operators/status.rs
+++ b/tools/tests/operators/status.rs
@@ -217,7 +217,7 @@
     std::thread::scope(|scope| {
         let waiting = scope.spawn(|| ask(&nodes.addresses, &["--wait", "60"]));
         std::thread::sleep(Duration::from_millis(50));
-        nodes.answer(1, "/status", status(1, 4).to_string());
+        nodes.set_response(1, "/status", status(1, 4).to_string());
         let run = waiting.join().unwrap();
         assert_eq!(run.code, Some(0), "{}", run.stdout);
     });
--- a/tools/tests/operators/timeline.rs
+++ b/tools/tests/operators/timeline.rs
@@ -163,7 +163,7 @@
     let nodes = FakeNodes::start(1, |_| IndexMap::from([("/events".to_owned(), body(START))]));
     let node = nodes.addresses[0].to_string();
     assert_eq!(timeline(&["--node", &node, "--save", save]).code, Some(0));
-    nodes.answer(0, "/events", body(START + 60 * SECOND));
+    nodes.set_response(0, "/events", body(START + 60 * SECOND));
     assert_eq!(timeline(&["--node", &node, "--save", save]).code, Some(0));
     drop(nodes);
     let run = timeline(&["--save", save, "--format", "json"]);
