--- a/tools/tests/operators/check.rs
+++ b/tools/tests/operators/check.rs
@@ -1,6 +1,6 @@
 //! `sycamore-check` over files.
 
-use crate::tool::{self, Run};
+use crate::tool::{self, ToolOutput};
 use std::fs;
 use sycamore_core::hash::Hash;
 use tempfile::TempDir;
@@ -35,7 +35,7 @@
     }
 
     /// Runs the tool; an argument that names a file of the directory becomes its path.
-    fn check(&self, args: &[&str]) -> Run {
+    fn check(&self, args: &[&str]) -> ToolOutput {
         let args: Vec<_> = args.iter().map(|arg| self.argument(arg)).collect();
         let args: Vec<_> = args.iter().map(String::as_str).collect();
         tool::run(env!("CARGO_BIN_EXE_sycamore-check"), &args)
@@ -53,7 +53,7 @@
 #[test]
 fn preset_accepted() {
     let run = Files::new(PRESET).check(&["new.json", "--publish-version", "7"]);
-    assert_eq!(run.code, Some(0), "{}", run.stderr);
+    assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
     let digest = Hash::of(PRESET.as_bytes());
     let value = format!(r#"{{"version":7,"preset":"ordinary","digest":"{digest}"}}"#);
     assert!(run.stdout.starts_with("accepted\n"), "{}", run.stdout);
@@ -68,7 +68,7 @@
         .replace(r#""service":"roster""#, r#""service":"maps""#);
     let files = Files::new(&preset);
     let run = files.check(&["new.json", "--format", "json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     let found: Vec<_> = run.json()["findings"]
         .as_array()
         .unwrap()
@@ -93,7 +93,7 @@
 #[test]
 fn preset_not_json() {
     let run = Files::new("{\"name\": ordinary}").check(&["new.json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E201"), "{}", run.stdout);
     assert!(run.stdout.contains("line 1 column 10"), "{}", run.stdout);
 }
@@ -102,14 +102,14 @@
 fn preset_too_large() {
     let padded = format!("{PRESET}{}", " ".repeat(1_000_000));
     let run = Files::new(&padded).check(&["new.json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E202"), "{}", run.stdout);
 }
 
 #[test]
 fn preset_unreadable() {
     let run = Files::new(PRESET).check(&["missing.json"]);
-    assert_eq!(run.code, Some(2));
+    assert_eq!(run.exit_code, Some(2));
     assert!(run.stderr.contains("E505"), "{}", run.stderr);
 }
 
@@ -126,7 +126,7 @@
         &["new.json", "--part", "new.json"],
     ] {
         let run = files.check(args);
-        assert_eq!(run.code, Some(2), "{args:?}");
+        assert_eq!(run.exit_code, Some(2), "{args:?}");
         assert!(run.stderr.contains("E104"), "{args:?}: {}", run.stderr);
     }
 }
@@ -135,10 +135,10 @@
 fn help_and_version() {
     let files = Files::new(PRESET);
     let help = files.check(&["--help"]);
-    assert_eq!(help.code, Some(0));
+    assert_eq!(help.exit_code, Some(0));
     assert!(help.stdout.contains("--previous-in-force"), "{}", help.stdout);
     let version = files.check(&["--version"]);
-    assert_eq!(version.code, Some(0));
+    assert_eq!(version.exit_code, Some(0));
     assert!(version.stdout.starts_with("sycamore-check "), "{}", version.stdout);
 }
 
@@ -149,12 +149,12 @@
     let edited = PRESET.replace("/rosters", "/crews");
     let files = Files::new(&edited).with_in_force("in-force.json", 2, PRESET);
     let run = files.check(&["new.json", "--in-force", "in-force.json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E203"), "{}", run.stdout);
 }
 
 /// Judges `preset` as version `version` after [`PRESET`] as version 5.
-fn judge(preset: &str, version: u64) -> Run {
+fn judge(preset: &str, version: u64) -> ToolOutput {
     Files::new(preset)
         .with("old.json", PRESET)
         .with_in_force("new-in-force.json", version, preset)
@@ -172,13 +172,13 @@
 
 #[test]
 fn version_newer_accepted() {
-    assert_eq!(judge(PRESET, 6).code, Some(0));
+    assert_eq!(judge(PRESET, 6).exit_code, Some(0));
 }
 
 #[test]
 fn version_older_refused() {
     let run = judge(PRESET, 4);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E210"), "{}", run.stdout);
     assert!(run.stdout.contains("found 4, allowed from 6"), "{}", run.stdout);
 }
@@ -186,14 +186,14 @@
 #[test]
 fn version_claimed_by_other_body_refused() {
     let run = judge(&PRESET.replace("/rosters", "/crews"), 5);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E209"), "{}", run.stdout);
 }
 
 #[test]
 fn version_in_force_already() {
     let run = judge(PRESET, 5);
-    assert_eq!(run.code, Some(0));
+    assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains("in force already"), "{}", run.stdout);
 }
 
@@ -201,7 +201,7 @@
 fn version_zero_refused() {
     let files = Files::new(PRESET).with_in_force("in-force.json", 0, PRESET);
     let run = files.check(&["new.json", "--in-force", "in-force.json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E206"), "{}", run.stdout);
 }
 
@@ -227,7 +227,7 @@
         );
     let files = Files::new(&new).with("old.json", PRESET);
     let run = files.check(&["new.json", "--previous", "old.json", "--format", "json"]);
-    assert_eq!(run.code, Some(0));
+    assert_eq!(run.exit_code, Some(0));
     let difference = &run.json()["difference"];
     let service = &difference["services"][0];
     assert_eq!(service["limits"][0]["before"], 12);
@@ -267,14 +267,14 @@
 fn part_whole() {
     let files = Files::new(&preset_with_part()).with("maps.json", PART);
     let run = files.check(&["new.json", "--part", "part/maps=maps.json"]);
-    assert_eq!(run.code, Some(0), "{}{}", run.stdout, run.stderr);
+    assert_eq!(run.exit_code, Some(0), "{}{}", run.stdout, run.stderr);
     assert!(run.stdout.contains("2 services, 1 routes, 3 targets"), "{}", run.stdout);
 }
 
 #[test]
 fn part_missing() {
     let run = Files::new(&preset_with_part()).check(&["new.json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E212"), "{}", run.stdout);
     assert!(run.stdout.contains("parts[0].key: part/maps"), "{}", run.stdout);
 }
@@ -283,7 +283,7 @@
 fn part_of_other_content() {
     let files = Files::new(&preset_with_part()).with("maps.json", "{}");
     let run = files.check(&["new.json", "--part", "part/maps=maps.json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E203"), "{}", run.stdout);
 }
 
@@ -291,5 +291,5 @@
 fn part_not_named() {
     let files = Files::new(PRESET).with("maps.json", PART);
     let run = files.check(&["new.json", "--part", "part/maps=maps.json"]);
-    assert_eq!(run.code, Some(2));
+    assert_eq!(run.exit_code, Some(2));
 }
--- a/tools/tests/operators/check_agrees.rs
+++ b/tools/tests/operators/check_agrees.rs
@@ -145,7 +145,7 @@
         ],
     );
     let report = run.json();
-    assert_eq!(run.code, Some(if report["accepted"] == true { 0 } else { 1 }));
+    assert_eq!(run.exit_code, Some(if report["accepted"] == true { 0 } else { 1 }));
     let findings = report["findings"].as_array().unwrap();
     findings.iter().map(|finding| finding["code"].as_u64().unwrap()).collect()
 }
--- a/tools/tests/operators/examples.rs
+++ b/tools/tests/operators/examples.rs
@@ -16,7 +16,7 @@
     files
 }
 
-fn check(file: &Path) -> tool::Run {
+fn check(file: &Path) -> tool::ToolOutput {
     tool::run(env!("CARGO_BIN_EXE_sycamore-check"), &[file.to_str().unwrap()])
 }
 
@@ -36,7 +36,7 @@
     for deployment in DEPLOYMENTS {
         for file in files(deployment, "published/preset") {
             let run = check(&file);
-            assert_eq!(run.code, Some(0), "{}", run.stdout);
+            assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
         }
     }
 }
@@ -45,7 +45,7 @@
 fn refused_presets_refused() {
     for deployment in DEPLOYMENTS {
         for file in files(deployment, "refused") {
-            assert_eq!(check(&file).code, Some(1), "{}", file.display());
+            assert_eq!(check(&file).exit_code, Some(1), "{}", file.display());
         }
     }
 }
--- a/tools/tests/operators/request.rs
+++ b/tools/tests/operators/request.rs
@@ -1,6 +1,6 @@
 //! `sycamore-timeline --request`: the story of one request from the logs of several nodes.
 
-use crate::tool::{self, Run};
+use crate::tool::{self, ToolOutput};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -12,7 +12,7 @@
     paths
 }
 
-fn story(request: &str, logs: &[PathBuf]) -> Run {
+fn story(request: &str, logs: &[PathBuf]) -> ToolOutput {
     let mut args = vec!["--request", request];
     args.extend(logs.iter().map(|path| path.to_str().unwrap()));
     tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), &args)
@@ -25,7 +25,7 @@
     let page = fs::read_to_string(page).unwrap();
     for request in ["7b38e582ca4db52c", "7565b72d7289ea75", "32a37fb5b99758df"] {
         let run = story(request, &logs());
-        assert_eq!(run.code, Some(0), "{}", run.stderr);
+        assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
         let shown: String = run.stdout.lines().map(|line| format!("    {line}\n")).collect();
         assert!(page.contains(&shown), "{shown}");
     }
@@ -64,7 +64,7 @@
 fn request_unknown_and_usage() {
     let run = story("nobody", &logs());
     assert_eq!(run.stdout, "no line about nobody\n");
-    assert_ne!(run.code, Some(0));
+    assert_ne!(run.exit_code, Some(0));
     let run = tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), &["--request", "x"]);
     assert!(run.stderr.contains("log files"), "{}", run.stderr);
 }
@@ -77,7 +77,7 @@
     {
         let args = ["--request", "r1", "nodes.log", option, value];
         let run = tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), &args);
-        assert_eq!(run.code, Some(2), "{}", run.stderr);
+        assert_eq!(run.exit_code, Some(2), "{}", run.stderr);
         assert!(run.stderr.contains(option), "{}", run.stderr);
     }
 }
--- a/tools/tests/operators/status.rs
+++ b/tools/tests/operators/status.rs
@@ -1,7 +1,7 @@
 //! `sycamore-status` over admin ports.
 
 use crate::fake_nodes::FakeNodes;
-use crate::tool::{self, Run};
+use crate::tool::{self, ToolOutput};
 use indexmap::IndexMap;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
@@ -31,7 +31,7 @@
     })
 }
 
-fn ask(addresses: &[SocketAddr], options: &[&str]) -> Run {
+fn ask(addresses: &[SocketAddr], options: &[&str]) -> ToolOutput {
     let mut args: Vec<String> = options.iter().map(|&option| option.to_owned()).collect();
     for address in addresses {
         args.extend(["--node".to_owned(), address.to_string()]);
@@ -49,7 +49,7 @@
 fn version_everywhere() {
     let fleet = fleet((0..3).map(|i| status(i, 4)).collect());
     let run = ask(&fleet.addresses, &["--version-in-force", "4"]);
-    assert_eq!(run.code, Some(0), "{}{}", run.stdout, run.stderr);
+    assert_eq!(run.exit_code, Some(0), "{}{}", run.stdout, run.stderr);
     assert!(run.stdout.starts_with("version 4 is in force everywhere since"), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 3, holding 3, newer 0, lagging 0"), "{}", run.stdout);
 }
@@ -58,7 +58,7 @@
 fn version_not_heard() {
     let fleet = fleet(vec![status(0, 4), with(status(1, 3), "platform_answers", false.into())]);
     let run = ask(&fleet.addresses, &[]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     let line = "version 3, heard of no newer one, parent vm-0, platform does not answer";
     assert!(run.stdout.contains("version 4 is NOT in force everywhere"), "{}", run.stdout);
     assert!(run.stdout.contains(line), "{}", run.stdout);
@@ -70,7 +70,7 @@
     let refusing = with(with(status(1, 3), "newest_heard", 4.into()), "last_refusal", fault.into());
     let fleet = fleet(vec![status(0, 3), refusing]);
     let run = ask(&fleet.addresses, &["--version-in-force", "4", "--format", "json"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     let report = run.json();
     assert_eq!(report["fleet"][0]["lag"]["why"], "not-heard");
     assert_eq!(report["fleet"][1]["lag"], json!({"why": "refused", "version": 3, "fault": fault}));
@@ -94,7 +94,7 @@
     other["in_force"]["digest"] = "cd".repeat(32).into();
     let fleet = fleet(vec![status(0, 4), status(1, 4), other]);
     let run = ask(&fleet.addresses, &[]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("SPLIT: version 4 with digest cdcd"), "{}", run.stdout);
 }
 
@@ -102,7 +102,7 @@
 fn version_superseded() {
     let fleet = fleet(vec![status(0, 5), status(1, 5)]);
     let run = ask(&fleet.addresses, &["--version-in-force", "4"]);
-    assert_eq!(run.code, Some(0));
+    assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains("superseded everywhere"), "{}", run.stdout);
 }
 
@@ -110,7 +110,7 @@
 fn version_none_yet() {
     let empty = with(with(status(0, 0), "in_force", Value::Null), "in_force_since", Value::Null);
     let run = ask(&fleet(vec![empty]).addresses, &[]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("no version is in force anywhere"), "{}", run.stdout);
 }
 
@@ -119,7 +119,7 @@
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let fleet = fleet(vec![status(0, 4)]);
     let run = ask(&[fleet.addresses[0], closed], &[]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains(&format!("E501: a node does not answer at {closed}/status")));
 }
 
@@ -129,7 +129,7 @@
     // without a timeout of its own waits for ever.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let run = ask(&[silent.local_addr().unwrap()], &["--timeout-ms", "100"]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("no response within 100 ms"), "{}", run.stdout);
 }
 
@@ -137,7 +137,7 @@
 fn node_rubbish() {
     let fleet = FakeNodes::start(1, |_| IndexMap::from([("/status".to_owned(), "{}".to_owned())]));
     let run = ask(&fleet.addresses, &[]);
-    assert_eq!(run.code, Some(1));
+    assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E504"), "{}", run.stdout);
 }
 
@@ -146,7 +146,7 @@
     // Story: a fleet is upgraded node by node, and the new release tells more of itself. A tool
     // that refuses what it does not know would show every upgraded node as lost.
     let run = ask(&fleet(vec![with(status(0, 4), "colour", 1.into())]).addresses, &[]);
-    assert_eq!(run.code, Some(0), "{}", run.stdout);
+    assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
 }
 
 #[test]
@@ -162,7 +162,7 @@
 fn node_leaving_does_not_count() {
     let leaving = with(status(1, 3), "draining", true.into());
     let run = ask(&fleet(vec![status(0, 4), leaving]).addresses, &[]);
-    assert_eq!(run.code, Some(0));
+    assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains("leaving 1"), "{}", run.stdout);
 }
 
@@ -206,7 +206,7 @@
         ])
     });
     let run = ask(&[], &["--platform", &platform.addresses[0].to_string()]);
-    assert_eq!(run.code, Some(1), "{}", run.stderr);
+    assert_eq!(run.exit_code, Some(1), "{}", run.stderr);
     assert!(run.stdout.contains("version 5 is NOT in force everywhere"), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 2"), "{}", run.stdout);
 }
@@ -219,7 +219,7 @@
         std::thread::sleep(Duration::from_millis(50));
         nodes.set_response(1, "/status", status(1, 4).to_string());
         let run = waiting.join().unwrap();
-        assert_eq!(run.code, Some(0), "{}", run.stdout);
+        assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
     });
 }
 
@@ -227,14 +227,14 @@
 fn usage_refused() {
     for options in [&[][..], &["--node", "nowhere"], &["--concurrency", "0"], &["extra"]] {
         let run = ask(&[], options);
-        assert_eq!(run.code, Some(2), "{options:?}");
+        assert_eq!(run.exit_code, Some(2), "{options:?}");
         assert!(run.stderr.contains("E104"), "{}", run.stderr);
     }
 }
 
 /// Asks 300 nodes and some that take the connection and say nothing. Prints how long it took, and
 /// judges only what was found, so that a slow machine gives the same verdict.
-fn ask_hundreds(silent: usize) -> Run {
+fn ask_hundreds(silent: usize) -> ToolOutput {
     let fleet = fleet((0..300).map(|i| status(i, 4)).collect());
     let silent: Vec<_> = (0..silent).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let mut addresses = fleet.addresses.clone();
@@ -251,13 +251,13 @@
 #[test]
 fn fleet_of_hundreds() {
     let run = ask_hundreds(0);
-    assert_eq!(run.code, Some(0), "{}", run.stdout);
+    assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 300, holding 300"), "{}", run.stdout);
 }
 
 #[test]
 fn fleet_of_hundreds_with_silent_nodes() {
     let run = ask_hundreds(20);
-    assert_eq!(run.code, Some(1), "{}", run.stdout);
+    assert_eq!(run.exit_code, Some(1), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 320, holding 300, newer 0, lagging 20"), "{}", run.stdout);
 }
--- a/tools/tests/operators/timeline.rs
+++ b/tools/tests/operators/timeline.rs
@@ -1,7 +1,7 @@
 //! `sycamore-timeline` over files and admin ports.
 
 use crate::fake_nodes::FakeNodes;
-use crate::tool::{self, Run};
+use crate::tool::{self, ToolOutput};
 use indexmap::IndexMap;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -26,7 +26,7 @@
         "dropped": 0, "events": events})
 }
 
-fn timeline(args: &[&str]) -> Run {
+fn timeline(args: &[&str]) -> ToolOutput {
     tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), args)
 }
 
@@ -39,7 +39,7 @@
     let mut args: Vec<_> = paths.iter().map(|path| path.to_str().unwrap()).collect();
     args.extend(["--format", "json"]);
     let run = timeline(&args);
-    assert_eq!(run.code, Some(0), "{}", run.stderr);
+    assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
     run.json()
 }
 
@@ -162,9 +162,9 @@
     };
     let nodes = FakeNodes::start(1, |_| IndexMap::from([("/events".to_owned(), body(START))]));
     let node = nodes.addresses[0].to_string();
-    assert_eq!(timeline(&["--node", &node, "--save", save]).code, Some(0));
+    assert_eq!(timeline(&["--node", &node, "--save", save]).exit_code, Some(0));
     nodes.set_response(0, "/events", body(START + 60 * SECOND));
-    assert_eq!(timeline(&["--node", &node, "--save", save]).code, Some(0));
+    assert_eq!(timeline(&["--node", &node, "--save", save]).exit_code, Some(0));
     drop(nodes);
     let run = timeline(&["--save", save, "--format", "json"]);
     let line = run.json();
@@ -177,7 +177,7 @@
     let nodes = FakeNodes::start(1, |_| IndexMap::from([("/events".to_owned(), body.clone())]));
     let node = nodes.addresses[0].to_string();
     let run = timeline(&["--node", &node, "--follow", "1", "--interval-ms", "50"]);
-    assert_eq!(run.code, Some(0));
+    assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains(" started\n"), "{}", run.stdout);
 }
 
@@ -214,7 +214,7 @@
     let output = dir.path().join("a.svg");
     let args = [path.to_str().unwrap(), "--format", "svg", "--output", output.to_str().unwrap()];
     let run = timeline(&args);
-    assert_eq!(run.code, Some(0), "{}", run.stderr);
+    assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
     let picture = fs::read_to_string(output).unwrap();
     assert!(picture.contains("&lt;a&amp;\"b&gt;"), "{picture}");
     assert!(picture.contains("clock gap"), "{picture}");
@@ -238,7 +238,7 @@
     let path = dir.path().join("a.json");
     fs::write(&path, "{\"events\": 1}").unwrap();
     let run = timeline(&[path.to_str().unwrap()]);
-    assert_eq!(run.code, Some(2));
+    assert_eq!(run.exit_code, Some(2));
     assert!(run.stderr.contains("E506"), "{}", run.stderr);
 }
 
@@ -246,7 +246,7 @@
 fn usage_refused() {
     for args in [&[][..], &["--follow", "1"], &["x.json", "--format", "png"]] {
         let run = timeline(args);
-        assert_eq!(run.code, Some(2), "{args:?}");
+        assert_eq!(run.exit_code, Some(2), "{args:?}");
         assert!(run.stderr.contains("E104"), "{}", run.stderr);
     }
 }
--- a/tools/tests/operators/tool.rs
+++ b/tools/tests/operators/tool.rs
@@ -3,9 +3,9 @@
 use std::process::Command;
 
 /// What a finished tool left.
-pub struct Run {
+pub struct ToolOutput {
     /// Exit code.
-    pub code: Option<i32>,
+    pub exit_code: Option<i32>,
     /// Standard output.
     pub stdout: String,
     /// Standard error.
@@ -13,16 +13,16 @@
 }
 
 /// Runs a program to its end.
-pub fn run(program: &str, args: &[&str]) -> Run {
+pub fn run(program: &str, args: &[&str]) -> ToolOutput {
     let output = Command::new(program).args(args).output().unwrap();
-    Run {
-        code: output.status.code(),
+    ToolOutput {
+        exit_code: output.status.code(),
         stdout: String::from_utf8(output.stdout).unwrap(),
         stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-impl Run {
+impl ToolOutput {
     /// Standard output as JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.stdout).unwrap()
