--- a/tools/tests/operators/request.rs
+++ b/tools/tests/operators/request.rs
@@ -4,30 +4,30 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-fn logs() -> Vec<PathBuf> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/logs");
-    let mut paths: Vec<_> =
-        fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
+fn log_files() -> Vec<PathBuf> {
+    let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/logs");
+    let mut paths: Vec<_> = fs::read_dir(dir).unwrap().map(|entry| entry.unwrap().path()).collect();
     paths.sort();
     paths
 }
 
-fn story(request: &str, logs: &[PathBuf]) -> ToolOutput {
+fn trace_request(request: &str, logs: &[PathBuf]) -> ToolOutput {
     let mut args = vec!["--request", request];
     args.extend(logs.iter().map(|path| path.to_str().unwrap()));
     tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), &args)
 }
 
 #[test]
-fn stories_as_the_page_tells_them() {
+fn traces_match_operations_page() {
     // Story: an engineer follows docs/OPERATIONS.md at night, and the tool says something else.
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).unwrap();
     for request in ["7b38e582ca4db52c", "7565b72d7289ea75", "32a37fb5b99758df"] {
-        let run = story(request, &logs());
+        let run = trace_request(request, &log_files());
         assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
-        let shown: String = run.stdout.lines().map(|line| format!("    {line}\n")).collect();
-        assert!(page.contains(&shown), "{shown}");
+        let indented_output: String =
+            run.stdout.lines().map(|line| format!("    {line}\n")).collect();
+        assert!(page.contains(&indented_output), "{indented_output}");
     }
 }
 
@@ -53,7 +53,7 @@
     let paths = [dir.path().join("a.log"), dir.path().join("b.log")];
     fs::write(&paths[0], entry.join("\n")).unwrap();
     fs::write(&paths[1], gate.join("\n")).unwrap();
-    let run = story("r1", &paths);
+    let run = trace_request("r1", &paths);
     let steps: Vec<&str> = run.stdout.lines().collect();
     assert_eq!(steps.len(), 5, "{}", run.stdout);
     assert!(steps[2].contains("runs at the target"), "{}", run.stdout);
@@ -62,7 +62,7 @@
 
 #[test]
 fn request_unknown_and_usage() {
-    let run = story("nobody", &logs());
+    let run = trace_request("nobody", &log_files());
     assert_eq!(run.stdout, "no line about nobody\n");
     assert_ne!(run.exit_code, Some(0));
     let run = tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), &["--request", "x"]);
