--- a/tools/tests/operators/examples.rs
+++ b/tools/tests/operators/examples.rs
@@ -8,11 +8,11 @@
 const DEPLOYMENTS: [&str; 2] = ["franchise-office", "cooperative"];
 
 /// The JSON files of one folder of a deployment.
-fn files(deployment: &str, folder: &str) -> Vec<PathBuf> {
+fn json_files(deployment: &str, dir: &str) -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples");
-    let entries = fs::read_dir(root.join(deployment).join(folder)).unwrap();
+    let entries = fs::read_dir(root.join(deployment).join(dir)).unwrap();
     let files: Vec<_> = entries.map(|entry| entry.unwrap().path()).collect();
-    assert!(!files.is_empty(), "{deployment}/{folder}");
+    assert!(!files.is_empty(), "{deployment}/{dir}");
     files
 }
 
@@ -23,7 +23,7 @@
 #[test]
 fn settings_valid() {
     for deployment in DEPLOYMENTS {
-        let files = files(deployment, "nodes");
+        let files = json_files(deployment, "nodes");
         assert_eq!(files.len(), 18, "{deployment}");
         for file in files {
             Settings::read(&file).unwrap();
@@ -34,7 +34,7 @@
 #[test]
 fn presets_accepted() {
     for deployment in DEPLOYMENTS {
-        for file in files(deployment, "published/preset") {
+        for file in json_files(deployment, "published/preset") {
             let run = check(&file);
             assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
         }
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn refused_presets_refused() {
+fn invalid_presets_refused() {
     for deployment in DEPLOYMENTS {
-        for file in files(deployment, "refused") {
+        for file in json_files(deployment, "refused") {
             assert_eq!(check(&file).exit_code, Some(1), "{}", file.display());
         }
     }
