--- a/tools/tests/operators/status.rs
+++ b/tools/tests/operators/status.rs
@@ -12,7 +12,7 @@
 }
 
 /// The status of a node whose clock is right and that took its version ten seconds ago.
-fn status(index: usize, version: u64) -> Value {
+fn node_status(index: usize, version: u64) -> Value {
     let now = now_us();
     let digest = "ab".repeat(32);
     let in_force = json!({"version": version, "preset": "ordinary", "digest": digest});
@@ -25,13 +25,13 @@
     })
 }
 
-fn fleet(statuses: Vec<Value>) -> FakeNodes {
+fn start_nodes(statuses: Vec<Value>) -> FakeNodes {
     FakeNodes::start(statuses.len(), |index| {
         IndexMap::from([("/status".to_owned(), statuses[index].to_string())])
     })
 }
 
-fn ask(addresses: &[SocketAddr], options: &[&str]) -> ToolOutput {
+fn run_status(addresses: &[SocketAddr], options: &[&str]) -> ToolOutput {
     let mut args: Vec<String> = options.iter().map(|&option| option.to_owned()).collect();
     for address in addresses {
         args.extend(["--node".to_owned(), address.to_string()]);
@@ -40,15 +40,15 @@
     tool::run(env!("CARGO_BIN_EXE_sycamore-status"), &args)
 }
 
-fn with(mut status: Value, field: &str, value: Value) -> Value {
+fn with_field(mut status: Value, field: &str, value: Value) -> Value {
     status[field] = value;
     status
 }
 
 #[test]
 fn version_everywhere() {
-    let fleet = fleet((0..3).map(|i| status(i, 4)).collect());
-    let run = ask(&fleet.addresses, &["--version-in-force", "4"]);
+    let fleet = start_nodes((0..3).map(|i| node_status(i, 4)).collect());
+    let run = run_status(&fleet.addresses, &["--version-in-force", "4"]);
     assert_eq!(run.exit_code, Some(0), "{}{}", run.stdout, run.stderr);
     assert!(run.stdout.starts_with("version 4 is in force everywhere since"), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 3, holding 3, newer 0, lagging 0"), "{}", run.stdout);
@@ -56,8 +56,11 @@
 
 #[test]
 fn version_not_heard() {
-    let fleet = fleet(vec![status(0, 4), with(status(1, 3), "platform_answers", false.into())]);
-    let run = ask(&fleet.addresses, &[]);
+    let fleet = start_nodes(vec![
+        node_status(0, 4),
+        with_field(node_status(1, 3), "platform_answers", false.into()),
+    ]);
+    let run = run_status(&fleet.addresses, &[]);
     assert_eq!(run.exit_code, Some(1));
     let line = "version 3, heard of no newer one, parent vm-0, platform does not answer";
     assert!(run.stdout.contains("version 4 is NOT in force everywhere"), "{}", run.stdout);
@@ -67,22 +70,29 @@
 #[test]
 fn version_refused() {
     let fault = "E206: a limit is out of its range";
-    let refusing = with(with(status(1, 3), "newest_heard", 4.into()), "last_refusal", fault.into());
-    let fleet = fleet(vec![status(0, 3), refusing]);
-    let run = ask(&fleet.addresses, &["--version-in-force", "4", "--format", "json"]);
+    let refusing = with_field(
+        with_field(node_status(1, 3), "newest_heard", 4.into()),
+        "last_refusal",
+        fault.into(),
+    );
+    let fleet = start_nodes(vec![node_status(0, 3), refusing]);
+    let run = run_status(&fleet.addresses, &["--version-in-force", "4", "--format", "json"]);
     assert_eq!(run.exit_code, Some(1));
     let report = run.json();
     assert_eq!(report["fleet"][0]["lag"]["why"], "not-heard");
     assert_eq!(report["fleet"][1]["lag"], json!({"why": "refused", "version": 3, "fault": fault}));
     assert_eq!(report["refusals"], json!([{"fault": fault, "nodes": 1}]));
-    let text = ask(&fleet.addresses, &["--version-in-force", "4"]).stdout;
+    let text = run_status(&fleet.addresses, &["--version-in-force", "4"]).stdout;
     assert!(text.contains(&format!("\nrefused by 1 nodes: {fault}\n")), "{text}");
 }
 
 #[test]
 fn version_fetching() {
-    let fleet = fleet(vec![status(0, 4), with(status(1, 3), "newest_heard", 4.into())]);
-    let run = ask(&fleet.addresses, &[]);
+    let fleet = start_nodes(vec![
+        node_status(0, 4),
+        with_field(node_status(1, 3), "newest_heard", 4.into()),
+    ]);
+    let run = run_status(&fleet.addresses, &[]);
     assert!(run.stdout.contains("fetching from vm-0"), "{}", run.stdout);
 }
 
@@ -90,37 +100,43 @@
 fn version_split() {
     // Story: two operators publish under one version and, against the rules, both bodies come
     // into force somewhere. Every node holds "version 4"; only the digests tell.
-    let mut other = status(2, 4);
+    let mut other = node_status(2, 4);
     other["in_force"]["digest"] = "cd".repeat(32).into();
-    let fleet = fleet(vec![status(0, 4), status(1, 4), other]);
-    let run = ask(&fleet.addresses, &[]);
+    let fleet = start_nodes(vec![node_status(0, 4), node_status(1, 4), other]);
+    let run = run_status(&fleet.addresses, &[]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("SPLIT: version 4 with digest cdcd"), "{}", run.stdout);
 }
 
 #[test]
 fn version_superseded() {
-    let fleet = fleet(vec![status(0, 5), status(1, 5)]);
-    let run = ask(&fleet.addresses, &["--version-in-force", "4"]);
+    let fleet = start_nodes(vec![node_status(0, 5), node_status(1, 5)]);
+    let run = run_status(&fleet.addresses, &["--version-in-force", "4"]);
     assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains("superseded everywhere"), "{}", run.stdout);
 }
 
 #[test]
 fn version_none_yet() {
-    let empty = with(with(status(0, 0), "in_force", Value::Null), "in_force_since", Value::Null);
-    let run = ask(&fleet(vec![empty]).addresses, &[]);
+    let empty = with_field(
+        with_field(node_status(0, 0), "in_force", Value::Null),
+        "in_force_since",
+        Value::Null,
+    );
+    let run = run_status(&start_nodes(vec![empty]).addresses, &[]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("no version is in force anywhere"), "{}", run.stdout);
 }
 
 #[test]
 fn node_unreachable() {
-    let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let fleet = fleet(vec![status(0, 4)]);
-    let run = ask(&[fleet.addresses[0], closed], &[]);
+    let closed_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let fleet = start_nodes(vec![node_status(0, 4)]);
+    let run = run_status(&[fleet.addresses[0], closed_address], &[]);
     assert_eq!(run.exit_code, Some(1));
-    assert!(run.stdout.contains(&format!("E501: a node does not answer at {closed}/status")));
+    assert!(
+        run.stdout.contains(&format!("E501: a node does not answer at {closed_address}/status"))
+    );
 }
 
 #[test]
@@ -128,15 +144,15 @@
     // Story: a node is stopped with SIGSTOP. Its kernel still takes connections, so that a tool
     // without a timeout of its own waits for ever.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let run = ask(&[silent.local_addr().unwrap()], &["--timeout-ms", "100"]);
+    let run = run_status(&[silent.local_addr().unwrap()], &["--timeout-ms", "100"]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("no response within 100 ms"), "{}", run.stdout);
 }
 
 #[test]
-fn node_rubbish() {
+fn node_response_malformed() {
     let fleet = FakeNodes::start(1, |_| IndexMap::from([("/status".to_owned(), "{}".to_owned())]));
-    let run = ask(&fleet.addresses, &[]);
+    let run = run_status(&fleet.addresses, &[]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E504"), "{}", run.stdout);
 }
@@ -145,23 +161,26 @@
 fn node_of_a_later_release() {
     // Story: a fleet is upgraded node by node, and the new release tells more of itself. A tool
     // that refuses what it does not know would show every upgraded node as lost.
-    let run = ask(&fleet(vec![with(status(0, 4), "colour", 1.into())]).addresses, &[]);
+    let run = run_status(
+        &start_nodes(vec![with_field(node_status(0, 4), "colour", 1.into())]).addresses,
+        &[],
+    );
     assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
 }
 
 #[test]
 fn node_list_cut_short() {
-    let late = (1..100).map(|i| status(i, 3));
-    let fleet = fleet(std::iter::once(status(0, 4)).chain(late).collect());
-    let text = ask(&fleet.addresses, &[]).stdout;
+    let late = (1..100).map(|i| node_status(i, 3));
+    let fleet = start_nodes(std::iter::once(node_status(0, 4)).chain(late).collect());
+    let text = run_status(&fleet.addresses, &[]).stdout;
     assert!(text.contains("lagging 99") && text.contains("and 59 more"), "{text}");
-    assert_eq!(ask(&fleet.addresses, &["--all"]).stdout.matches(" in h1 at ").count(), 100);
+    assert_eq!(run_status(&fleet.addresses, &["--all"]).stdout.matches(" in h1 at ").count(), 100);
 }
 
 #[test]
 fn node_leaving_does_not_count() {
-    let leaving = with(status(1, 3), "draining", true.into());
-    let run = ask(&fleet(vec![status(0, 4), leaving]).addresses, &[]);
+    let leaving = with_field(node_status(1, 3), "draining", true.into());
+    let run = run_status(&start_nodes(vec![node_status(0, 4), leaving]).addresses, &[]);
     assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains("leaving 1"), "{}", run.stdout);
 }
@@ -171,18 +190,18 @@
     // Story: one VM's clock is an hour ahead. "In force since" by its own word would lie in the
     // future; the tool shows it by its own clock.
     let hour = Duration::from_secs(3_600).as_micros() as u64;
-    let mut ahead = status(0, 4);
+    let mut ahead = node_status(0, 4);
     for field in ["now", "in_force_since"] {
         ahead[field] = (ahead[field].as_u64().unwrap() + hour).into();
     }
-    let run = ask(&fleet(vec![ahead]).addresses, &["--format", "json"]);
+    let run = run_status(&start_nodes(vec![ahead]).addresses, &["--format", "json"]);
     let since = run.json()["everywhere_since"].as_u64().unwrap();
     assert!(since < now_us(), "{since}");
 }
 
 #[test]
 fn platform_names_version_and_nodes() {
-    let nodes = fleet(vec![status(0, 4), status(1, 4)]);
+    let nodes = start_nodes(vec![node_status(0, 4), node_status(1, 4)]);
     let members: Vec<_> = nodes
         .addresses
         .iter()
@@ -205,7 +224,7 @@
             ("/v1/kv/in-force".to_owned(), published.to_string()),
         ])
     });
-    let run = ask(&[], &["--platform", &platform.addresses[0].to_string()]);
+    let run = run_status(&[], &["--platform", &platform.addresses[0].to_string()]);
     assert_eq!(run.exit_code, Some(1), "{}", run.stderr);
     assert!(run.stdout.contains("version 5 is NOT in force everywhere"), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 2"), "{}", run.stdout);
@@ -213,11 +232,11 @@
 
 #[test]
 fn wait_until_everywhere() {
-    let nodes = fleet(vec![status(0, 4), status(1, 3)]);
+    let nodes = start_nodes(vec![node_status(0, 4), node_status(1, 3)]);
     std::thread::scope(|scope| {
-        let waiting = scope.spawn(|| ask(&nodes.addresses, &["--wait", "60"]));
+        let waiting = scope.spawn(|| run_status(&nodes.addresses, &["--wait", "60"]));
         std::thread::sleep(Duration::from_millis(50));
-        nodes.set_response(1, "/status", status(1, 4).to_string());
+        nodes.set_response(1, "/status", node_status(1, 4).to_string());
         let run = waiting.join().unwrap();
         assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
     });
@@ -226,7 +245,7 @@
 #[test]
 fn usage_refused() {
     for options in [&[][..], &["--node", "nowhere"], &["--concurrency", "0"], &["extra"]] {
-        let run = ask(&[], options);
+        let run = run_status(&[], options);
         assert_eq!(run.exit_code, Some(2), "{options:?}");
         assert!(run.stderr.contains("E104"), "{}", run.stderr);
     }
@@ -234,30 +253,30 @@
 
 /// Asks 300 nodes and some that take the connection and say nothing. Prints how long it took, and
 /// judges only what was found, so that a slow machine gives the same verdict.
-fn ask_hundreds(silent: usize) -> ToolOutput {
-    let fleet = fleet((0..300).map(|i| status(i, 4)).collect());
+fn query_300_nodes(silent: usize) -> ToolOutput {
+    let fleet = start_nodes((0..300).map(|i| node_status(i, 4)).collect());
     let silent: Vec<_> = (0..silent).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let mut addresses = fleet.addresses.clone();
-    let every = |index: usize| index * 300 / silent.len().max(1);
+    let position = |index: usize| index * 300 / silent.len().max(1);
     for (index, listener) in silent.iter().enumerate() {
-        addresses.insert(every(index), listener.local_addr().unwrap());
+        addresses.insert(position(index), listener.local_addr().unwrap());
     }
     let start = std::time::Instant::now();
-    let run = ask(&addresses, &["--timeout-ms", "10000"]);
+    let run = run_status(&addresses, &["--timeout-ms", "10000"]);
     println!("300 nodes and {} silent ones: {:?}", silent.len(), start.elapsed());
     run
 }
 
 #[test]
 fn fleet_of_hundreds() {
-    let run = ask_hundreds(0);
+    let run = query_300_nodes(0);
     assert_eq!(run.exit_code, Some(0), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 300, holding 300"), "{}", run.stdout);
 }
 
 #[test]
 fn fleet_of_hundreds_with_silent_nodes() {
-    let run = ask_hundreds(20);
+    let run = query_300_nodes(20);
     assert_eq!(run.exit_code, Some(1), "{}", run.stdout);
     assert!(run.stdout.contains("nodes: 320, holding 300, newer 0, lagging 20"), "{}", run.stdout);
 }
