--- a/tools/tests/operators/timeline.rs
+++ b/tools/tests/operators/timeline.rs
@@ -21,24 +21,24 @@
 }
 
 /// The answer of `/events` by a process that started at `started` and answers at `now`.
-fn events(vm: &str, started: u64, now: u64, events: &[Value]) -> Value {
+fn events_body(vm: &str, started: u64, now: u64, events: &[Value]) -> Value {
     json!({"vm": vm, "region": "hills", "zone": "h1", "now": now, "started": started,
         "dropped": 0, "events": events})
 }
 
-fn timeline(args: &[&str]) -> ToolOutput {
+fn run_timeline(args: &[&str]) -> ToolOutput {
     tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), args)
 }
 
 /// The time line of these answers as JSON.
-fn merged(dir: &Path, answers: &[Value]) -> Value {
+fn merge_files(dir: &Path, answers: &[Value]) -> Value {
     let paths: Vec<_> = (0..answers.len()).map(|i| dir.join(format!("{i}.json"))).collect();
     for (path, answer) in paths.iter().zip(answers) {
         fs::write(path, answer.to_string()).unwrap();
     }
     let mut args: Vec<_> = paths.iter().map(|path| path.to_str().unwrap()).collect();
     args.extend(["--format", "json"]);
-    let run = timeline(&args);
+    let run = run_timeline(&args);
     assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
     run.json()
 }
@@ -50,28 +50,28 @@
     let dir = tempfile::tempdir().unwrap();
     let first = [event(START, "started"), in_force(START + SECOND, 1)];
     let second = [event(START + 9 * SECOND, "started"), in_force(START + 10 * SECOND, 1)];
-    let line = merged(
+    let timeline = merge_files(
         dir.path(),
         &[
-            events("a", START, START + 5 * SECOND, &first),
-            events("a", START + 9 * SECOND, START + 20 * SECOND, &second),
+            events_body("a", START, START + 5 * SECOND, &first),
+            events_body("a", START + 9 * SECOND, START + 20 * SECOND, &second),
         ],
     );
-    let processes = &line["lanes"][0]["processes"];
+    let processes = &timeline["lanes"][0]["processes"];
     assert_eq!(processes[0]["end"], "killed");
     let band = json!([{"version": 1, "from": START + SECOND, "to": START + 5 * SECOND}]);
     assert_eq!(processes[0]["bands"], band);
     assert_eq!(processes[1]["end"], "running");
     // The restarted node took version 1 nine seconds late without lagging.
-    assert_eq!(line["versions"][0]["last"], START + SECOND);
+    assert_eq!(timeline["versions"][0]["last"], START + SECOND);
 }
 
 #[test]
 fn process_stopped() {
     let dir = tempfile::tempdir().unwrap();
     let stopped = [event(START, "started"), event(START + SECOND, "stopped")];
-    let line = merged(dir.path(), &[events("a", START, START + SECOND, &stopped)]);
-    assert_eq!(line["lanes"][0]["processes"][0]["end"], "stopped");
+    let timeline = merge_files(dir.path(), &[events_body("a", START, START + SECOND, &stopped)]);
+    assert_eq!(timeline["lanes"][0]["processes"][0]["end"], "stopped");
 }
 
 #[test]
@@ -81,42 +81,42 @@
     let dir = tempfile::tempdir().unwrap();
     let drained = [event(START, "started"), event(START + SECOND, "draining")];
     let running = [event(START, "started")];
-    let line = merged(
+    let timeline = merge_files(
         dir.path(),
         &[
-            events("a", START, START + SECOND, &drained),
-            events("b", START, START + 60 * SECOND, &running),
+            events_body("a", START, START + SECOND, &drained),
+            events_body("b", START, START + 60 * SECOND, &running),
         ],
     );
-    assert_eq!(line["lanes"][0]["processes"][0]["end"], "stopped");
+    assert_eq!(timeline["lanes"][0]["processes"][0]["end"], "stopped");
 }
 
 #[test]
 fn process_unseen() {
     let dir = tempfile::tempdir().unwrap();
-    let line = merged(
+    let timeline = merge_files(
         dir.path(),
         &[
-            events("a", START, START + SECOND, &[event(START, "started")]),
-            events("b", START, START + 60 * SECOND, &[event(START, "started")]),
+            events_body("a", START, START + SECOND, &[event(START, "started")]),
+            events_body("b", START, START + 60 * SECOND, &[event(START, "started")]),
         ],
     );
-    assert_eq!(line["lanes"][0]["processes"][0]["end"], "unseen");
-    assert_eq!(line["lanes"][1]["processes"][0]["end"], "running");
+    assert_eq!(timeline["lanes"][0]["processes"][0]["end"], "unseen");
+    assert_eq!(timeline["lanes"][1]["processes"][0]["end"], "running");
 }
 
 #[test]
 fn events_of_two_polls_once() {
     let dir = tempfile::tempdir().unwrap();
     let [a, b, c] = [0, 1, 2].map(|i| in_force(START + i * SECOND, i + 1));
-    let line = merged(
+    let timeline = merge_files(
         dir.path(),
         &[
-            events("a", START, START + 2 * SECOND, &[a, b.clone()]),
-            events("a", START, START + 3 * SECOND, &[b, c]),
+            events_body("a", START, START + 2 * SECOND, &[a, b.clone()]),
+            events_body("a", START, START + 3 * SECOND, &[b, c]),
         ],
     );
-    let marks = line["lanes"][0]["processes"][0]["marks"].as_array().unwrap();
+    let marks = timeline["lanes"][0]["processes"][0]["marks"].as_array().unwrap();
     let versions: Vec<_> = marks.iter().map(|mark| mark["version"].clone()).collect();
     assert_eq!(versions, [1, 2, 3]);
 }
@@ -126,26 +126,27 @@
 }
 
 #[test]
-fn clocks_apart() {
+fn clocks_skewed() {
     // Story: one VM's clock is an hour ahead. Merged by their own clocks, its lane would stand an
     // hour to the right, and a version would seem to take an hour to come into force.
     let hour = 3_600 * SECOND;
     let now = now_us();
     let node = |vm: &str, ahead: u64| {
         let started = now - 10 * SECOND + ahead;
-        let happened = [event(started, "started"), in_force(now - SECOND + ahead, 1)];
-        events(vm, started, now + ahead, &happened)
+        let node_events = [event(started, "started"), in_force(now - SECOND + ahead, 1)];
+        events_body(vm, started, now + ahead, &node_events)
     };
     let bodies = [node("a", 0), node("b", hour)];
     let nodes =
         FakeNodes::start(2, |i| IndexMap::from([("/events".to_owned(), bodies[i].to_string())]));
     let [a, b] = [0, 1].map(|i| nodes.addresses[i].to_string());
-    let run = timeline(&["--node", &a, "--node", &b, "--format", "json", "--timeout-ms", "10000"]);
-    let line = run.json();
-    let span = &line["versions"][0];
-    let took = span["last"].as_u64().unwrap() - span["first"].as_u64().unwrap();
+    let run =
+        run_timeline(&["--node", &a, "--node", &b, "--format", "json", "--timeout-ms", "10000"]);
+    let timeline = run.json();
+    let span = &timeline["versions"][0];
+    let spread_us = span["last"].as_u64().unwrap() - span["first"].as_u64().unwrap();
     // The exchanges take less than the minute that separates right from wrong on any machine.
-    assert!(took < 60 * SECOND, "{took}");
+    assert!(spread_us < 60 * SECOND, "{spread_us}");
     assert_eq!(span["nodes"], 2);
 }
 
@@ -157,26 +158,26 @@
     let save = dir.path().join("records");
     let save = save.to_str().unwrap();
     let body = |started: u64| {
-        let happened = [event(started, "started"), in_force(started + 1, 1)];
-        events("a/b", started, started + SECOND, &happened).to_string()
+        let node_events = [event(started, "started"), in_force(started + 1, 1)];
+        events_body("a/b", started, started + SECOND, &node_events).to_string()
     };
     let nodes = FakeNodes::start(1, |_| IndexMap::from([("/events".to_owned(), body(START))]));
     let node = nodes.addresses[0].to_string();
-    assert_eq!(timeline(&["--node", &node, "--save", save]).exit_code, Some(0));
+    assert_eq!(run_timeline(&["--node", &node, "--save", save]).exit_code, Some(0));
     nodes.set_response(0, "/events", body(START + 60 * SECOND));
-    assert_eq!(timeline(&["--node", &node, "--save", save]).exit_code, Some(0));
+    assert_eq!(run_timeline(&["--node", &node, "--save", save]).exit_code, Some(0));
     drop(nodes);
-    let run = timeline(&["--save", save, "--format", "json"]);
-    let line = run.json();
-    assert_eq!(line["lanes"][0]["processes"].as_array().unwrap().len(), 2, "{line}");
+    let run = run_timeline(&["--save", save, "--format", "json"]);
+    let timeline = run.json();
+    assert_eq!(timeline["lanes"][0]["processes"].as_array().unwrap().len(), 2, "{timeline}");
 }
 
 #[test]
 fn follow_ends_by_itself() {
-    let body = events("a", START, START + SECOND, &[event(START, "started")]).to_string();
+    let body = events_body("a", START, START + SECOND, &[event(START, "started")]).to_string();
     let nodes = FakeNodes::start(1, |_| IndexMap::from([("/events".to_owned(), body.clone())]));
     let node = nodes.addresses[0].to_string();
-    let run = timeline(&["--node", &node, "--follow", "1", "--interval-ms", "50"]);
+    let run = run_timeline(&["--node", &node, "--follow", "1", "--interval-ms", "50"]);
     assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains(" started\n"), "{}", run.stdout);
 }
@@ -185,7 +186,7 @@
 fn follow_ended_by_signal() {
     // Story: the demo follows a run whose length it does not know, and ends the tool by a signal.
     // A tool that dies of it leaves no picture.
-    let body = events("a", START, START + SECOND, &[event(START, "started")]).to_string();
+    let body = events_body("a", START, START + SECOND, &[event(START, "started")]).to_string();
     let nodes = FakeNodes::start(1, |_| IndexMap::from([("/events".to_owned(), body.clone())]));
     let dir = tempfile::tempdir().unwrap();
     let (save, picture) = (dir.path().join("records"), dir.path().join("picture.svg"));
@@ -208,12 +209,13 @@
 fn picture_of_names_with_markup() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("a.json");
-    let happened = [event(START, "started"), in_force(START + 1, 1), event(START + 2, "clock-gap")];
-    let answer = events("<a&\"b>", START, START + SECOND, &happened);
+    let node_events =
+        [event(START, "started"), in_force(START + 1, 1), event(START + 2, "clock-gap")];
+    let answer = events_body("<a&\"b>", START, START + SECOND, &node_events);
     fs::write(&path, answer.to_string()).unwrap();
     let output = dir.path().join("a.svg");
     let args = [path.to_str().unwrap(), "--format", "svg", "--output", output.to_str().unwrap()];
-    let run = timeline(&args);
+    let run = run_timeline(&args);
     assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
     let picture = fs::read_to_string(output).unwrap();
     assert!(picture.contains("&lt;a&amp;\"b&gt;"), "{picture}");
@@ -226,8 +228,8 @@
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("a.json");
     let refused = json!({"at": START, "kind": "version-refused", "version": 3, "code": 204});
-    fs::write(&path, events("a", START, START, &[refused]).to_string()).unwrap();
-    let run = timeline(&[path.to_str().unwrap()]);
+    fs::write(&path, events_body("a", START, START, &[refused]).to_string()).unwrap();
+    let run = run_timeline(&[path.to_str().unwrap()]);
     let line = "version-refused version 3 E204: a route names a service that the document lacks";
     assert!(run.stdout.contains(line), "{}", run.stdout);
 }
@@ -237,7 +239,7 @@
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("a.json");
     fs::write(&path, "{\"events\": 1}").unwrap();
-    let run = timeline(&[path.to_str().unwrap()]);
+    let run = run_timeline(&[path.to_str().unwrap()]);
     assert_eq!(run.exit_code, Some(2));
     assert!(run.stderr.contains("E506"), "{}", run.stderr);
 }
@@ -245,7 +247,7 @@
 #[test]
 fn usage_refused() {
     for args in [&[][..], &["--follow", "1"], &["x.json", "--format", "png"]] {
-        let run = timeline(args);
+        let run = run_timeline(args);
         assert_eq!(run.exit_code, Some(2), "{args:?}");
         assert!(run.stderr.contains("E104"), "{}", run.stderr);
     }
