--- a/tools/tests/operators/check.rs
+++ b/tools/tests/operators/check.rs
@@ -12,22 +12,22 @@
 "routes":{"rosters":{"path_prefix":"/rosters","service":"roster","idempotent":true}}}"#;
 
 /// A directory with files in it, and the tool run among them.
-struct Files(TempDir);
+struct TestDir(TempDir);
 
-impl Files {
-    fn new(preset: &str) -> Files {
-        Files(tempfile::tempdir().unwrap()).with("new.json", preset)
+impl TestDir {
+    fn new(preset: &str) -> TestDir {
+        TestDir(tempfile::tempdir().unwrap()).with_file("new.json", preset)
     }
 
-    fn with(self, name: &str, content: &str) -> Files {
+    fn with_file(self, name: &str, content: &str) -> TestDir {
         fs::write(self.path(name), content).unwrap();
         self
     }
 
-    fn with_in_force(self, name: &str, version: u64, preset: &str) -> Files {
+    fn with_publication(self, name: &str, version: u64, preset: &str) -> TestDir {
         let digest = Hash::of(preset.as_bytes());
         let json = format!(r#"{{"version":{version},"preset":"ordinary","digest":"{digest}"}}"#);
-        self.with(name, &json)
+        self.with_file(name, &json)
     }
 
     fn path(&self, name: &str) -> String {
@@ -36,12 +36,12 @@
 
     /// Runs the tool; an argument that names a file of the directory becomes its path.
     fn check(&self, args: &[&str]) -> ToolOutput {
-        let args: Vec<_> = args.iter().map(|arg| self.argument(arg)).collect();
+        let args: Vec<_> = args.iter().map(|arg| self.resolve_argument(arg)).collect();
         let args: Vec<_> = args.iter().map(String::as_str).collect();
         tool::run(env!("CARGO_BIN_EXE_sycamore-check"), &args)
     }
 
-    fn argument(&self, arg: &str) -> String {
+    fn resolve_argument(&self, arg: &str) -> String {
         match arg.split_once('=') {
             Some((key, file)) => format!("{key}={}", self.path(file)),
             None if arg.ends_with(".json") => self.path(arg),
@@ -52,7 +52,7 @@
 
 #[test]
 fn preset_accepted() {
-    let run = Files::new(PRESET).check(&["new.json", "--publish-version", "7"]);
+    let run = TestDir::new(PRESET).check(&["new.json", "--publish-version", "7"]);
     assert_eq!(run.exit_code, Some(0), "{}", run.stderr);
     let digest = Hash::of(PRESET.as_bytes());
     let value = format!(r#"{{"version":7,"preset":"ordinary","digest":"{digest}"}}"#);
@@ -66,8 +66,8 @@
         .replace(r#""slots":12"#, r#""slots":0"#)
         .replace(r#""vm":"b""#, r#""vm":"a""#)
         .replace(r#""service":"roster""#, r#""service":"maps""#);
-    let files = Files::new(&preset);
-    let run = files.check(&["new.json", "--format", "json"]);
+    let dir = TestDir::new(&preset);
+    let run = dir.check(&["new.json", "--format", "json"]);
     assert_eq!(run.exit_code, Some(1));
     let found: Vec<_> = run.json()["findings"]
         .as_array()
@@ -81,8 +81,8 @@
         (204.into(), "routes.rosters.service".into()),
     ];
     assert_eq!(found, expected);
-    let text = files.check(&["new.json"]).stdout;
-    let file = files.path("new.json");
+    let text = dir.check(&["new.json"]).stdout;
+    let file = dir.path("new.json");
     let line = format!(
         "E206: a limit is out of its range at {file}: services.roster.limits.slots: found 0, \
          allowed 1 to 10000"
@@ -92,7 +92,7 @@
 
 #[test]
 fn preset_not_json() {
-    let run = Files::new("{\"name\": ordinary}").check(&["new.json"]);
+    let run = TestDir::new("{\"name\": ordinary}").check(&["new.json"]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E201"), "{}", run.stdout);
     assert!(run.stdout.contains("line 1 column 10"), "{}", run.stdout);
@@ -101,21 +101,21 @@
 #[test]
 fn preset_too_large() {
     let padded = format!("{PRESET}{}", " ".repeat(1_000_000));
-    let run = Files::new(&padded).check(&["new.json"]);
+    let run = TestDir::new(&padded).check(&["new.json"]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E202"), "{}", run.stdout);
 }
 
 #[test]
 fn preset_unreadable() {
-    let run = Files::new(PRESET).check(&["missing.json"]);
+    let run = TestDir::new(PRESET).check(&["missing.json"]);
     assert_eq!(run.exit_code, Some(2));
     assert!(run.stderr.contains("E505"), "{}", run.stderr);
 }
 
 #[test]
 fn usage_refused() {
-    let files = Files::new(PRESET);
+    let dir = TestDir::new(PRESET);
     for args in [
         &["new.json", "--colour"][..],
         &[],
@@ -125,7 +125,7 @@
         &["new.json", "--previous-in-force", "new.json"],
         &["new.json", "--part", "new.json"],
     ] {
-        let run = files.check(args);
+        let run = dir.check(args);
         assert_eq!(run.exit_code, Some(2), "{args:?}");
         assert!(run.stderr.contains("E104"), "{args:?}: {}", run.stderr);
     }
@@ -133,11 +133,11 @@
 
 #[test]
 fn help_and_version() {
-    let files = Files::new(PRESET);
-    let help = files.check(&["--help"]);
+    let dir = TestDir::new(PRESET);
+    let help = dir.check(&["--help"]);
     assert_eq!(help.exit_code, Some(0));
     assert!(help.stdout.contains("--previous-in-force"), "{}", help.stdout);
-    let version = files.check(&["--version"]);
+    let version = dir.check(&["--version"]);
     assert_eq!(version.exit_code, Some(0));
     assert!(version.stdout.starts_with("sycamore-check "), "{}", version.stdout);
 }
@@ -147,18 +147,18 @@
     // Story: an operator edits the preset after preparing its in-force value. Nodes would refuse
     // the digest after the publish; the check must refuse it before.
     let edited = PRESET.replace("/rosters", "/crews");
-    let files = Files::new(&edited).with_in_force("in-force.json", 2, PRESET);
-    let run = files.check(&["new.json", "--in-force", "in-force.json"]);
+    let dir = TestDir::new(&edited).with_publication("in-force.json", 2, PRESET);
+    let run = dir.check(&["new.json", "--in-force", "in-force.json"]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E203"), "{}", run.stdout);
 }
 
 /// Judges `preset` as version `version` after [`PRESET`] as version 5.
-fn judge(preset: &str, version: u64) -> ToolOutput {
-    Files::new(preset)
-        .with("old.json", PRESET)
-        .with_in_force("new-in-force.json", version, preset)
-        .with_in_force("old-in-force.json", 5, PRESET)
+fn check_after_version_5(preset: &str, version: u64) -> ToolOutput {
+    TestDir::new(preset)
+        .with_file("old.json", PRESET)
+        .with_publication("new-in-force.json", version, preset)
+        .with_publication("old-in-force.json", 5, PRESET)
         .check(&[
             "new.json",
             "--in-force",
@@ -172,12 +172,12 @@
 
 #[test]
 fn version_newer_accepted() {
-    assert_eq!(judge(PRESET, 6).exit_code, Some(0));
+    assert_eq!(check_after_version_5(PRESET, 6).exit_code, Some(0));
 }
 
 #[test]
 fn version_older_refused() {
-    let run = judge(PRESET, 4);
+    let run = check_after_version_5(PRESET, 4);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E210"), "{}", run.stdout);
     assert!(run.stdout.contains("found 4, allowed from 6"), "{}", run.stdout);
@@ -185,33 +185,33 @@
 
 #[test]
 fn version_claimed_by_other_body_refused() {
-    let run = judge(&PRESET.replace("/rosters", "/crews"), 5);
+    let run = check_after_version_5(&PRESET.replace("/rosters", "/crews"), 5);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E209"), "{}", run.stdout);
 }
 
 #[test]
 fn version_in_force_already() {
-    let run = judge(PRESET, 5);
+    let run = check_after_version_5(PRESET, 5);
     assert_eq!(run.exit_code, Some(0));
     assert!(run.stdout.contains("in force already"), "{}", run.stdout);
 }
 
 #[test]
 fn version_zero_refused() {
-    let files = Files::new(PRESET).with_in_force("in-force.json", 0, PRESET);
-    let run = files.check(&["new.json", "--in-force", "in-force.json"]);
+    let dir = TestDir::new(PRESET).with_publication("in-force.json", 0, PRESET);
+    let run = dir.check(&["new.json", "--in-force", "in-force.json"]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E206"), "{}", run.stdout);
 }
 
 #[test]
 fn version_next_printed() {
-    let files = Files::new(&PRESET.replace("/rosters", "/crews"))
-        .with("old.json", PRESET)
-        .with_in_force("old-in-force.json", 5, PRESET);
+    let dir = TestDir::new(&PRESET.replace("/rosters", "/crews"))
+        .with_file("old.json", PRESET)
+        .with_publication("old-in-force.json", 5, PRESET);
     let args = ["new.json", "--previous", "old.json", "--previous-in-force", "old-in-force.json"];
-    let run = files.check(&args);
+    let run = dir.check(&args);
     assert!(run.stdout.contains(r#"{"version":6,"preset":"ordinary""#), "{}", run.stdout);
 }
 
@@ -225,8 +225,8 @@
             r#""routes":{"#,
             r#""routes":{"maps":{"path_prefix":"/maps","service":"roster","idempotent":true},"#,
         );
-    let files = Files::new(&new).with("old.json", PRESET);
-    let run = files.check(&["new.json", "--previous", "old.json", "--format", "json"]);
+    let dir = TestDir::new(&new).with_file("old.json", PRESET);
+    let run = dir.check(&["new.json", "--previous", "old.json", "--format", "json"]);
     assert_eq!(run.exit_code, Some(0));
     let difference = &run.json()["difference"];
     let service = &difference["services"][0];
@@ -246,8 +246,8 @@
 
 #[test]
 fn difference_none() {
-    let files = Files::new(PRESET).with("old.json", PRESET);
-    let run = files.check(&["new.json", "--previous", "old.json"]);
+    let dir = TestDir::new(PRESET).with_file("old.json", PRESET);
+    let run = dir.check(&["new.json", "--previous", "old.json"]);
     assert!(run.stdout.contains("changes: none"), "{}", run.stdout);
 }
 
@@ -264,16 +264,16 @@
 }
 
 #[test]
-fn part_whole() {
-    let files = Files::new(&preset_with_part()).with("maps.json", PART);
-    let run = files.check(&["new.json", "--part", "part/maps=maps.json"]);
+fn part_accepted() {
+    let dir = TestDir::new(&preset_with_part()).with_file("maps.json", PART);
+    let run = dir.check(&["new.json", "--part", "part/maps=maps.json"]);
     assert_eq!(run.exit_code, Some(0), "{}{}", run.stdout, run.stderr);
     assert!(run.stdout.contains("2 services, 1 routes, 3 targets"), "{}", run.stdout);
 }
 
 #[test]
 fn part_missing() {
-    let run = Files::new(&preset_with_part()).check(&["new.json"]);
+    let run = TestDir::new(&preset_with_part()).check(&["new.json"]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E212"), "{}", run.stdout);
     assert!(run.stdout.contains("parts[0].key: part/maps"), "{}", run.stdout);
@@ -281,15 +281,15 @@
 
 #[test]
 fn part_of_other_content() {
-    let files = Files::new(&preset_with_part()).with("maps.json", "{}");
-    let run = files.check(&["new.json", "--part", "part/maps=maps.json"]);
+    let dir = TestDir::new(&preset_with_part()).with_file("maps.json", "{}");
+    let run = dir.check(&["new.json", "--part", "part/maps=maps.json"]);
     assert_eq!(run.exit_code, Some(1));
     assert!(run.stdout.contains("E203"), "{}", run.stdout);
 }
 
 #[test]
 fn part_not_named() {
-    let files = Files::new(PRESET).with("maps.json", PART);
-    let run = files.check(&["new.json", "--part", "part/maps=maps.json"]);
+    let dir = TestDir::new(PRESET).with_file("maps.json", PART);
+    let run = dir.check(&["new.json", "--part", "part/maps=maps.json"]);
     assert_eq!(run.exit_code, Some(2));
 }
