--- a/tools/tests/operators/check_agrees.rs
+++ b/tools/tests/operators/check_agrees.rs
@@ -12,12 +12,12 @@
 use sycamore_node::settings::Settings;
 use sycamore_standins::platform::{Addresses, Platform, PlatformConfig, Store};
 
-/// Polls of a node before the test fails, at [`POLL_PAUSE`].
+/// Polls of a node before the test fails, at [`POLL_INTERVAL`].
 const MAX_POLLS: u32 = 3_000;
-const POLL_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Changes of a good preset, each with whether it makes a bad one.
-fn changes() -> Vec<(&'static str, &'static str, bool)> {
+fn preset_edits() -> Vec<(&'static str, &'static str, bool)> {
     vec![
         (r#""slots":12"#, r#""slots":18"#, false),
         (r#""slots":12"#, r#""slots":0"#, true),
@@ -51,7 +51,7 @@
     json!({"version": version, "preset": "ordinary", "digest": digest}).to_string()
 }
 
-fn exchange(address: SocketAddr, head: &str, body: &str) -> Option<String> {
+fn http_request(address: SocketAddr, head: &str, body: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     let size = body.len();
     let head = format!("{head} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n");
@@ -63,20 +63,20 @@
 
 /// Four free addresses of this machine, which the node binds soon after. All are held until the
 /// last is drawn: one that is given back may be drawn again.
-fn four_free() -> [SocketAddr; 4] {
-    let held = [(); 4].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    held.map(|listener| listener.local_addr().unwrap())
+fn reserve_addresses() -> [SocketAddr; 4] {
+    let listeners = [(); 4].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
+    listeners.map(|listener| listener.local_addr().unwrap())
 }
 
 /// A platform and a node in this process.
-struct Bench {
+struct Deployment {
     platform: Addresses,
     admin: SocketAddr,
 }
 
-impl Bench {
-    fn start() -> Bench {
-        let [calls, gate, peers, admin] = four_free();
+impl Deployment {
+    fn start() -> Deployment {
+        let [calls, gate, peers, admin] = reserve_addresses();
         let vm = json!({"vm": "a", "region": "hills", "zone": "h1", "peers": peers,
             "admin": admin, "state": "live"});
         let mut store = Store::new();
@@ -93,38 +93,39 @@
             "platform_address": platform.readers[0], "platform_region": "hills"});
         let settings = Settings::parse(settings.to_string().as_bytes()).unwrap();
         std::thread::spawn(move || App::new(settings).run().unwrap());
-        let bench = Bench { platform, admin };
-        bench.event_of(1);
-        bench
+        let deployment = Deployment { platform, admin };
+        deployment.wait_for_verdict(1);
+        deployment
     }
 
     fn publish(&self, version: u64, preset: &str) {
         let control = self.platform.control;
-        exchange(control, "PUT /v1/kv/preset/ordinary", preset).unwrap();
-        exchange(control, "PUT /v1/kv/in-force", &in_force(version, preset)).unwrap();
+        http_request(control, "PUT /v1/kv/preset/ordinary", preset).unwrap();
+        http_request(control, "PUT /v1/kv/in-force", &in_force(version, preset)).unwrap();
     }
 
     /// What became of a version on the node: `version-in-force` or `version-refused`.
-    fn event_of(&self, version: u64) -> Value {
+    fn wait_for_verdict(&self, version: u64) -> Value {
         for _ in 0..MAX_POLLS {
-            let body = exchange(self.admin, "GET /events", "").unwrap_or_default();
+            let body = http_request(self.admin, "GET /events", "").unwrap_or_default();
             let answer: Value = serde_json::from_str(&body).unwrap_or_default();
             let events = answer["events"].as_array().cloned().unwrap_or_default();
-            let ends = ["version-in-force", "version-refused"];
-            let is_end = |event: &Value| {
-                event["version"] == version && ends.iter().any(|end| event["kind"] == *end)
+            let verdicts = ["version-in-force", "version-refused"];
+            let is_verdict = |event: &Value| {
+                event["version"] == version
+                    && verdicts.iter().any(|verdict| event["kind"] == *verdict)
             };
-            if let Some(event) = events.into_iter().find(is_end) {
+            if let Some(event) = events.into_iter().find(is_verdict) {
                 return event;
             }
-            std::thread::sleep(POLL_PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
         panic!("version {version} neither came into force nor was refused");
     }
 }
 
 /// What the tool says of a publication after version 1: nothing, or the code of each failure.
-fn check(dir: &Path, version: u64, preset: &str) -> Vec<u64> {
+fn run_check(dir: &Path, version: u64, preset: &str) -> Vec<u64> {
     let path = |name: &str| dir.join(name).display().to_string();
     fs::write(path("new.json"), preset).unwrap();
     fs::write(path("new-in-force.json"), in_force(version, preset)).unwrap();
@@ -153,16 +154,16 @@
 #[test]
 fn verdict_same_as_nodes() {
     let dir = tempfile::tempdir().unwrap();
-    let bench = Bench::start();
-    for (index, (old, new, bad)) in changes().into_iter().enumerate() {
+    let deployment = Deployment::start();
+    for (index, (old, new, invalid)) in preset_edits().into_iter().enumerate() {
         let version = index as u64 + 2;
         let preset = PRESET.replacen(old, new, 1);
-        let codes = check(dir.path(), version, &preset);
-        assert_eq!(!codes.is_empty(), bad, "{new}: {codes:?}");
-        bench.publish(version, &preset);
-        let event = bench.event_of(version);
+        let codes = run_check(dir.path(), version, &preset);
+        assert_eq!(!codes.is_empty(), invalid, "{new}: {codes:?}");
+        deployment.publish(version, &preset);
+        let event = deployment.wait_for_verdict(version);
         assert_eq!(event["code"].as_u64(), codes.first().copied(), "{new}: {event}");
-        let kind = if bad { "version-refused" } else { "version-in-force" };
+        let kind = if invalid { "version-refused" } else { "version-in-force" };
         assert_eq!(event["kind"], kind, "{new}");
     }
 }
