--- a/tools/tests/operators/fake_nodes.rs
+++ b/tools/tests/operators/fake_nodes.rs
@@ -1,4 +1,4 @@
-//! Admin ports that answer what a test says, all served by one thread.
+//! Simulated admin ports with configurable responses, served by one thread.
 
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -16,16 +16,15 @@
 /// ResponseBodies by path; a path that is missing is answered 404.
 type ResponseBodies = Arc<Mutex<IndexMap<String, String>>>;
 
-/// A running set of admin ports.
+/// A set of running admin ports, stopped on drop.
 pub struct FakeNodes {
-    /// Their addresses.
     pub addresses: Vec<SocketAddr>,
     bodies: Vec<ResponseBodies>,
     _stop: async_channel::Sender<()>,
 }
 
 impl FakeNodes {
-    /// Starts `count` ports, each with the bodies that `make` gives for its index.
+    /// Starts `count` ports. `make_bodies` returns the response bodies of the port with that index.
     pub fn start(
         count: usize,
         make_bodies: impl Fn(usize) -> IndexMap<String, String>,
@@ -48,7 +47,7 @@
         FakeNodes { addresses, bodies, _stop: stop }
     }
 
-    /// Changes what a port answers on a path.
+    /// Sets the response body of a port for a path.
     pub fn set_response(&self, index: usize, path: &str, body: String) {
         self.bodies[index].lock().unwrap().insert(path.to_owned(), body);
     }
