--- a/tools/tests/operators/main.rs
+++ b/tools/tests/operators/main.rs
@@ -1,4 +1,4 @@
-//! The operators' tools, run as real processes.
+//! Integration tests that run the operator tools as processes.
 
 mod check;
 mod check_agrees;
