--- a/tools/tests/operators/tool.rs
+++ b/tools/tests/operators/tool.rs
@@ -1,18 +1,15 @@
-//! Runs one of the tools and keeps what it said.
+//! Runs a tool and captures its output.
 
 use std::process::Command;
 
-/// What a finished tool left.
+/// Exit code and output of a finished tool.
 pub struct ToolOutput {
-    /// Exit code.
     pub exit_code: Option<i32>,
-    /// Standard output.
     pub stdout: String,
-    /// Standard error.
     pub stderr: String,
 }
 
-/// Runs a program to its end.
+/// Runs a program and waits for it to exit.
 pub fn run(program: &str, args: &[&str]) -> ToolOutput {
     let output = Command::new(program).args(args).output().unwrap();
     ToolOutput {
@@ -23,7 +20,7 @@
 }
 
 impl ToolOutput {
-    /// Standard output as JSON.
+    /// Parses standard output as JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.stdout).unwrap()
     }
