--- a/tools/tests/operators/request.rs
+++ b/tools/tests/operators/request.rs
@@ -1,4 +1,4 @@
-//! `sycamore-timeline --request`: the story of one request from the logs of several nodes.
+//! Tests of `sycamore-timeline --request`, which traces one request through the logs of nodes.
 
 use crate::tool::{self, ToolOutput};
 use std::fs;
@@ -19,7 +19,7 @@
 
 #[test]
 fn traces_match_operations_page() {
-    // Story: an engineer follows docs/OPERATIONS.md at night, and the tool says something else.
+    // The examples in docs/OPERATIONS.md must match the output of the tool.
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).unwrap();
     for request in ["7b38e582ca4db52c", "7565b72d7289ea75", "32a37fb5b99758df"] {
@@ -33,7 +33,7 @@
 
 #[test]
 fn lines_of_several_nodes_in_order() {
-    // What came before the JSON object, and other requests' lines, are passed over.
+    // Text before the JSON object and lines of other requests are ignored.
     let dir = tempfile::tempdir().unwrap();
     let line = |time: &str, vm: &str, request: &str, rest: &str| {
         format!(r#"0.5 {vm} {{"time":"{time}","vm":"{vm}","request":"{request}",{rest}}}"#)
@@ -71,8 +71,7 @@
 
 #[test]
 fn request_options_without_effect_are_refused() {
-    // Story: an operator asks for the story as JSON into a file. The options were passed over: text
-    // came out on the terminal, the file stayed away, and the exit code said that all was well.
+    // Options that do not apply to `--request` must be rejected rather than silently ignored.
     for (option, value) in [("--format", "json"), ("--output", "story"), ("--node", "127.0.0.1:1")]
     {
         let args = ["--request", "r1", "nodes.log", option, value];
