--- a/tools/tests/operators/examples.rs
+++ b/tools/tests/operators/examples.rs
@@ -1,4 +1,4 @@
-//! The examples that the demo runs are valid, and the documents that nodes must refuse are not.
+//! Checks that the example documents of the demo are valid, and that those in `refused` are not.
 
 use crate::tool;
 use std::fs;
@@ -7,7 +7,7 @@
 
 const DEPLOYMENTS: [&str; 2] = ["franchise-office", "cooperative"];
 
-/// The JSON files of one folder of a deployment.
+/// Returns the JSON files in a directory of a deployment.
 fn json_files(deployment: &str, dir: &str) -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples");
     let entries = fs::read_dir(root.join(deployment).join(dir)).unwrap();
