--- a/tools/tests/operators/status.rs
+++ b/tools/tests/operators/status.rs
@@ -1,4 +1,4 @@
-//! `sycamore-status` over admin ports.
+//! Tests of `sycamore-status` against simulated admin ports.
 
 use crate::fake_nodes::FakeNodes;
 use crate::tool::{self, ToolOutput};
@@ -11,7 +11,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
-/// The status of a node whose clock is right and that took its version ten seconds ago.
+/// Status of a node without clock offset whose version came into force ten seconds ago.
 fn node_status(index: usize, version: u64) -> Value {
     let now = now_us();
     let digest = "ab".repeat(32);
@@ -98,8 +98,8 @@
 
 #[test]
 fn version_split() {
-    // Story: two operators publish under one version and, against the rules, both bodies come
-    // into force somewhere. Every node holds "version 4"; only the digests tell.
+    // Two documents in force under one version number must be reported, although every node holds
+    // that version.
     let mut other = node_status(2, 4);
     other["in_force"]["digest"] = "cd".repeat(32).into();
     let fleet = start_nodes(vec![node_status(0, 4), node_status(1, 4), other]);
@@ -141,8 +141,8 @@
 
 #[test]
 fn node_silent() {
-    // Story: a node is stopped with SIGSTOP. Its kernel still takes connections, so that a tool
-    // without a timeout of its own waits for ever.
+    // The kernel accepts connections for a suspended process, so only a timeout of the tool ends
+    // the request.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let run = run_status(&[silent.local_addr().unwrap()], &["--timeout-ms", "100"]);
     assert_eq!(run.exit_code, Some(1));
@@ -159,8 +159,8 @@
 
 #[test]
 fn node_of_a_later_release() {
-    // Story: a fleet is upgraded node by node, and the new release tells more of itself. A tool
-    // that refuses what it does not know would show every upgraded node as lost.
+    // Unknown fields must be accepted, or every upgraded node would be shown as unreachable during
+    // a rolling upgrade.
     let run = run_status(
         &start_nodes(vec![with_field(node_status(0, 4), "colour", 1.into())]).addresses,
         &[],
@@ -187,8 +187,7 @@
 
 #[test]
 fn node_clock_an_hour_ahead() {
-    // Story: one VM's clock is an hour ahead. "In force since" by its own word would lie in the
-    // future; the tool shows it by its own clock.
+    // Times of a node must be converted to the tool's clock, or this one would be in the future.
     let hour = Duration::from_secs(3_600).as_micros() as u64;
     let mut ahead = node_status(0, 4);
     for field in ["now", "in_force_since"] {
@@ -251,8 +250,8 @@
     }
 }
 
-/// Asks 300 nodes and some that take the connection and say nothing. Prints how long it took, and
-/// judges only what was found, so that a slow machine gives the same verdict.
+/// Queries 300 nodes and `silent` more that accept connections without responding. The duration is
+/// printed but not checked, so that the tests do not depend on the speed of the machine.
 fn query_300_nodes(silent: usize) -> ToolOutput {
     let fleet = start_nodes((0..300).map(|i| node_status(i, 4)).collect());
     let silent: Vec<_> = (0..silent).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
