--- a/tools/tests/operators/timeline.rs
+++ b/tools/tests/operators/timeline.rs
@@ -1,4 +1,4 @@
-//! `sycamore-timeline` over files and admin ports.
+//! Tests of `sycamore-timeline` with files and simulated admin ports.
 
 use crate::fake_nodes::FakeNodes;
 use crate::tool::{self, ToolOutput};
@@ -20,7 +20,7 @@
     json!({"at": at, "kind": "version-in-force", "version": version})
 }
 
-/// The answer of `/events` by a process that started at `started` and answers at `now`.
+/// `/events` response of a process that started at `started`, sent at `now`.
 fn events_body(vm: &str, started: u64, now: u64, events: &[Value]) -> Value {
     json!({"vm": vm, "region": "hills", "zone": "h1", "now": now, "started": started,
         "dropped": 0, "events": events})
@@ -30,7 +30,7 @@
     tool::run(env!("CARGO_BIN_EXE_sycamore-timeline"), args)
 }
 
-/// The time line of these answers as JSON.
+/// Merges these `/events` responses from files and returns the timeline as JSON.
 fn merge_files(dir: &Path, answers: &[Value]) -> Value {
     let paths: Vec<_> = (0..answers.len()).map(|i| dir.join(format!("{i}.json"))).collect();
     for (path, answer) in paths.iter().zip(answers) {
@@ -45,8 +45,8 @@
 
 #[test]
 fn process_killed_and_restarted() {
-    // Story: a node is killed with SIGKILL, and another process of the same VM starts. Nobody
-    // recorded the kill; it shows only in that the first process never said that it stops.
+    // A process killed with SIGKILL records no event. The kill is inferred from the start of another
+    // process on the same VM without a recorded stop.
     let dir = tempfile::tempdir().unwrap();
     let first = [event(START, "started"), in_force(START + SECOND, 1)];
     let second = [event(START + 9 * SECOND, "started"), in_force(START + 10 * SECOND, 1)];
@@ -62,7 +62,7 @@
     let band = json!([{"version": 1, "from": START + SECOND, "to": START + 5 * SECOND}]);
     assert_eq!(processes[0]["bands"], band);
     assert_eq!(processes[1]["end"], "running");
-    // The restarted node took version 1 nine seconds late without lagging.
+    // The late start of the second process does not count as a slow rollout of version 1.
     assert_eq!(timeline["versions"][0]["last"], START + SECOND);
 }
 
@@ -76,8 +76,8 @@
 
 #[test]
 fn process_stopped_between_polls() {
-    // Story: a node is drained. It records its stop and ends at once, so that no poll reads that
-    // event. The picture would show a planned stop as a node that was lost.
+    // A node exits right after recording `stopped`, so polls may miss that event. A drained node must
+    // still be shown as stopped, not as lost.
     let dir = tempfile::tempdir().unwrap();
     let drained = [event(START, "started"), event(START + SECOND, "draining")];
     let running = [event(START, "started")];
@@ -127,8 +127,8 @@
 
 #[test]
 fn clocks_skewed() {
-    // Story: one VM's clock is an hour ahead. Merged by their own clocks, its lane would stand an
-    // hour to the right, and a version would seem to take an hour to come into force.
+    // Events must be merged by the tool's clock. With the clock of a VM an hour ahead, a version
+    // would otherwise appear to take an hour to come into force.
     let hour = 3_600 * SECOND;
     let now = now_us();
     let node = |vm: &str, ahead: u64| {
@@ -145,15 +145,14 @@
     let timeline = run.json();
     let span = &timeline["versions"][0];
     let spread_us = span["last"].as_u64().unwrap() - span["first"].as_u64().unwrap();
-    // The exchanges take less than the minute that separates right from wrong on any machine.
+    // A minute is far below the clock offset and far above the duration of the requests.
     assert!(spread_us < 60 * SECOND, "{spread_us}");
     assert_eq!(span["nodes"], 2);
 }
 
 #[test]
 fn saved_events_outlive_process() {
-    // Story: a node is killed, and its ring of events with it. Polled before with --save, its
-    // events stand in the time line of the next poll beside those of its successor.
+    // Events saved with --save must survive the node and appear with those of its next process.
     let dir = tempfile::tempdir().unwrap();
     let save = dir.path().join("records");
     let save = save.to_str().unwrap();
@@ -184,8 +183,7 @@
 
 #[test]
 fn follow_ended_by_signal() {
-    // Story: the demo follows a run whose length it does not know, and ends the tool by a signal.
-    // A tool that dies of it leaves no picture.
+    // SIGTERM ends --follow early and must still write the picture.
     let body = events_body("a", START, START + SECOND, &[event(START, "started")]).to_string();
     let nodes = FakeNodes::start(1, |_| IndexMap::from([("/events".to_owned(), body.clone())]));
     let dir = tempfile::tempdir().unwrap();
@@ -195,9 +193,12 @@
         .args(["--save", save.to_str().unwrap(), "--output", picture.to_str().unwrap()])
         .spawn()
         .unwrap();
-    // A saved record shows that the tool has set up its signals before.
+    // The signal handler is installed before the first record is saved.
     while fs::read_dir(&save).map_or(0, Iterator::count) == 0 {
-        assert!(child.try_wait().unwrap().is_none(), "it ended before it saved anything");
+        assert!(
+            child.try_wait().unwrap().is_none(),
+            "sycamore-timeline exited before it saved a record"
+        );
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
     kill_process(Pid::from_child(&child), Signal::TERM).unwrap();
@@ -220,7 +221,10 @@
     let picture = fs::read_to_string(output).unwrap();
     assert!(picture.contains("&lt;a&amp;\"b&gt;"), "{picture}");
     assert!(picture.contains("clock gap"), "{picture}");
-    assert!(!picture.contains("source lost"), "the legend names only what stands in the picture");
+    assert!(
+        !picture.contains("source lost"),
+        "the legend lists an event that is not in the picture"
+    );
 }
 
 #[test]
