--- a/tools/tests/operators/check.rs
+++ b/tools/tests/operators/check.rs
@@ -1,4 +1,4 @@
-//! `sycamore-check` over files.
+//! Tests of `sycamore-check` with files.
 
 use crate::tool::{self, ToolOutput};
 use std::fs;
@@ -11,7 +11,7 @@
 {"vm":"b","region":"hills","zone":"h2","gate":"127.0.0.2:1","peers":"127.0.0.1:9"}]}},
 "routes":{"rosters":{"path_prefix":"/rosters","service":"roster","idempotent":true}}}"#;
 
-/// A directory with files in it, and the tool run among them.
+/// A temporary directory with input files of the tool.
 struct TestDir(TempDir);
 
 impl TestDir {
@@ -34,7 +34,7 @@
         self.0.path().join(name).display().to_string()
     }
 
-    /// Runs the tool; an argument that names a file of the directory becomes its path.
+    /// Runs the tool. File names in arguments are replaced by paths in the directory.
     fn check(&self, args: &[&str]) -> ToolOutput {
         let args: Vec<_> = args.iter().map(|arg| self.resolve_argument(arg)).collect();
         let args: Vec<_> = args.iter().map(String::as_str).collect();
@@ -144,8 +144,7 @@
 
 #[test]
 fn publication_other_body() {
-    // Story: an operator edits the preset after preparing its in-force value. Nodes would refuse
-    // the digest after the publish; the check must refuse it before.
+    // A preset edited after its in-force value was prepared must be refused before it is published.
     let edited = PRESET.replace("/rosters", "/crews");
     let dir = TestDir::new(&edited).with_publication("in-force.json", 2, PRESET);
     let run = dir.check(&["new.json", "--in-force", "in-force.json"]);
@@ -153,7 +152,7 @@
     assert!(run.stdout.contains("E203"), "{}", run.stdout);
 }
 
-/// Judges `preset` as version `version` after [`PRESET`] as version 5.
+/// Checks `preset` as version `version`, with [`PRESET`] as the previous version 5.
 fn check_after_version_5(preset: &str, version: u64) -> ToolOutput {
     TestDir::new(preset)
         .with_file("old.json", PRESET)
@@ -238,8 +237,8 @@
     let routes = difference["routes"].as_array().unwrap();
     assert_eq!(routes.len(), 1, "{routes:?}");
     assert_eq!((&routes[0]["name"], &routes[0]["change"]), (&"maps".into(), &"added".into()));
-    // One of two targets is replaced: about half of the keys lose their home, and about half of
-    // the rest may win the new one; rendezvous moves no others.
+    // Replacing one of two targets moves about half of the keys off the removed target, and under
+    // rendezvous hashing about half of the others to the new one.
     let moved = service["moved_keys_percent"].as_f64().unwrap();
     assert!(moved > 30.0 && moved < 80.0, "{moved}");
 }
