--- a/tools/tests/operators/check_agrees.rs
+++ b/tools/tests/operators/check_agrees.rs
@@ -1,4 +1,4 @@
-//! `sycamore-check` against a node: both judge the same publications.
+//! Compares the verdicts of `sycamore-check` and of a node on the same publications.
 
 use crate::tool;
 use serde_json::{Value, json};
@@ -12,11 +12,11 @@
 use sycamore_node::settings::Settings;
 use sycamore_standins::platform::{Addresses, Platform, PlatformConfig, Store};
 
-/// Polls of a node before the test fails, at [`POLL_INTERVAL`].
+/// Maximum number of polls of a node, one per [`POLL_INTERVAL`], before the test fails.
 const MAX_POLLS: u32 = 3_000;
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Changes of a good preset, each with whether it makes a bad one.
+/// Replacements in a valid preset, each with whether the result is invalid.
 fn preset_edits() -> Vec<(&'static str, &'static str, bool)> {
     vec![
         (r#""slots":12"#, r#""slots":18"#, false),
@@ -61,14 +61,14 @@
     Some(answer.split_once("\r\n\r\n")?.1.to_owned())
 }
 
-/// Four free addresses of this machine, which the node binds soon after. All are held until the
-/// last is drawn: one that is given back may be drawn again.
+/// Returns four distinct free loopback addresses. All listeners stay open until the last is bound,
+/// because the kernel may assign a released port again.
 fn reserve_addresses() -> [SocketAddr; 4] {
     let listeners = [(); 4].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     listeners.map(|listener| listener.local_addr().unwrap())
 }
 
-/// A platform and a node in this process.
+/// A platform and a node that run in this process.
 struct Deployment {
     platform: Addresses,
     admin: SocketAddr,
@@ -104,7 +104,7 @@
         http_request(control, "PUT /v1/kv/in-force", &in_force(version, preset)).unwrap();
     }
 
-    /// What became of a version on the node: `version-in-force` or `version-refused`.
+    /// Waits for the `version-in-force` or `version-refused` event of a version on the node.
     fn wait_for_verdict(&self, version: u64) -> Value {
         for _ in 0..MAX_POLLS {
             let body = http_request(self.admin, "GET /events", "").unwrap_or_default();
@@ -124,7 +124,7 @@
     }
 }
 
-/// What the tool says of a publication after version 1: nothing, or the code of each failure.
+/// Runs the tool on a publication that follows version 1, and returns the codes of its findings.
 fn run_check(dir: &Path, version: u64, preset: &str) -> Vec<u64> {
     let path = |name: &str| dir.join(name).display().to_string();
     fs::write(path("new.json"), preset).unwrap();
