--- a/tools/tests/operators/fake_nodes.rs
+++ b/tools/tests/operators/fake_nodes.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// ResponseBodies by path; a path that is missing is answered 404.
+/// Response bodies by path. Other paths return 404.
 type ResponseBodies = Arc<Mutex<IndexMap<String, String>>>;
 
 /// A set of running admin ports, stopped on drop.
