--- a/tools/tests/operators/timeline.rs
+++ b/tools/tests/operators/timeline.rs
@@ -45,8 +45,8 @@
 
 #[test]
 fn process_killed_and_restarted() {
-    // A process killed with SIGKILL records no event. The kill is inferred from the start of another
-    // process on the same VM without a recorded stop.
+    // A process killed with SIGKILL records no event. The kill is inferred from the start of
+    // another process on the same VM without a recorded stop.
     let dir = tempfile::tempdir().unwrap();
     let first = [event(START, "started"), in_force(START + SECOND, 1)];
     let second = [event(START + 9 * SECOND, "started"), in_force(START + 10 * SECOND, 1)];
@@ -76,8 +76,8 @@
 
 #[test]
 fn process_stopped_between_polls() {
-    // A node exits right after recording `stopped`, so polls may miss that event. A drained node must
-    // still be shown as stopped, not as lost.
+    // A node exits right after recording `stopped`, so polls may miss that event. A drained node
+    // must still be shown as stopped, not as lost.
     let dir = tempfile::tempdir().unwrap();
     let drained = [event(START, "started"), event(START + SECOND, "draining")];
     let running = [event(START, "started")];
