--- a/tools/src/timeline/store.rs
+++ b/tools/src/timeline/store.rs
@@ -1,6 +1,6 @@
 //! Records of all processes, in memory and persisted to a directory.
 //!
-//! A node keeps its events in memory only and loses them when it exits. Saved records preserve them.
+//! A node keeps its events in memory only and loses them when it exits; saved records keep them.
 
 use super::record::{ProcessId, ProcessRecord};
 use crate::client::Reply;
