--- a/tools/src/fleet.rs
+++ b/tools/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Which nodes a tool asks.
+//! Command-line options that select the nodes to query, and their resolution to addresses.
 
 use crate::client::Client;
 use crate::command_line::{self, CommandLine, usage};
@@ -14,101 +14,101 @@
 use sycamore_core::place::Place;
 use sycamore_core::{Code, Fault, Result};
 
-/// Longest wait for one node's answer unless `--timeout-ms` says otherwise.
+/// Default of `--timeout-ms`.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Nodes asked at once unless `--concurrency` says otherwise.
+/// Default of `--concurrency`.
 const DEFAULT_CONCURRENCY: usize = 256;
 
-/// Where a tool learns of the nodes, and how it asks them.
+/// Sources of node addresses, and limits for querying them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
-    /// Files with VM lists.
-    pub lists: Vec<PathBuf>,
-    /// Admin addresses of single nodes.
-    pub nodes: Vec<SocketAddr>,
-    /// Address of the platform.
+pub struct FleetOptions {
+    /// JSON files with VM lists.
+    pub vm_list_files: Vec<PathBuf>,
+    /// Admin addresses of individual nodes.
+    pub node_addresses: Vec<SocketAddr>,
+    /// Platform to read VM lists and the publication from.
     pub platform: Option<SocketAddr>,
-    /// Longest wait for one answer.
+    /// Timeout of a single request.
     pub timeout: Duration,
-    /// Nodes asked at once.
+    /// Maximum number of concurrent requests.
     pub concurrency: usize,
 }
 
-/// A node to ask.
+/// A node to query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// Address of its admin port.
+    /// Address of the admin port.
     pub admin: SocketAddr,
-    /// Its entry in a VM list; none for a node given by address.
+    /// Entry in a VM list; `None` for a node given by address.
     pub member: Option<Member>,
 }
 
-/// Value of the platform's key `zones`.
+/// Value of the platform key `zones`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Zones {
     zones: Vec<Place>,
 }
 
-/// Adds the options that say which nodes to ask.
-pub fn with_options(command_line: CommandLine) -> CommandLine {
+/// Adds the options that select the nodes to query.
+pub fn add_options(command_line: CommandLine) -> CommandLine {
     command_line
-        .with_values("vms", "VM list in JSON, as under the key vms/<zone>", "FILE")
-        .with_values("node", "admin address of one node", "IP:PORT")
+        .with_values("vms", "JSON VM list, in the format of the platform key vms/<zone>", "FILE")
+        .with_values("node", "admin address of a node", "IP:PORT")
         .with_value("platform", "read the VM lists from the platform", "IP:PORT")
-        .with_value("timeout-ms", "longest wait for one node (default 1000)", "MS")
-        .with_value("concurrency", "nodes asked at once (default 256)", "N")
+        .with_value("timeout-ms", "timeout of a request to a node (default 1000)", "MS")
+        .with_value("concurrency", "maximum concurrent requests (default 256)", "N")
 }
 
-impl Fleet {
-    /// Takes the options of [`with_options`].
-    pub fn parse(matches: &Matches) -> Result<Fleet> {
+impl FleetOptions {
+    /// Parses the options added by [`add_options`].
+    pub fn parse(matches: &Matches) -> Result<FleetOptions> {
         let timeout = command_line::value(matches, "timeout-ms")?;
         let concurrency = command_line::value(matches, "concurrency")?;
         if concurrency == Some(0) {
             return Err(usage("--concurrency: found 0, allowed from 1"));
         }
-        Ok(Fleet {
-            lists: matches.opt_strs("vms").into_iter().map(PathBuf::from).collect(),
-            nodes: command_line::values(matches, "node")?,
+        Ok(FleetOptions {
+            vm_list_files: matches.opt_strs("vms").into_iter().map(PathBuf::from).collect(),
+            node_addresses: command_line::values(matches, "node")?,
             platform: command_line::value(matches, "platform")?,
             timeout: timeout.map_or(DEFAULT_TIMEOUT, Duration::from_millis),
             concurrency: concurrency.unwrap_or(DEFAULT_CONCURRENCY),
         })
     }
 
-    /// Whether no source of nodes is given.
+    /// Returns true if no source of nodes was given.
     pub fn is_empty(&self) -> bool {
-        self.lists.is_empty() && self.nodes.is_empty() && self.platform.is_none()
+        self.vm_list_files.is_empty() && self.node_addresses.is_empty() && self.platform.is_none()
     }
 
-    /// A client for these nodes.
+    /// Creates a client with the configured timeout.
     pub fn client(&self) -> Client {
         Client::new(self.timeout)
     }
 
-    /// The nodes to ask, each once. VMs that are gone are left out.
-    pub async fn resolve(&self, client: &Client) -> Result<Vec<Node>> {
+    /// Resolves all sources to a deduplicated list of nodes, without VMs in state `gone`.
+    pub async fn resolve_nodes(&self, client: &Client) -> Result<Vec<Node>> {
         let mut nodes = IndexMap::new();
-        for admin in &self.nodes {
+        for admin in &self.node_addresses {
             nodes.insert(*admin, Node { admin: *admin, member: None });
         }
-        for path in &self.lists {
+        for path in &self.vm_list_files {
             add_members(&mut nodes, input::read_json(path)?);
         }
         if let Some(platform) = self.platform {
-            for list in platform_lists(client, platform).await? {
+            for list in fetch_vm_lists(client, platform).await? {
                 add_members(&mut nodes, list);
             }
         }
         Ok(nodes.into_values().collect())
     }
 
-    /// The publication that operators last made; none without a platform to ask.
-    pub async fn published(&self, client: &Client) -> Result<Option<InForce>> {
+    /// Fetches the latest publication, or `None` if no platform is configured.
+    pub async fn fetch_publication(&self, client: &Client) -> Result<Option<InForce>> {
         match self.platform {
-            Some(platform) => Ok(Some(platform_value(client, platform, "in-force").await?)),
+            Some(platform) => Ok(Some(fetch_platform_key(client, platform, "in-force").await?)),
             None => Ok(None),
         }
     }
@@ -122,28 +122,28 @@
     }
 }
 
-async fn platform_lists(client: &Client, platform: SocketAddr) -> Result<Vec<VmList>> {
-    let zones: Zones = platform_value(client, platform, "zones").await?;
+async fn fetch_vm_lists(client: &Client, platform: SocketAddr) -> Result<Vec<VmList>> {
+    let zones: Zones = fetch_platform_key(client, platform, "zones").await?;
     let mut lists = Vec::new();
     for place in zones.zones {
         let key = format!("vms/{}", place.zone);
-        lists.push(platform_value(client, platform, &key).await?);
+        lists.push(fetch_platform_key(client, platform, &key).await?);
     }
     Ok(lists)
 }
 
-async fn platform_value<T: serde::de::DeserializeOwned>(
+async fn fetch_platform_key<T: serde::de::DeserializeOwned>(
     client: &Client,
     platform: SocketAddr,
     key: &str,
 ) -> Result<T> {
     let reply = client.get(platform, &format!("/v1/kv/{key}")).await;
-    let reply = reply.map_err(|fault| Fault { code: source_code(fault.code), ..fault })?;
+    let reply = reply.map_err(|fault| Fault { code: to_platform_code(fault.code), ..fault })?;
     Ok(reply.body)
 }
 
-/// The platform's failures have codes of their own.
-fn source_code(code: Code) -> Code {
+/// Maps error codes of node requests to those of platform requests.
+fn to_platform_code(code: Code) -> Code {
     match code {
         Code::NodeInvalid => Code::SourceInvalid,
         _ => Code::SourceUnreachable,
--- a/tools/src/status.rs
+++ b/tools/src/status.rs
@@ -1,4 +1,4 @@
-//! Tells whether a version is in force on every node, since when, and who lags and why.
+//! Reports whether a version is in force on every node, since when, and why nodes lag.
 
 pub mod config;
 pub mod output;
@@ -7,46 +7,49 @@
 pub use config::Config;
 
 use crate::client::Client;
-use crate::survey;
+use crate::fan_out;
 use async_io::Timer;
 use report::Report;
 use std::io::Write;
 use std::time::Duration;
 use sycamore_core::{Code, Fault, Result};
 
-/// Pause between two surveys while waiting.
-const SURVEY_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two polls of all nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Asks the fleet, again until the version is in force everywhere or the wait is over, and
-/// reports. Returns whether it is in force everywhere.
+/// Polls the nodes until the version is in force everywhere or the wait timeout expires, then
+/// writes the report. Returns whether the version is in force everywhere.
 pub fn run(cfg: &Config, out: &mut dyn Write) -> Result<bool> {
-    let report = async_io::block_on(watch(cfg))?;
+    let report = async_io::block_on(poll_until_in_force(cfg))?;
     output::write(&report, cfg, out)?;
     Ok(report.everywhere)
 }
 
-async fn watch(cfg: &Config) -> Result<Report> {
+async fn poll_until_in_force(cfg: &Config) -> Result<Report> {
     let client = cfg.fleet.client();
-    let nodes = cfg.fleet.resolve(&client).await?;
+    let nodes = cfg.fleet.resolve_nodes(&client).await?;
     if nodes.is_empty() {
-        return Err(Fault::new(Code::FleetBehind).with_detail("the lists name no node"));
+        return Err(Fault::new(Code::FleetBehind).with_detail("the VM lists contain no nodes"));
     }
     let version = expected_version(cfg, &client).await?;
-    let end = client.now() + cfg.wait;
+    let deadline = client.now() + cfg.wait_timeout;
     loop {
-        let answers = survey::ask(&client, &nodes, "/status", cfg.fleet.concurrency).await;
-        let report = Report::new(&answers, version, client.now());
-        if report.everywhere || client.now() >= end {
+        let responses =
+            fan_out::query_nodes(&client, &nodes, "/status", cfg.fleet.concurrency).await;
+        let report = Report::new(&responses, version, client.now());
+        if report.everywhere || client.now() >= deadline {
             return Ok(report);
         }
-        Timer::after(SURVEY_PAUSE).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// The version named on the command line, or the one published.
+/// Returns the version given on the command line, or else the published one.
 async fn expected_version(cfg: &Config, client: &Client) -> Result<Option<u64>> {
-    match cfg.version {
+    match cfg.expected_version {
         Some(version) => Ok(Some(version)),
-        None => Ok(cfg.fleet.published(client).await?.map(|published| published.version)),
+        None => {
+            Ok(cfg.fleet.fetch_publication(client).await?.map(|publication| publication.version))
+        }
     }
 }
--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -1,51 +1,50 @@
-//! The command line of `sycamore-status`, parsed once.
+//! Command-line options of `sycamore-status`.
 
 use crate::command_line::{self, CommandLine, no_arguments, usage};
-use crate::fleet::{self, Fleet};
+use crate::fleet::{self, FleetOptions};
 use getopts::Matches;
 use std::time::Duration;
 use sycamore_core::Result;
 
-/// What to ask whom.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The nodes.
-    pub fleet: Fleet,
-    /// The version that should be in force; absent for the one published, or without a platform
-    /// for the newest that any node holds.
-    pub version: Option<u64>,
-    /// How long to wait for it.
-    pub wait: Duration,
-    /// Whether to list every node rather than those that lag.
-    pub all: bool,
-    /// Form of the report.
+    /// Nodes to query.
+    pub fleet: FleetOptions,
+    /// Version to check for. Defaults to the published version or, without a platform, to the
+    /// newest version on any node.
+    pub expected_version: Option<u64>,
+    /// How long to wait until the version is in force everywhere.
+    pub wait_timeout: Duration,
+    /// List all nodes, not only those that lag.
+    pub list_all: bool,
     pub format: Format,
 }
 
-/// Form of the report.
+/// Output format of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object.
+    /// A single JSON object.
     Json,
 }
 
-/// The options of the tool.
+/// Returns the command-line definition.
 pub fn command_line() -> CommandLine {
     let line = CommandLine::new("sycamore-status", "(--vms|--node|--platform) ... [options]");
-    fleet::with_options(line)
-        .with_value("version-in-force", "version to ask for (default: the one published)", "N")
-        .with_value("wait", "longest wait until it is in force everywhere", "SECONDS")
+    fleet::add_options(line)
+        .with_value("version-in-force", "version to check for (default: the published one)", "N")
+        .with_value("wait", "maximum time to wait until it is in force everywhere", "SECONDS")
         .with_flag("all", "list every node, not only those that lag")
         .with_value("format", "text (default) or json", "FORMAT")
 }
 
 impl Config {
-    /// Takes the options of [`command_line()`].
+    /// Parses the options defined by [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
         no_arguments(matches)?;
-        let fleet = Fleet::parse(matches)?;
+        let fleet = FleetOptions::parse(matches)?;
         if fleet.is_empty() {
             return Err(usage("one of --vms, --node and --platform is required"));
         }
@@ -53,9 +52,9 @@
         let formats = [("text", Format::Text), ("json", Format::Json)];
         Ok(Config {
             fleet,
-            version: command_line::value(matches, "version-in-force")?,
-            wait: wait.map_or(Duration::ZERO, Duration::from_secs),
-            all: matches.opt_present("all"),
+            expected_version: command_line::value(matches, "version-in-force")?,
+            wait_timeout: wait.map_or(Duration::ZERO, Duration::from_secs),
+            list_all: matches.opt_present("all"),
             format: command_line::choice(matches, "format", &formats)?,
         })
     }
--- a/tools/src/status/report.rs
+++ b/tools/src/status/report.rs
@@ -1,6 +1,6 @@
-//! What `sycamore-status` reports.
+//! Report of `sycamore-status`: which nodes hold the expected version, and why others lag.
 
-use crate::survey::Answer;
+use crate::fan_out::NodeResponse;
 use indexmap::{IndexMap, IndexSet};
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -12,111 +12,109 @@
 /// Why a node does not hold the expected version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "why")]
-pub enum Lag {
-    /// It did not answer.
+pub enum LagReason {
+    /// The node did not respond.
     Unreachable {
-        /// The failure.
+        /// Error of the request.
         fault: String,
     },
-    /// It holds the same version with another digest.
+    /// The node holds the expected version number with a different digest.
     OtherDigest {
-        /// What it holds.
+        /// Publication in force on the node.
         found: InForce,
     },
-    /// It heard of the version; the last one it refused, and why.
+    /// The node has heard of the version but has refused a publication.
     Refused {
-        /// The version in force there; zero if none.
+        /// Version in force on the node; zero if none.
         version: u64,
-        /// The refusal.
+        /// Error of the refusal.
         fault: String,
     },
-    /// It heard of the version but does not hold it whole yet.
+    /// The node has heard of the version but has not fetched it completely.
     Fetching {
-        /// The version in force there; zero if none.
+        /// Version in force on the node; zero if none.
         version: u64,
-        /// Where it takes versions from.
+        /// Peer that the node fetches versions from.
         parent: Option<Name>,
     },
-    /// It has not heard of the version.
+    /// The node has not heard of the version.
     NotHeard {
-        /// The version in force there; zero if none.
+        /// Version in force on the node; zero if none.
         version: u64,
-        /// Where it takes versions from.
+        /// Peer that the node fetches versions from.
         parent: Option<Name>,
-        /// Whether the platform answered its last call; null if it made none.
+        /// Whether the node's last call to the platform succeeded; null if it has made none.
         platform_answers: Option<bool>,
     },
 }
 
-/// One node.
+/// State of one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeReport {
-    /// Its VM; null if it did not answer and no list names it.
+    /// VM of the node; null if it did not respond and is in no VM list.
     pub vm: Option<Name>,
-    /// Region of the VM.
     pub region: Option<Name>,
     /// Availability zone of the VM.
     pub zone: Option<Name>,
-    /// Address of its admin port.
+    /// Address of the admin port.
     pub admin: SocketAddr,
-    /// What it does for the spread.
+    /// Role in version distribution.
     pub role: Option<Role>,
-    /// The version in force there.
+    /// Publication in force on the node.
     pub in_force: Option<InForce>,
-    /// Since when, by this tool's clock.
+    /// When it was put into force, by this tool's clock.
     pub since: Option<Time>,
-    /// Whether it is leaving, by its own word or by the list.
+    /// Whether the node or its VM list reports it as leaving.
     pub leaving: bool,
-    /// Why it lags; null if it does not.
-    pub lag: Option<Lag>,
+    /// Why the node lags; null if it does not.
+    pub lag: Option<LagReason>,
 }
 
-/// The report on a fleet.
+/// State of all queried nodes.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The version asked for.
+    /// The expected version.
     pub version: u64,
-    /// Whether every node holds it or a newer one. Nodes that are leaving don't count.
+    /// Whether every node that is not leaving holds this version or a newer one.
     pub everywhere: bool,
     /// When it came into force on the last node, by this tool's clock; null unless everywhere.
     pub everywhere_since: Option<Time>,
     /// When it came into force on the first node, by this tool's clock.
     pub first_since: Option<Time>,
-    /// When the fleet was asked.
+    /// When the nodes were queried.
     pub asked: Time,
-    /// Nodes asked.
+    /// Number of nodes queried.
     pub nodes: usize,
-    /// Nodes that hold the version.
+    /// Number of nodes that hold the expected version.
     pub holding: usize,
-    /// Nodes that hold a newer one.
+    /// Number of nodes that hold a newer version.
     pub newer: usize,
-    /// Nodes that lag.
+    /// Number of nodes that lag, without those that are leaving.
     pub lagging: usize,
-    /// Nodes that lag but are leaving.
+    /// Number of leaving nodes that lag.
     pub leaving: usize,
-    /// Why nodes that heard of the version refused it, each reason once.
+    /// Distinct refusal errors with the number of nodes that reported each.
     pub refusals: Vec<Refusal>,
-    /// Every node.
+    /// All queried nodes.
     pub fleet: Vec<NodeReport>,
 }
 
-/// One reason that nodes refused a version for.
+/// A refusal error and how many nodes reported it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Refusal {
-    /// The reason.
     pub fault: String,
-    /// Nodes that gave it.
+    /// Number of nodes that reported it.
     pub nodes: usize,
 }
 
 impl Report {
-    /// Judges the answers of a fleet. Without an expected version it is the newest that any node
-    /// holds.
-    pub fn new(answers: &[Answer<Status>], expected: Option<u64>, asked: Time) -> Report {
-        let expected = Expected::new(answers, expected);
-        let fleet: Vec<_> = answers.iter().map(|a| NodeReport::new(a, &expected)).collect();
+    /// Evaluates the responses. `expected` defaults to the newest version in force on any node.
+    pub fn new(responses: &[NodeResponse<Status>], expected: Option<u64>, asked: Time) -> Report {
+        let expected = ExpectedVersion::new(responses, expected);
+        let fleet: Vec<_> = responses.iter().map(|a| NodeReport::new(a, &expected)).collect();
         let version = expected.version;
-        let count = |pick: &dyn Fn(&NodeReport) -> bool| fleet.iter().filter(|n| pick(n)).count();
+        let count =
+            |predicate: &dyn Fn(&NodeReport) -> bool| fleet.iter().filter(|n| predicate(n)).count();
         let lagging = count(&|node| node.lag.is_some() && !node.leaving);
         let holding = count(&|node| node.lag.is_none() && node.version() == version);
         let everywhere = lagging == 0 && version > 0;
@@ -132,112 +130,114 @@
             newer: count(&|node| node.version() > version),
             lagging,
             leaving: count(&|node| node.lag.is_some() && node.leaving),
-            refusals: refusals(&fleet),
+            refusals: count_refusals(&fleet),
             fleet,
         }
     }
 }
 
-/// Few nodes read a body that is refused, and the others never hear of it; together they tell why.
-fn refusals(fleet: &[NodeReport]) -> Vec<Refusal> {
+/// Groups refusals by error text. Only the few nodes that fetched a refused document report why.
+fn count_refusals(fleet: &[NodeReport]) -> Vec<Refusal> {
     let mut nodes = IndexMap::<&str, usize>::new();
     for lag in fleet.iter().filter_map(|node| node.lag.as_ref()) {
-        if let Lag::Refused { fault, .. } = lag {
+        if let LagReason::Refused { fault, .. } = lag {
             *nodes.entry(fault).or_default() += 1;
         }
     }
     nodes.into_iter().map(|(fault, nodes)| Refusal { fault: fault.to_owned(), nodes }).collect()
 }
 
-/// What every node should hold.
-struct Expected {
+/// The version that every node is expected to hold.
+struct ExpectedVersion {
     version: u64,
-    /// The publication that most nodes hold under this version. Two digests under one version are
-    /// a split fleet, which nodes rule out; a report that took any digest for right would hide it.
+    /// The publication of this version that most nodes hold. Nodes with a different digest are
+    /// reported, because one version number must not identify two documents.
     publication: Option<InForce>,
 }
 
-impl Expected {
-    fn new(answers: &[Answer<Status>], version: Option<u64>) -> Expected {
-        let replies = || answers.iter().filter_map(|answer| answer.reply.as_ref().ok());
+impl ExpectedVersion {
+    fn new(responses: &[NodeResponse<Status>], version: Option<u64>) -> ExpectedVersion {
+        let replies = || responses.iter().filter_map(|response| response.reply.as_ref().ok());
         let in_force = || replies().filter_map(|reply| reply.body.in_force.as_ref());
         let newest = in_force().map(|in_force| in_force.version).max();
         let version = version.or(newest).unwrap_or(0);
         let held = || in_force().filter(|in_force| in_force.version == version);
-        let distinct: IndexSet<_> = held().collect();
-        let holders = |publication: &InForce| held().filter(|i| *i == publication).count();
-        let publication = distinct.into_iter().max_by_key(|publication| holders(publication));
-        Expected { version, publication: publication.cloned() }
+        let publications: IndexSet<_> = held().collect();
+        let count_holders = |publication: &InForce| held().filter(|i| *i == publication).count();
+        let publication =
+            publications.into_iter().max_by_key(|publication| count_holders(publication));
+        ExpectedVersion { version, publication: publication.cloned() }
     }
 }
 
 impl NodeReport {
-    fn new(answer: &Answer<Status>, expected: &Expected) -> NodeReport {
-        let member = answer.node.member.as_ref();
-        let listed_leaving = member.is_some_and(|member| member.state == VmState::Leaving);
-        match &answer.reply {
+    fn new(response: &NodeResponse<Status>, expected: &ExpectedVersion) -> NodeReport {
+        let member = response.node.member.as_ref();
+        let leaving_in_list = member.is_some_and(|member| member.state == VmState::Leaving);
+        match &response.reply {
             Ok(reply) => {
                 let status = &reply.body;
                 NodeReport {
                     vm: Some(status.vm.clone()),
                     region: Some(status.region.clone()),
                     zone: Some(status.zone.clone()),
-                    admin: answer.node.admin,
+                    admin: response.node.admin,
                     role: Some(status.role),
                     in_force: status.in_force.clone(),
                     since: status
                         .in_force_since
-                        .map(|since| corrected(since, status.now, reply.at)),
-                    leaving: listed_leaving || status.draining,
-                    lag: lag(status, expected),
+                        .map(|since| to_local_clock(since, status.now, reply.midpoint)),
+                    leaving: leaving_in_list || status.draining,
+                    lag: lag_reason(status, expected),
                 }
             }
             Err(fault) => NodeReport {
                 vm: member.map(|member| member.vm.clone()),
                 region: member.map(|member| member.region.clone()),
                 zone: member.map(|member| member.zone.clone()),
-                admin: answer.node.admin,
+                admin: response.node.admin,
                 role: None,
                 in_force: None,
                 since: None,
-                leaving: listed_leaving,
-                lag: Some(Lag::Unreachable { fault: fault.to_string() }),
+                leaving: leaving_in_list,
+                lag: Some(LagReason::Unreachable { fault: fault.to_string() }),
             },
         }
     }
 
-    /// The version in force there; zero if none.
+    /// Version in force on the node; zero if none.
     pub fn version(&self) -> u64 {
         self.in_force.as_ref().map_or(0, |in_force| in_force.version)
     }
 }
 
-/// Why a node that answered does not hold what it should.
-fn lag(status: &Status, expected: &Expected) -> Option<Lag> {
+/// Returns why a node that responded does not hold the expected version, or `None` if it does.
+fn lag_reason(status: &Status, expected: &ExpectedVersion) -> Option<LagReason> {
     let version = status.in_force.as_ref().map_or(0, |in_force| in_force.version);
     match &status.in_force {
         Some(_) if version > expected.version => return None,
         Some(found) if version == expected.version => {
             let other = Some(found) != expected.publication.as_ref();
-            return other.then(|| Lag::OtherDigest { found: found.clone() });
+            return other.then(|| LagReason::OtherDigest { found: found.clone() });
         }
         _ => {}
     }
     let parent = status.parent.clone();
     if status.newest_heard < expected.version {
         let platform_answers = status.platform_answers;
-        return Some(Lag::NotHeard { version, parent, platform_answers });
+        return Some(LagReason::NotHeard { version, parent, platform_answers });
     }
     Some(match &status.last_refusal {
-        Some(fault) => Lag::Refused { version, fault: fault.clone() },
-        None => Lag::Fetching { version, parent },
+        Some(fault) => LagReason::Refused { version, fault: fault.clone() },
+        None => LagReason::Fetching { version, parent },
     })
 }
 
-/// A node's time by this tool's clock: the node's clock read `now` when this tool's read `at`.
-fn corrected(time: Time, now: Time, at: Time) -> Time {
-    match time > now {
-        true => at + time.since(now),
-        false => at - now.since(time),
+/// Converts a node's timestamp to this tool's clock. The node's clock showed `node_now` when this
+/// tool's clock showed `local_now`.
+fn to_local_clock(time: Time, node_now: Time, local_now: Time) -> Time {
+    match time > node_now {
+        true => local_now + time.since(node_now),
+        false => local_now - node_now.since(time),
     }
 }
--- a/tools/src/timeline.rs
+++ b/tools/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Merges the events of all processes into one time line: text, JSON, or one picture.
+//! Merges the events of all processes into one timeline, written as text, JSON or SVG.
 
 pub mod config;
 pub mod merge;
@@ -11,95 +11,94 @@
 pub use config::Config;
 
 use crate::client::Client;
+use crate::fan_out;
 use crate::fleet::Node;
-use crate::survey;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
 use merge::Timeline;
 use std::io::Write;
 use std::time::Duration;
-use store::Store;
+use store::RecordStore;
 use sycamore_core::status::Events;
 use sycamore_core::{Code, Fault, Result, Time};
 
-/// How often the list of nodes is read again while following a fleet.
-const RESOLVE_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which the list of nodes is refreshed while polling.
+const RESOLVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Gathers the events, merges and writes them. Returns whether any process was heard of.
+/// Collects, merges and writes the events. Returns whether any process was found.
 pub fn run(cfg: &Config, out: &mut dyn Write) -> Result<bool> {
     if let Some(id) = &cfg.request {
         return request::run(id, &cfg.files, out);
     }
-    let mut store = Store::new();
+    let mut store = RecordStore::new();
     for path in &cfg.files {
-        store.read(path)?;
+        store.load_file(path)?;
     }
-    if let Some(dir) = &cfg.save {
-        store.read_dir(dir)?;
+    if let Some(dir) = &cfg.record_dir {
+        store.load_dir(dir)?;
     }
     if !cfg.fleet.is_empty() {
-        async_io::block_on(gather(cfg, &mut store))?;
+        async_io::block_on(collect_events(cfg, &mut store))?;
     }
     let timeline = Timeline::new(store.records());
     output::write(&timeline, cfg, out)?;
     Ok(!timeline.lanes.is_empty())
 }
 
-/// Asks the fleet once, or again and again until the time to follow has passed or a signal ends
-/// it early.
-async fn gather(cfg: &Config, store: &mut Store) -> Result<()> {
+/// Polls the nodes once, or repeatedly for `follow_duration` or until SIGTERM or SIGINT.
+async fn collect_events(cfg: &Config, store: &mut RecordStore) -> Result<()> {
     let client = cfg.fleet.client();
-    let nodes = cfg.fleet.resolve(&client).await?;
-    if cfg.follow.is_zero() {
-        ask(cfg, &client, &nodes, store).await;
-        return save(cfg, store);
+    let nodes = cfg.fleet.resolve_nodes(&client).await?;
+    if cfg.follow_duration.is_zero() {
+        poll_once(cfg, &client, &nodes, store).await;
+        return save_records(cfg, store);
     }
-    let end = client.now() + cfg.follow;
+    let deadline = client.now() + cfg.follow_duration;
     let mut signals = Signals::new([Signal::Term, Signal::Int])
         .map_err(|e| Fault::new(Code::OutputFailed).with_location("signals").with_detail(e))?;
-    let stopped = async {
+    let signalled = async {
         signals.next().await;
         Ok(())
     };
-    // A signal may end the poll between two saves, so that the last state is saved once more.
-    future::or(follow(cfg, &client, nodes, end, store), stopped).await?;
-    save(cfg, store)
+    // A signal may cancel the poll between two saves, so the latest records are saved again.
+    future::or(poll_until(cfg, &client, nodes, deadline, store), signalled).await?;
+    save_records(cfg, store)
 }
 
-async fn follow(
+async fn poll_until(
     cfg: &Config,
     client: &Client,
     mut nodes: Vec<Node>,
-    end: Time,
-    store: &mut Store,
+    deadline: Time,
+    store: &mut RecordStore,
 ) -> Result<()> {
-    let mut resolved = client.now();
-    while client.now() < end {
-        ask(cfg, client, &nodes, store).await;
-        save(cfg, store)?;
-        Timer::after(cfg.interval).await;
-        if client.now().since(resolved) >= RESOLVE_EVERY {
-            resolved = client.now();
-            // While the platform is down the nodes known so far are asked on.
-            nodes = cfg.fleet.resolve(client).await.unwrap_or(nodes);
+    let mut last_resolved = client.now();
+    while client.now() < deadline {
+        poll_once(cfg, client, &nodes, store).await;
+        save_records(cfg, store)?;
+        Timer::after(cfg.poll_interval).await;
+        if client.now().since(last_resolved) >= RESOLVE_INTERVAL {
+            last_resolved = client.now();
+            // Keep polling the known nodes while the platform is unavailable.
+            nodes = cfg.fleet.resolve_nodes(client).await.unwrap_or(nodes);
         }
     }
     Ok(())
 }
 
-async fn ask(cfg: &Config, client: &Client, nodes: &[Node], store: &mut Store) {
+async fn poll_once(cfg: &Config, client: &Client, nodes: &[Node], store: &mut RecordStore) {
     let concurrency = cfg.fleet.concurrency;
-    for answer in survey::ask::<Events>(client, nodes, "/events", concurrency).await {
-        // A node that does not answer shows in the time line as one that is no longer seen.
-        if let Ok(reply) = answer.reply {
-            store.take(reply);
+    for response in fan_out::query_nodes::<Events>(client, nodes, "/events", concurrency).await {
+        // A node that does not respond is shown as `unseen` in the timeline.
+        if let Ok(reply) = response.reply {
+            store.insert_reply(reply);
         }
     }
 }
 
-fn save(cfg: &Config, store: &mut Store) -> Result<()> {
-    match &cfg.save {
+fn save_records(cfg: &Config, store: &mut RecordStore) -> Result<()> {
+    match &cfg.record_dir {
         Some(dir) => store.save(dir),
         None => Ok(()),
     }
--- a/tools/src/timeline/config.rs
+++ b/tools/src/timeline/config.rs
@@ -1,91 +1,90 @@
-//! The command line of `sycamore-timeline`, parsed once.
+//! Command-line options of `sycamore-timeline`.
 
 use crate::command_line::{self, CommandLine, usage};
-use crate::fleet::{self, Fleet};
+use crate::fleet::{self, FleetOptions};
 use getopts::Matches;
 use std::path::PathBuf;
 use std::time::Duration;
 use sycamore_core::Result;
 
-/// Pause between two polls unless `--interval-ms` says otherwise.
-const DEFAULT_INTERVAL: Duration = Duration::from_millis(500);
+/// Default of `--interval-ms`.
+const DEFAULT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Options that say nothing about the story of one request, which is text from files.
-const NOT_FOR_REQUEST: [&str; 8] =
+/// Options that have no effect with `--request` and are rejected with it.
+const OPTIONS_INVALID_WITH_REQUEST: [&str; 8] =
     ["save", "follow", "interval-ms", "format", "output", "title", "timeout-ms", "concurrency"];
 
-/// Where events come from and what is drawn of them.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The nodes to ask; may be empty.
-    pub fleet: Fleet,
-    /// Files with events: answers of `/events`, or records that `--save` wrote.
+    /// Nodes to query; may be empty.
+    pub fleet: FleetOptions,
+    /// Files with events: `/events` responses, or records written by `--save`.
     pub files: Vec<PathBuf>,
-    /// Directory that records are read from and written to.
-    pub save: Option<PathBuf>,
-    /// How long to poll the nodes; zero for once.
-    pub follow: Duration,
-    /// Pause between two polls.
-    pub interval: Duration,
-    /// Form of the time line.
+    /// Directory of saved records.
+    pub record_dir: Option<PathBuf>,
+    /// How long to poll the nodes; zero polls once.
+    pub follow_duration: Duration,
+    /// Delay between two polls.
+    pub poll_interval: Duration,
     pub format: Format,
     /// File to write to; absent for standard output.
     pub output: Option<PathBuf>,
-    /// Title of the picture.
+    /// Title of the SVG picture.
     pub title: String,
-    /// Id of the one request whose story is told from log files.
+    /// Id of the request to trace in log files.
     pub request: Option<String>,
 }
 
-/// Form of the time line.
+/// Output format of the timeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// One line an event.
+    /// One line per event.
     Text,
-    /// One JSON object.
+    /// A single JSON object.
     Json,
-    /// A picture.
+    /// An SVG picture.
     Svg,
 }
 
-/// The options of the tool.
+/// Returns the command-line definition.
 pub fn command_line() -> CommandLine {
     let line =
         CommandLine::new("sycamore-timeline", "[EVENTS.json ... | --request ID LOG ...] [options]");
-    fleet::with_options(line)
-        .with_value("save", "read and keep records of processes in this directory", "DIR")
-        .with_value("follow", "poll the nodes for this long; a signal ends it early", "SECONDS")
-        .with_value("interval-ms", "pause between two polls (default 500)", "MS")
+    fleet::add_options(line)
+        .with_value("save", "load and save process records in this directory", "DIR")
+        .with_value("follow", "poll the nodes for this long, or until SIGTERM or SIGINT", "SECONDS")
+        .with_value("interval-ms", "delay between two polls (default 500)", "MS")
         .with_value("format", "text (default), json or svg", "FORMAT")
         .with_value("output", "write to this file instead of standard output", "FILE")
         .with_value("title", "title of the picture", "TEXT")
-        .with_value("request", "tell the story of one request from nodes' log files", "ID")
+        .with_value("request", "print the trace of one request from log files of nodes", "ID")
 }
 
 impl Config {
-    /// Takes the options of [`command_line()`].
+    /// Parses the options defined by [`command_line()`].
     pub fn parse(matches: &Matches) -> Result<Config> {
-        let fleet = Fleet::parse(matches)?;
+        let fleet = FleetOptions::parse(matches)?;
         let files: Vec<_> = matches.free.iter().map(PathBuf::from).collect();
-        let save = matches.opt_str("save").map(PathBuf::from);
+        let record_dir = matches.opt_str("save").map(PathBuf::from);
         if matches.opt_present("request") {
-            check_request(matches, &fleet)?;
+            check_request_options(matches, &fleet)?;
         }
-        if fleet.is_empty() && files.is_empty() && save.is_none() {
+        if fleet.is_empty() && files.is_empty() && record_dir.is_none() {
             return Err(usage("a file, --save, --vms, --node or --platform is required"));
         }
         let follow = command_line::value(matches, "follow")?;
         if follow.is_some() && fleet.is_empty() {
-            return Err(usage("--follow needs --vms, --node or --platform"));
+            return Err(usage("--follow requires --vms, --node or --platform"));
         }
         let interval = command_line::value(matches, "interval-ms")?;
         let formats = [("text", Format::Text), ("json", Format::Json), ("svg", Format::Svg)];
         Ok(Config {
             fleet,
             files,
-            save,
-            follow: follow.map_or(Duration::ZERO, Duration::from_secs),
-            interval: interval.map_or(DEFAULT_INTERVAL, Duration::from_millis),
+            record_dir,
+            follow_duration: follow.map_or(Duration::ZERO, Duration::from_secs),
+            poll_interval: interval.map_or(DEFAULT_POLL_INTERVAL, Duration::from_millis),
             format: command_line::choice(matches, "format", &formats)?,
             output: matches.opt_str("output").map(PathBuf::from),
             request: matches.opt_str("request"),
@@ -94,16 +93,18 @@
     }
 }
 
-/// Refuses options that would be passed over in silence.
-fn check_request(matches: &Matches, fleet: &Fleet) -> Result<()> {
+/// Rejects options that `--request` would silently ignore.
+fn check_request_options(matches: &Matches, fleet: &FleetOptions) -> Result<()> {
     if matches.free.is_empty() {
-        return Err(usage("--request needs the nodes' log files"));
+        return Err(usage("--request requires log files of nodes"));
     }
     if !fleet.is_empty() {
-        return Err(usage("--request reads log files only, no --vms, --node or --platform"));
+        return Err(usage(
+            "--request reads log files only and excludes --vms, --node and --platform",
+        ));
     }
-    match NOT_FOR_REQUEST.iter().find(|option| matches.opt_present(option)) {
-        Some(option) => Err(usage(format!("--{option} has no effect beside --request"))),
+    match OPTIONS_INVALID_WITH_REQUEST.iter().find(|option| matches.opt_present(option)) {
+        Some(option) => Err(usage(format!("--{option} can't be combined with --request"))),
         None => Ok(()),
     }
 }
--- a/tools/src/timeline/output.rs
+++ b/tools/src/timeline/output.rs
@@ -1,23 +1,23 @@
-//! The time line as text, JSON or a picture.
+//! Text, JSON and SVG output of the timeline.
 
 use super::config::{Config, Format};
-use super::merge::{Lane, Mark, Process, Timeline, VersionSpan};
+use super::merge::{EventMark, Lane, Process, Timeline, VersionSpan};
 use super::picture;
 use crate::command_line::output_failed;
-use crate::text::utc;
+use crate::text::format_utc;
 use std::fmt::{self, Display, Formatter};
 use std::io::Write;
 use sycamore_core::{Code, Result, Time};
 
-/// Writes the time line to the file of `--output` or to `out`.
+/// Writes the timeline to the file given by `--output`, or else to `out`.
 pub fn write(timeline: &Timeline, cfg: &Config, out: &mut dyn Write) -> Result<()> {
     let text = match cfg.format {
-        Format::Text => Text(timeline).to_string(),
+        Format::Text => TextTimeline(timeline).to_string(),
         Format::Json => {
             let json = serde_json::to_string_pretty(timeline).map_err(output_failed)?;
             json + "\n"
         }
-        Format::Svg => picture::draw(timeline, &cfg.title).to_string() + "\n",
+        Format::Svg => picture::render(timeline, &cfg.title).to_string() + "\n",
     };
     match &cfg.output {
         Some(path) => {
@@ -27,8 +27,8 @@
     }
 }
 
-/// A mark in one line, without its time and place.
-pub fn describe(mark: &Mark) -> String {
+/// Formats an event on one line, without its time and VM.
+pub fn describe_mark(mark: &EventMark) -> String {
     let mut text = mark.kind.name();
     if let Some(version) = mark.version {
         text += &format!(" version {version}");
@@ -45,21 +45,21 @@
     text
 }
 
-/// How a version came into force, in one line.
+/// Formats the rollout of a version on one line.
 pub fn describe_version(span: &VersionSpan) -> String {
     let ms = span.last.since(span.first).as_micros() as f64 / 1_000.0;
     format!("version {}: {} of {} nodes in {ms:.1} ms", span.version, span.nodes, span.running)
 }
 
-/// A time line for people.
-struct Text<'a>(&'a Timeline);
+/// Human-readable form of a timeline.
+struct TextTimeline<'a>(&'a Timeline);
 
-impl Display for Text<'_> {
+impl Display for TextTimeline<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let timeline = self.0;
-        writeln!(f, "from {} to {}", utc(timeline.start), utc(timeline.end))?;
+        writeln!(f, "from {} to {}", format_utc(timeline.start), format_utc(timeline.end))?;
         for span in &timeline.versions {
-            writeln!(f, "{} {}", at(timeline, span.first), describe_version(span))?;
+            writeln!(f, "{} {}", format_offset(timeline, span.first), describe_version(span))?;
         }
         for lane in &timeline.lanes {
             for process in &lane.processes {
@@ -67,8 +67,8 @@
             }
         }
         for (lane, mark) in timeline.marks() {
-            let time = at(timeline, mark.at);
-            writeln!(f, "{time} {:<12} {:<16} {}", lane.zone, lane.vm, describe(mark))?;
+            let time = format_offset(timeline, mark.at);
+            writeln!(f, "{time} {:<12} {:<16} {}", lane.zone, lane.vm, describe_mark(mark))?;
         }
         Ok(())
     }
@@ -81,11 +81,17 @@
     process: &Process,
 ) -> fmt::Result {
     let end = serde_json::to_value(process.end).unwrap_or_default();
-    write!(f, "{} {:<12} {:<16} process ", at(timeline, process.started), lane.zone, lane.vm)?;
-    write!(f, "{} at{}", end.as_str().unwrap_or_default(), at(timeline, process.ended))?;
+    write!(
+        f,
+        "{} {:<12} {:<16} process ",
+        format_offset(timeline, process.started),
+        lane.zone,
+        lane.vm
+    )?;
+    write!(f, "{} at{}", end.as_str().unwrap_or_default(), format_offset(timeline, process.ended))?;
     match process.error_us {
-        Some(error_us) => write!(f, ", times to within {error_us} us")?,
-        None => write!(f, ", clock not compared")?,
+        Some(error_us) => write!(f, ", clock error up to {error_us} us")?,
+        None => write!(f, ", clock offset unknown")?,
     }
     match process.dropped {
         0 => writeln!(f),
@@ -93,7 +99,7 @@
     }
 }
 
-/// Seconds since the start of the time line.
-fn at(timeline: &Timeline, time: Time) -> String {
+/// Formats a time as seconds since the start of the timeline.
+fn format_offset(timeline: &Timeline, time: Time) -> String {
     format!("{:>+11.3} s", time.since(timeline.start).as_secs_f64())
 }
--- a/tools/src/timeline/picture/glyph.rs
+++ b/tools/src/timeline/picture/glyph.rs
@@ -1,14 +1,15 @@
-//! How changes of state look: what is lost is filled, what comes back is hollow.
+//! Glyphs of events. Filled glyphs mark failures and starts, hollow ones recoveries and
+//! completions.
 
-use crate::timeline::merge::End;
+use crate::timeline::merge::ProcessEnd;
 use svg::node::element::Path;
 use svg::node::element::path::Data;
 use sycamore_core::event::EventKind;
 
-/// Half of a glyph's size, in pixels.
-const RADIUS: f64 = 5.0;
+/// Half the width of a glyph, in pixels.
+const HALF_SIZE: f64 = 5.0;
 
-/// A mark's shape and colour.
+/// Shape and colour of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Glyph {
     shape: Shape,
@@ -18,10 +19,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shape {
-    /// Points to the right.
-    Arrow,
-    /// Points down.
-    Wedge,
+    RightTriangle,
+    DownTriangle,
     Square,
     Diamond,
     Cross,
@@ -36,15 +35,15 @@
 }
 
 impl Glyph {
-    /// The mark of a change of state; none for those that bands show, or that every spread of a
-    /// version brings on every node.
-    pub fn of_event(kind: EventKind) -> Option<Glyph> {
+    /// Returns the glyph of an event, or `None` for `VersionInForce`, which is drawn as a band, and
+    /// for `VersionHeard`, which every node records for each version.
+    pub fn for_event(kind: EventKind) -> Option<Glyph> {
         let (shape, color, fill) = match kind {
             EventKind::VersionHeard | EventKind::VersionInForce => return None,
-            EventKind::Started => (Shape::Arrow, "#1a7f37", Fill::Solid),
+            EventKind::Started => (Shape::RightTriangle, "#1a7f37", Fill::Solid),
             EventKind::VersionRefused => (Shape::Diamond, "#cf222e", Fill::Solid),
-            EventKind::SourceLost => (Shape::Wedge, "#d96c00", Fill::Solid),
-            EventKind::SourceBack => (Shape::Wedge, "#d96c00", Fill::Hollow),
+            EventKind::SourceLost => (Shape::DownTriangle, "#d96c00", Fill::Solid),
+            EventKind::SourceBack => (Shape::DownTriangle, "#d96c00", Fill::Hollow),
             EventKind::ParentChosen => (Shape::Bar, "#0550ae", Fill::Hollow),
             EventKind::ParentLost => (Shape::Bar, "#0550ae", Fill::Solid),
             EventKind::TargetLost => (Shape::Square, "#8f3f1f", Fill::Solid),
@@ -61,16 +60,20 @@
         Some(Glyph { shape, color, fill })
     }
 
-    /// The mark of a process that ended without a word.
-    pub fn of_end(end: End) -> Option<Glyph> {
+    /// Returns the glyph of a process that ended without a recorded stop.
+    pub fn for_end(end: ProcessEnd) -> Option<Glyph> {
         match end {
-            End::Running | End::Stopped => None,
-            End::Killed => Some(Glyph { shape: Shape::Cross, color: "#cf222e", fill: Fill::Solid }),
-            End::Unseen => Some(Glyph { shape: Shape::Cross, color: "#888", fill: Fill::Solid }),
+            ProcessEnd::Running | ProcessEnd::Stopped => None,
+            ProcessEnd::Killed => {
+                Some(Glyph { shape: Shape::Cross, color: "#cf222e", fill: Fill::Solid })
+            }
+            ProcessEnd::Unseen => {
+                Some(Glyph { shape: Shape::Cross, color: "#888", fill: Fill::Solid })
+            }
         }
     }
 
-    /// The mark around a place.
+    /// Draws the glyph centred at the given point.
     pub fn draw(self, x: f64, y: f64) -> Path {
         let path = Path::new().set("d", self.shape.outline(x, y)).set("stroke", self.color);
         let fill = match self.fill {
@@ -82,25 +85,25 @@
     }
 }
 
-/// What the mark of an end means.
-pub fn end_label(end: End) -> &'static str {
+/// Returns the legend label of a process end.
+pub fn end_label(end: ProcessEnd) -> &'static str {
     match end {
-        End::Running => "running",
-        End::Stopped => "stopped",
-        End::Killed => "killed",
-        End::Unseen => "no longer answers",
+        ProcessEnd::Running => "running",
+        ProcessEnd::Stopped => "stopped",
+        ProcessEnd::Killed => "killed",
+        ProcessEnd::Unseen => "no longer answers",
     }
 }
 
 impl Shape {
     fn outline(self, x: f64, y: f64) -> Data {
-        let r = RADIUS;
+        let r = HALF_SIZE;
         let start = Data::new().move_to((x, y));
         match self {
-            Shape::Arrow => {
+            Shape::RightTriangle => {
                 start.move_by((-r * 0.4, -r)).line_by((r * 1.4, r)).line_by((-r * 1.4, r)).close()
             }
-            Shape::Wedge => {
+            Shape::DownTriangle => {
                 start.move_by((-r, -r * 0.8)).line_by((2.0 * r, 0)).line_by((-r, 1.7 * r)).close()
             }
             Shape::Square => {
--- a/tools/src/timeline/record.rs
+++ b/tools/src/timeline/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of one process: its events over all polls, and how its clock differs.
+//! Events of one process from all polls, and the offset of its clock.
 
 use crate::client::Reply;
 use serde::{Deserialize, Serialize};
@@ -7,63 +7,60 @@
 use sycamore_core::status::Events;
 use sycamore_core::{Name, Time};
 
-/// Events kept of one process, which bounds the memory of a long run.
-const MAX_EVENTS: usize = 100_000;
+/// Maximum number of events kept per process, to bound memory.
+const MAX_EVENTS_PER_PROCESS: usize = 100_000;
 
-/// Names a process: a VM's node is another process after each restart.
+/// Identifies a process. Each restart of a node on a VM is a new process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProcessId {
-    /// The VM.
     pub vm: Name,
-    /// When the process started, by its own clock.
+    /// Start time by the clock of the process.
     pub started: Time,
 }
 
-/// What is kept of one process. All times in it are by the process's own clock.
+/// Recorded state of one process. All times are by the clock of the process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Record {
-    /// The VM.
+pub struct ProcessRecord {
     pub vm: Name,
-    /// Region of the VM.
     pub region: Name,
     /// Availability zone of the VM.
     pub zone: Name,
-    /// When the process started.
+    /// Start time of the process.
     pub started: Time,
-    /// When it last answered.
+    /// Time of its most recent response.
     pub last_seen: Time,
-    /// Events that were lost before they were read, or no longer fitted here.
+    /// Number of events evicted before they were read, or beyond the limit of this record.
     pub dropped: u64,
-    /// What its clock differs by; null if it was never asked by this tool.
-    pub skew: Option<Skew>,
-    /// Its events, oldest first.
+    /// Clock offset; null if this tool has never queried the process.
+    pub skew: Option<ClockSkew>,
+    /// Events, oldest first.
     pub events: Vec<Event>,
 }
 
-/// What a process's clock differs by, measured by one exchange.
+/// Clock offset of a process, measured by one HTTP exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Skew {
-    /// This tool's clock less the process's, in microseconds.
+pub struct ClockSkew {
+    /// This tool's clock minus the clock of the process, in microseconds.
     pub offset_us: i64,
-    /// Round trip of the exchange, in microseconds. The offset is right to within half of it.
+    /// Round-trip time in microseconds. The error of the offset is at most half of it.
     pub round_trip_us: u64,
 }
 
-impl Skew {
-    /// Measures by an exchange: the process's clock read `now` half-way through it, when this
-    /// tool's clock read `at`.
-    pub fn new(at: Time, now: Time, round_trip: Duration) -> Skew {
+impl ClockSkew {
+    /// Computes the offset from an exchange. The clock of the process showed `process_time` when
+    /// this tool's clock showed `local_time`, the midpoint of the exchange.
+    pub fn new(local_time: Time, process_time: Time, round_trip: Duration) -> ClockSkew {
         let round_trip_us = u64::try_from(round_trip.as_micros()).unwrap_or(u64::MAX);
-        Skew { offset_us: at.0.wrapping_sub(now.0) as i64, round_trip_us }
+        ClockSkew { offset_us: local_time.0.wrapping_sub(process_time.0) as i64, round_trip_us }
     }
 }
 
-impl Record {
-    /// The record of a process whose clock is taken as right.
-    pub fn new(events: Events) -> Record {
-        Record {
+impl ProcessRecord {
+    /// Creates a record without a clock offset.
+    pub fn new(events: Events) -> ProcessRecord {
+        ProcessRecord {
             vm: events.vm,
             region: events.region,
             zone: events.zone,
@@ -75,42 +72,42 @@
         }
     }
 
-    /// The record of a process that this tool asked.
-    pub fn from_reply(reply: Reply<Events>) -> Record {
-        let skew = Skew::new(reply.at, reply.body.now, reply.round_trip);
-        Record { skew: Some(skew), ..Record::new(reply.body) }
+    /// Creates a record from a response to this tool, with the measured clock offset.
+    pub fn from_reply(reply: Reply<Events>) -> ProcessRecord {
+        let skew = ClockSkew::new(reply.midpoint, reply.body.now, reply.round_trip);
+        ProcessRecord { skew: Some(skew), ..ProcessRecord::new(reply.body) }
     }
 
-    /// Which process it is.
     pub fn id(&self) -> ProcessId {
         ProcessId { vm: self.vm.clone(), started: self.started }
     }
 
-    /// A time of the process by this tool's clock.
-    pub fn corrected(&self, time: Time) -> Time {
+    /// Converts a timestamp of the process to this tool's clock.
+    pub fn to_local_clock(&self, time: Time) -> Time {
         let offset_us = self.skew.map_or(0, |skew| skew.offset_us);
         Time(time.0.saturating_add_signed(offset_us))
     }
 
-    /// Adds what another record of the same process knows.
-    pub fn merge(&mut self, other: Record) {
+    /// Merges another record of the same process into this one.
+    pub fn merge(&mut self, other: ProcessRecord) {
         self.last_seen = self.last_seen.max(other.last_seen);
         self.dropped = self.dropped.max(other.dropped);
-        // The exchange with the shortest round trip measured the clock best.
+        // A shorter round trip gives a more accurate offset.
         let skews = self.skew.into_iter().chain(other.skew);
         self.skew = skews.min_by_key(|skew| skew.round_trip_us);
         for event in other.events {
-            self.add(event);
+            self.insert_event(event);
         }
-        let excess = self.events.len().saturating_sub(MAX_EVENTS);
+        let excess = self.events.len().saturating_sub(MAX_EVENTS_PER_PROCESS);
         self.dropped += excess as u64;
         self.events.drain(..excess);
     }
 
-    fn add(&mut self, event: Event) {
-        let later = |other: &&Event| other.at >= event.at;
-        let known = self.events.iter().rev().take_while(later).any(|other| *other == event);
-        if !known {
+    fn insert_event(&mut self, event: Event) {
+        let not_earlier = |other: &&Event| other.at >= event.at;
+        let duplicate =
+            self.events.iter().rev().take_while(not_earlier).any(|other| *other == event);
+        if !duplicate {
             let index = self.events.partition_point(|other| other.at <= event.at);
             self.events.insert(index, event);
         }
--- a/tools/src/timeline/store.rs
+++ b/tools/src/timeline/store.rs
@@ -1,9 +1,8 @@
-//! The records of all processes, in memory and in a directory.
+//! Records of all processes, in memory and persisted to a directory.
 //!
-//! A node keeps its events in memory only, so that they die with it. Records that were polled
-//! before and saved keep them.
+//! A node keeps its events in memory only and loses them when it exits; saved records keep them.
 
-use super::record::{ProcessId, Record};
+use super::record::{ProcessId, ProcessRecord};
 use crate::client::Reply;
 use crate::command_line::output_failed;
 use crate::input;
@@ -17,78 +16,77 @@
 
 /// Records by process.
 #[derive(Debug, Default)]
-pub struct Store {
-    records: BTreeMap<ProcessId, Record>,
-    unsaved: BTreeSet<ProcessId>,
+pub struct RecordStore {
+    records: BTreeMap<ProcessId, ProcessRecord>,
+    dirty: BTreeSet<ProcessId>,
 }
 
-/// Tells a record from an answer of `/events` by a field that only records have.
+/// Distinguishes a saved record from a `/events` response by a field that only records have.
 #[derive(Deserialize)]
-struct Probe {
+struct FormatProbe {
     last_seen: Option<IgnoredAny>,
 }
 
-impl Store {
-    /// A store without records.
-    pub fn new() -> Store {
-        Store::default()
+impl RecordStore {
+    pub fn new() -> RecordStore {
+        RecordStore::default()
     }
 
-    /// The records, by VM and then by start.
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    /// Iterates over the records, ordered by VM and start time.
+    pub fn records(&self) -> impl Iterator<Item = &ProcessRecord> {
         self.records.values()
     }
 
-    /// Takes a node's answer.
-    pub fn take(&mut self, reply: Reply<Events>) {
-        let record = Record::from_reply(reply);
-        self.unsaved.insert(record.id());
+    /// Adds the `/events` response of a node.
+    pub fn insert_reply(&mut self, reply: Reply<Events>) {
+        let record = ProcessRecord::from_reply(reply);
+        self.dirty.insert(record.id());
         self.merge(record);
     }
 
-    /// Takes a file: an answer of `/events`, or a record that [`Store::save`] wrote.
-    pub fn read(&mut self, path: &Path) -> Result<()> {
-        let probe: Probe = input::read_json(path)?;
+    /// Loads a file: a `/events` response, or a record written by [`RecordStore::save`].
+    pub fn load_file(&mut self, path: &Path) -> Result<()> {
+        let probe: FormatProbe = input::read_json(path)?;
         let record = match probe.last_seen {
             Some(_) => input::read_json(path)?,
-            None => Record::new(input::read_json(path)?),
+            None => ProcessRecord::new(input::read_json(path)?),
         };
         self.merge(record);
         Ok(())
     }
 
-    /// Takes every JSON file of a directory; one that does not exist yet is empty.
-    pub fn read_dir(&mut self, dir: &Path) -> Result<()> {
+    /// Loads every JSON file of a directory. A missing directory is treated as empty.
+    pub fn load_dir(&mut self, dir: &Path) -> Result<()> {
         if !dir.exists() {
             return Ok(());
         }
         for entry in fs::read_dir(dir).map_err(|e| unreadable(dir, e))? {
             let path = entry.map_err(|e| unreadable(dir, e))?.path();
             if path.extension().is_some_and(|extension| extension == "json") {
-                self.read(&path)?;
+                self.load_file(&path)?;
             }
         }
         Ok(())
     }
 
-    /// Writes the records that have changed since the last save, one file each. A file is
-    /// replaced whole, so that a reader or a kill never leaves half of one.
+    /// Writes the records that changed since the last save, one file each. Files are replaced
+    /// atomically, so that a reader never sees a truncated one, even if this tool is killed.
     pub fn save(&mut self, dir: &Path) -> Result<()> {
         fs::create_dir_all(dir).map_err(|e| output_failed(e).with_location(dir.display()))?;
-        for id in std::mem::take(&mut self.unsaved) {
+        for id in std::mem::take(&mut self.dirty) {
             let json = serde_json::to_vec(&self.records[&id]).map_err(output_failed)?;
-            let path = dir.join(format!("{}-{}.json", file_name(&id), id.started.0));
-            let partial = path.with_extension("partial");
-            fs::write(&partial, json)
-                .and_then(|()| fs::rename(&partial, &path))
+            let path = dir.join(format!("{}-{}.json", sanitized_vm_name(&id), id.started.0));
+            let temp_path = path.with_extension("partial");
+            fs::write(&temp_path, json)
+                .and_then(|()| fs::rename(&temp_path, &path))
                 .map_err(|e| output_failed(e).with_location(path.display()))?;
         }
         Ok(())
     }
 
-    fn merge(&mut self, record: Record) {
+    fn merge(&mut self, record: ProcessRecord) {
         match self.records.get_mut(&record.id()) {
-            Some(known) => known.merge(record),
+            Some(existing) => existing.merge(record),
             None => {
                 self.records.insert(record.id(), record);
             }
@@ -96,12 +94,12 @@
     }
 }
 
-/// The VM's name without characters that mean something in a path.
-fn file_name(id: &ProcessId) -> String {
+/// Replaces characters of the VM name that are unsafe in a file name.
+fn sanitized_vm_name(id: &ProcessId) -> String {
     let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     id.vm.as_str().chars().map(safe).collect()
 }
 
-fn unreadable(place: &Path, cause: impl std::fmt::Display) -> Fault {
-    Fault::new(Code::InputUnreadable).with_location(place.display()).with_detail(cause)
+fn unreadable(path: &Path, cause: impl std::fmt::Display) -> Fault {
+    Fault::new(Code::InputUnreadable).with_location(path.display()).with_detail(cause)
 }
--- a/tools/tests/operators/tool.rs
+++ b/tools/tests/operators/tool.rs
@@ -1,29 +1,26 @@
-//! Runs one of the tools and keeps what it said.
+//! Runs a tool and captures its output.
 
 use std::process::Command;
 
-/// What a finished tool left.
-pub struct Run {
-    /// Exit code.
-    pub code: Option<i32>,
-    /// Standard output.
+/// Exit code and output of a finished tool.
+pub struct ToolOutput {
+    pub exit_code: Option<i32>,
     pub stdout: String,
-    /// Standard error.
     pub stderr: String,
 }
 
-/// Runs a program to its end.
-pub fn run(program: &str, args: &[&str]) -> Run {
+/// Runs a program and waits for it to exit.
+pub fn run(program: &str, args: &[&str]) -> ToolOutput {
     let output = Command::new(program).args(args).output().unwrap();
-    Run {
-        code: output.status.code(),
+    ToolOutput {
+        exit_code: output.status.code(),
         stdout: String::from_utf8(output.stdout).unwrap(),
         stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-impl Run {
-    /// Standard output as JSON.
+impl ToolOutput {
+    /// Parses standard output as JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.stdout).unwrap()
     }
