--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -139,7 +139,10 @@
     let points = memory::measure(&options);
     println!("{:>7} {:>9} {:>14} {:>14}", "nodes", "services", "full scope KB", "usual scope KB");
     for p in &points {
-        println!("{:>7} {:>9} {:>14.0} {:>14.0}", p.nodes, p.services, p.full_kb, p.usual_kb);
+        println!(
+            "{:>7} {:>9} {:>14.0} {:>14.0}",
+            p.nodes, p.services, p.full_scope_kb, p.default_scope_kb
+        );
     }
     let line = memory::fit_full_scope(&points);
     println!("{}", serde_json::json!({ "points": points, "full_scope": line }));
--- a/bench/src/fleet/memory.rs
+++ b/bench/src/fleet/memory.rs
@@ -18,10 +18,12 @@
     /// Services in the preset.
     pub services: usize,
     /// Memory in KB of a node whose scope covers every route.
-    pub full_kb: f64,
+    #[serde(rename = "full_kb")]
+    pub full_scope_kb: f64,
     /// Memory in KB of a node with the default scope that reads the platform itself, which is the
     /// worst case.
-    pub usual_kb: f64,
+    #[serde(rename = "usual_kb")]
+    pub default_scope_kb: f64,
 }
 
 pub fn measure(options: &Options) -> Vec<MemoryPoint> {
@@ -30,15 +32,16 @@
 
 /// Fits the memory of a full scope against the fleet size.
 pub fn fit_full_scope(points: &[MemoryPoint]) -> Line {
-    let points: Vec<(f64, f64)> = points.iter().map(|p| (p.nodes as f64, p.full_kb)).collect();
+    let points: Vec<(f64, f64)> =
+        points.iter().map(|p| (p.nodes as f64, p.full_scope_kb)).collect();
     Line::fit(&points)
 }
 
 fn measure_point(size: Size, options: &Options) -> MemoryPoint {
     let Size { nodes, services, .. } = size;
-    let full_kb = measure_node_kb(size, usize::MAX, options);
-    let usual_kb = measure_node_kb(size, CALLED_SERVICES, options);
-    MemoryPoint { nodes, services, full_kb, usual_kb }
+    let full_scope_kb = measure_node_kb(size, usize::MAX, options);
+    let default_scope_kb = measure_node_kb(size, CALLED_SERVICES, options);
+    MemoryPoint { nodes, services, full_scope_kb, default_scope_kb }
 }
 
 /// Measures the memory of a single node from its start until it has settled with a version in
--- a/bench/src/fleet/workload.rs
+++ b/bench/src/fleet/workload.rs
@@ -103,7 +103,7 @@
     }
 
     /// Services whose routes a node needs with [`CALLED_SERVICES`].
-    pub fn usual_scope(&self, node: usize) -> Option<Vec<Name>> {
+    pub fn default_scope(&self, node: usize) -> Option<Vec<Name>> {
         self.scope(node, CALLED_SERVICES)
     }
 }
