--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -315,8 +315,8 @@
 
     fn receive(&mut self, from: usize, to: usize, incarnation: u32, msg: PeerMsg) {
         if self.slots[to].is_running() {
-            let question = matches!(msg, PeerMsg::Ping(_) | PeerMsg::Pull(_));
-            if !(question && self.slots[to].ignores_requests) {
+            let is_request = matches!(msg, PeerMsg::Ping(_) | PeerMsg::Pull(_));
+            if !(is_request && self.slots[to].ignores_requests) {
                 let from = self.slots[from].peer.clone();
                 self.handle_spread_input(to, Input::Peer { from, msg });
             }
@@ -394,9 +394,9 @@
         let sites = (self.site(from), self.site(to_node));
         let size = self.sizes.wire_size(&msg);
         self.count_cross_region(sites, size::kind(&msg), size);
-        let arrive = FleetEvent::PeerMessage { from, to: to_node, incarnation, msg };
+        let delivery = FleetEvent::PeerMessage { from, to: to_node, incarnation, msg };
         self.count_traffic(from, size, 0);
         self.count_traffic(to_node, 0, size);
-        self.links.send(sites.0, sites.1, size, arrive);
+        self.links.send(sites.0, sites.1, size, delivery);
     }
 }
--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -24,7 +24,7 @@
 const OTHER_SEEDS: usize = 2;
 
 /// Maximum number of inputs queued for a paused process; further inputs are dropped.
-const BACKLOG: usize = 4_096;
+const MAX_BACKLOG: usize = 4_096;
 
 /// State of a neighbour at the time a node started.
 #[derive(Clone, Copy, Debug)]
@@ -280,7 +280,7 @@
     /// paused process are dropped.
     pub fn handle(&mut self, now: Time, input: NodeInput, out: &mut Vec<node::Output>) {
         if self.paused {
-            if self.backlog.len() < BACKLOG && !matches!(input, NodeInput::Tick) {
+            if self.backlog.len() < MAX_BACKLOG && !matches!(input, NodeInput::Tick) {
                 self.backlog.push(input);
             }
             return;
