--- a/bench/tests/history_calls.rs
+++ b/bench/tests/history_calls.rs
@@ -21,7 +21,7 @@
 const NOT_RUN: CallOutcome = CallOutcome::NotRun(Duration::from_millis(50));
 
 #[test]
-fn check_calls_sound() {
+fn check_calls_no_violations() {
     let history = [
         submitted(0, 7),
         ended(0, NOT_RUN),
--- a/bench/tests/history_checker.rs
+++ b/bench/tests/history_checker.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn check_sound() {
+fn check_no_violations() {
     let history = [
         published(1, true),
         started(0),
