--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -145,7 +145,7 @@
         }
         let admins: Vec<_> = self.watched_nodes().iter().map(|node| node.admin).collect();
         let ready = || admins.iter().all(|admin| http::get(*admin, "/ready").is_ok());
-        wait_until(START_TIMEOUT, ready, "not all nodes became ready")
+        wait_until(START_TIMEOUT, ready, "nodes did not become ready in time")
     }
 
     fn start_node(&mut self, vm: &str) -> io::Result<()> {
@@ -312,7 +312,7 @@
         Ok(())
     }
 
-    /// Sends a crashing request through every running node. Each has its own id, so that the target
+    /// Sends a crashing request through every node. Each has its own id, so that the target
     /// log shows how many targets it crashed.
     fn send_crashing_requests(&mut self) -> io::Result<()> {
         for settings in self.stack.settings.values() {
