--- a/bench/src/bin/sycamore-fleet.rs
+++ b/bench/src/bin/sycamore-fleet.rs
@@ -137,7 +137,7 @@
     let options =
         slopes::Options { versions: 0, seed: number(matches, "seed", 1)?, memory: memory_in_use };
     let points = memory::measure(&options);
-    println!("{:>7} {:>9} {:>14} {:>14}", "nodes", "services", "full scope KB", "usual scope KB");
+    println!("{:>7} {:>9} {:>14} {:>14}", "nodes", "services", "full scope KB", "default KB");
     for p in &points {
         println!(
             "{:>7} {:>9} {:>14.0} {:>14.0}",
