--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -1,5 +1,5 @@
-//! The naive way to spread a version: every node polls the source for the whole document at a
-//! fixed interval. The figures of the system stand beside its figures.
+//! Baseline for configuration distribution: every node polls the platform for the full document at
+//! a fixed interval.
 
 use crate::fleet::measure::{Convergence, Figures};
 use crate::fleet::platform::{Answer, CALLS_PER_S, Get, Platform};
@@ -14,19 +14,19 @@
 use sycamore_core::Time;
 use sycamore_core::config::document::MAX_DOCUMENT_BYTES;
 
-/// Shortest interval between two polls of a node.
+/// Minimum polling interval of a node.
 const SHORTEST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Share of the platform's limit that polling may use.
+/// Share of the platform's rate limit that polling may use, in percent.
 const LIMIT_PERCENT: u64 = 80;
 
-/// Longest wait for nodes that return to hold the last version.
+/// Maximum time for restarted nodes to reach the latest version.
 const LONGEST_STORM: Duration = Duration::from_secs(600);
 
-/// Bytes of the head of a request and of an answer.
+/// Header size of a request or response, in bytes.
 const HEAD_BYTES: u64 = 120;
 
-/// Where the platform stands.
+/// Location of the platform.
 const PLATFORM: Site = Site { region: 0, zone: PLATFORM_ZONE };
 
 enum Event {
@@ -50,7 +50,7 @@
 }
 
 impl Baseline {
-    /// A fleet that holds version 1, and polls as often as the platform's limit allows.
+    /// Creates a fleet that holds version 1 and polls as often as the platform's rate limit allows.
     pub fn new(size: Size, profile: Profile, seed: u64) -> Baseline {
         let mut workload = Workload::new(size, seed);
         let first = workload.publish();
@@ -72,13 +72,13 @@
         fleet
     }
 
-    /// The interval between two polls of a node.
+    /// Polling interval of a node.
     pub fn interval(&self) -> Duration {
         self.interval
     }
 
-    /// Publishes `versions` changes, one each `pause`, and measures until every node has polled
-    /// once after the last.
+    /// Publishes `versions` changes, one every `pause`, and measures until every node has polled
+    /// after the last one.
     pub fn run(mut self, versions: usize, pause: Duration) -> Figures {
         let started = self.links.now();
         for index in 1..=versions {
@@ -89,7 +89,7 @@
         let mut measured = false;
         let end = changing + self.interval * 2 + Duration::from_secs(2);
         while self.links.next_at().is_some_and(|at| at <= end) {
-            // Rates are taken over the span of the changes, as they are for the system.
+            // Rates cover only the period of the changes, as in the measurement of the system.
             if !measured && self.links.next_at() >= Some(changing) {
                 measured = true;
                 figures = self.rates(versions, changing.since(started));
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Restarts these nodes at the same moment, and measures until each holds the last version.
+    /// Restarts the given nodes simultaneously and measures until each holds the latest version.
     pub fn return_at_once(mut self, storm: &'static str, nodes: &[usize]) -> StormFigures {
         let since = self.links.now();
         for node in nodes {
@@ -119,7 +119,7 @@
         let end = since + LONGEST_STORM;
         let mut last = since;
         while self.convergence.behind(1) > 0 && self.links.next_at() <= Some(end) {
-            // Counting the nodes after each event would cost more than the run.
+            // Checking all nodes after every event would dominate the run time.
             for _ in 0..nodes.len() {
                 let Some(event) = self.links.pop() else { break };
                 if let Event::Answered(node, 1..) = event {
@@ -186,7 +186,7 @@
                 _ => return self.poll_later(node),
             }
         }
-        // One value is written for each version, so that the index is the version.
+        // Each version writes one value, so the platform's index equals the version.
         if let Some(version) = index {
             let bytes = self.whole + HEAD_BYTES * self.values();
             let site = self.size.site(node);
@@ -194,8 +194,8 @@
         }
     }
 
-    /// A refused node polls again at another phase. With the old one the same nodes would be
-    /// refused each time.
+    /// Reschedules a rejected node at a random phase, so that the same nodes are not rejected in
+    /// every interval.
     fn poll_later(&mut self, node: usize) {
         self.lives[node] += 1;
         let phase = self.rng.random_range(0..self.interval.as_micros() as u64);
@@ -216,7 +216,7 @@
     }
 }
 
-/// Values of the platform that a whole document takes at least.
+/// Minimum number of platform values needed to store a document.
 fn values(whole: u64) -> u64 {
     whole.div_ceil(MAX_DOCUMENT_BYTES as u64)
 }
