--- a/bench/src/bin/sycamore-bench-calls.rs
+++ b/bench/src/bin/sycamore-bench-calls.rs
@@ -1,4 +1,4 @@
-//! `sycamore-bench-calls`: benches of the call path; `scripts/bench.sh` starts it.
+//! `sycamore-bench-calls`: call path benchmarks, run by `scripts/bench.sh`.
 
 use getopts::{Matches, Options};
 use serde::Serialize;
@@ -14,12 +14,12 @@
 use sycamore_bench::calls::slopes::{self, Point, Slopes};
 use sycamore_bench::process;
 
-/// Exit code of a command line that is not valid.
+/// Exit code for an invalid command line.
 const USAGE: u8 = 2;
-/// Length of a step unless `--seconds` says otherwise.
+/// Default for `--seconds`.
 const DEFAULT_SECONDS: u64 = 3;
 
-/// Last line of a bench. A system that was left out is null.
+/// JSON result, printed as the last line. A skipped system is null.
 #[derive(Serialize)]
 struct Both<T> {
     ours: Option<T>,
@@ -28,10 +28,10 @@
 
 fn main() -> ExitCode {
     let mut options = Options::new();
-    options.optopt("", "seconds", "length of a step; 3 by default", "N");
-    options.optopt("", "only", "leave the other system out", "ours|naive");
-    options.optopt("", "listen", "naive: address for callers", "IP:PORT");
-    options.optmulti("", "target", "naive: address of a target; may be repeated", "IP:PORT");
+    options.optopt("", "seconds", "duration of each step (default: 3)", "N");
+    options.optopt("", "only", "measure only this system", "ours|naive");
+    options.optopt("", "listen", "naive: listen address", "IP:PORT");
+    options.optmulti("", "target", "naive: target address; may be repeated", "IP:PORT");
     options.optflag("h", "help", "print this help");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
@@ -47,7 +47,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("the bench did not finish: {e}");
+            eprintln!("benchmark failed: {e}");
             ExitCode::FAILURE
         }
     }
@@ -66,7 +66,7 @@
 ) -> io::Result<()> {
     let seconds = matches.opt_get_default("seconds", DEFAULT_SECONDS).map_err(io::Error::other)?;
     if seconds <= overload::FILL.as_secs() {
-        return Err(io::Error::other("--seconds is at least 2"));
+        return Err(io::Error::other("--seconds must be at least 2"));
     }
     process::end_on_signals()?;
     let only = matches.opt_str("only");
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// How busy the machine is, since others may use it at the same time.
+/// CPU count and load averages, to detect interference from other processes.
 fn machine() -> io::Result<String> {
     let load = std::fs::read_to_string("/proc/loadavg")?;
     let cores = std::thread::available_parallelism()?;
@@ -101,7 +101,7 @@
         let rows = [
             ("through", measured.through),
             ("direct", measured.direct),
-            ("added a call", measured.added_per_call),
+            ("added per call", measured.added_per_call),
         ];
         for (name, quantiles) in rows {
             let name = format!("{} deep, {name}", measured.depth);
@@ -109,8 +109,8 @@
             println!("{:>9.3}{:>9.3}", quantiles.p99_ms, quantiles.p999_ms);
         }
     }
-    println!("calls a second for each core: {:.0}", latency.calls_per_second_per_core);
-    println!("memory of the largest process: {} KiB\n", latency.memory_kib);
+    println!("calls per second per core: {:.0}", latency.calls_per_second_per_core);
+    println!("largest resident memory of a process: {} KiB\n", latency.memory_kib);
 }
 
 fn print_overload(system: System, overload: &Overload) {
@@ -123,10 +123,13 @@
         print!("{:>11.2}{:>16.1}", load.hits_per_call, load.refused_p50_ms);
         println!("{:>8.1}", load.refused_p99_ms);
     }
-    println!("kept at the highest load: {:.1} % of the best", overload.kept_at_highest * 100.0);
+    println!(
+        "goodput at the highest load: {:.1} % of the maximum",
+        overload.kept_at_highest * 100.0
+    );
     println!(
         "{:<14}{:>9}{:>9}{:>9}{:>20}{:>20}",
-        "fault", "before", "during", "after", "recovered in it, ms", "after its end, ms"
+        "fault", "before", "during", "after", "recovery during, ms", "recovery after, ms"
     );
     let ms = |ms: Option<u64>| ms.map_or("never".to_string(), |ms| ms.to_string());
     for fault in &overload.faults {
@@ -142,7 +145,7 @@
 }
 
 fn print_slopes(system: System, slopes: &Slopes) {
-    println!("{}: processor time and memory of six nodes", system.name());
+    println!("{}: CPU time and memory of six nodes", system.name());
     println!("{:>10}{:>14}{:>16}", "calls/s", "cpu ms/s", "largest KiB");
     let print = |point: &Point| {
         print!("{:>10.0}{:>14.1}", point.calls_per_second, point.cpu_ms_per_second);
@@ -155,7 +158,7 @@
         println!("{name}");
         points.iter().for_each(print);
         println!(
-            "cpu ms/s = {:.1} + {:.4} x calls/s, error of the slope {:.4}, spread {:.1}",
+            "cpu ms/s = {:.1} + {:.4} x calls/s, slope error {:.4}, residual std dev {:.1}",
             line.at_zero, line.slope, line.slope_error, line.spread
         );
     }
