--- a/bench/src/bin/sycamore-demo.rs
+++ b/bench/src/bin/sycamore-demo.rs
@@ -1,5 +1,5 @@
-//! `sycamore-demo`: runs a deployment under load and faults, and checks what came of it.
-//! `scripts/demo.sh` builds everything and starts it.
+//! `sycamore-demo`: runs a deployment under load and faults and verifies the results.
+//! `scripts/demo.sh` builds the programs and runs it.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use sycamore_bench::stack::{Claim, Stack};
 use sycamore_standins::example::{self, COOPERATIVE, Deployment, FRANCHISE_OFFICE};
 
-/// Exit code of a command line that is not valid.
+/// Exit code for an invalid command line.
 const USAGE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -24,7 +24,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            eprintln!("the demonstration did not finish: {e}");
+            eprintln!("demo failed: {e}");
             ExitCode::FAILURE
         }
     }
@@ -32,7 +32,7 @@
 
 fn run(deployment: Deployment) -> io::Result<bool> {
     let output = PathBuf::from("target/demo");
-    // Output of an earlier run would be taken for this one's.
+    // Stale output from an earlier run would be attributed to this one.
     match std::fs::remove_dir_all(&output) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
@@ -41,13 +41,12 @@
     let stack = open(deployment, &output)?;
     let (evidence, seen) = Demo::new(stack).run()?;
     let report = Report::new(deployment.name, &evidence, seen.control_bytes());
-    println!("\n{report}\ntime line: target/demo/timeline.svg");
+    println!("\n{report}\ntimeline: target/demo/timeline.svg");
     println!("{}", serde_json::to_string(&report)?);
     Ok(report.violations.none())
 }
 
-/// Opens the example, or the same deployment on other addresses if its own are in use by another
-/// demonstration.
+/// Opens the example deployment, on a different network if another demo is using its addresses.
 fn open(deployment: Deployment, output: &Path) -> io::Result<Stack> {
     let example = Path::new("examples").join(deployment.name);
     let claim = Claim::new(deployment)?;
@@ -55,7 +54,7 @@
     if found.network == deployment.network {
         return Ok(Stack::new(found, &example, output)?.with_claim(claim));
     }
-    println!("addresses of the example are in use; 127.{}.0.0 is taken", found.network);
+    println!("example addresses are in use; using 127.{}.0.0 instead", found.network);
     let files = output.join("files");
     example::write(&found, &files)?;
     std::fs::copy(example.join("load.json"), files.join("load.json"))?;
