--- a/bench/src/bin/sycamore-lab.rs
+++ b/bench/src/bin/sycamore-lab.rs
@@ -1,4 +1,5 @@
-//! Plays modelled load over the call path's deciders, and says what each mechanism is worth.
+//! `sycamore-lab`: simulates load on the call path's decision logic and measures the effect of each
+//! mechanism.
 
 use getopts::{Matches, Options};
 use std::path::PathBuf;
@@ -10,18 +11,18 @@
 use sycamore_core::call::policy::Mechanism;
 use sycamore_core::{Code, Fault, Result};
 
-/// Exit code if the command line or a scenario is not valid.
+/// Exit code for an invalid command line or scenario.
 const EXIT_USAGE: u8 = 2;
 
 const BRIEF: &str = "Usage: sycamore-lab run|compare|ablate|bound SCENARIO... [options]
 
-Plays scenarios (examples/lab/*.json) in virtual time over the deciders that nodes run with.
-run      what callers saw, the mean over the seeds; with --svg a picture of the first seed
-compare  the same seeds with everything at work, and with --without and --set
-ablate   the same seeds with every mechanism off in turn
-bound    the least bytes between zones and the best goodput that the load allows
-Tables go to standard output, progress to standard error. The same seed gives the same result.
-Exit code: 0 done, 2 the command line or a scenario is not valid.";
+Simulates scenarios (examples/lab/*.json) in virtual time with the decision logic of the nodes.
+run      results seen by callers, averaged over the seeds; --svg plots the first seed
+compare  compares the default policy with --without and --set on the same seeds
+ablate   disables each mechanism in turn on the same seeds
+bound    lower bound of traffic between zones and upper bound of goodput
+Tables go to standard output, progress to standard error. Runs with the same seed are identical.
+Exit code: 0 success, 2 invalid command line or scenario.";
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -34,7 +35,7 @@
     }
 }
 
-/// The command line, read once.
+/// Parsed command line.
 struct Config {
     scenarios: Vec<PathBuf>,
     policy: Policy,
@@ -52,7 +53,7 @@
         return Ok(());
     }
     let Some((command, files)) = matches.free.split_first() else {
-        return Err(usage("a command is needed; see --help"));
+        return Err(usage("missing command; see --help"));
     };
     let cfg = Config::new(&matches, files)?;
     for path in &cfg.scenarios {
@@ -70,35 +71,39 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optflag("h", "help", "print this");
-    options.optopt("", "seeds", "seeds, the last one left out (1..4)", "A..B");
-    options.optmulti("", "without", "a mechanism that is off; may stand several times", "PART");
+    options.optflag("h", "help", "print this help");
+    options.optopt("", "seeds", "range of seeds, end exclusive (default: 1..4)", "A..B");
+    options.optmulti("", "without", "disable a mechanism; may be repeated", "PART");
     options.optmulti(
         "",
         "set",
-        "a value, as late-wait-percent=300; may stand several times",
+        "override a policy value, such as late-wait-percent=300; may be repeated",
         "NAME=N",
     );
-    options.optopt("", "jobs", "runs at one time (half of the processors)", "N");
-    options.optflag("", "json", "run: everything as JSON");
-    options.optopt("", "svg", "run: file for the picture", "FILE");
+    options.optopt("", "jobs", "number of parallel runs (default: half of the CPUs)", "N");
+    options.optflag("", "json", "run: print JSON");
+    options.optopt("", "svg", "run: write a plot to this file", "FILE");
     options
 }
 
 impl Config {
     fn new(matches: &Matches, files: &[String]) -> Result<Config> {
         if files.is_empty() {
-            return Err(usage("a scenario is needed; see --help"));
+            return Err(usage("missing scenario file; see --help"));
         }
         let mut policy = Policy::new();
         for name in matches.opt_strs("without") {
             policy = policy.without(part(&name)?);
         }
         for text in matches.opt_strs("set") {
-            let (name, value) = text.split_once('=').ok_or_else(|| usage("--set takes NAME=N"))?;
+            let (name, value) =
+                text.split_once('=').ok_or_else(|| usage("--set requires NAME=N"))?;
             let value: u64 = value.parse().map_err(usage)?;
             policy = policy.with_value(name, value).ok_or_else(|| {
-                usage(format!("unknown value {name}; there are {}", Policy::VALUES.join(", ")))
+                usage(format!(
+                    "unknown policy value {name}; expected one of {}",
+                    Policy::VALUES.join(", ")
+                ))
             })?;
         }
         let half = std::thread::available_parallelism().map_or(1, |all| all.get().div_ceil(2));
@@ -118,9 +123,9 @@
     }
 }
 
-/// The first seed, and how many.
+/// Parses a seed range into the first seed and the count.
 fn seeds(text: &str) -> Result<(u64, u64)> {
-    let wrong = || usage(format!("--seeds {text}: two numbers as 1..4 are needed"));
+    let wrong = || usage(format!("--seeds {text}: expected a non-empty range such as 1..4"));
     let (first, end) = text.split_once("..").ok_or_else(wrong)?;
     let (first, end): (u64, u64) =
         (first.parse().map_err(|_| wrong())?, end.parse().map_err(|_| wrong())?);
@@ -131,7 +136,7 @@
     serde_json::from_value(name.into()).map_err(|_| {
         let label = |part: &Mechanism| serde_json::to_string(part).unwrap_or_default();
         let known: Vec<String> = Mechanism::ALL.iter().map(label).collect();
-        usage(format!("unknown part {name}; there are {}", known.join(", ")))
+        usage(format!("unknown mechanism {name}; expected one of {}", known.join(", ")))
     })
 }
 
@@ -184,7 +189,7 @@
 
 fn progress(scenario: &Scenario) -> impl FnMut(u64) {
     let name = scenario.name.clone();
-    move |seed| eprintln!("{name}: seed {seed} played")
+    move |seed| eprintln!("{name}: seed {seed} done")
 }
 
 fn usage(detail: impl std::fmt::Display) -> Fault {
