--- a/bench/src/calls.rs
+++ b/bench/src/calls.rs
@@ -1,4 +1,4 @@
-//! Benches of the call path, against callers' direct calls and against a naive proxy.
+//! Call path benchmarks, compared with direct calls and with a naive proxy.
 
 pub mod cluster;
 pub mod latency;
