--- a/bench/src/calls/cluster.rs
+++ b/bench/src/calls/cluster.rs
@@ -1,5 +1,4 @@
-//! The service that the benches call: six targets in six zones, behind our nodes or behind naive
-//! proxies.
+//! Deployment under test: six targets in six zones, behind nodes or behind naive proxies.
 
 use crate::http;
 use crate::process::{Process, Usage};
@@ -14,20 +13,20 @@
 use sycamore_standins::target::Counts;
 use sycamore_tools::load::mix::MixClass;
 
-/// What stands between callers and targets.
+/// Proxy layer between callers and targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum System {
-    /// Our nodes.
+    /// Sycamore nodes.
     Ours,
     /// Naive proxies.
     Naive,
 }
 
 impl System {
-    /// Both, ours first.
+    /// All systems.
     pub const ALL: [System; 2] = [System::Ours, System::Naive];
 
-    /// Its name in tables and JSON.
+    /// Name used in tables and JSON.
     pub fn name(self) -> &'static str {
         match self {
             System::Ours => "ours",
@@ -36,12 +35,11 @@
     }
 }
 
-/// Slots of each target.
+/// Concurrency limit of each target.
 const SLOTS: u32 = 12;
-/// Deadline of a call.
 const DEADLINE: Duration = Duration::from_secs(1);
 
-/// The deployment of the benches.
+/// Deployment used by the benchmarks.
 pub const DEPLOYMENT: Deployment = Deployment {
     name: "bench",
     network: 40,
@@ -67,20 +65,20 @@
     connections: 110,
 };
 
-/// A system that runs.
+/// A running system.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Its processes but for naive proxies.
+    /// All processes except naive proxies.
     pub stack: Stack,
     proxies: Vec<Process>,
 }
 
 impl Cluster {
-    /// Starts a system; its files go below `output`.
+    /// Starts a system and writes its files to `output`.
     pub fn start(system: System, output: &Path) -> io::Result<Cluster> {
         let files = output.join("files");
         example::write(&DEPLOYMENT, &files)?;
-        // Only one at a time: two benches at once would measure each other.
+        // Concurrent benchmarks would distort each other's results.
         let claim = Claim::new(DEPLOYMENT)?;
         if claim.deployment.network != DEPLOYMENT.network {
             return Err(io::ErrorKind::AddrInUse.into());
@@ -112,19 +110,19 @@
         Ok(())
     }
 
-    /// Addresses that callers use.
+    /// Addresses for callers.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.stack.settings.values().map(|settings| settings.listen.calls).collect()
     }
 
-    /// Requests that have reached targets so far, run or shed by them.
+    /// Number of requests received by targets, including those they rejected.
     pub fn hits(&self) -> io::Result<u64> {
         let body = http::get(DEPLOYMENT.targets_control(), "/counts")?;
         let counts: IndexMap<String, Counts> = serde_json::from_slice(&body)?;
         Ok(counts.values().map(|counts| counts.runs + counts.beyond_slots).sum())
     }
 
-    /// Memory and processor time of nodes or proxies: of the largest, and of all.
+    /// Largest resident memory of a node or proxy in KiB, and the total CPU time of all.
     pub fn usage(&self) -> (u64, Duration) {
         let usages: Vec<Usage> =
             self.stack.nodes.values().chain(&self.proxies).map(Process::usage).collect();
@@ -132,7 +130,7 @@
         (memory, usages.iter().map(|usage| usage.processor).sum())
     }
 
-    /// Loses the first zone: its node or proxy, and its target, which stays away so long.
+    /// Stops the node or proxy of the first zone, and its target for the duration `away`.
     pub fn lose_zone(&mut self, away: Duration) -> io::Result<()> {
         let vm = DEPLOYMENT.vms().swap_remove(0).name;
         self.stack.drive_target("crash", &vm, away.as_millis().to_string())?;
@@ -143,7 +141,7 @@
         Ok(())
     }
 
-    /// Starts the node of the lost zone again; a naive proxy stays away.
+    /// Restarts the node of the failed zone. Naive proxies are not restarted.
     pub fn restore_zone(&mut self, system: System) -> io::Result<()> {
         let vm = DEPLOYMENT.vms().swap_remove(0).name;
         match system {
@@ -153,7 +151,7 @@
     }
 }
 
-/// A class of calls to the service.
+/// Traffic class for calls to the benchmark service.
 pub fn class(name: &str, share: u32, work: Duration) -> MixClass {
     MixClass {
         name: name.into(),
@@ -168,7 +166,7 @@
     }
 }
 
-/// Calls a second that all targets together can run.
+/// Combined capacity of all targets, in calls per second.
 pub fn capacity(work: Duration) -> f64 {
     f64::from(SLOTS) * DEPLOYMENT.vms().len() as f64 / work.as_secs_f64()
 }
