--- a/bench/src/calls/latency.rs
+++ b/bench/src/calls/latency.rs
@@ -1,4 +1,4 @@
-//! What the path adds to a call: through a node or proxy, against straight to the target.
+//! Latency overhead of calls through a node or proxy, compared with direct calls to the target.
 
 use super::cluster::{Cluster, DEPLOYMENT, System, class};
 use crate::process::Process;
@@ -17,57 +17,56 @@
 use sycamore_tools::load::plan::Plan;
 use sycamore_tools::load::summary::Row;
 
-/// Calls a second while latency is measured.
+/// Calls per second for the latency measurement.
 const RATE: f64 = 300.0;
-/// Calls a second while processor time is measured.
+/// Calls per second for the CPU time measurement.
 const BUSY_RATE: f64 = 4_000.0;
-/// Calls before those that count.
+/// Duration of the load before measurement starts.
 pub(super) const WARM_UP: Duration = Duration::from_secs(1);
-/// Calls that one call leads to, itself included, in the deep measurement.
+/// Length of the call chain in the nested measurement.
 const DEEP: u32 = 9;
-/// Second number of the addresses of targets that call each other directly.
+/// Second octet of the addresses of targets that call each other directly.
 const DIRECT_NETWORK: u8 = 41;
 
-/// One measurement.
+/// Latency at one depth.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measured {
-    /// Calls that one call leads to, itself included.
+    /// Length of the call chain.
     pub depth: u32,
-    /// Share of the calls through the path that were answered without an error; the quantiles
-    /// below are of those that were answered.
+    /// Share of calls through the path that succeeded. The quantiles cover answered calls only.
     pub answered: f64,
     /// Latency through the path.
     pub through: Quantiles,
-    /// Latency straight to the target.
+    /// Latency of direct calls.
     pub direct: Quantiles,
-    /// The difference of the quantiles, for each of the calls.
+    /// Difference between the quantiles, divided by the depth.
     pub added_per_call: Quantiles,
 }
 
-/// Quantiles of latency, in milliseconds.
+/// Latency quantiles, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Quantiles {
     /// Median.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1,000.
+    /// 99.9th percentile.
     pub p999_ms: f64,
 }
 
-/// What one system was measured at.
+/// Results for one system.
 #[derive(Clone, Debug, Serialize)]
 pub struct Latency {
-    /// One call, and nine deep.
+    /// Results by depth.
     pub measured: Vec<Measured>,
-    /// Calls a second that one core of the nodes' or proxies' time carries: entry node and
-    /// gatekeeper together.
+    /// Calls per second per core of CPU time used by nodes or proxies, on both entry node and
+    /// gatekeeper.
     pub calls_per_second_per_core: f64,
-    /// Memory of the largest node or proxy after the run.
+    /// Largest resident memory of a node or proxy after the run.
     pub memory_kib: u64,
 }
 
-/// Measures one system for so long at each step.
+/// Measures one system, running each step for `span`.
 pub fn measure(system: System, span: Duration, output: &Path) -> io::Result<Latency> {
     let mut cluster = Cluster::start(system, output)?;
     let _targets = start_direct_targets(&cluster.stack)?;
@@ -80,13 +79,13 @@
     let busy = run(&cluster.entries(), 1, BUSY_RATE, span)?;
     let (memory_kib, after) = cluster.usage();
     cluster.stack.stop();
-    // The warm-up's calls took processor time too.
+    // CPU time includes the warm-up calls.
     let calls = busy.counts.answered as f64 + BUSY_RATE * WARM_UP.as_secs_f64();
     let calls_per_second_per_core = calls / (after - before).as_secs_f64();
     Ok(Latency { measured, calls_per_second_per_core, memory_kib })
 }
 
-/// Calls through `entries` for so long.
+/// Generates load on `entries` for `span`, after a warm-up.
 pub(super) fn run(
     entries: &[SocketAddr],
     depth: u32,
@@ -110,7 +109,7 @@
     Ok(plan.run(&history).total())
 }
 
-/// The same targets on other addresses, where each calls the next one itself.
+/// Copies of the targets on separate addresses, where each calls the next one directly.
 fn direct_targets() -> Vec<TargetConfig> {
     let mut deployment = DEPLOYMENT;
     deployment.network = DIRECT_NETWORK;
@@ -139,7 +138,7 @@
 }
 
 impl Measured {
-    /// Measures both ways at the same time, so that others who use the machine slow both alike.
+    /// Measures both paths concurrently, so that background load affects them equally.
     fn take(
         entries: &[SocketAddr],
         targets: &[SocketAddr],
@@ -149,7 +148,9 @@
         std::thread::scope(|scope| {
             let through = scope.spawn(|| run(entries, depth, RATE, span));
             let direct = run(targets, depth, RATE, span)?;
-            let through = through.join().map_err(|_| io::Error::other("a thread failed"))??;
+            let through = through
+                .join()
+                .map_err(|_| io::Error::other("load generator thread panicked"))??;
             Ok(Measured::new(depth, through, direct))
         })
     }
