--- a/bench/src/calls/naive.rs
+++ b/bench/src/calls/naive.rs
@@ -1,5 +1,5 @@
-//! The baseline: a proxy with round robin, three fixed retries and no admission. It knows nothing
-//! of keys, load, deadlines or zones.
+//! Baseline proxy: round robin with three retries, without admission control. It ignores
+//! idempotency keys, load, deadlines and zones.
 
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -15,7 +15,6 @@
 use std::rc::Rc;
 use sycamore_tools::load::client::Pool;
 
-/// Attempts after the first.
 const RETRIES: usize = 3;
 
 type Answer = Response<Full<Bytes>>;
@@ -27,7 +26,7 @@
     next: Cell<usize>,
 }
 
-/// Serves callers at `listen` until the process ends.
+/// Serves requests on `listen` until the process exits.
 pub fn run(listen: SocketAddr, targets: &[SocketAddr]) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(listen)?;
@@ -70,7 +69,7 @@
     }
 }
 
-/// One attempt; no answer if the target fails or refuses.
+/// Sends one attempt. Returns `None` on a connection error or a 5xx response.
 async fn attempt(pool: &Pool, req: Request<Full<Bytes>>) -> Option<Answer> {
     let exchange = pool.send(req).await.ok()?;
     let (head, body) = exchange.response.into_parts();
