--- a/bench/src/calls/overload.rs
+++ b/bench/src/calls/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput when more is offered than targets can run, and through faults.
+//! Goodput under overload and during faults.
 
 use super::cluster::{Cluster, DEPLOYMENT, System, capacity, class};
 use super::timeseries::{Timeseries, in_time};
@@ -15,72 +15,72 @@
 use sycamore_tools::load::mix::Mix;
 use sycamore_tools::load::plan::Plan;
 
-/// How long a call runs at its target: long, so that a busy machine's processors are not what
-/// limits goodput.
+/// Service time of a call, long enough that target slots rather than CPU time limit goodput.
 const WORK: Duration = Duration::from_millis(100);
-/// Offered loads, as multiples of what the targets can run.
+/// Offered loads, as multiples of the targets' capacity.
 const LOADS: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 4.0];
-/// Offered load while faults happen.
+/// Offered load during faults, as a multiple of the targets' capacity.
 const FAULT_LOAD: f64 = 0.7;
-/// How many times as long a slow target, or every target in the storm, works.
+/// Service time multiplier of slow targets.
 const SLOW: f64 = 5.0;
-/// Time before a fault, of the fault, and after it.
+/// Phases of a fault run: before, during and after the fault.
 const BEFORE: Duration = Duration::from_secs(2);
 const FAULT: Duration = Duration::from_secs(3);
 const AFTER: Duration = Duration::from_secs(4);
-/// Significant digits of times.
+/// Significant digits of recorded durations.
 const DIGITS: u8 = 3;
-/// Time at each load until queues have filled.
+/// Time for queues to fill at each load, excluded from the goodput.
 pub const FILL: Duration = Duration::from_secs(1);
-/// Threads that make calls.
+/// Load generator threads.
 const THREADS: usize = 3;
 
-/// What one system was measured at.
+/// Results for one system.
 #[derive(Clone, Debug, Serialize)]
 pub struct Overload {
     /// Goodput by offered load.
     pub loads: Vec<Goodput>,
-    /// Goodput at the highest load, as a share of the best.
+    /// Goodput at the highest load, relative to the maximum goodput.
     pub kept_at_highest: f64,
-    /// What faults did.
+    /// Results of fault injection.
     pub faults: Vec<FaultResult>,
-    /// Broken rules over all runs.
+    /// Invariant violations over all runs.
     pub violations: Violations,
 }
 
 /// Goodput at one load.
 #[derive(Clone, Debug, Serialize)]
 pub struct Goodput {
-    /// Offered load as a multiple of what targets can run.
+    /// Offered load, as a multiple of the targets' capacity.
     pub load: f64,
-    /// Calls a second offered.
+    /// Calls offered per second.
     pub offered_per_second: f64,
-    /// Calls a second answered whole within their deadline.
+    /// Calls per second that received a complete response within their deadline.
     pub goodput_per_second: f64,
-    /// Requests that reached targets, run or shed by them, for each call offered.
+    /// Requests received by targets, including those they rejected, per offered call.
     pub hits_per_call: f64,
-    /// Sends by callers for each call offered.
+    /// Requests sent by callers, including retries, per offered call.
     pub sends_per_call: f64,
-    /// Median time until a send was refused.
+    /// Median time until a request was rejected.
     pub refused_p50_ms: f64,
-    /// 99 in 100 refused sends were refused within this time.
+    /// 99th percentile of the time until a request was rejected.
     pub refused_p99_ms: f64,
 }
 
-/// What a fault did.
+/// Effect of one fault.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultResult {
-    /// The fault.
+    /// Name of the fault.
     pub name: &'static str,
-    /// Share of calls answered in time before it, during it and after it.
+    /// Share of calls answered in time before the fault.
     pub before: f64,
-    /// See `before`.
+    /// The same share during the fault.
     pub during: f64,
-    /// See `before`.
+    /// The same share after the fault.
     pub after: f64,
-    /// From its start until calls are answered as before while it lasts; null if they never are.
+    /// Time from the start of the fault until goodput recovers while the fault lasts; null if it
+    /// does not.
     pub recovered_during_ms: Option<u64>,
-    /// From its end until calls are answered as before; null if they never are.
+    /// Time from the end of the fault until goodput recovers; null if it does not.
     pub recovered_after_ms: Option<u64>,
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// Measures one system, so long at each load.
+/// Measures one system, running each load for `span`.
 pub fn measure(system: System, span: Duration, output: &Path) -> io::Result<Overload> {
     let mut bench = Bench {
         system,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Offers a load and returns what callers were told.
+    /// Generates load and returns the callers' records.
     fn run(
         &mut self,
         load: f64,
@@ -155,7 +155,7 @@
         self.run_while(&plan, |_| Ok(())).map(|(records, ())| records)
     }
 
-    /// Offers a load while something else is done.
+    /// Generates load while `act` runs.
     fn run_while<T>(
         &mut self,
         plan: &Plan,
@@ -217,7 +217,7 @@
         match fault {
             Fault::SlowTarget => self.slow(1, SLOW),
             Fault::RetryStorm => self.slow(DEPLOYMENT.vms().len(), SLOW),
-            // The target comes back a little before its node.
+            // The target restarts shortly before its node.
             Fault::ZoneLoss => self.cluster.lose_zone(FAULT - Duration::from_millis(200)),
         }
     }
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Makes the first targets work so many times as long.
+    /// Sets the service time multiplier of the first `targets` targets.
     fn slow(&self, targets: usize, work_factor: f64) -> io::Result<()> {
         let behaviour = serde_json::to_string(&Behaviour { work_factor, ..Behaviour::default() })?;
         for vm in DEPLOYMENT.vms().iter().take(targets) {
@@ -240,8 +240,8 @@
     }
 }
 
-/// Calls a second that got their whole answer in time, once queues have filled. What is answered
-/// after the last call was due comes out of the queues and doesn't count.
+/// Calls per second answered in time after [`FILL`]. Responses that arrive after the load has ended
+/// drain the queues and are excluded.
 fn goodput_per_second(records: &[Record], span: Duration) -> f64 {
     let us = |span: Duration| span.as_micros() as u64;
     let start_us = records.iter().map(|record| record.invoked_us).min().unwrap_or_default();
@@ -250,11 +250,11 @@
     good.count() as f64 / (span - FILL).as_secs_f64()
 }
 
-/// How long refusals took, in microseconds.
+/// Durations of rejected requests, in microseconds.
 fn refusals<'a>(sends: impl Iterator<Item = &'a Send>) -> Histogram<u64> {
     let mut spans = Histogram::new(DIGITS).expect("the number of digits is valid");
     for send in sends.filter(|send| send.result == SendResult::NotRun) {
-        // A histogram that grows by itself takes any value.
+        // Recording cannot fail: the histogram resizes automatically.
         let _ = spans.record(send.end_us.saturating_sub(send.at_us));
     }
     spans
