--- a/bench/src/calls/slopes.rs
+++ b/bench/src/calls/slopes.rs
@@ -1,4 +1,4 @@
-//! What calls cost the nodes, over the rate and the depth: the slopes that docs/CAPACITY.md uses.
+//! CPU time and memory of nodes by call rate and by depth; source of the slopes in docs/CAPACITY.md.
 
 use super::cluster::{Cluster, System};
 use super::latency;
@@ -8,38 +8,38 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Calls a second, one deep.
+/// Call rates per second at a depth of one.
 const RATES: [f64; 5] = [250.0, 500.0, 1_000.0, 2_000.0, 3_000.0];
-/// Calls that one call leads to, itself included, at [`DEPTH_RATE`].
+/// Lengths of the call chain, measured at [`DEPTH_RATE`].
 const DEPTHS: [u32; 5] = [1, 3, 5, 7, 9];
-/// Calls a second while the depth grows.
+/// Calls per second for the measurement by depth.
 const DEPTH_RATE: f64 = 100.0;
 
-/// One size.
+/// One measured point.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
-    /// Calls a second through the nodes, nested ones counted.
+    /// Calls per second through the nodes, including nested calls.
     pub calls_per_second: f64,
-    /// Processor time of all nodes, in milliseconds for each second.
+    /// CPU time of all nodes, in milliseconds per second.
     pub cpu_ms_per_second: f64,
-    /// Memory of the largest node, in KiB.
+    /// Largest resident memory of a node, in KiB.
     pub memory_kib: u64,
 }
 
-/// The points of both series with the line of processor time through each.
+/// Both series with a linear fit of CPU time for each.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slopes {
-    /// By the rate of calls, one deep.
+    /// Points by call rate, at a depth of one.
     pub rates: Vec<Point>,
-    /// By the depth of calls.
+    /// Points by depth.
     pub depths: Vec<Point>,
-    /// Milliseconds of processor time for each call, by the rate.
+    /// Linear fit by call rate; the slope is CPU milliseconds per call.
     pub by_rate: Line,
-    /// The same by the depth.
+    /// Linear fit by depth.
     pub by_depth: Line,
 }
 
-/// Measures one system for so long at each size.
+/// Measures one system, running each point for `span`.
 pub fn measure(system: System, span: Duration, output: &Path) -> io::Result<Slopes> {
     let mut cluster = Cluster::start(system, output)?;
     let mut rates = Vec::new();
@@ -59,7 +59,7 @@
     let before = cluster.usage().1;
     latency::run(&cluster.entries(), depth, rate, span)?;
     let (memory_kib, after) = cluster.usage();
-    // The warm-up's calls took processor time too.
+    // CPU time includes the warm-up calls.
     let seconds = (span + latency::WARM_UP).as_secs_f64();
     let cpu_ms_per_second = (after - before).as_secs_f64() * 1_000.0 / seconds;
     let calls_per_second = rate * f64::from(depth);
