--- a/bench/src/calls/timeseries.rs
+++ b/bench/src/calls/timeseries.rs
@@ -1,15 +1,15 @@
-//! Calls answered in time, over the time of a run.
+//! Share of calls answered in time over the course of a run.
 
 use sycamore_tools::load::history::{Outcome, Record};
 
-/// Length of a step, in microseconds.
+/// Length of a time bucket, in microseconds.
 const STEP_US: u64 = 100_000;
-/// Steps that are looked at together, since one alone holds few calls.
+/// Buckets per sliding window; a single bucket holds too few calls.
 const WINDOW: usize = 5;
-/// Share of the goodput before a fault that counts as recovered.
+/// Recovery threshold, relative to the share before the fault.
 const RECOVERED: f64 = 0.95;
 
-/// Calls due and answered in time, by steps of time.
+/// Calls due and calls answered in time, by time bucket.
 #[derive(Clone, Debug)]
 pub struct Timeseries {
     start_us: u64,
@@ -23,7 +23,7 @@
 }
 
 impl Timeseries {
-    /// Sorts calls by when they were due.
+    /// Groups calls by their start time.
     pub fn new(records: &[Record]) -> Timeseries {
         let start_us = records.iter().map(|record| record.invoked_us).min().unwrap_or_default();
         let mut steps: Vec<Step> = Vec::new();
@@ -38,17 +38,17 @@
         Timeseries { start_us, steps }
     }
 
-    /// Share of the calls due from one time to another that were answered in time.
+    /// Share of the calls due between two times that were answered in time.
     pub fn share(&self, from_us: u64, to_us: u64) -> f64 {
-        // Steps that lie within the time as a whole.
+        // Only buckets that lie entirely within the interval.
         let first = from_us.saturating_sub(self.start_us).div_ceil(STEP_US) as usize;
         let end = (to_us.saturating_sub(self.start_us) / STEP_US) as usize;
         let end = end.min(self.steps.len());
         share(&self.steps[first.min(end)..end])
     }
 
-    /// How long after a time the share answered in time is back, and stays so for half a second,
-    /// in milliseconds; none if that doesn't happen before `end_us`.
+    /// Time in milliseconds from `from_us` until the share answered in time reaches the recovery
+    /// threshold over a full window; `None` if it does not before `end_us`.
     pub fn recovery_ms(&self, before: f64, from_us: u64, end_us: u64) -> Option<u64> {
         let first = from_us.saturating_sub(self.start_us).div_ceil(STEP_US) as usize;
         let last = (end_us.saturating_sub(self.start_us) / STEP_US) as usize;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Whether a caller got its whole answer before its deadline.
+/// Whether the caller received a complete, successful response before its deadline.
 pub fn in_time(record: &Record) -> bool {
     let success = record.status.is_some_and(|status| status < 400);
     let answered = record.outcome == Outcome::Answered && record.body_correct && success;
