--- a/bench/src/demo.rs
+++ b/bench/src/demo.rs
@@ -1,5 +1,4 @@
-//! The demonstration: a whole deployment in separate processes, with load and faults, and the
-//! check of what came of it.
+//! Demo: runs a deployment as separate processes under load and faults, and verifies the results.
 
 pub mod observer;
 pub mod plan;
