--- a/bench/src/demo/observer.rs
+++ b/bench/src/demo/observer.rs
@@ -1,4 +1,4 @@
-//! Looks at every node from outside while a run goes on.
+//! Polls the admin port of every node during a run.
 
 use super::rules::Sample;
 use crate::http;
@@ -18,34 +18,34 @@
 use sycamore_tools::load::client::Pool;
 use sycamore_tools::load::history::now_us;
 
-/// Pause between two looks at the version on a node; convergence is measured no finer.
+/// Pause between two polls of a node's status; the resolution of measured convergence times.
 const STATUS_PAUSE: Duration = Duration::from_millis(25);
 
-/// Looks at the version between two looks at the metrics.
+/// Status polls per metrics poll.
 const STATUS_PER_METRICS: usize = 20;
 
-/// Start of the lines that count control bytes.
+/// Prefix of the control byte counters in the metrics.
 const CONTROL_BYTES: &str = "sycamore_control_bytes_total{link=\"";
 
-/// A node to look at.
+/// A node to poll.
 #[derive(Clone, Debug)]
 pub struct Watched {
-    /// Its VM.
+    /// VM of the node.
     pub vm: String,
-    /// Its admin port.
+    /// Address of its admin port.
     pub admin: SocketAddr,
 }
 
-/// What was seen.
+/// Data collected from all nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// Versions in force, in the order of time.
+    /// Versions in force, in chronological order.
     pub samples: Vec<Sample>,
-    /// Control bytes by process and class of the link, as last seen.
+    /// Latest control byte counters by link class, per process (VM and start time).
     control_bytes: IndexMap<(String, Time), IndexMap<String, u64>>,
 }
 
-/// A thread that looks at nodes until it is stopped.
+/// Background thread that polls nodes until it is stopped.
 #[derive(Debug)]
 pub struct Observer {
     stop: Arc<AtomicBool>,
@@ -53,7 +53,7 @@
 }
 
 impl Observer {
-    /// Starts looking.
+    /// Starts polling.
     pub fn start(nodes: Vec<Watched>) -> Observer {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
@@ -61,7 +61,7 @@
         Observer { stop, thread }
     }
 
-    /// Stops and returns what was seen.
+    /// Stops the thread and returns the collected data.
     pub fn stop(self) -> Seen {
         self.stop.store(true, Ordering::Release);
         self.thread.join().unwrap_or_default()
@@ -69,7 +69,7 @@
 }
 
 impl Seen {
-    /// Control bytes sent by all processes, by class of the link.
+    /// Control bytes sent by all processes, by link class.
     pub fn control_bytes(&self) -> IndexMap<String, u64> {
         let mut total = IndexMap::new();
         for (link, bytes) in self.control_bytes.values().flatten() {
