--- a/bench/src/demo/plan.rs
+++ b/bench/src/demo/plan.rs
@@ -1,4 +1,4 @@
-//! What a demonstration does, step by step.
+//! Sequence of configuration changes and faults in the demo.
 
 use super::observer::{Observer, Seen, Watched};
 use super::rules::{Evidence, Publication, Stop};
@@ -12,19 +12,19 @@
 use sycamore_standins::target::run_log;
 use sycamore_tools::load::history::{self, now_us};
 
-/// Requests a second.
+/// Requests per second.
 const RATE: &str = "250";
-/// How long requests go out, in seconds.
+/// Duration of the load, in seconds.
 const LOAD_SECONDS: &str = "34";
-/// Longest time from the start of the load until the last caller has its outcome.
+/// Maximum time from the start of the load until all requests have an outcome.
 const LOAD_LIMIT: Duration = Duration::from_secs(46);
-/// How long a killed node stays away.
+/// Time between killing and restarting a node.
 const AWAY: Duration = Duration::from_secs(2);
 
-/// The version that is in force at the start.
+/// Version in force at startup.
 const FIRST_VERSION: u64 = 1;
 
-/// A demonstration under way.
+/// A demo run.
 #[derive(Debug)]
 pub struct Demo {
     stack: Stack,
@@ -33,12 +33,12 @@
 }
 
 impl Demo {
-    /// A demonstration of a deployment.
+    /// Creates a demo of a deployment.
     pub fn new(stack: Stack) -> Demo {
         Demo { stack, evidence: Evidence::default(), start: Instant::now() }
     }
 
-    /// Runs it all and returns what is known of the run.
+    /// Runs the demo and returns the collected evidence.
     pub fn run(mut self) -> io::Result<(Evidence, Seen)> {
         self.stack.start_standins()?;
         let first = Publication { version: FIRST_VERSION, at_us: now_us(), valid: true };
@@ -46,20 +46,20 @@
         self.stack.start_nodes()?;
         let observer = Observer::start(self.watched());
         self.stack.wait_until_ready()?;
-        self.say("every node holds the first version");
+        self.say("all nodes are ready with the first version");
         let mut timeline = self.start_timeline()?;
         let mut load = self.start_load()?;
         self.start = Instant::now();
         self.disturb()?;
         if !load.wait(LOAD_LIMIT.saturating_sub(self.start.elapsed())) {
-            return Err(io::Error::other("the callers did not end"));
+            return Err(io::Error::other("load generator did not exit in time"));
         }
-        self.say("every caller has its outcome");
+        self.say("all requests have an outcome");
         timeline.terminate();
         timeline.wait(STOP_LIMIT);
         let seen = observer.stop();
         for vm in self.stack.stop() {
-            self.say(&format!("{vm} did not stop and was killed"));
+            self.say(&format!("{vm} did not stop within {STOP_LIMIT:?}; killed"));
         }
         self.collect(seen)
     }
@@ -75,7 +75,7 @@
         self.stack.launcher.start("sycamore-load", &args, "load.log")
     }
 
-    /// The time line keeps looking, since a killed node takes its events with it.
+    /// Follows events continuously, since a killed node loses its event history.
     fn start_timeline(&self) -> io::Result<Process> {
         let zones = self.stack.deployment.zones();
         let list = |zone: &String| self.stack.file(&format!("published/vms/{zone}.json"));
@@ -87,7 +87,7 @@
         self.stack.launcher.start("sycamore-timeline", &args, "timeline.log")
     }
 
-    /// The changes and faults, while load runs.
+    /// Applies configuration changes and faults while the load runs.
     fn disturb(&mut self) -> io::Result<()> {
         self.until(4);
         self.publish(2, "peak", "published/preset/peak.json", true)?;
@@ -103,7 +103,7 @@
         self.publish(4, "maintenance", "published/preset/maintenance.json", true)?;
         self.until(31);
         self.stack.set_faults(&Faults::default())?;
-        self.say("the cut zone reaches the platform again");
+        self.say("restored the connection of the zone to the platform");
         Ok(())
     }
 
@@ -132,9 +132,9 @@
         let at_us = now_us();
         let Some(mut node) = self.stack.nodes.shift_remove(vm) else { return Ok(()) };
         node.terminate();
-        self.say(&format!("asked {vm} to stop"));
+        self.say(&format!("draining {vm}"));
         let ended = node.wait(STOP_LIMIT);
-        self.say(&format!("{vm} {}", if ended { "has stopped" } else { "did not stop" }));
+        self.say(&format!("{vm} {}", if ended { "stopped" } else { "did not stop in time" }));
         let stop = self.stop_of(vm, at_us);
         self.evidence.drains.push(stop);
         Ok(())
@@ -149,7 +149,7 @@
         let (_, name, number) = self.stack.deployment.zones()[zone].clone();
         let blocked = vec![self.stack.deployment.platform_address(number).ip()];
         self.stack.set_faults(&Faults { blocked, ..Faults::default() })?;
-        self.say(&format!("cut zone {name} from the platform"));
+        self.say(&format!("disconnected zone {name} from the platform"));
         Ok(())
     }
 
@@ -166,7 +166,7 @@
         Ok((self.evidence, seen))
     }
 
-    /// Waits until so many seconds after the start of the load.
+    /// Sleeps until `seconds` after the start of the load.
     fn until(&self, seconds: u64) {
         let left = Duration::from_secs(seconds).saturating_sub(self.start.elapsed());
         std::thread::sleep(left);
@@ -176,7 +176,7 @@
         println!("{:>5.1} s  {text}", self.start.elapsed().as_secs_f64());
     }
 
-    /// The VM with this index in a zone.
+    /// Name of the VM with this index in a zone.
     fn vm(&self, zone: usize, index: usize) -> String {
         let deployment = &self.stack.deployment;
         let zone = &deployment.zones()[zone].1;
