--- a/bench/src/demo/report.rs
+++ b/bench/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! The result of a demonstration, as a table and as one JSON object.
+//! Demo results as a table and as a JSON object.
 
 use super::rules::{self, Evidence, Violations};
 use hdrhistogram::Histogram;
@@ -12,37 +12,37 @@
 /// Significant digits of latencies.
 const DIGITS: u8 = 3;
 
-/// Unknown outcomes listed one by one; the rest are counted.
+/// Maximum number of unknown outcomes listed individually.
 const MAX_LISTED: usize = 10;
 
-/// Last line of a demonstration.
+/// JSON result, printed as the last line.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Requests made.
+    /// Requests sent.
     pub sent: usize,
     /// Requests answered by a target.
     pub answered: usize,
-    /// Of those, with a status that says that the target failed.
+    /// Answered requests with an error status.
     pub errors: usize,
     /// Requests that did not run.
     pub not_run: usize,
     /// Requests that may have run.
     pub unknown: usize,
-    /// How often each rule was broken.
+    /// Invariant violations.
     #[serde(flatten)]
     pub violations: Violations,
-    /// The longest convergence of a valid version that was published while nodes ran; null if one
-    /// did not come into force everywhere.
+    /// Maximum convergence time of the valid versions published while nodes ran; null if one did not
+    /// reach every node.
     pub converged_ms: Option<u64>,
-    /// Convergence of each valid version; of the first one, from the start of the nodes.
+    /// Convergence time of each valid version. For the first one, it includes node startup.
     pub converged_ms_by_version: IndexMap<u64, Option<u64>>,
     /// Control bytes sent by all nodes.
     pub control_bytes: u64,
-    /// The same by class of the link.
+    /// Control bytes by link class.
     pub control_bytes_by_link: IndexMap<String, u64>,
-    /// Rows of the table.
+    /// Table rows by traffic class.
     #[serde(skip)]
     classes: IndexMap<String, ClassRow>,
     /// Causes of unknown outcomes.
@@ -64,7 +64,7 @@
 }
 
 impl Report {
-    /// Checks and counts a run.
+    /// Evaluates a run.
     pub fn new(
         deployment: &str,
         evidence: &Evidence,
@@ -76,8 +76,8 @@
             record.outcome == Outcome::Answered && record.status.is_none_or(|status| status >= 400)
         };
         let convergence = rules::convergence(evidence);
-        // The first version was there before the nodes; how long they take to start is not how
-        // long a change takes.
+        // Skips the first version: it was published before the nodes started, so its convergence
+        // time measures node startup.
         let slowest: Option<Vec<u64>> = convergence.values().skip(1).copied().collect();
         Report {
             deployment: deployment.to_string(),
@@ -126,9 +126,9 @@
             return;
         }
         let latency = record.final_us.saturating_sub(record.invoked_us);
-        // Histograms that grow by themselves take any value.
+        // Recording cannot fail: the histograms resize automatically.
         let _ = self.latency.record(latency);
-        // The waits of a caller that sends again are its own, not the path's.
+        // Requests with retries are excluded, because the caller's backoff is not path latency.
         if let ([start, end], [_]) = (runs, &record.sends[..]) {
             let own = end.at_us.saturating_sub(start.at_us);
             let _ = self.added.record(latency.saturating_sub(own));
@@ -156,9 +156,10 @@
         let broken = record.sends.iter().filter(|send| send.result != SendResult::NotRun).count();
         let cause = match code {
             Some(code) => format!("E{} {code}", code.number()),
-            None => format!("{broken} sends without an answer"),
+            None => format!("{broken} attempts without a response"),
         };
-        let kill = if explained { "around a kill" } else { "no kill explains it" };
+        let kill =
+            if explained { "explained by a killed node" } else { "not explained by a killed node" };
         format!("{} {}: {cause}; {kill}", record.class, record.id)
     };
     rules::unknown(evidence).map(cause).collect()
@@ -180,7 +181,7 @@
         }
         writeln!(f)?;
         for (version, ms) in &self.converged_ms_by_version {
-            let ms = ms.map_or("not in force everywhere".into(), |ms| format!("{ms} ms"));
+            let ms = ms.map_or("not on every node".into(), |ms| format!("{ms} ms"));
             writeln!(f, "convergence of version {version:<6}{ms:>12}")?;
         }
         for (link, bytes) in &self.control_bytes_by_link {
@@ -191,7 +192,7 @@
         }
         let more = self.unknown_causes.len().saturating_sub(MAX_LISTED);
         if more > 0 {
-            writeln!(f, "unknown: {more} more")?;
+            writeln!(f, "unknown: {more} more not listed")?;
         }
         Ok(())
     }
