--- a/bench/src/demo/rules.rs
+++ b/bench/src/demo/rules.rs
@@ -1,5 +1,5 @@
-//! What must hold of a run, checked on what callers were told, what targets ran, and what nodes
-//! showed from outside. No count that a node makes of itself decides anything here.
+//! Invariants of a run, checked against caller records, target run logs and the versions reported by
+//! nodes. Counters maintained by the nodes are not used.
 
 use indexmap::{IndexMap, IndexSet};
 use serde::Serialize;
@@ -8,97 +8,97 @@
 use sycamore_standins::target::run_log::{Line, RunEvent};
 use sycamore_tools::load::history::{Outcome, Record, SendResult};
 
-/// How long after a planned stop or a deadline its effects still show.
+/// Time after a planned stop during which its effects may still appear.
 const SETTLE_US: u64 = 1_000_000;
 
-/// What two clocks' readings of one deadline may differ by.
+/// Tolerance between two clocks' readings of a deadline.
 const DEADLINE_MARGIN_US: u64 = 20_000;
 
-/// How long after a killed node is back unknown outcomes are put down to the kill: a key that was
-/// minted before the restart may come until its deadline.
+/// Time after the restart of a killed node during which unknown outcomes are attributed to the kill:
+/// keys created before the restart may be used until their deadline.
 const KILL_EFFECT_US: u64 = 6_000_000;
 
-/// Everything that is known of a run.
+/// Data collected about a run.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// What the callers were told.
+    /// Outcomes seen by callers.
     pub records: Vec<Record>,
-    /// What the targets ran.
+    /// Run log of the targets.
     pub runs: Vec<Line>,
-    /// What nodes showed on `/status`.
+    /// Versions reported by nodes on `/status`.
     pub samples: Vec<Sample>,
-    /// Versions that were published.
+    /// Published versions.
     pub publications: Vec<Publication>,
-    /// A node that was killed.
+    /// Killed nodes.
     pub kills: Vec<Stop>,
-    /// A node that was stopped as planned.
+    /// Nodes stopped as planned.
     pub drains: Vec<Stop>,
-    /// VMs that must have every version: those whose node runs to the end.
+    /// VMs whose nodes run to the end and must therefore receive every version.
     pub lasting: Vec<String>,
 }
 
-/// The version in force on a node at one time.
+/// Version in force on a node at a point in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Sample {
     /// VM of the node.
     pub vm: String,
     /// When, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// The version; none before the first.
+    /// The version; `None` before the first one.
     pub version: Option<u64>,
 }
 
-/// A version that was published.
+/// A published version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Publication {
     /// The version.
     pub version: u64,
     /// When, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// Whether it is valid, so that it must come into force everywhere.
+    /// Whether the version is valid. Valid versions must come into force on every node.
     pub valid: bool,
 }
 
-/// The end of a node.
+/// A kill or planned stop of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stop {
     /// VM of the node.
     pub vm: String,
-    /// Address that callers use.
+    /// Address for callers.
     pub entry: SocketAddr,
-    /// When it was killed or asked to stop.
+    /// When the node was killed or asked to stop.
     pub at_us: u64,
-    /// When it was back after a kill, or had ended after a planned stop.
+    /// When the node had restarted after a kill, or had exited after a planned stop.
     pub until_us: u64,
 }
 
-/// How often each rule was broken.
+/// Number of violations of each invariant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Violations {
-    /// Requests whose caller held no final outcome one second past the deadline.
+    /// Requests without a final outcome one second after their deadline.
     pub lost: usize,
-    /// Keys that ran more than once.
+    /// Idempotency keys that ran more than once.
     pub run_twice: usize,
-    /// Requests refused as not run that a target ran.
+    /// Requests reported as not run that a target did run.
     pub false_not_run: usize,
-    /// Answers that were not the whole answer to the caller's own request.
+    /// Responses that were incomplete or belonged to another request.
     pub truncated: usize,
-    /// Times that a node showed an older version than before.
+    /// Samples in which a node reported an older version than before.
     pub older_version_seen: usize,
-    /// Times that a configured node lacked what an accepted version holds.
+    /// Responses of configured nodes that lacked a route of an accepted version.
     pub dangling_route_seen: usize,
-    /// Requests cut by a planned stop.
+    /// Requests interrupted by a planned stop.
     pub cut_by_drain: usize,
-    /// Times that a node showed an invalid version in force.
+    /// Samples in which a node reported an invalid version in force.
     pub bad_version_in_force: usize,
-    /// Unknown outcomes that no kill explains.
+    /// Unknown outcomes not explained by a killed node.
     pub unknown_unexplained: usize,
-    /// Valid versions that did not come into force on every node.
+    /// Valid versions that did not reach every node.
     pub not_converged: usize,
 }
 
 impl Violations {
-    /// Counts them.
+    /// Counts the violations in a run.
     pub fn find(evidence: &Evidence) -> Violations {
         Violations {
             lost: count(&evidence.records, |record| record.outcome == Outcome::None),
@@ -116,14 +116,14 @@
         }
     }
 
-    /// Whether none was found.
+    /// Whether there are no violations.
     pub fn none(&self) -> bool {
         *self == Violations::default()
     }
 }
 
-/// For each valid version, how long after its publication every lasting node showed it or a later
-/// one, in milliseconds; none if that was never seen.
+/// For each valid version, the time in milliseconds from its publication until every node that runs
+/// to the end reported it or a later one; `None` if a node never did.
 pub fn convergence(evidence: &Evidence) -> IndexMap<u64, Option<u64>> {
     let valid = evidence.publications.iter().filter(|publication| publication.valid);
     valid.map(|publication| (publication.version, converged(evidence, publication))).collect()
@@ -141,13 +141,13 @@
     Some(last.saturating_sub(publication.at_us) / 1_000)
 }
 
-/// Requests that ended as unknown, and whether a kill explains it.
+/// Requests with an unknown outcome, and whether a killed node explains it.
 pub fn unknown(evidence: &Evidence) -> impl Iterator<Item = (&Record, bool)> {
     let unknown = evidence.records.iter().filter(|record| record.outcome == Outcome::Unknown);
     unknown.map(|record| (record, evidence.kills.iter().any(|kill| explains(kill, record))))
 }
 
-/// Whether the request was under way while a killed node was away, or soon after.
+/// Whether the request overlapped the downtime of a killed node or the time shortly after it.
 fn explains(kill: &Stop, record: &Record) -> bool {
     record.final_us >= kill.at_us && record.invoked_us <= kill.until_us + KILL_EFFECT_US
 }
@@ -156,7 +156,7 @@
     items.iter().filter(holds).count()
 }
 
-/// Whoever sends a key again must get its first run's answer. A second run bills a grower twice.
+/// Requests with an idempotency key must run at most once; a retry returns the first run's response.
 fn run_twice(runs: &[Line]) -> usize {
     let mut starts: IndexMap<&str, usize> = IndexMap::new();
     for run in runs.iter().filter(|run| run.event == RunEvent::Start) {
@@ -174,8 +174,8 @@
     })
 }
 
-/// Restarts don't excuse an older version: a node that comes back behind its own past sends its
-/// callers where the newer version no longer does.
+/// Also counts older versions after a restart: a node with an outdated version routes requests to
+/// targets that the newer version removed.
 fn older_version_seen(samples: &[Sample]) -> usize {
     let mut newest: IndexMap<&str, u64> = IndexMap::new();
     let mut older = 0;
@@ -188,8 +188,8 @@
     older
 }
 
-/// Every accepted version has all routes of the mix and a target for each, so that a node which
-/// answers "no route" holds a route table that was never published.
+/// Every accepted version has all routes of the load mix, so a node that responds with "no route"
+/// has a route table that was never published.
 fn dangling_route_seen(evidence: &Evidence) -> usize {
     let sends = evidence.records.iter().flat_map(|record| &record.sends);
     sends.filter(|send| send.code == Some(Code::NoRoute.number())).count()
@@ -203,8 +203,8 @@
     count(&evidence.samples, |sample| sample.version.is_some_and(bad))
 }
 
-/// Requests that were under way through a node, or at its target, when it was asked to stop, and
-/// were cut before their deadline.
+/// Requests in flight through a node, or at its target, that a planned stop interrupted before their
+/// deadline.
 fn cut_by_drain(evidence: &Evidence) -> usize {
     let mut cut: IndexSet<&str> = IndexSet::new();
     for drain in &evidence.drains {
@@ -224,8 +224,8 @@
     })
 }
 
-/// Runs that the target of a stopping node could not finish, but for those whose callers had
-/// stopped waiting: their time was over, or another target had answered the request.
+/// Aborted runs at the target of a stopping node, except those whose deadline had passed or whose
+/// request had been answered by another target.
 fn cut_at_target<'a>(evidence: &'a Evidence, drain: &Stop) -> Vec<&'a str> {
     let deadlines: IndexMap<&str, u64> =
         evidence.records.iter().map(|record| (record.id.as_str(), record.deadline_us)).collect();
@@ -238,7 +238,7 @@
     unanswered.map(|run| run.id.as_str()).collect()
 }
 
-/// Whether another run of the same request had ended with an answer.
+/// Whether another run of the same request had already completed.
 fn answered_before(evidence: &Evidence, cut: &Line) -> bool {
     evidence.runs.iter().any(|run| {
         let same = run.id == cut.id && run.run != cut.run;
