--- a/bench/src/http.rs
+++ b/bench/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP request on a connection of its own, for control ports and operators' ports.
+//! Minimal HTTP client for control and admin ports.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -12,24 +12,24 @@
 use std::time::Duration;
 use sycamore_tools::load::client::Pool;
 
-/// Longest wait for an answer.
+/// Request timeout.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads a path. Fails unless the answer is a success.
+/// Sends a GET request on a new connection. Fails unless the response status is a success.
 pub fn get(to: SocketAddr, path: &str) -> io::Result<Bytes> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(to, executor.clone());
     future::block_on(executor.run(send(&pool, "GET", path, Bytes::new())))
 }
 
-/// Writes a path. Fails unless the answer is a success.
+/// Sends a PUT request on a new connection. Fails unless the response status is a success.
 pub fn put(to: SocketAddr, path: &str, body: Bytes) -> io::Result<Bytes> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(to, executor.clone());
     future::block_on(executor.run(send(&pool, "PUT", path, body)))
 }
 
-/// Sends one request through a pool and reads the answer.
+/// Sends a request through a connection pool and reads the response body.
 pub async fn send(pool: &Pool, method: &str, path: &str, body: Bytes) -> io::Result<Bytes> {
     let timeout = async {
         Timer::after(TIMEOUT).await;
@@ -49,5 +49,5 @@
     if status.is_success() {
         return Ok(body.to_bytes());
     }
-    Err(io::Error::other(format!("{} answered {status} to {path}", pool.address())))
+    Err(io::Error::other(format!("{} responded with {status} to {method} {path}", pool.address())))
 }
