--- a/bench/src/lab.rs
+++ b/bench/src/lab.rs
@@ -1,20 +1,20 @@
-//! A lab for load decisions: the call path's real deciders under modelled load, in virtual time.
+//! Load simulator: runs the call path's decision logic under simulated load, in virtual time.
 //!
-//! Everything that decides is core's own: [`Entry`](sycamore_core::call::Entry) and
-//! [`Gatekeeper`](sycamore_core::call::Gatekeeper) of every node. The lab models what is around
-//! them: callers, links, targets and what goes wrong. The same seed gives the same run.
+//! Each simulated node uses [`Entry`](sycamore_core::call::Entry) and
+//! [`Gatekeeper`](sycamore_core::call::Gatekeeper) from the core crate. Callers, links, targets and
+//! faults are models. Runs with the same seed are identical.
 //!
-//! - `scenario`: what a run is made of, read from JSON and checked
-//! - `mesh`: the nodes of a scenario, and the versions that list their targets
-//! - `world`: the run: one queue of events, and what happens at each
-//! - `path`: the way of a call through entry node and gatekeeper
-//! - `target`: a target's slots, speed and faults
-//! - `caller`: who asks, and who asks again
-//! - `trouble`: what goes wrong, and when
-//! - `tally`: what callers saw, and what crossed between zones
-//! - `bound`: the smallest traffic between zones that a load allows
-//! - `trial`: seeds, comparisons by pairs, and every mechanism off in turn
-//! - `report`, `plot`: tables and pictures
+//! - `scenario`: scenario definition, parsed from JSON and validated
+//! - `mesh`: nodes of a scenario and the configuration versions that list their targets
+//! - `world`: event queue and event dispatch of a run
+//! - `path`: path of a call through entry node and gatekeeper
+//! - `target`: target model with slots, speed and faults
+//! - `caller`: caller model with arrivals and retries
+//! - `trouble`: start and end of injected faults
+//! - `tally`: results seen by callers, and traffic between zones
+//! - `bound`: lower bound of traffic between zones
+//! - `trial`: runs over several seeds, paired comparisons and ablation
+//! - `report`, `plot`: tables and plots
 
 pub mod bound;
 mod caller;
