--- a/bench/src/lab/bound.rs
+++ b/bench/src/lab/bound.rs
@@ -1,46 +1,45 @@
-//! The smallest traffic between zones that a load allows, by capacity alone.
+//! Lower bound of traffic between zones and upper bound of goodput, based on capacity.
 //!
-//! Work that a zone's own targets can't take must go to others. Only how much leaves is counted,
-//! not how far within a region or between regions, so that any order of moving it gives the same
-//! sum, and zones of one region that help each other first give the least between regions. The
-//! share of slots that a scenario can fill at best bounds the goodput in the same way.
+//! Work beyond the capacity of a zone's own targets must go to other zones. The order in which it
+//! is distributed does not change the total; using zones of the same region first minimizes traffic
+//! between regions.
 
 use super::scenario::{Kind, Scenario};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use sycamore_core::Name;
 
-/// Slots that can be in use at most: with more, requests wait too long to be in time.
+/// Maximum slot utilization at which requests can still be answered in time.
 const USABLE: f64 = 0.95;
 
-/// Smaller amounts of work than this are rounding errors, in slots.
+/// Amounts of work below this are treated as rounding errors, in slots.
 const LEAST: f64 = 1e-9;
 
-/// What a load asks of one service, and what its targets give.
+/// Demand and capacity of one service.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServiceBound {
-    /// Slots that requests need, the time of their calls included.
+    /// Slots needed by requests, including the time spent in nested calls.
     pub needed: f64,
-    /// Slots that there are.
+    /// Available slots.
     pub slots: f64,
-    /// Part of the requests that can be answered at best.
+    /// Maximum share of requests that can be answered.
     pub served: f64,
-    /// Bytes a second that must leave their zone.
+    /// Minimum bytes per second between zones.
     pub crossing: f64,
-    /// Those of them that must leave their region.
+    /// Minimum bytes per second between regions.
     pub across: f64,
 }
 
-/// What a scenario allows.
+/// Bounds of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct Bound {
-    /// By service.
+    /// Bounds by service.
     pub services: BTreeMap<Name, ServiceBound>,
-    /// Megabytes that must leave their zone over the run's counted time.
+    /// Minimum megabytes between zones during the measured part of the run.
     pub crossed_mb: f64,
 }
 
-/// Works out the bound of a scenario without its troubles.
+/// Computes the bounds of a scenario, ignoring its faults.
 pub fn bound(scenario: &Scenario) -> Bound {
     let seconds = scenario.seconds - scenario.warm_up_s;
     let mut services = BTreeMap::new();
@@ -51,7 +50,7 @@
     Bound { services, crossed_mb: crossing * seconds / 1e6 }
 }
 
-/// Mean slots that one request holds, with the calls that it makes.
+/// Mean time that one request holds a slot, including its nested calls, in seconds.
 fn slot_seconds(scenario: &Scenario, kind: &Kind, speed: f64) -> f64 {
     let nested = |call: &super::scenario::NestedCall| {
         let way = 2.0 * scenario.links.zone_ms;
@@ -80,7 +79,7 @@
     let slots_of =
         |zone: &Name| f64::from(model.slots) * *model.targets.get(zone).unwrap_or(&0) as f64;
     let slots: f64 = zones.iter().map(|zone| slots_of(zone)).sum();
-    // When there is too little of it everywhere, what can't be served need not travel.
+    // Excludes requests beyond the total capacity, which need not leave their zone.
     let served = (USABLE * slots / needed.max(LEAST)).min(1.0);
     let need: Vec<f64> = zones.iter().map(|zone| part(zone) * needed * served).collect();
     let room: Vec<f64> = zones.iter().map(|zone| USABLE * slots_of(zone)).collect();
@@ -96,7 +95,7 @@
     }
 }
 
-/// Rates of kinds that runs call.
+/// Rates of nested calls by kind.
 fn nested_rates(scenario: &Scenario) -> BTreeMap<Name, f64> {
     let mut rates: BTreeMap<Name, f64> = BTreeMap::new();
     for kind in scenario.kinds.values() {
@@ -108,8 +107,8 @@
     rates
 }
 
-/// Fewest bytes that travel with one slot's worth of work in a second: the kind with the smallest
-/// answers for its work leaves first.
+/// Minimum bytes per second transferred for each slot of work moved, assuming that the kind with
+/// the fewest bytes per unit of work is moved first.
 fn smallest_density(
     scenario: &Scenario,
     own: &[(&Name, &Kind)],
@@ -124,8 +123,8 @@
     used.map(density).fold(f64::INFINITY, f64::min).clamp(0.0, f64::MAX)
 }
 
-/// Work that must leave its zone, within regions and between them: first each zone helps itself,
-/// then zones of one region help each other, then all do.
+/// Work that must be moved within regions and between regions: capacity is used first in the own
+/// zone, then in the own region, then anywhere.
 fn surplus(need: &[f64], room: &[f64], together: impl Fn(usize, usize) -> bool) -> (f64, f64) {
     let mut left: Vec<f64> = need.iter().zip(room).map(|(need, room)| need - room).collect();
     let near = level(&mut left, &together);
@@ -133,7 +132,8 @@
     (near, across)
 }
 
-/// Moves work from those who have too much to those with room, among those that go together.
+/// Moves surplus work to zones with spare capacity, between pairs accepted by `together`. Returns
+/// the amount moved.
 fn level(left: &mut [f64], together: &impl Fn(usize, usize) -> bool) -> f64 {
     let mut moved = 0.0;
     for from in 0..left.len() {
