--- a/bench/src/lab/caller.rs
+++ b/bench/src/lab/caller.rs
@@ -1,4 +1,4 @@
-//! Who asks, and who asks again.
+//! Caller model: arrivals, retries and abandoned requests.
 
 use super::path::Asker;
 use super::tally::Ending;
@@ -8,15 +8,14 @@
 use sycamore_core::Time;
 use sycamore_core::call::Outcome;
 
-/// A caller comes back after what it is told, but not after more than this part of the time that
-/// it has left.
+/// Divisor that caps the delay of a retry relative to the time left until the deadline.
 const MOST_OF_TIME_LEFT: u32 = 3;
 
-/// When a caller that was told nothing asks again.
+/// Retry delay without a `Retry-After` from the node.
 const ASK_AGAIN: Duration = Duration::from_millis(20);
 
 impl World<'_> {
-    /// A new request of a kind comes, and the next one is planned.
+    /// Issues a request of a kind and schedules the next arrival.
     pub(super) fn ask(&mut self, kind: usize) {
         if !self.callers_ask() {
             return;
@@ -50,7 +49,7 @@
         self.submit(request);
     }
 
-    /// Parts of the callers by zone, as they are now.
+    /// Current weights of the zones in the distribution of callers.
     fn zone_weights(&self) -> Vec<f64> {
         let zones = self.cfg.zones.values().map(|zone| zone.callers);
         let mut weights: Vec<f64> = zones.collect();
@@ -73,7 +72,8 @@
         weights.len() - 1
     }
 
-    /// A caller sends its request to a node of its zone, or of any if that has none.
+    /// Sends a request to a random node in the caller's zone, or in any zone if that has no running
+    /// node.
     pub(super) fn submit(&mut self, request: usize) {
         let Request { kind, zone, born, ended, .. } = self.requests[request];
         if ended {
@@ -100,7 +100,7 @@
         (!nodes.is_empty()).then(|| nodes[self.rng.random_range(0..nodes.len())])
     }
 
-    /// A caller's attempt was answered by its target.
+    /// Handles a successful response to a caller's attempt.
     pub(super) fn caller_answered(&mut self, request: usize) {
         let Request { kind, born, .. } = self.requests[request];
         let way = Duration::from_secs_f64(self.cfg.links.caller_ms / 1e3) * 2;
@@ -115,7 +115,7 @@
         self.finish(request, ending);
     }
 
-    /// A caller's attempt ended without an answer, or with a failure of the target's.
+    /// Handles an attempt that was rejected or failed.
     pub(super) fn caller_refused(&mut self, request: usize, outcome: Outcome) {
         let kind = self.requests[request].kind;
         let idempotent = self.kinds[kind].cfg.idempotent;
@@ -147,7 +147,7 @@
         self.links.after(wait, Happening::AskAgain(request));
     }
 
-    /// A caller leaves before it is answered.
+    /// Abandons a request that is still in progress.
     pub(super) fn give_up(&mut self, request: usize) {
         if self.requests[request].ended {
             return;
