--- a/bench/src/lab/mesh.rs
+++ b/bench/src/lab/mesh.rs
@@ -1,4 +1,4 @@
-//! The nodes of a scenario, and the versions that list their targets.
+//! Nodes of a scenario, and the configuration versions that list their targets.
 
 use super::scenario::{Kind, Scenario};
 use indexmap::IndexMap;
@@ -10,44 +10,44 @@
 use sycamore_core::place::Place;
 use sycamore_core::{Code, Fault, Name, Result};
 
-/// Connections that each target takes.
+/// Connection limit of each target.
 const CONNECTIONS: u32 = 500;
 
-/// Largest request, in bytes.
+/// Maximum request body size.
 const MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// Where a node is and what runs beside it.
+/// Location of a node and the service of its target.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Region and zone.
+    /// Region and zone names.
     pub place: Place,
-    /// Number of the zone, in the order of names.
+    /// Index of the zone, ordered by name.
     pub zone: usize,
-    /// Number of the service, in the order of names.
+    /// Index of the service, ordered by name.
     pub service: usize,
-    /// Number among the targets of its service.
+    /// Index among the targets of the service.
     pub rank: usize,
 }
 
-/// Whether a target is listed, and how.
+/// State of a target in the published configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// It takes work.
+    /// Accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// Draining: finishes its current requests.
     Leaving,
-    /// It is not there.
+    /// Not listed.
     Gone,
 }
 
-/// The nodes, in the order of services and zones.
+/// Nodes of a scenario, ordered by service and zone.
 #[derive(Clone, Debug)]
 pub struct Mesh {
-    /// Every node.
+    /// All nodes.
     pub sites: Vec<Site>,
-    /// Names of zones, in order.
+    /// Zone names, sorted.
     pub zones: Vec<Name>,
-    /// How each node's target is listed.
+    /// State of each node's target.
     pub listed: Vec<Listed>,
     services: IndexMap<Name, Service>,
     slots: Vec<u32>,
@@ -56,7 +56,7 @@
 }
 
 impl Mesh {
-    /// The nodes of a scenario, every target ready.
+    /// Creates the nodes of a scenario, with every target ready.
     pub fn new(scenario: &Scenario) -> Mesh {
         let zones: Vec<Name> = scenario.zones.keys().cloned().collect();
         let mut sites = Vec::new();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The next version, with the targets as they are listed now.
+    /// Creates the next configuration version from the current target states.
     pub fn publish(&mut self) -> Result<Arc<Snapshot>> {
         self.version += 1;
         let mut services = self.services.clone();
@@ -116,18 +116,18 @@
     }
 }
 
-/// Name of a node's VM.
+/// VM name of a node.
 pub fn vm(node: usize) -> Result<Name> {
     Name::new(format!("vm{node}")).ok_or_else(|| Fault::new(Code::InputInvalid))
 }
 
-/// Address of a node's gatekeeper, from which [`node_at`] tells the node.
+/// Address of a node's gatekeeper, which encodes the node index for [`node_at`].
 fn gate(node: usize) -> SocketAddr {
     let [_, _, high, low] = (node as u32).to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 5))
 }
 
-/// The node with this gatekeeper.
+/// Index of the node with this gatekeeper address.
 pub fn node_at(gate: SocketAddr) -> usize {
     match gate.ip() {
         std::net::IpAddr::V4(ip) => (u32::from(ip) & 0xffff) as usize,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Path of the requests of a kind.
+/// Request path of a kind.
 pub fn path(kind: &Name) -> String {
     format!("/{kind}/")
 }
