--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -1,4 +1,4 @@
-//! The way of a call: caller or run -> entry node -> gatekeeper -> target, and back.
+//! Path of a call: caller or run -> entry node -> gatekeeper -> target, and back.
 
 mod run;
 
@@ -10,21 +10,21 @@
 use sycamore_core::call::{CallKey, Fingerprint, Outcome, Runs};
 use sycamore_core::{Code, Time};
 
-/// A run, by the key of its call at the gatekeeper.
+/// Key of a run, which is the key of its attempt at the gatekeeper.
 pub(super) type RunKey = CallKey;
 
-/// Bytes of a request, and of an answer's head.
+/// Size of a request, and of the headers of a response, in bytes.
 pub(super) const HEAD_BYTES: u64 = 400;
 
-/// Deepest nesting: a run's calls make no further ones.
+/// Depth of nested calls, which make no further calls.
 const NESTED_DEPTH: u8 = 1;
 
-/// Who waits for a call.
+/// Originator of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Asker {
-    /// A caller, by the number of its request.
+    /// A caller, identified by the index of its request.
     Caller(usize),
-    /// A run that can't go on without it.
+    /// A run that blocks until the call ends.
     Run(RunKey),
 }
 
@@ -33,11 +33,11 @@
     pub node: usize,
     kind: usize,
     asker: Asker,
-    // The present attempt, by its key at the gatekeeper.
+    // Primary attempt, by its key at the gatekeeper.
     gate: Option<CallKey>,
-    // A second attempt beside it.
+    // Hedged attempt.
     second: Option<CallKey>,
-    // Targets that it has been handed to.
+    // Number of times the call was handed to a target.
     arrivals: u32,
 }
 
@@ -57,13 +57,13 @@
     waited: Duration,
     running: bool,
     fails: bool,
-    // Kinds of the calls still to be made, and the work before each of them.
+    // Kinds of the remaining nested calls, and the work time before each of them.
     steps: Vec<usize>,
     part: Duration,
     child: Option<CallKey>,
 }
 
-/// What an attempt came to, on its way to the entry node.
+/// Result of an attempt, on its way to the entry node.
 pub(super) struct Back {
     call: CallKey,
     gate: CallKey,
@@ -71,7 +71,8 @@
 }
 
 impl World<'_> {
-    /// A request reaches an entry node. Returns its key unless it has ended already.
+    /// Handles a request arriving at an entry node. Returns the call's key unless the
+    /// call has already ended.
     pub(super) fn arrive(
         &mut self,
         node: usize,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The time at which a node has dealt with a message that has come now.
+    /// Charges a node for processing one message. Returns the time at which processing completes.
     fn dealt_with(&mut self, node: usize) -> Time {
         let now = self.links.now();
         let cost = Duration::from_micros(self.cfg.message_us);
@@ -149,7 +150,7 @@
         self.links.send_call_at(departs, sites.0, sites.1, bytes, event);
     }
 
-    /// Sends an attempt. Returns its keys at the entry node and at the gatekeeper.
+    /// Sends an attempt. Returns the call's key and the attempt's key at the gatekeeper.
     fn forward(&mut self, node: usize, forward: Forward) -> Option<(CallKey, CallKey)> {
         let departs = self.dealt_with(node);
         let gate = self.new_key();
@@ -167,7 +168,7 @@
         Some((key, gate))
     }
 
-    /// An attempt has not been answered in the usual time: a second one may begin beside it.
+    /// Handles the expiry of an attempt's hedge delay, after which a hedged attempt may start.
     pub(super) fn slow(&mut self, key: CallKey, gate: CallKey) {
         let waits = |call: &&Call| call.gate == Some(gate) && call.second.is_none();
         let Some(node) = self.calls.get(&key).filter(waits).map(|call| call.node) else { return };
@@ -182,7 +183,7 @@
         }
     }
 
-    /// A forward reaches the node beside its target.
+    /// Handles an attempt arriving at its gatekeeper.
     pub(super) fn at_gate(&mut self, forward: Forward, gate: CallKey) {
         let key = forward.call;
         let node = node_at(forward.gate);
@@ -233,7 +234,7 @@
         self.send(departs, node, to, HEAD_BYTES, Happening::Back(back));
     }
 
-    /// The gatekeeper turns an attempt away.
+    /// Handles an attempt rejected by its gatekeeper.
     fn refuse(&mut self, gate: CallKey, outcome: Outcome, crashes: u32) {
         let Some(gated) = self.gated.swap_remove(&gate) else { return };
         let load = Some(self.nodes[gated.node].gate.load(self.links.now()));
@@ -247,7 +248,7 @@
         self.send_back(gated.node, Back { call: gated.call, gate, end });
     }
 
-    /// What an attempt came to reaches its entry node.
+    /// Handles the result of an attempt arriving at the entry node.
     pub(super) fn back(&mut self, back: Back) {
         let Back { call: key, gate, end } = back;
         let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(gate)) else {
@@ -266,13 +267,13 @@
             self.tell_entry(node, entry::Input::Close(key));
             self.end_call(key, Ok(()));
         } else if same && failure {
-            // It was not sent again: the failure is the answer.
+            // The call was not retried, so the error response is final.
             self.tell_entry(node, entry::Input::Close(key));
             self.end_call(key, Err(Outcome::Unknown { code: Code::TargetFailed }));
         }
     }
 
-    /// A call is over: whoever waits for it goes on.
+    /// Ends a call and notifies its originator.
     fn end_call(&mut self, key: CallKey, result: Result<(), Outcome>) {
         let Some(call) = self.calls.swap_remove(&key) else { return };
         match (call.asker, result) {
@@ -282,7 +283,7 @@
         }
     }
 
-    /// The deadline of a call at its entry node.
+    /// Handles the expiry of a call's deadline at its entry node.
     pub(super) fn expire(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(&key) else { return };
         let (node, gate, second) = (call.node, call.gate, call.second);
@@ -291,7 +292,7 @@
         self.tell_entry(node, entry::Input::Expire { call: key, sent: true });
     }
 
-    /// Whoever asked has left.
+    /// Cancels a call whose originator no longer waits for it.
     pub(super) fn leave(&mut self, key: CallKey) {
         let Some(call) = self.calls.swap_remove(&key) else { return };
         self.tell_entry(call.node, entry::Input::Close(key));
@@ -299,8 +300,8 @@
         self.close_attempt(call.node, call.second);
     }
 
-    /// One of two attempts has come to something. Returns whether it is the only one from now on
-    /// and its end decides what becomes of the call.
+    /// Handles the end of one of two concurrent attempts. Returns whether it was answered and thus
+    /// decides the outcome of the call.
     fn settle_race(&mut self, key: CallKey, gate: CallKey, end: &AttemptEnd) -> bool {
         let Some(call) = self.calls.get_mut(&key) else { return false };
         let (node, first, second) = (call.node, call.gate, call.second.take());
@@ -338,7 +339,7 @@
         }
     }
 
-    /// The gatekeeper sees that the entry node has closed the connection.
+    /// Handles a connection closed by the entry node, at the gatekeeper.
     pub(super) fn closed(&mut self, gate: CallKey) {
         let Some(gated) = self.gated.swap_remove(&gate) else { return };
         if let Some(child) = gated.child {
@@ -352,14 +353,14 @@
         self.tell_gate(gated.node, input);
     }
 
-    /// A waiting request's time at its gatekeeper is up.
+    /// Expires a request that is still queued at its gatekeeper.
     pub(super) fn queue_end(&mut self, gate: CallKey) {
         if let Some(gated) = self.gated.get(&gate).filter(|gated| !gated.running) {
             self.tell_gate(gated.node, gatekeeper::Input::Expire(gate));
         }
     }
 
-    /// A VM is gone: its callers and the entry nodes of its runs see broken connections.
+    /// Stops a VM. Its callers and the entry nodes of its runs lose their connections.
     pub(super) fn stop(&mut self, node: usize) {
         self.nodes[node].up = false;
         let own = |(key, call): (&CallKey, &Call)| (call.node == node).then_some(*key);
@@ -382,7 +383,7 @@
         }
     }
 
-    /// A VM is back, its target cold.
+    /// Restarts a VM with a cold target.
     pub(super) fn start(&mut self, node: usize) {
         let now = self.links.now();
         if let Ok((entry, gate)) = self.new_process(node) {
