--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -1,4 +1,4 @@
-//! A run at its target: its work, the calls that it makes on the way, and its answer.
+//! Run of a request at its target: work, nested calls and the response.
 
 use super::{Asker, Back, HEAD_BYTES, RunKey};
 use crate::lab::target::Taken;
@@ -11,7 +11,7 @@
 use sycamore_core::{Code, Time};
 
 impl World<'_> {
-    /// A slot was given: the target gets the request.
+    /// Hands a request to the target after the gatekeeper has granted a slot.
     pub(super) fn start_run(&mut self, gate: RunKey) {
         let Some(gated) = self.gated.get_mut(&gate) else { return };
         gated.running = true;
@@ -57,7 +57,7 @@
         self.links.after(part, Happening::Worked(gate));
     }
 
-    /// Work of a request: its logarithm is spread normally, and its mean is the stated one.
+    /// Draws the work time of a request from a log-normal distribution with the configured mean.
     fn draw_work(&mut self, kind: usize) -> Duration {
         let cfg = &self.kinds[kind].cfg;
         let (mean, spread) = (cfg.work_ms, cfg.spread);
@@ -67,7 +67,7 @@
         Duration::from_secs_f64(mean * factor / 1e3)
     }
 
-    /// A run has done a part of its work: it makes its next call, or ends.
+    /// Handles the end of a work step: the run makes its next nested call or ends.
     pub(in crate::lab) fn worked(&mut self, run: RunKey) {
         let Some(gated) = self.gated.get_mut(&run) else { return };
         let Some(kind) = gated.steps.pop() else {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The target has made an answer, which is sent as the link takes it.
+    /// Handles a finished run and schedules the transmission of its response.
     fn end_run(&mut self, run: RunKey, failed: bool) {
         let Some(gated) = self.gated.get(&run) else { return };
         let (node, kind, key) = (gated.node, gated.kind, gated.call);
@@ -98,7 +98,7 @@
             _ => self.links.now(),
         };
         if departs > self.links.now() {
-            // The target is done with it as soon as its gatekeeper has read it.
+            // The slot is freed once the gatekeeper has buffered the response.
             self.free_target(node, run);
             let end = End::ResponseRead { unsent: HEAD_BYTES + body };
             self.tell_gate(node, gatekeeper::Input::End { call: run, end });
@@ -106,7 +106,7 @@
         self.links.at(departs, Happening::Sent(run, failed));
     }
 
-    /// When the link of a node's VM has taken an answer.
+    /// Returns when the link of a node's VM has transmitted a response.
     fn link_takes(&mut self, node: usize, run: RunKey, bytes: u64) -> Time {
         let now = self.links.now();
         let mbps = self.cfg.links.vm_mbps;
@@ -120,7 +120,7 @@
         *until
     }
 
-    /// The last byte of an answer has left the target's VM.
+    /// Handles a response whose last byte has left the target's VM.
     pub(in crate::lab) fn sent(&mut self, run: RunKey, failed: bool) {
         let Some(gated) = self.gated.get(&run) else { return };
         let (node, key, kind, waited) = (gated.node, gated.call, gated.kind, gated.waited);
@@ -144,7 +144,7 @@
         self.send(departs, node, to, HEAD_BYTES + body, back);
     }
 
-    /// The target has a slot less in use; what waits there runs.
+    /// Frees a slot at the target and starts the next queued request.
     pub(super) fn free_target(&mut self, node: usize, run: RunKey) {
         if let Some(next) = self.nodes[node].target.end(run) {
             self.begin_work(next);
@@ -159,8 +159,8 @@
         gated.child = None;
         match answered {
             true => self.links.after(gated.part, Happening::Worked(run)),
-            // The run can't go on; said in an event of its own, since its gatekeeper may be the
-            // one that has just refused the call.
+            // Ends the run in a separate event, since its gatekeeper may be the one that has just
+            // rejected the nested call.
             false => {
                 gated.fails = true;
                 gated.steps.clear();
