--- a/bench/src/lab/plot.rs
+++ b/bench/src/lab/plot.rs
@@ -1,4 +1,4 @@
-//! The picture of a run: answers by second, requests that wait, and bytes between zones.
+//! Plot of a run: responses per second, queued requests, and traffic between zones.
 
 use super::scenario::Scenario;
 use super::tally::{Second, Tally};
@@ -11,9 +11,9 @@
 use std::path::Path;
 use sycamore_core::{Code, Fault, Result};
 
-/// Size of the picture, in pixels.
+/// Image size, in pixels.
 const SIZE: (u32, u32) = (1_000, 980);
-/// Heights of its three parts, from the top.
+/// Vertical positions at which the image is split into three charts, in pixels.
 const HEIGHTS: [u32; 2] = [400, 620];
 const IN_TIME: RGBColor = RGBColor(51, 145, 85);
 const LATE: RGBColor = RGBColor(230, 170, 50);
@@ -22,7 +22,7 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws the run of one seed.
+/// Writes an SVG plot of a run.
 pub fn draw(scenario: &Scenario, run: &Tally, path: &Path) -> Result<()> {
     let failed = |e: &dyn std::fmt::Display| {
         Fault::new(Code::OutputFailed).with_location(path.display()).with_detail(e)
@@ -37,20 +37,17 @@
     root.present().map_err(|e| failed(&e))
 }
 
-/// A label, a colour, and the height of the layer's upper edge.
+/// Label, color and upper edge of a layer.
 type Layer = (&'static str, RGBColor, fn(&Second) -> u64);
 
 type Drawn = std::result::Result<(), Box<dyn std::error::Error>>;
 
-/// Requests by the second in which they came, one layer upon the other.
+/// Draws requests by the second in which they arrived, as stacked areas.
 fn answers(area: &Area<'_>, scenario: &Scenario, run: &Tally) -> Drawn {
     let sum = |of: &Second| of.in_time + of.late + of.lost;
     let most = run.seconds.iter().map(sum).max().unwrap_or(1) as f64;
     let mut chart = ChartBuilder::on(area)
-        .caption(
-            format!("{}: requests a second, by how they ended", scenario.name),
-            ("sans-serif", 18),
-        )
+        .caption(format!("{}: requests per second by outcome", scenario.name), ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
@@ -77,11 +74,11 @@
     Ok(())
 }
 
-/// Requests that wait at gatekeepers.
+/// Draws the number of requests queued at gatekeepers.
 fn waiting(area: &Area<'_>, run: &Tally) -> Drawn {
     let most = run.seconds.iter().map(|of| of.queued).max().unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
-        .caption("requests that wait for a slot", ("sans-serif", 16))
+        .caption("requests waiting for a slot", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(20)
         .y_label_area_size(60)
@@ -92,7 +89,7 @@
     Ok(())
 }
 
-/// Bytes between zones, from rows to columns: the darker the more.
+/// Draws a heat map of the bytes sent from zone (row) to zone (column).
 fn matrix(area: &Area<'_>, scenario: &Scenario, run: &Tally) -> Drawn {
     let zones: Vec<&str> = scenario.zones.keys().map(|zone| zone.as_str()).collect();
     let count = zones.len();
@@ -109,7 +106,7 @@
     chart
         .configure_mesh()
         .disable_mesh()
-        // One more than there are zones: with fewer the axis names every other one.
+        // With fewer labels, the axis would show only every other zone.
         .x_labels(count + 1)
         .y_labels(count + 1)
         .x_label_formatter(&place)
