--- a/bench/src/lab/report.rs
+++ b/bench/src/lab/report.rs
@@ -1,4 +1,4 @@
-//! What a trial came to, as tables and as JSON.
+//! Trial results as tables and JSON.
 
 use super::bound::Bound;
 use super::scenario::Scenario;
@@ -7,22 +7,22 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Everything that a trial came to.
+/// Results of a trial.
 #[derive(Debug, Serialize)]
 pub struct Report<'a> {
-    /// Name of the scenario.
+    /// Scenario name.
     pub scenario: &'a str,
     /// Number of nodes.
     pub nodes: usize,
-    /// First seed, and how many.
+    /// First seed and number of seeds.
     pub seeds: (u64, u64),
-    /// One a seed.
+    /// One result per seed.
     pub runs: &'a [Tally],
-    /// What the scenario allows without its troubles.
+    /// Bounds of the scenario, ignoring its faults.
     pub bound: &'a Bound,
 }
 
-/// The table of a trial's runs: the mean over seeds of each kind's requests.
+/// Formats a table of the outcomes by kind of request, averaged over seeds.
 pub fn runs(scenario: &Scenario, runs: &[Tally], bound: &Bound) -> String {
     let mut text =
         format!("{} ({} nodes, {} seeds)\n\n", scenario.name, scenario.nodes(), runs.len());
@@ -40,16 +40,17 @@
     let nested =
         mean(runs, |run| 100.0 * run.nested.1 as f64 / (run.nested.0 + run.nested.1).max(1) as f64);
     let _ = writeln!(text);
-    let _ = writeln!(text, "nested calls not answered: {nested:.2} %");
-    let _ = writeln!(text, "repeats at targets: {:.2} %", mean(runs, Tally::repeats_percent));
-    let _ = writeln!(text, "refusals: {:.0}", mean(runs, |run| run.refusals as f64));
+    let _ = writeln!(text, "nested calls without a response: {nested:.2} %");
+    let _ =
+        writeln!(text, "repeated attempts at targets: {:.2} %", mean(runs, Tally::repeats_percent));
+    let _ = writeln!(text, "rejections: {:.0}", mean(runs, |run| run.refusals as f64));
     let (near, across) = (
         mean(runs, |run| run.crossed.0 as f64 / 1e6),
         mean(runs, |run| run.crossed.1 as f64 / 1e6),
     );
     let _ = writeln!(
         text,
-        "between zones of a region {near:.2} MB, between regions {across:.2} MB; smallest {:.2} MB",
+        "MB between zones of a region {near:.2}, between regions {across:.2}, lower bound {:.2}",
         bound.crossed_mb
     );
     text
@@ -76,7 +77,7 @@
     )
 }
 
-/// Bytes between zones as a matrix, in kB over a run: from rows to columns.
+/// Formats a matrix of the kilobytes sent from zone (row) to zone (column) in a run.
 pub fn flows(scenario: &Scenario, runs: &[Tally]) -> String {
     let zones: Vec<&str> = scenario.zones.keys().map(|zone| zone.as_str()).collect();
     let mut text = format!("| kB from, to | {} |\n", zones.join(" | "));
@@ -89,9 +90,9 @@
     text
 }
 
-/// The table of a comparison by pairs of seeds.
+/// Formats a table comparing runs paired by seed.
 pub fn compared(before: &[Tally], after: &[Tally]) -> String {
-    let mut text = String::from("| figure | before | after | difference | tells |\n");
+    let mut text = String::from("| metric | before | after | difference | significant |\n");
     text.push_str("|---|---:|---:|---:|---|\n");
     for figure in Figure::ALL {
         let of = |runs: &[Tally]| mean(runs, |run| figure.of(run));
@@ -109,7 +110,7 @@
     text
 }
 
-/// The table of an ablation: differences of each figure without each part.
+/// Formats a table of the change in each metric when a mechanism is disabled.
 pub fn ablated(scenario: &Scenario, rows: &[Ablated]) -> String {
     let titles: Vec<&str> = Figure::ALL.iter().map(|figure| figure.title()).collect();
     let mut text = format!("{}\n\n| without | {} |\n", scenario.name, titles.join(" | "));
@@ -126,10 +127,10 @@
     format!("{:+.2} ± {:.2}", estimate.mean, estimate.half)
 }
 
-/// What the scenario allows.
+/// Formats a table of the bounds of a scenario.
 pub fn bounds(bound: &Bound) -> String {
     let mut text = String::from(
-        "| service | slots needed | slots | served at best | must cross, kB/s | across, kB/s |\n",
+        "| service | slots needed | slots | max served | min crossing zones, kB/s | regions, kB/s |\n",
     );
     text.push_str("|---|---:|---:|---:|---:|---:|\n");
     for (name, service) in &bound.services {
@@ -143,6 +144,6 @@
             service.across / 1e3,
         );
     }
-    let _ = writeln!(text, "\nsmallest over the run: {:.2} MB", bound.crossed_mb);
+    let _ = writeln!(text, "\nminimum between zones over the run: {:.2} MB", bound.crossed_mb);
     text
 }
