--- a/bench/src/lab/scenario.rs
+++ b/bench/src/lab/scenario.rs
@@ -1,4 +1,4 @@
-//! What a run is made of: places, services, kinds of request and what goes wrong.
+//! Scenario definition: zones, services, kinds of request and faults.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,44 +7,44 @@
 use sycamore_core::{Code, Fault, Name, Result};
 use sycamore_tools::input;
 
-/// Most nodes of a scenario.
+/// Maximum number of nodes.
 const MAX_NODES: usize = 2_000;
 
-/// Longest run, in seconds.
+/// Maximum duration of a run, in seconds.
 const MAX_SECONDS: f64 = 600.0;
 
-/// A scenario. Times are in the units of the fields' names.
+/// A scenario. Field names give the units.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it is called in reports.
+    /// Name used in reports.
     pub name: String,
-    /// Length of the run.
+    /// Duration of the run.
     pub seconds: f64,
-    /// Time at the start that is left out of the figures.
+    /// Initial period excluded from the results.
     #[serde(default)]
     pub warm_up_s: f64,
-    /// Ways between places.
+    /// Latency and bandwidth of links.
     #[serde(default)]
     pub links: Links,
-    /// What a node spends on one message of a call.
+    /// Processing time of a node per message of a call.
     #[serde(default)]
     pub message_us: u64,
-    /// Retries of the whole fleet in ten seconds, in percent of first attempts, and beside these.
+    /// Retry budget of the fleet per ten seconds.
     #[serde(default = "default_retries")]
     pub retries: Retries,
     /// Availability zones by name.
     pub zones: BTreeMap<Name, Zone>,
     /// Services by name.
     pub services: BTreeMap<Name, ServiceModel>,
-    /// Kinds of request by name.
+    /// Kinds of request, by name.
     pub kinds: BTreeMap<Name, Kind>,
-    /// What goes wrong.
+    /// Faults injected during the run.
     #[serde(default)]
     pub troubles: Vec<Trouble>,
 }
 
-/// One way between places.
+/// One-way latencies, and the bandwidth of VMs.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Links {
@@ -56,17 +56,17 @@
     pub across_ms: f64,
     /// Between a caller and its node.
     pub caller_ms: f64,
-    /// What the link of each VM takes; 0 for one that is never full.
+    /// Bandwidth of each VM in Mbit/s; 0 for unlimited.
     pub vm_mbps: f64,
 }
 
-/// What the operators allow the fleet.
+/// Retry budget of the fleet.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// Share of first attempts.
+    /// Retries in percent of first attempts.
     pub percent: u32,
-    /// Beside that share.
+    /// Retries allowed in addition to `percent`.
     pub reserve: u32,
 }
 
@@ -74,41 +74,41 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its region.
+    /// Region of the zone.
     pub region: Name,
-    /// Its part of all callers, compared with the sum over zones.
+    /// Weight of the zone in the distribution of callers.
     pub callers: f64,
 }
 
-/// A service and how its targets behave.
+/// A service and the model of its targets.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceModel {
-    /// Requests that a target runs at once.
+    /// Concurrency limit of a target.
     pub slots: u32,
-    /// Requests that wait at a target; more are refused by it.
+    /// Queue length of a target. It rejects requests when the queue is full.
     #[serde(default = "default_queue")]
     pub queue: u32,
-    /// How long the targets take for the same work, in turn, as a multiple.
+    /// Work time multipliers, assigned to the targets in turn.
     #[serde(default = "default_speeds")]
     pub speeds: Vec<f64>,
-    /// How much longer work takes when the last slot is in use, in percent.
+    /// Increase in work time when all slots are in use, in percent.
     #[serde(default)]
     pub near_full_percent: f64,
-    /// How long a target is slow after its start, and how much longer work takes at first.
+    /// Slowdown of a target after its start.
     #[serde(default)]
     pub cold: Cold,
-    /// Targets by zone.
+    /// Number of targets by zone.
     pub targets: BTreeMap<Name, usize>,
 }
 
-/// The first seconds of a target.
+/// Slowdown of a target after its start.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cold {
-    /// For how long.
+    /// Duration of the slowdown.
     pub seconds: f64,
-    /// How much longer work takes, as a multiple.
+    /// Work time multiplier.
     pub factor: f64,
 }
 
@@ -116,154 +116,154 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Where it goes.
+    /// Service that handles it.
     pub service: Name,
-    /// Requests a second over all zones; 0 for one that only targets send.
+    /// Requests per second over all zones; 0 for a kind that is only called by runs.
     #[serde(default)]
     pub per_s: f64,
-    /// Whether it may run more than once.
+    /// Whether it may safely run more than once.
     pub idempotent: bool,
-    /// Order of admission.
+    /// Admission class.
     pub class: Class,
-    /// Order within the class.
+    /// Admission priority within the class.
     #[serde(default)]
     pub rank: u8,
-    /// Work without the calls that it makes: mean, and spread of its logarithm.
+    /// Mean work time, excluding nested calls.
     pub work_ms: f64,
-    /// Spread of the logarithm of the work.
+    /// Standard deviation of the logarithm of the work time.
     #[serde(default)]
     pub spread: f64,
-    /// Size of the answer.
+    /// Size of the response body.
     pub answer_bytes: u64,
-    /// Within this time an answer is worth most.
+    /// Latency objective, within which a response has its full worth.
     pub objective_ms: u32,
-    /// How long its caller waits over all of its attempts.
+    /// Deadline of the caller over all of its attempts.
     pub deadline_ms: u32,
-    /// Longest that the operators let one attempt of a caller take.
+    /// Timeout of one attempt of a caller, as configured on the route.
     pub timeout_ms: u32,
-    /// Targets that one attempt of a caller may reach.
+    /// Maximum number of forwards per attempt of a caller.
     #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// How often a caller asks again.
+    /// Number of retries by a caller.
     #[serde(default)]
     pub caller_retries: u32,
-    /// What an answer in time is worth, and one that is late.
+    /// Worth of a response within the objective.
     #[serde(default)]
     pub worth: f64,
-    /// Worth of an answer that is late.
+    /// Worth of a later response.
     #[serde(default)]
     pub late_worth: f64,
-    /// Calls that a run makes, one after the other.
+    /// Nested calls of a run, made sequentially.
     #[serde(default)]
     pub calls: Vec<NestedCall>,
 }
 
-/// Calls that a run makes.
+/// Nested calls of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct NestedCall {
-    /// Their kind.
+    /// Kind of the calls.
     pub kind: Name,
-    /// How many.
+    /// Number of calls.
     pub times: u32,
-    /// Part of the runs that make them.
+    /// Share of the runs that make the calls.
     pub share: f64,
 }
 
-/// Something that goes wrong for a while.
+/// A fault that lasts for a limited time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Trouble {
-    /// When, from the start of the run.
+    /// Start, relative to the start of the run.
     pub at_s: f64,
-    /// For how long.
+    /// Duration.
     pub for_s: f64,
-    /// What.
+    /// Kind of fault.
     #[serde(flatten)]
     pub what: What,
 }
 
-/// What goes wrong.
+/// Kind of fault.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum What {
-    /// More callers, in one zone or in all.
+    /// Changes the request rate in one zone or in all zones.
     Burst {
-        /// As a multiple.
+        /// Rate multiplier.
         factor: f64,
-        /// Where.
+        /// Affected zone; all zones if absent.
         zone: Option<Name>,
     },
-    /// A share of one zone's callers moves to another.
+    /// Moves a share of the callers from one zone to another.
     Shift {
-        /// From where.
+        /// Source zone.
         from: Name,
-        /// To where.
+        /// Destination zone.
         to: Name,
-        /// Which part of them.
+        /// Share of the callers.
         share: f64,
     },
-    /// Callers ask again at once, and more often.
+    /// Callers retry without backoff and more often.
     Abuse {
-        /// Which part of them.
+        /// Share of the callers.
         share: f64,
-        /// How often.
+        /// Additional retries.
         times: u32,
     },
-    /// Callers leave before they are answered.
+    /// Callers abandon their requests.
     GiveUp {
-        /// Which part of them.
+        /// Share of the callers.
         share: f64,
-        /// After how long.
+        /// Time until a request is abandoned.
         after_ms: u32,
     },
-    /// Targets take longer.
+    /// Targets are slow.
     Slow {
-        /// Of which service.
+        /// Affected service.
         service: Name,
-        /// Which part of them.
+        /// Share of its targets.
         share: f64,
-        /// As a multiple.
+        /// Work time multiplier.
         factor: f64,
     },
-    /// Targets fail a part of their requests.
+    /// Targets fail a share of their requests.
     Grey {
-        /// Of which service.
+        /// Affected service.
         service: Name,
-        /// Which part of them.
+        /// Share of its targets.
         share: f64,
-        /// Which part of the requests.
+        /// Share of the requests.
         errors: f64,
     },
-    /// Targets refuse a part of their requests without running them.
+    /// Targets reject a share of their requests without running them.
     Shed {
-        /// Of which service.
+        /// Affected service.
         service: Name,
-        /// Which part of them.
+        /// Share of its targets.
         share: f64,
-        /// Which part of the requests.
+        /// Share of the requests.
         part: f64,
     },
-    /// Targets run requests whose answers are lost without a sign.
+    /// Targets run requests, but silently drop a share of the responses.
     Mute {
-        /// Of which service.
+        /// Affected service.
         service: Name,
-        /// Which part of them.
+        /// Share of its targets.
         share: f64,
-        /// Which part of the answers.
+        /// Share of the responses.
         part: f64,
     },
-    /// VMs of a zone, or a part of all, are gone, and come back cold.
+    /// VMs stop, and restart with cold targets when the fault ends.
     Lost {
-        /// Where; everywhere if absent.
+        /// Affected zone; all zones if absent.
         zone: Option<Name>,
-        /// Which part of them.
+        /// Share of the VMs.
         share: f64,
     },
-    /// Targets leave as planned and come back after it.
+    /// Targets drain as planned, and return when the fault ends.
     Leave {
-        /// Of which service.
+        /// Affected service.
         service: Name,
-        /// Which part of them.
+        /// Share of its targets.
         share: f64,
     },
 }
@@ -291,20 +291,20 @@
 }
 
 impl Scenario {
-    /// Reads and checks a file. The place of a fault is the file and the path of the field.
+    /// Reads and validates a file. Errors give the file and the path of the field.
     pub fn read(path: &Path) -> Result<Scenario> {
         let scenario = Scenario::parse(&input::read(path)?);
         scenario.map_err(|fault| input::in_file(path, fault))
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates JSON text.
     pub fn parse(buf: &[u8]) -> Result<Scenario> {
         let scenario: Scenario = input::parse_json(buf, Code::InputInvalid)?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// The number of nodes, one beside each target.
+    /// Number of nodes, which equals the number of targets.
     pub fn nodes(&self) -> usize {
         self.services.values().flat_map(|service| service.targets.values()).sum()
     }
@@ -313,10 +313,10 @@
         positive("seconds", self.seconds, MAX_SECONDS)?;
         within("warm_up_s", self.warm_up_s, 0.0, self.seconds)?;
         if self.zones.is_empty() {
-            return Err(wrong("zones", "none", "one at least"));
+            return Err(wrong("zones", "none", "at least one zone"));
         }
         if !(1..=MAX_NODES).contains(&self.nodes()) {
-            let allowed = format!("1 to {MAX_NODES} targets in all");
+            let allowed = format!("1 to {MAX_NODES} targets in total");
             return Err(wrong("services", self.nodes(), &allowed));
         }
         for (name, zone) in &self.zones {
@@ -339,7 +339,11 @@
             return Err(wrong(&format!("{place}.slots"), 0, "1 or more"));
         }
         if service.speeds.is_empty() || service.speeds.iter().any(|speed| *speed <= 0.0) {
-            return Err(wrong(&format!("{place}.speeds"), "none above 0", "multiples above 0"));
+            return Err(wrong(
+                &format!("{place}.speeds"),
+                "an empty list or a value of 0 or less",
+                "multipliers above 0",
+            ));
         }
         for zone in service.targets.keys() {
             self.check_zone(&format!("{place}.targets.{zone}"), zone)?;
@@ -359,7 +363,7 @@
             let known = self.kinds.get(&call.kind);
             let leaf = known.is_some_and(|known| known.calls.is_empty());
             if !leaf {
-                let allowed = "a kind that makes no calls itself";
+                let allowed = "a kind without nested calls";
                 return Err(wrong(&format!("{place}.calls[{index}].kind"), &call.kind, allowed));
             }
             within(&format!("{place}.calls[{index}].share"), call.share, 0.0, 1.0)?;
@@ -384,7 +388,9 @@
             | What::Mute { service, .. }
             | What::Leave { service, .. } => match self.services.contains_key(service) {
                 true => Ok(()),
-                false => Err(wrong(&format!("{place}.service"), service, "a service named above")),
+                false => {
+                    Err(wrong(&format!("{place}.service"), service, "a service listed in services"))
+                }
             },
             What::Burst { zone: None, .. }
             | What::Lost { zone: None, .. }
@@ -396,7 +402,7 @@
     fn check_zone(&self, place: &str, zone: &Name) -> Result<()> {
         match self.zones.contains_key(zone) {
             true => Ok(()),
-            false => Err(wrong(place, zone, "a zone named in zones")),
+            false => Err(wrong(place, zone, "a zone listed in zones")),
         }
     }
 }
