--- a/bench/src/lab/tally.rs
+++ b/bench/src/lab/tally.rs
@@ -1,77 +1,77 @@
-//! What callers saw, and what crossed between zones.
+//! Results seen by callers, and traffic between zones.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use sycamore_core::Name;
 
-/// How a request ended for its caller.
+/// Final outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Answered within its objective.
+    /// Answered within the latency objective.
     InTime,
-    /// Answered later.
+    /// Answered after the objective.
     Late,
-    /// Turned away, and not asked again.
+    /// Rejected and not retried.
     Refused,
-    /// Failed, or its deadline passed.
+    /// Failed, or exceeded its deadline.
     Failed,
-    /// Its caller left.
+    /// Abandoned by its caller.
     GaveUp,
 }
 
-/// Requests of one kind.
+/// Results for one kind of request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
-    /// Asked by callers who stayed.
+    /// Requests that were not abandoned.
     pub asked: u64,
-    /// Answered within the objective.
+    /// Requests answered within the objective.
     pub in_time: u64,
-    /// Answered later.
+    /// Requests answered after the objective.
     pub late: u64,
-    /// Turned away for good.
+    /// Requests rejected and not retried.
     pub refused: u64,
-    /// Failed, or their deadline passed.
+    /// Requests that failed or exceeded their deadline.
     pub failed: u64,
-    /// Worth of the answers.
+    /// Worth of the responses.
     pub earned: f64,
-    /// Worth of as many answers in time.
+    /// Worth if all requests had been answered in time.
     pub owed: f64,
 }
 
 /// One second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Requests that came and were answered within their objective.
+    /// Requests that arrived in this second and were answered within the objective.
     pub in_time: u64,
-    /// Requests that came and were answered later.
+    /// Requests that arrived in this second and were answered after the objective.
     pub late: u64,
-    /// Requests that came and were turned away or failed.
+    /// Requests that arrived in this second and were rejected or failed.
     pub lost: u64,
-    /// Requests at gatekeepers without a slot at the end of the second.
+    /// Requests queued at gatekeepers at the end of the second.
     pub queued: u64,
 }
 
-/// What happened in a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Tally {
-    /// By kind of request.
+    /// Results by kind of request.
     pub kinds: BTreeMap<Name, Counts>,
-    /// Nested calls that were answered, and that were not.
+    /// Nested calls that were answered, and those that were not.
     pub nested: (u64, u64),
-    /// Bytes by the numbers of the zones between which they went, the sender's first.
+    /// Bytes sent, indexed by source zone and destination zone.
     pub bytes: Vec<Vec<u64>>,
-    /// Bytes between zones of one region, and between regions.
+    /// Bytes sent between zones of one region, and between regions.
     pub crossed: (u64, u64),
-    /// Requests handed to targets, and those of them beyond a request's first.
+    /// Attempts handed to targets, and how many of them were repeats.
     pub arrivals: (u64, u64),
-    /// Refusals that callers got, those counted that came back.
+    /// Rejections received by callers, including those that were retried.
     pub refusals: u64,
-    /// Second by second.
+    /// Results by second.
     pub seconds: Vec<Second>,
 }
 
 impl Tally {
-    /// An empty tally over so many zones and seconds.
+    /// Creates an empty tally.
     pub fn new(zones: usize, seconds: usize) -> Tally {
         Tally {
             bytes: vec![vec![0; zones]; zones],
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A request came in `second`, and ended so.
+    /// Counts a request that arrived in `second`.
     pub fn count(&mut self, kind: &Name, worth: (f64, f64), second: usize, ending: Ending) {
         let last = self.seconds.len().saturating_sub(1);
         let Some(second) = self.seconds.get_mut(second.min(last)) else {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// All kinds together.
+    /// Sum over all kinds.
     pub fn total(&self) -> Counts {
         self.kinds.values().fold(Counts::default(), |sum, counts| Counts {
             asked: sum.asked + counts.asked,
@@ -128,12 +128,12 @@
         })
     }
 
-    /// Megabytes that left a zone.
+    /// Megabytes sent between zones.
     pub fn crossed_mb(&self) -> f64 {
         (self.crossed.0 + self.crossed.1) as f64 / 1e6
     }
 
-    /// Repeats at targets, in percent of first arrivals.
+    /// Repeated attempts at targets, in percent of first attempts.
     pub fn repeats_percent(&self) -> f64 {
         let (all, repeats) = self.arrivals;
         100.0 * repeats as f64 / (all - repeats).max(1) as f64
@@ -141,17 +141,17 @@
 }
 
 impl Counts {
-    /// Part of the requests that were answered in time.
+    /// Share of requests answered in time.
     pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / self.asked.max(1) as f64
     }
 
-    /// Part of the requests that were answered.
+    /// Share of requests answered.
     pub fn served_share(&self) -> f64 {
         (self.in_time + self.late) as f64 / self.asked.max(1) as f64
     }
 
-    /// Worth earned as a part of that owed.
+    /// Ratio of the earned worth to the maximum.
     pub fn worth(&self) -> f64 {
         if self.owed == 0.0 { 1.0 } else { self.earned / self.owed }
     }
