--- a/bench/src/lab/target.rs
+++ b/bench/src/lab/target.rs
@@ -1,4 +1,4 @@
-//! A target: its slots, its speed, and its faults.
+//! Target model: slots, speed and faults.
 
 use super::scenario::ServiceModel;
 use rand::RngExt;
@@ -8,34 +8,34 @@
 use sycamore_core::Time;
 use sycamore_core::call::CallKey;
 
-/// Work of a run that fails, as a share of the whole.
+/// Work time of a failing run, relative to a successful one.
 const FAILED_WORK: f64 = 0.2;
 
-/// What a target says to a request that it is handed.
+/// Result of submitting a request to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It runs.
+    /// The request is running.
     Runs,
-    /// It waits for a slot of the target's own.
+    /// The request is in the target's queue.
     Waits,
-    /// It is refused, and has not run.
+    /// The request was rejected without running.
     Refused,
 }
 
-/// Faults of one target while they last.
+/// Active faults of a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// How much longer work takes, as a multiple.
+    /// Work time multiplier.
     pub slow: f64,
-    /// Part of the requests that fail.
+    /// Share of requests that fail.
     pub errors: f64,
-    /// Part of the requests that are refused.
+    /// Share of requests that are rejected.
     pub shed: f64,
-    /// Part of the answers that nobody gets.
+    /// Share of responses that are dropped.
     pub mute: f64,
 }
 
-/// One target.
+/// A target.
 #[derive(Clone, Debug)]
 pub struct Target {
     slots: usize,
@@ -47,19 +47,19 @@
     started: Time,
     running: Vec<CallKey>,
     waiting: VecDeque<CallKey>,
-    /// What is wrong with it.
+    /// Active faults.
     pub faults: Faults,
 }
 
 impl Faults {
-    /// Nothing is wrong.
+    /// No faults.
     pub fn none() -> Faults {
         Faults { slow: 1.0, errors: 0.0, shed: 0.0, mute: 0.0 }
     }
 }
 
 impl Target {
-    /// A warm target, the `rank`th of its service.
+    /// Creates a warm target; `rank` is its index within the service.
     pub fn new(model: &ServiceModel, rank: usize) -> Target {
         Target {
             slots: model.slots as usize,
@@ -75,14 +75,14 @@
         }
     }
 
-    /// It starts anew, cold, with nothing to do.
+    /// Restarts the target cold, discarding all requests.
     pub fn restart(&mut self, now: Time) {
         self.started = now;
         self.running.clear();
         self.waiting.clear();
     }
 
-    /// Takes a request in.
+    /// Submits a request.
     pub fn take(&mut self, call: CallKey, rng: &mut Pcg64Mcg) -> Taken {
         if self.faults.shed > 0.0 && rng.random_bool(self.faults.shed) {
             return Taken::Refused;
@@ -98,7 +98,8 @@
         Taken::Refused
     }
 
-    /// A request is over, or its connection was closed. Returns the one that runs in its place.
+    /// Removes a request that has ended or whose connection was closed. Returns the queued request
+    /// that starts in its place.
     pub fn end(&mut self, call: CallKey) -> Option<CallKey> {
         self.waiting.retain(|other| *other != call);
         let at = self.running.iter().position(|other| *other == call)?;
@@ -108,17 +109,17 @@
         Some(next)
     }
 
-    /// Whether a run fails.
+    /// Draws whether a run fails.
     pub fn fails(&self, rng: &mut Pcg64Mcg) -> bool {
         self.faults.errors > 0.0 && rng.random_bool(self.faults.errors)
     }
 
-    /// Whether an answer is lost.
+    /// Draws whether a response is dropped.
     pub fn loses_answer(&self, rng: &mut Pcg64Mcg) -> bool {
         self.faults.mute > 0.0 && rng.random_bool(self.faults.mute)
     }
 
-    /// How long this much work takes here now.
+    /// Time that `work` takes under the current conditions.
     pub fn time_for(&self, now: Time, work: Duration, fails: bool) -> Duration {
         let used = self.running.len() as f64 / self.slots as f64;
         let cold = now.since(self.started) < self.cold && self.started > Time::ZERO;
