--- a/bench/src/lab/trial.rs
+++ b/bench/src/lab/trial.rs
@@ -1,4 +1,4 @@
-//! Runs over several seeds, and what the difference between two ways of deciding is.
+//! Runs over several seeds, and comparisons between policies.
 
 use super::scenario::Scenario;
 use super::tally::Tally;
@@ -10,32 +10,32 @@
 use sycamore_core::call::policy::Mechanism;
 use sycamore_core::{Code, Fault, Result};
 
-/// One scenario under one policy, over several seeds.
+/// Runs of one scenario under one policy over several seeds.
 #[derive(Clone, Debug)]
 pub struct Trial {
     /// The scenario.
     pub scenario: Scenario,
-    /// What is at work.
+    /// Policy under test.
     pub policy: Policy,
-    /// First seed, and how many from it on.
+    /// First seed and number of seeds.
     pub seeds: (u64, u64),
-    /// Runs at one time.
+    /// Number of parallel runs.
     pub jobs: usize,
 }
 
-/// A figure that runs are compared by.
+/// Metric by which runs are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Figure {
-    /// Worth earned, in percent of that owed.
+    /// Earned worth, in percent of the maximum.
     Worth,
-    /// Requests answered in time, in percent.
+    /// Percentage of requests answered in time.
     InTime,
-    /// Requests answered, in percent.
+    /// Percentage of requests answered.
     Served,
-    /// Megabytes between zones.
+    /// Megabytes sent between zones.
     CrossedMb,
-    /// Repeats at targets, in percent of first arrivals.
+    /// Repeated attempts at targets, in percent of first attempts.
     Repeats,
 }
 
@@ -49,11 +49,11 @@
 }
 
 impl Figure {
-    /// Every figure.
+    /// All metrics.
     pub const ALL: [Figure; 5] =
         [Figure::Worth, Figure::InTime, Figure::Served, Figure::CrossedMb, Figure::Repeats];
 
-    /// Its name and unit.
+    /// Name and unit.
     pub fn title(self) -> &'static str {
         match self {
             Figure::Worth => "worth, %",
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Its value in a run.
+    /// Value in a run.
     pub fn of(self, tally: &Tally) -> f64 {
         let total = tally.total();
         match self {
@@ -78,31 +78,30 @@
 }
 
 impl Trial {
-    /// Everything at work, seeds 1 to 3.
+    /// Creates a trial with the default policy and seeds 1 to 3.
     pub fn new(scenario: Scenario) -> Trial {
         Trial { scenario, policy: Policy::new(), seeds: (1, 3), jobs: 1 }
     }
 
-    /// The same with other mechanisms at work.
+    /// Replaces the policy.
     pub fn with_policy(mut self, policy: Policy) -> Trial {
         self.policy = policy;
         self
     }
 
-    /// The same over other seeds: the first, and how many.
+    /// Replaces the seeds with `count` seeds starting at `first`.
     pub fn with_seeds(mut self, first: u64, count: u64) -> Trial {
         self.seeds = (first, count);
         self
     }
 
-    /// The same with so many runs at one time.
+    /// Sets the number of parallel runs, at least 1.
     pub fn with_jobs(mut self, jobs: usize) -> Trial {
         self.jobs = jobs.max(1);
         self
     }
 
-    /// Plays every seed; `done` hears of each run that has ended. Results stand in the order of
-    /// seeds.
+    /// Runs every seed and calls `done` after each run. Results are ordered by seed.
     pub fn run(&self, mut done: impl FnMut(u64)) -> Result<Vec<Tally>> {
         let (first, count) = self.seeds;
         let next = AtomicUsize::new(0);
@@ -118,7 +117,7 @@
                             return;
                         }
                         let result = play(&self.scenario, &self.policy, first + index);
-                        // The receiver waits for every result.
+                        // Cannot fail: the receiver outlives the workers.
                         let _ = tx.send((index, result));
                     }
                 });
@@ -129,13 +128,14 @@
                 results[index as usize] = Some(result);
             }
         });
-        let lost = || Fault::new(Code::InputInvalid).with_detail("a run ended without a result");
+        let lost =
+            || Fault::new(Code::InputInvalid).with_detail("a simulation run produced no result");
         results.into_iter().map(|result| result.unwrap_or_else(|| Err(lost()))).collect()
     }
 }
 
 impl Estimate {
-    /// The mean of these values.
+    /// Estimates the mean of `values`.
     pub fn of(values: &[f64]) -> Estimate {
         let n = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / n;
@@ -146,20 +146,20 @@
         Estimate { mean, half: student(values.len() - 1) * (variance / n).sqrt() }
     }
 
-    /// The mean of the differences between pairs of runs with the same seed.
+    /// Estimates the mean difference between runs paired by seed.
     pub fn paired(figure: Figure, before: &[Tally], after: &[Tally]) -> Estimate {
         let pairs = before.iter().zip(after);
         let differences: Vec<f64> = pairs.map(|(a, b)| figure.of(b) - figure.of(a)).collect();
         Estimate::of(&differences)
     }
 
-    /// Whether the interval leaves out zero.
+    /// Whether the confidence interval excludes zero.
     pub fn tells(&self) -> bool {
         self.mean.abs() > self.half
     }
 }
 
-/// The 97.5 % quantile of Student's distribution with so many degrees of freedom.
+/// 97.5 % quantile of Student's t-distribution.
 fn student(freedom: usize) -> f64 {
     const QUANTILES: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
     match freedom {
@@ -171,16 +171,16 @@
     }
 }
 
-/// One row of an ablation: what a scenario loses without a part.
+/// Effect of disabling one mechanism.
 #[derive(Clone, Debug, Serialize)]
 pub struct Ablated {
-    /// What was off.
+    /// Disabled mechanism.
     pub part: Mechanism,
-    /// Difference of each figure to the run with everything at work.
+    /// Change in each metric, compared with the full policy.
     pub differences: Vec<Estimate>,
 }
 
-/// Plays a trial once whole and once without each part in turn.
+/// Runs a trial with the full policy, then with each mechanism disabled in turn.
 pub fn ablate(trial: &Trial, mut done: impl FnMut(Mechanism)) -> Result<Vec<Ablated>> {
     let whole = trial.run(|_| {})?;
     let mut rows = Vec::new();
