--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when.
+//! Start and end of injected faults.
 
 use super::mesh::Listed;
 use super::scenario::What;
@@ -9,15 +9,15 @@
 use std::time::Duration;
 use sycamore_core::Name;
 
-/// What callers do while troubles last.
+/// Active faults that affect callers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Conditions {
-    // Multiples by the number of the zone; all zones without one.
+    // Rate multipliers by zone index; `None` applies to all zones.
     bursts: Vec<(Option<usize>, f64)>,
     shifts: Vec<(usize, usize, f64)>,
-    /// Part of the callers that ask again at once, and how often.
+    /// Share of callers that retry without backoff, and their additional retries.
     pub abuse: Option<(f64, u32)>,
-    /// Part of the callers that leave, and when.
+    /// Share of callers that abandon their requests, and after which time.
     pub give_up: Option<(f64, Duration)>,
 }
 
@@ -26,7 +26,7 @@
         Conditions::default()
     }
 
-    /// Changes the parts of the callers by zone.
+    /// Applies active bursts and shifts to the callers' zone weights.
     pub(super) fn change_weights(&self, weights: &mut [f64]) {
         for (from, to, share) in &self.shifts {
             let moved = weights[*from] * share;
@@ -41,7 +41,7 @@
 }
 
 impl World<'_> {
-    /// A trouble begins or ends.
+    /// Starts or ends a fault.
     pub(super) fn trouble(&mut self, index: usize, begins: bool) {
         let what = self.cfg.troubles[index].what.clone();
         match what {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// VMs are gone with all that runs there, or are back, their targets cold.
+    /// Stops VMs with their nodes and targets, or restarts them.
     fn lose(&mut self, zone: Option<&Name>, share: f64, index: usize, begins: bool) {
         let zone = zone.map(|zone| self.zone(zone));
         let in_zone = |node: &usize| zone.is_none_or(|zone| self.mesh.sites[*node].zone == zone);
@@ -129,7 +129,8 @@
         }
     }
 
-    /// A share of these, one at least: the same at the begin and the end of a trouble.
+    /// Selects a share of the nodes, at least one. The selection depends only on the fault's index,
+    /// so that its start and its end affect the same nodes.
     fn some_of(&self, mut nodes: Vec<usize>, share: f64, index: usize) -> Vec<usize> {
         let mut rng = Pcg64Mcg::seed_from_u64(index as u64);
         nodes.shuffle(&mut rng);
