--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -1,4 +1,4 @@
-//! A run: one queue of events, and what happens at each.
+//! Simulation of a run: event queue and event dispatch.
 
 use super::mesh::{Mesh, Site};
 use super::path::{Back, Call, Gated, RunKey};
@@ -18,64 +18,64 @@
 use sycamore_core::config::Snapshot;
 use sycamore_core::{Name, Result, Time};
 
-/// When the clock starts: late enough that differences of times don't reach zero.
+/// Initial time of the clock, large enough that subtracting durations does not underflow.
 const START: Time = Time(1_000_000_000_000_000);
 
-/// Bytes a second between two regions, shared by all traffic.
+/// Bandwidth between two regions, shared by all traffic.
 const ACROSS_BYTES_PER_S: u64 = 500_000_000;
 
-/// How long it takes until every node holds a change of the targets.
+/// Delay until all nodes apply a change of the target list.
 const SPREAD: Duration = Duration::from_millis(700);
 
-/// Time after the end of callers' requests in which the last ones end.
+/// Time for the last requests to complete after callers stop issuing requests.
 const TAIL: Duration = Duration::from_secs(10);
 
-/// What happens at a point of time.
+/// A simulation event.
 pub(super) enum Happening {
-    /// The next request of a kind comes, and the next after it.
+    /// The next request of a kind arrives.
     Ask(usize),
-    /// A caller asks again.
+    /// A caller retries a request.
     AskAgain(usize),
-    /// A caller leaves.
+    /// A caller abandons a request.
     GiveUp(usize),
-    /// A forward reaches its gatekeeper's node.
+    /// An attempt arrives at its gatekeeper.
     AtGate(Box<Forward>, CallKey),
-    /// What an attempt came to reaches the entry node.
+    /// The result of an attempt arrives at the entry node.
     Back(Back),
-    /// The deadline of a call at its entry node.
+    /// The deadline of a call expires at its entry node.
     Expire(CallKey),
-    /// An attempt takes longer than nearly all do.
+    /// The hedge delay of an attempt expires.
     Slow(CallKey, CallKey),
-    /// A waiting request's time at its gatekeeper.
+    /// The queue timeout of a request expires at its gatekeeper.
     QueueEnd(CallKey),
     /// The entry node has closed the connection of an attempt.
     Closed(CallKey),
-    /// A run has done the next part of its work.
+    /// A run has completed a work step.
     Worked(RunKey),
-    /// The answer of a run has left; whether it is a failure.
+    /// The response of a run has been sent; the flag marks an error response.
     Sent(RunKey, bool),
-    /// A trouble begins, or ends.
+    /// A fault starts (true) or ends (false).
     Trouble(usize, bool),
-    /// The nodes hold the newest list of targets.
+    /// The nodes apply a new configuration version.
     Listed(Arc<Snapshot>),
-    /// Time passes for the gatekeepers.
+    /// Periodic tick of the gatekeepers.
     Tick,
-    /// A second ends.
+    /// A second of the run ends.
     Second(usize),
 }
 
-/// One node and the target beside it.
+/// A node and its target.
 pub(super) struct Node {
     pub entry: Entry,
     pub gate: Gatekeeper,
     pub target: Target,
     pub up: bool,
-    // When the node's processor, and its link, will be free.
+    // Times until which the node's CPU and its link are busy.
     pub busy_until: Time,
     pub link_until: Time,
 }
 
-/// A request of a caller, over all of its attempts.
+/// A caller's request, including all of its attempts.
 pub(super) struct Request {
     pub kind: usize,
     pub zone: usize,
@@ -86,16 +86,16 @@
     pub call: Option<CallKey>,
 }
 
-/// A kind of request, ready for use.
+/// A kind of request with resolved references.
 pub(super) struct KindInfo {
     pub name: Name,
     pub path: String,
     pub cfg: Kind,
-    /// Numbers of the kinds that it calls, with times and share.
+    /// Nested calls: kind index, number of calls, and share of the runs that make them.
     pub calls: Vec<(usize, u32, f64)>,
 }
 
-/// A run under way.
+/// State of a run.
 pub struct World<'a> {
     pub(super) cfg: &'a Scenario,
     pub(super) mesh: Mesh,
@@ -109,14 +109,14 @@
     pub(super) next_key: u64,
     pub(super) now_troubles: Conditions,
     pub(super) tally: Tally,
-    /// The newest list of targets that nodes hold.
+    /// Latest configuration version applied by the nodes.
     pub(super) newest: Arc<Snapshot>,
     policy: Policy,
     warm: Time,
     end: Time,
 }
 
-/// Plays a scenario with a seed, and returns what happened.
+/// Simulates a scenario with a seed.
 pub fn play(scenario: &Scenario, policy: &Policy, seed: u64) -> Result<Tally> {
     let mut world = World::new(scenario, policy, seed)?;
     world.run();
@@ -174,7 +174,7 @@
         Ok(Node { entry, gate, target, up: true, busy_until, link_until })
     }
 
-    /// The deciders of a process that has just started.
+    /// Creates the entry and gatekeeper of a newly started process.
     pub(super) fn new_process(&mut self, node: usize) -> Result<(Entry, Gatekeeper)> {
         let place = self.mesh.sites[node].place.clone();
         let seed = self.rng.random();
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Tells every running node a version.
+    /// Applies a configuration version on every running node.
     pub(super) fn configure(&mut self, snapshot: &Arc<Snapshot>) {
         self.newest = snapshot.clone();
         for node in 0..self.nodes.len() {
@@ -264,30 +264,30 @@
         }
     }
 
-    /// Tells one node a version.
+    /// Applies a configuration version on one node.
     pub(super) fn configure_node(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
         self.tell_gate(node, gatekeeper::Input::Configure(snapshot.clone()));
         self.tell_entry(node, entry::Input::Configure(snapshot.clone()));
     }
 
-    /// The targets are listed otherwise; nodes hear of it a little later.
+    /// Publishes a changed target list, which nodes apply after a delay.
     pub(super) fn list_again(&mut self) {
         if let Ok(snapshot) = self.mesh.publish() {
             self.links.after(SPREAD, Happening::Listed(snapshot));
         }
     }
 
-    /// Whether callers still ask.
+    /// Whether callers still issue requests.
     pub(super) fn callers_ask(&self) -> bool {
         self.links.now() < self.end
     }
 
-    /// Whether a request that came then counts.
+    /// Whether an event at this time is past the warm-up and included in the results.
     pub(super) fn counts(&self, born: Time) -> bool {
         born >= self.warm
     }
 
-    /// The second of the run in which a time lies.
+    /// Index of the second of the run that contains a time.
     pub(super) fn second_of(&self, at: Time) -> usize {
         at.since(START).as_secs() as usize
     }
@@ -297,7 +297,7 @@
         CallKey(self.next_key)
     }
 
-    /// Where a node stands, for the links.
+    /// Location of a node in the link model.
     pub(super) fn link_site(&self, node: usize) -> links::Site {
         let site: &Site = &self.mesh.sites[node];
         let region =
@@ -305,7 +305,7 @@
         links::Site { region: region.unwrap_or_default() as u16, zone: site.zone as u16 }
     }
 
-    /// Counts bytes that go from one node to another.
+    /// Counts bytes sent from one node to another.
     pub(super) fn count_bytes(&mut self, from: usize, to: usize, bytes: u64) {
         if !self.counts(self.links.now()) {
             return;
