--- a/bench/src/lib.rs
+++ b/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Benches and history checks of sycamorescale.
+//! Benchmarks, load simulation and history checks of sycamorescale.
 
 pub mod baseline;
 pub mod calls;
