--- a/bench/src/calls/slopes.rs
+++ b/bench/src/calls/slopes.rs
@@ -1,4 +1,5 @@
-//! CPU time and memory of nodes by call rate and by depth; source of the slopes in docs/CAPACITY.md.
+//! CPU time and memory of nodes by call rate and by depth; source of the slopes in
+//! docs/CAPACITY.md.
 
 use super::cluster::{Cluster, System};
 use super::latency;
