--- a/bench/src/demo/report.rs
+++ b/bench/src/demo/report.rs
@@ -33,8 +33,8 @@
     /// Invariant violations.
     #[serde(flatten)]
     pub violations: Violations,
-    /// Maximum convergence time of the valid versions published while nodes ran; null if one did not
-    /// reach every node.
+    /// Maximum convergence time of the valid versions published while nodes ran; null if one did
+    /// not reach every node.
     pub converged_ms: Option<u64>,
     /// Convergence time of each valid version. For the first one, it includes node startup.
     pub converged_ms_by_version: IndexMap<u64, Option<u64>>,
