--- a/bench/src/demo/rules.rs
+++ b/bench/src/demo/rules.rs
@@ -1,5 +1,5 @@
-//! Invariants of a run, checked against caller records, target run logs and the versions reported by
-//! nodes. Counters maintained by the nodes are not used.
+//! Invariants of a run, checked against caller records, target run logs and the versions reported
+//! by nodes. Counters maintained by the nodes are not used.
 
 use indexmap::{IndexMap, IndexSet};
 use serde::Serialize;
@@ -14,8 +14,8 @@
 /// Tolerance between two clocks' readings of a deadline.
 const DEADLINE_MARGIN_US: u64 = 20_000;
 
-/// Time after the restart of a killed node during which unknown outcomes are attributed to the kill:
-/// keys created before the restart may be used until their deadline.
+/// Time after the restart of a killed node during which unknown outcomes are attributed to the
+/// kill: keys created before the restart may be used until their deadline.
 const KILL_EFFECT_US: u64 = 6_000_000;
 
 /// Data collected about a run.
@@ -156,7 +156,8 @@
     items.iter().filter(holds).count()
 }
 
-/// Requests with an idempotency key must run at most once; a retry returns the first run's response.
+/// Requests with an idempotency key must run at most once; a retry returns the first run's
+/// response.
 fn run_twice(runs: &[Line]) -> usize {
     let mut starts: IndexMap<&str, usize> = IndexMap::new();
     for run in runs.iter().filter(|run| run.event == RunEvent::Start) {
@@ -203,8 +204,8 @@
     count(&evidence.samples, |sample| sample.version.is_some_and(bad))
 }
 
-/// Requests in flight through a node, or at its target, that a planned stop interrupted before their
-/// deadline.
+/// Requests in flight through a node, or at its target, that a planned stop interrupted before
+/// their deadline.
 fn cut_by_drain(evidence: &Evidence) -> usize {
     let mut cut: IndexSet<&str> = IndexSet::new();
     for drain in &evidence.drains {
