--- a/bench/src/links.rs
+++ b/bench/src/links.rs
@@ -1,8 +1,8 @@
-//! In-memory links between nodes and the platform: one time-ordered queue with latency,
-//! bandwidth, loss and cuts, and a clock that jumps to the next event.
+//! Simulated network links between nodes and the platform: a discrete-event queue with latency,
+//! bandwidth, message loss and partitions, and a clock that jumps to the next event.
 //!
-//! Runs are deterministic: events at one time come out in the order in which they went in, and
-//! loss and jitter are drawn from a seed.
+//! Runs are deterministic: events at the same time are processed in insertion order, and loss and
+//! jitter are drawn from a seeded generator.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,10 +12,10 @@
 use sycamore_core::Time;
 use sycamore_core::place::Link;
 
-/// Zone number of the platform, which stands in a region but in no zone of the fleet.
+/// Zone number of the platform, which is in a region but in no zone of the fleet.
 pub const PLATFORM_ZONE: u16 = u16::MAX;
 
-/// Where an end of a link stands.
+/// Location of a link endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Site {
     /// Number of the region.
@@ -37,20 +37,20 @@
     }
 }
 
-/// What the links are like.
+/// Characteristics of the links.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// One way within a zone.
+    /// One-way latency within a zone.
     pub zone: Duration,
-    /// One way between two zones of a region.
+    /// One-way latency between zones of a region.
     pub region: Duration,
-    /// One way between two regions.
+    /// One-way latency between regions.
     pub across: Duration,
-    /// Bytes a second each way between two regions, shared by all traffic.
+    /// Bandwidth in each direction between two regions, shared by all traffic.
     pub across_bytes_per_s: u64,
-    /// Further latency, drawn evenly from zero to this share of the latency; lets messages cross.
+    /// Maximum additional latency in percent, uniformly distributed. Jitter can reorder messages.
     pub jitter_percent: u32,
-    /// Messages lost, in parts per million.
+    /// Message loss, in parts per million.
     pub loss_ppm: u32,
 }
 
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Links of the Cooperative: 1.4 ms between zones, else as [`Profile::franchise`].
+    /// Links of the Cooperative: 1.4 ms between zones, otherwise equal to [`Profile::franchise`].
     pub fn cooperative() -> Profile {
         Profile { region: Duration::from_micros(1_400), ..Profile::franchise() }
     }
 
-    /// The same links that lose `loss_ppm` messages in a million and delay some.
+    /// Sets message loss and jitter.
     pub fn with_trouble(mut self, loss_ppm: u32, jitter_percent: u32) -> Profile {
         self.loss_ppm = loss_ppm;
         self.jitter_percent = jitter_percent;
@@ -88,7 +88,7 @@
     }
 }
 
-/// What went over the links, by class in the order of [`Link::ALL`].
+/// Traffic counters by link class, in the order of [`Link::ALL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Messages sent.
@@ -98,7 +98,7 @@
 }
 
 impl Traffic {
-    /// What was added since an earlier reading.
+    /// Difference from an earlier reading.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
         let minus = |a: &[u64; 3], b: &[u64; 3]| std::array::from_fn(|i| a[i] - b[i]);
         Traffic {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Bytes between regions.
+    /// Bytes sent between regions.
     pub fn across_bytes(&self) -> u64 {
         self.bytes[Link::CrossRegion as usize]
     }
@@ -134,13 +134,13 @@
 }
 
 impl<E> Ord for Queued<E> {
-    /// Reversed, since [`BinaryHeap`] takes out the greatest first.
+    /// Reversed, since [`BinaryHeap`] is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-/// The queue, the clock and the state of every link.
+/// Event queue, clock and state of all links.
 pub struct Links<E> {
     profile: Profile,
     now: Time,
@@ -153,7 +153,7 @@
 }
 
 impl<E> Links<E> {
-    /// Links without cuts, with the clock at `start`.
+    /// Creates links without partitions, with the clock at `start`.
     pub fn new(profile: Profile, start: Time, seed: u64) -> Links<E> {
         Links {
             profile,
@@ -167,41 +167,41 @@
         }
     }
 
-    /// The time of the last event taken out.
+    /// Time of the last event popped.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// What went over the links so far.
+    /// Traffic sent so far.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// Puts in an event that happens at a known time, now at the earliest.
+    /// Schedules an event at a time, or now if that time has passed.
     pub fn at(&mut self, at: Time, event: E) {
         self.order += 1;
         self.queue.push(Queued { at: at.max(self.now), order: self.order, event });
     }
 
-    /// Puts in an event that happens after `span`.
+    /// Schedules an event after `span`.
     pub fn after(&mut self, span: Duration, event: E) {
         self.at(self.now + span, event);
     }
 
-    /// Takes out the next event and moves the clock to it.
+    /// Removes the next event and advances the clock to it.
     pub fn pop(&mut self) -> Option<E> {
         let queued = self.queue.pop()?;
         self.now = queued.at;
         Some(queued.event)
     }
 
-    /// When the next event is due.
+    /// Time of the next event.
     pub fn next_at(&self) -> Option<Time> {
         self.queue.peek().map(|queued| queued.at)
     }
 
-    /// Sends `size` bytes from one site to another; `event` happens when they arrive. Returns
-    /// whether they will: a cut or loss swallows them without a word.
+    /// Sends `size` bytes and schedules `event` for their arrival. Returns false if a partition or
+    /// message loss drops them, in which case no event occurs.
     pub fn send(&mut self, from: Site, to: Site, size: u64, event: E) -> bool {
         let link = from.link_to(to);
         self.traffic.messages[link as usize] += 1;
@@ -216,13 +216,13 @@
         true
     }
 
-    /// Sends a call's bytes: like [`Links::send`], but not counted as control traffic, and never
-    /// lost, since a lost segment of a connection is sent again.
+    /// Like [`Links::send`] for a call's data: not counted as control traffic, and not subject to
+    /// message loss, since TCP retransmits lost segments.
     pub fn send_call(&mut self, from: Site, to: Site, size: u64, event: E) {
         self.send_call_at(self.now, from, to, size, event);
     }
 
-    /// The same for bytes that leave their node only at `departs`.
+    /// Like [`Links::send_call`], but the data leaves its node at `departs`.
     pub fn send_call_at(&mut self, departs: Time, from: Site, to: Site, size: u64, event: E) {
         if !self.is_cut(from, to) {
             let latency = self.profile.latency(from.link_to(to));
@@ -232,34 +232,35 @@
         }
     }
 
-    /// Whether nothing passes between two sites.
+    /// Whether two sites are partitioned.
     pub fn is_cut(&self, from: Site, to: Site) -> bool {
         self.cuts.contains(&(from.zone, to.zone))
     }
 
-    /// Cuts two zones from each other, both ways; [`PLATFORM_ZONE`] stands for the platform.
+    /// Partitions two zones in both directions. Use [`PLATFORM_ZONE`] for the platform.
     pub fn cut(&mut self, a: u16, b: u16) {
         self.cuts.insert((a, b));
         self.cuts.insert((b, a));
     }
 
-    /// Heals the link between two zones.
+    /// Removes the partition between two zones.
     pub fn heal(&mut self, a: u16, b: u16) {
         self.cuts.remove(&(a, b));
         self.cuts.remove(&(b, a));
     }
 
-    /// Heals every link.
+    /// Removes all partitions.
     pub fn heal_all(&mut self) {
         self.cuts.clear();
     }
 
-    /// Changes what the links are like from now on.
+    /// Changes the link characteristics for future messages.
     pub fn set_profile(&mut self, profile: Profile) {
         self.profile = profile;
     }
 
-    /// When the last byte has left: links between regions send one message after another.
+    /// Returns when the last byte has been transmitted. Links between regions transmit messages
+    /// sequentially.
     fn transmitted(&mut self, departs: Time, from: Site, to: Site, size: u64) -> Time {
         if from.region == to.region {
             return departs;
