--- a/bench/src/process.rs
+++ b/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a bench starts, and ends by their ids.
+//! Child processes of benchmarks, and their cleanup.
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
@@ -11,22 +11,22 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How often the end of a process is looked for.
+/// Interval for polling whether a process has exited.
 const POLL: Duration = Duration::from_millis(20);
 
-/// Exit code after a signal.
+/// Exit code after SIGINT or SIGTERM.
 const INTERRUPTED: i32 = 130;
 
-/// Ids of the processes that were started here and have not been waited for.
+/// Ids of child processes that have not been reaped.
 static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-/// From now on Ctrl-C and SIGTERM kill, by their ids, all processes that were started here, and
-/// then end this one. Without it a bench that is stopped would leave its processes behind.
+/// Installs a handler that kills all child processes on SIGINT or SIGTERM and then exits, so that
+/// an interrupted benchmark leaves no processes behind.
 pub fn end_on_signals() -> io::Result<()> {
     let mut signals = Signals::new([Signal::Int, Signal::Term])?;
     std::thread::spawn(move || {
         async_io::block_on(signals.next());
-        // Held until the end, so that nothing more is started.
+        // The lock is held until exit, so that no further processes are started.
         let running = running();
         running.iter().for_each(|id| send_signal(*id, rustix::process::Signal::KILL));
         std::process::exit(INTERRUPTED);
@@ -40,18 +40,18 @@
 
 fn send_signal(id: u32, signal: rustix::process::Signal) {
     if let Some(pid) = i32::try_from(id).ok().and_then(Pid::from_raw) {
-        // One that has ended already needs no more.
+        // Fails only if the process has already exited.
         let _ = kill_process(pid, signal);
     }
 }
 
-/// A process that is killed if it still runs when this is dropped.
+/// A child process, killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
-/// Starts the programs that were built together with this one.
+/// Starts programs from the build directory of the current executable.
 #[derive(Clone, Debug)]
 pub struct Launcher {
     programs: PathBuf,
@@ -59,18 +59,18 @@
 }
 
 impl Launcher {
-    /// A launcher that writes what the programs say to files in `logs`.
+    /// Creates a launcher that writes the programs' output to files in `logs`.
     pub fn new(logs: &Path) -> io::Result<Launcher> {
         std::fs::create_dir_all(logs)?;
         let own = std::env::current_exe()?;
         let directory = own.parent().unwrap_or(Path::new("."));
-        // Cargo puts tests one directory below the programs.
+        // Cargo places test executables in a subdirectory of the programs' directory.
         let is_test = directory.ends_with("deps");
         let programs = directory.parent().filter(|_| is_test).unwrap_or(directory).to_path_buf();
         Ok(Launcher { programs, logs: logs.to_path_buf() })
     }
 
-    /// Starts a program; its output goes to the file `log`, after what is there.
+    /// Starts a program and appends its output to the file `log`.
     pub fn start(&self, program: &str, args: &[&str], log: &str) -> io::Result<Process> {
         let log = File::options().create(true).append(true).open(self.logs.join(log))?;
         let mut running = running();
@@ -87,36 +87,36 @@
 }
 
 impl Process {
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Asks it to stop.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         send_signal(self.child.id(), rustix::process::Signal::TERM);
     }
 
-    /// Stops it from running, until [`Process::resume`].
+    /// Suspends the process until [`Process::resume`].
     pub fn pause(&self) {
         send_signal(self.child.id(), rustix::process::Signal::STOP);
     }
 
-    /// Lets it run again.
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         send_signal(self.child.id(), rustix::process::Signal::CONT);
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for it.
     pub fn kill(&mut self) {
         let mut running = running();
-        // One that has ended already needs no more.
+        // Fails only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         running.remove(&self.child.id());
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn ended(&mut self) -> bool {
         let mut running = running();
         let ended = !matches!(self.child.try_wait(), Ok(None));
@@ -126,7 +126,7 @@
         ended
     }
 
-    /// Waits for its end; returns false if it still runs after `timeout`.
+    /// Waits for the process to exit. Returns false if it is still running after `timeout`.
     pub fn wait(&mut self, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
         while !self.ended() {
@@ -138,12 +138,12 @@
         true
     }
 
-    /// Exit code, if it has ended by itself.
+    /// Exit code, if the process has exited and was not terminated by a signal.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok()??.code()
     }
 
-    /// Its resident memory in KiB, and the processor time that it has used.
+    /// Current resource usage; zero if it cannot be read.
     pub fn usage(&self) -> Usage {
         Usage::read(self.child.id()).unwrap_or_default()
     }
@@ -155,16 +155,16 @@
     }
 }
 
-/// What a process uses.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Resident memory.
     pub memory_kib: u64,
-    /// Processor time since its start.
+    /// CPU time since the process started.
     pub processor: Duration,
 }
 
-/// Length of a tick of processor time in `/proc`, the same on every Linux architecture.
+/// Unit of CPU time in `/proc`, which is the same on all Linux architectures.
 const TICK: Duration = Duration::from_millis(10);
 
 impl Usage {
@@ -173,7 +173,8 @@
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let memory_kib = memory.split_whitespace().next()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The name, in brackets, may hold spaces; user and system time are fields 14 and 15.
+        // The command name, in parentheses, may contain spaces. User and system time are fields 14
+        // and 15.
         let fields: Vec<&str> = stat.rsplit(") ").next()?.split(' ').collect();
         let ticks = |field: usize| fields.get(field - 3)?.parse::<u32>().ok();
         Some(Usage { memory_kib, processor: TICK * (ticks(14)? + ticks(15)?) })
