--- a/bench/src/stack.rs
+++ b/bench/src/stack.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in processes of its own: the platform, its nodes and its targets.
+//! Runs a deployment as separate processes: the platform, nodes and targets.
 
 use crate::http;
 use crate::process::{Launcher, Process};
@@ -15,25 +15,25 @@
 use sycamore_standins::platform::Faults;
 use sycamore_tools::load::history::now_us;
 
-/// Longest wait for all nodes to hold the first version.
+/// Timeout for all nodes to become ready.
 const START_LIMIT: Duration = Duration::from_secs(10);
-/// Longest planned stop of one node.
+/// Timeout for the planned stop of a node.
 pub const STOP_LIMIT: Duration = Duration::from_secs(10);
-/// Pause between looks at whether something has happened.
+/// Polling interval.
 pub const POLL: Duration = Duration::from_millis(20);
-/// Time that the stand-ins get to listen before nodes ask them.
+/// Time for the stand-ins to start listening before nodes connect.
 const STANDINS_START: Duration = Duration::from_millis(200);
 
-/// A deployment as it runs. Dropping it kills its processes.
+/// A running deployment. Dropping it kills its processes.
 #[derive(Debug)]
 pub struct Stack {
-    /// What it consists of.
+    /// Definition of the deployment.
     pub deployment: Deployment,
-    /// Settings of every node by VM, whether or not it runs.
+    /// Settings of all nodes by VM, including nodes that are not running.
     pub settings: IndexMap<String, Settings>,
-    /// The nodes that run.
+    /// Running nodes by VM.
     pub nodes: IndexMap<String, Process>,
-    /// Starts further programs.
+    /// Launcher for additional programs.
     pub launcher: Launcher,
     files: PathBuf,
     output: PathBuf,
@@ -41,16 +41,16 @@
     claim: Option<Claim>,
 }
 
-/// Deployments that can run on one machine at once, each on a network of its own.
+/// Maximum number of concurrent deployments on one machine, each on a separate network.
 const MAX_AT_ONCE: u8 = 8;
 
-/// Port that is held while a deployment's network is in use.
+/// Port that is bound while a deployment's network is in use.
 const CLAIM_PORT: u16 = 7082;
 
-/// A network that nobody else uses while this lives.
+/// Exclusive use of a network until dropped.
 #[derive(Debug)]
 pub struct Claim {
-    /// The deployment, on that network.
+    /// The deployment on the claimed network.
     pub deployment: Deployment,
     _held: TcpListener,
 }
@@ -69,7 +69,8 @@
 }
 
 impl Stack {
-    /// Reads the files of a deployment; output goes to another directory. Starts nothing yet.
+    /// Reads the settings of a deployment from `files`, without starting any process. Output goes
+    /// to the directory `output`.
     pub fn new(deployment: Deployment, files: &Path, output: &Path) -> io::Result<Stack> {
         let launcher = Launcher::new(output)?;
         let mut settings = IndexMap::new();
@@ -89,7 +90,7 @@
         })
     }
 
-    /// The same, holding the claim on its network while it lives.
+    /// Holds a claim on the network until the stack is dropped.
     pub fn with_claim(mut self, claim: Claim) -> Stack {
         self.claim = Some(claim);
         self
@@ -113,7 +114,7 @@
         Ok(())
     }
 
-    /// Starts every node.
+    /// Starts all nodes.
     pub fn start_nodes(&mut self) -> io::Result<()> {
         for vm in self.settings.keys().cloned().collect::<Vec<_>>() {
             self.start_node(&vm)?;
@@ -130,7 +131,7 @@
         Ok(())
     }
 
-    /// Waits until every node takes calls.
+    /// Waits until all nodes are ready to accept calls.
     pub fn wait_until_ready(&mut self) -> io::Result<()> {
         let end = Instant::now() + START_LIMIT;
         let mut waiting: Vec<_> =
@@ -138,7 +139,7 @@
         while !waiting.is_empty() {
             self.check_running()?;
             if Instant::now() >= end {
-                let detail = format!("not ready after {START_LIMIT:?}: {waiting:?}");
+                let detail = format!("nodes not ready after {START_LIMIT:?}: {waiting:?}");
                 return Err(io::Error::other(detail));
             }
             waiting.retain(|admin| http::get(*admin, "/ready").is_err());
@@ -147,18 +148,21 @@
         Ok(())
     }
 
-    /// Fails if a process has ended by itself. Another deployment on the same addresses would
-    /// otherwise be taken for this one.
+    /// Fails if a process has exited. Otherwise another deployment on the same addresses could be
+    /// mistaken for this one.
     fn check_running(&mut self) -> io::Result<()> {
         let ended = self.standins.iter_mut().chain(self.nodes.values_mut()).any(Process::ended);
         if ended {
             let logs = self.output.display();
-            return Err(io::Error::other(format!("a process has ended, see the logs in {logs}")));
+            return Err(io::Error::other(format!(
+                "a process exited unexpectedly; see the logs in {logs}"
+            )));
         }
         Ok(())
     }
 
-    /// Publishes a preset under a version. Returns when, in microseconds since the Unix epoch.
+    /// Publishes a preset as a new version. Returns the time of publication in microseconds since
+    /// the Unix epoch.
     pub fn publish(&self, version: u64, preset: &str, file: &str) -> io::Result<u64> {
         let body = std::fs::read(self.file(file))?;
         let name = Name::new(preset.to_string()).ok_or(io::ErrorKind::InvalidInput)?;
@@ -170,20 +174,20 @@
         Ok(at_us)
     }
 
-    /// Sets the faults of the platform.
+    /// Sets the faults injected by the platform.
     pub fn set_faults(&self, faults: &Faults) -> io::Result<()> {
         let body = serde_json::to_vec(faults)?;
         http::put(self.deployment.platform_control(), "/faults", body.into()).map(|_| ())
     }
 
-    /// Drives a target: `habits` or `crash`, with what belongs to it.
+    /// Sends a control request (`habits` or `crash`) to a target.
     pub fn drive_target(&self, what: &str, vm: &str, body: String) -> io::Result<()> {
         let control = self.deployment.targets_control();
         http::put(control, &format!("/{what}/{vm}"), body.into()).map(|_| ())
     }
 
-    /// Asks every node to stop, waits for them together, and ends the stand-ins. Returns the VMs
-    /// whose nodes had to be killed.
+    /// Stops all nodes, then kills the stand-ins. Returns the VMs whose nodes did not stop in time
+    /// and were killed.
     pub fn stop(&mut self) -> Vec<String> {
         self.nodes.values().for_each(Process::terminate);
         let mut killed = Vec::new();
@@ -197,12 +201,12 @@
         killed
     }
 
-    /// Path of a file of the deployment.
+    /// Path of a deployment file.
     pub fn file(&self, below: &str) -> String {
         self.files.join(below).display().to_string()
     }
 
-    /// Path of a file of output.
+    /// Path of an output file.
     pub fn output(&self, below: &str) -> String {
         self.output.join(below).display().to_string()
     }
