--- a/bench/tests/calls.rs
+++ b/bench/tests/calls.rs
@@ -1,9 +1,9 @@
-//! Goodput over time, and when it is back.
+//! Time series of goodput, and detection of recovery.
 
 use sycamore_bench::calls::timeseries::Timeseries;
 use sycamore_tools::load::history::{Outcome, Record};
 
-/// A call due so many milliseconds after the start, answered in time or not.
+/// A call that is due `due_ms` after the start of the run.
 fn record(due_ms: u64, in_time: bool) -> Record {
     let invoked_us = 1_000_000 + due_ms * 1_000;
     Record {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Calls every 10 ms for 4 s; those due from 1 s to 2 s are not answered in time.
+/// Calls every 10 ms for 4 s; those due between 1 s and 2 s are not answered in time.
 fn outage() -> Timeseries {
     let due = (0..400).map(|index| index * 10);
     let records: Vec<Record> = due.map(|ms| record(ms, !(1_000..2_000).contains(&ms))).collect();
