--- a/bench/tests/demo.rs
+++ b/bench/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The check of a demonstration finds planted faults.
+//! Invariant checks detect injected violations.
 
 use std::net::SocketAddr;
 use sycamore_bench::demo::rules::{
@@ -47,7 +47,7 @@
     Sample { vm: vm.into(), at_us, version: Some(version) }
 }
 
-/// Two requests, two versions, one planned stop, and nothing wrong.
+/// Two requests, two valid versions and one planned stop, without violations.
 fn clean() -> Evidence {
     Evidence {
         records: vec![record("a"), record("b")],
@@ -79,7 +79,7 @@
     }
 }
 
-/// The clean evidence with one change must break exactly the rules of `expected`.
+/// Asserts that applying `change` to the clean evidence causes exactly the `expected` violations.
 fn check(change: impl FnOnce(&mut Evidence), expected: Violations) {
     let mut evidence = clean();
     change(&mut evidence);
@@ -139,8 +139,7 @@
 
 #[test]
 fn find_older_version_after_restart() {
-    // Story: a node with version 2 is killed, comes back in a zone that is cut off, and serves
-    // version 1 from a stale source. Callers are sent where version 2 no longer sends them.
+    // Guards against a restarted node that serves an older version from a stale source.
     let change = |evidence: &mut Evidence| evidence.samples.push(sample("vm-1", 2_900_000, 1));
     check(change, Violations { older_version_seen: 1, ..Violations::default() });
 }
@@ -172,7 +171,7 @@
     check(|evidence| evidence.runs[1].event = RunEvent::Aborted, expected);
 }
 
-/// Guards against a run that counts as cut though its caller had the answer of another target.
+/// Guards against counting an aborted run whose caller was answered by another target.
 #[test]
 fn find_cut_by_drain_overtaken_run() {
     let second = |evidence: &mut Evidence, answered_at: u64| {
@@ -185,7 +184,11 @@
     assert_eq!(Violations::find(&evidence).cut_by_drain, 0);
     let mut evidence = clean();
     second(&mut evidence, 1_100_000);
-    assert_eq!(Violations::find(&evidence).cut_by_drain, 1, "it was answered after the cut");
+    assert_eq!(
+        Violations::find(&evidence).cut_by_drain,
+        1,
+        "the other run completed after the abort"
+    );
 }
 
 #[test]
