--- a/bench/tests/lab.rs
+++ b/bench/tests/lab.rs
@@ -1,4 +1,4 @@
-//! Replays of load over the call path's deciders: where requests go, and who is turned away.
+//! Simulations of the call path's decision logic: target selection and admission under load.
 
 use std::path::PathBuf;
 use sycamore_bench::lab::bound::bound;
@@ -8,7 +8,7 @@
 use sycamore_core::call::Policy;
 use sycamore_core::call::policy::Mechanism;
 
-/// A mesh of three regions with two zones each, whose targets would do for twice the load.
+/// Three regions with two zones each, with twice the capacity needed for the load.
 const EVEN: &str = r#"{
     "name": "even", "seconds": 12, "warm_up_s": 2,
     "zones": {
@@ -58,7 +58,7 @@
     run.bytes.iter().flatten().sum()
 }
 
-/// Part of the requests of some seconds that were answered in time, over all runs.
+/// Share of the requests arriving in a range of seconds that were answered in time, over all runs.
 fn in_time(runs: &[Tally], from: usize, to: usize) -> f64 {
     let seconds = runs.iter().flat_map(|run| &run.seconds[from..to]);
     let (in_time, all) = seconds.fold((0, 0), |(in_time, all), of| {
@@ -69,8 +69,7 @@
 
 #[test]
 fn placing_even_nothing_leaves_its_zone() {
-    // Story: every zone has twice the room that its callers need. Requests are drawn across zones
-    // all the same as soon as a target nearby is half full, and a third of all bytes is paid for.
+    // Guards against traffic between zones when every zone has sufficient capacity.
     for run in play(even(), Policy::new()) {
         let crossed = run.crossed.0 + run.crossed.1;
         assert!(crossed * 50 <= all_bytes(&run), "{crossed} of {}", all_bytes(&run));
@@ -78,7 +77,7 @@
     }
 }
 
-/// Nothing leaves its zone while that has a target, whatever waits there.
+/// Policy that keeps requests in their zone while it has a target, regardless of queue lengths.
 fn never_leaves() -> Policy {
     let far = 1_000_000;
     let policy = Policy::new().without(Mechanism::FullKnown);
@@ -88,26 +87,25 @@
 
 #[test]
 fn placing_surplus_leaves_one_way() {
-    // Story: a zone gets four times its callers for some seconds. What it can't take goes to its
-    // neighbours, and hardly anything goes the other way.
+    // Guards against other zones sending requests to an overloaded zone while its surplus goes to
+    // them.
     let burst = r#"{"at_s": 3, "for_s": 8, "what": "burst", "factor": 4, "zone": "east-1"}"#;
     let runs = play(with_troubles(burst), Policy::new());
     assert!(in_time(&runs, 4, 11) > 0.95, "{}", in_time(&runs, 4, 11));
     for run in &runs {
-        // Answers travel towards the callers of the zone that has too many; their requests, a
-        // quarter of the size, travel back.
+        // Responses flow into the overloaded zone. Its requests, a quarter of the size, flow out.
         let to: u64 = (1..6).map(|zone| run.bytes[zone][0]).sum();
         let back: u64 = (1..6).map(|zone| run.bytes[0][zone]).sum();
-        assert!(back * 3 < to, "{back} beside {to}");
+        assert!(back * 3 < to, "{back} bytes out, {to} bytes in");
     }
     let without = play(with_troubles(burst), never_leaves());
-    assert!(in_time(&without, 4, 11) < 0.9, "the burst does not fill the zone");
+    assert!(in_time(&without, 4, 11) < 0.9, "the burst does not overload the zone");
 }
 
 #[test]
 fn placing_shift_ends_as_it_began() {
-    // Story: the callers of five zones move to the sixth, and back. They are served where they are
-    // meanwhile, by targets of other zones too, and after it nothing crosses any more.
+    // Guards against degraded service while callers of five zones move to the sixth, and after
+    // they return.
     let zones = ["east-1", "east-2", "mid-1", "mid-2", "west-2"];
     let shift = |from: &str| {
         format!(
@@ -120,27 +118,35 @@
     assert!(in_time(&runs, 4, 7) > 0.9, "{}", in_time(&runs, 4, 7));
     assert!(in_time(&runs, 8, 12) > 0.98, "{}", in_time(&runs, 8, 12));
     let without = play(with_troubles(&shifts), never_leaves());
-    assert!(in_time(&without, 4, 7) < 0.8, "the shift does not fill the zone");
+    assert!(in_time(&without, 4, 7) < 0.8, "the shift does not overload the zone");
 }
 
 #[test]
 fn placing_zone_without_targets() {
-    // A zone has callers and no desk; the other zone of its region has twice as many. That serves
-    // them, and nobody else's requests leave.
+    // One zone has callers but no targets. The other zone of its region must serve them, without
+    // other traffic between zones.
     let scenario = EVEN.replace(r#""mid-1": 2, "mid-2": 2,"#, r#""mid-2": 4,"#);
     let runs = play(Scenario::parse(scenario.as_bytes()).unwrap(), Policy::new());
     assert!(in_time(&runs, 2, 12) > 0.98, "{}", in_time(&runs, 2, 12));
     for run in &runs {
         // mid-1 and mid-2 are the third and the fourth zone.
         let served = run.bytes[3][2];
-        assert!(run.crossed.0 + run.crossed.1 < served * 2, "{:?} beside {served}", run.crossed);
-        assert!(run.crossed.1 * 20 < served, "{:?} beside {served}", run.crossed);
+        assert!(
+            run.crossed.0 + run.crossed.1 < served * 2,
+            "{:?} bytes between zones, {served} expected",
+            run.crossed
+        );
+        assert!(
+            run.crossed.1 * 20 < served,
+            "{:?} bytes between zones, {served} expected",
+            run.crossed
+        );
     }
 }
 
 #[test]
 fn placing_slow_targets_are_left() {
-    // Story: a target in four answers eight times slower. Its zone's callers stay with it.
+    // Guards against callers that keep using targets that are eight times slower.
     let slow = r#"
         {"at_s": 3, "for_s": 8, "what": "slow", "service": "desk", "share": 0.25, "factor": 8.0}"#;
     let scenario = with_troubles(slow);
@@ -153,8 +159,8 @@
 
 #[test]
 fn placing_grey_targets_are_left() {
-    // Story: a target in four fails half of its requests while its health check is good. Signings
-    // that it has failed can't be sent again.
+    // Guards against callers that keep using targets that fail half of their requests but pass
+    // health checks. Signings that have failed cannot be retried.
     let grey = r#"
         {"at_s": 3, "for_s": 8, "what": "grey", "service": "desk", "share": 0.25, "errors": 0.5}"#;
     let scenario = with_troubles(grey);
@@ -166,8 +172,8 @@
 
 #[test]
 fn overload_short_queues_answer_more_in_time() {
-    // Story: callers ask for a third more than all targets can run. Those that can't be in time
-    // any more hold slots for half a second each, so that the next ones are late as well.
+    // Guards against requests that can no longer meet their objective holding slots under overload
+    // and delaying later requests.
     let burst = r#"{"at_s": 3, "for_s": 9, "what": "burst", "factor": 3.1}"#;
     let scenario = with_troubles(burst);
     let before =
@@ -194,8 +200,8 @@
 
 #[test]
 fn bound_uneven_by_hand() {
-    // Two zones of one region, all callers in the first: its 8 usable slots take 7.6 of the 10
-    // that are needed; the other 2.4 must cross with 23 bytes a slot's millisecond each.
+    // Two zones of one region, with all callers in the first. At 95 % utilization its 8 slots cover
+    // 7.6 of the 10 slots needed; the remaining 2.4 transfer 23 bytes per slot and millisecond.
     let text = r#"{
         "name": "two", "seconds": 10,
         "zones": {"a": {"region": "r", "callers": 1}, "b": {"region": "r", "callers": 0}},
@@ -246,14 +252,14 @@
     assert!(names.len() >= 4, "{names:?}");
 }
 
-/// Part of the arrivals at targets that are repeats.
+/// Share of the attempts at targets that are repeats.
 fn repeats(runs: &[Tally]) -> f64 {
     let arrivals = runs.iter().map(|run| run.arrivals);
     let (all, again) = arrivals.fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
     again as f64 / all.max(1) as f64
 }
 
-/// Part of the lookups that were answered in time.
+/// Share of lookups answered in time.
 fn lookups_in_time(runs: &[Tally]) -> f64 {
     let lookups =
         runs.iter().flat_map(|run| &run.kinds).filter(|(kind, _)| kind.as_str() == "lookup");
@@ -266,12 +272,12 @@
     Policy::new().without(Mechanism::Hedges)
 }
 
-/// Guards against lookups that wait for their time-out at a target that loses answers.
+/// Guards against lookups that wait for the timeout at a target that drops responses.
 #[test]
 fn hedge_lost_answers_in_time() {
     let mute =
         r#"{"at_s": 3, "for_s": 8, "what": "mute", "service": "desk", "share": 0.3, "part": 0.3}"#;
-    // Hardly any signing: one whose answer is lost holds its slot until its deadline.
+    // Few signings, since one whose response is lost holds its slot until its deadline.
     let scenario = || {
         let text = EVEN.replace(r#""per_s": 50"#, r#""per_s": 1"#);
         let troubles = format!(r#""troubles": [{mute}]"#);
@@ -282,15 +288,15 @@
     let without = lookups_in_time(&play(scenario(), without_hedges()));
     let calm = lookups_in_time(&play(even(), Policy::new()));
     let lost = (calm - with, calm - without);
-    assert!(lost.0 < lost.1 * 0.5, "{with} beside {without}, {calm} in calm");
+    assert!(lost.0 < lost.1 * 0.5, "{with} with hedging, {without} without, {calm} without faults");
 }
 
-/// Guards against hedges that add load where every target of a service is slow.
+/// Guards against hedges that add load when all targets of a service are slow.
 #[test]
 fn hedge_all_slow_adds_nothing() {
     let slow = r#"{"at_s": 3, "for_s": 8, "what": "slow", "service": "desk", "share": 1,
         "factor": 12}"#;
     let with = repeats(&play(with_troubles(slow), Policy::new()));
     let without = repeats(&play(with_troubles(slow), without_hedges()));
-    assert!(with - without < 0.05, "{with} beside {without}");
+    assert!(with - without < 0.05, "{with} with hedging, {without} without");
 }
