--- a/bench/tests/lab_cli.rs
+++ b/bench/tests/lab_cli.rs
@@ -1,4 +1,4 @@
-//! The lab's command line: what it prints, and what it says of wrong input.
+//! Command line of `sycamore-lab`: output and error messages.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -16,7 +16,7 @@
     String::from_utf8(buf.to_vec()).unwrap()
 }
 
-/// A file of this test's own, removed when dropped.
+/// Temporary file, removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
