--- a/bench/tests/links.rs
+++ b/bench/tests/links.rs
@@ -1,4 +1,4 @@
-//! The in-memory links and platform: what the benches and histories stand on.
+//! Simulated links and platform.
 
 use std::time::Duration;
 use sycamore_bench::fleet::platform::{Answer, CALLS_PER_S, Get, Health, Platform};
@@ -41,7 +41,7 @@
 #[test]
 fn send_bandwidth_shared() {
     let mut links = links();
-    // 5 MB take 10 ms at 4 Gbit/s; the second waits for the first.
+    // 5 MB take 10 ms at 4 Gbit/s; the second message is transmitted after the first.
     links.send(HERE, FAR, 5_000_000, 1);
     links.send(NEAR, FAR, 5_000_000, 2);
     links.pop();
