--- a/bench/tests/slopes_line.rs
+++ b/bench/tests/slopes_line.rs
@@ -1,4 +1,4 @@
-//! The fit of a line.
+//! Linear regression.
 
 use sycamore_bench::fleet::slopes::Line;
 
