--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -15,24 +15,24 @@
 use sycamore_core::config::document::MAX_DOCUMENT_BYTES;
 
 /// Minimum polling interval of a node.
-const SHORTEST_INTERVAL: Duration = Duration::from_secs(1);
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Share of the platform's rate limit that polling may use, in percent.
-const LIMIT_PERCENT: u64 = 80;
+const RATE_LIMIT_PERCENT: u64 = 80;
 
 /// Maximum time for restarted nodes to reach the latest version.
-const LONGEST_STORM: Duration = Duration::from_secs(600);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Header size of a request or response, in bytes.
-const HEAD_BYTES: u64 = 120;
+const HEADER_BYTES: u64 = 120;
 
 /// Location of the platform.
 const PLATFORM: Site = Site { region: 0, zone: PLATFORM_ZONE };
 
 enum Event {
     Poll(usize, u32),
-    Asked(usize),
-    Answered(usize, u64),
+    RequestReceived(usize),
+    ResponseReceived(usize, u64),
     Publish,
 }
 
@@ -43,9 +43,9 @@
     platform: Platform<usize>,
     workload: Workload,
     convergence: Convergence,
-    whole: u64,
+    document_bytes: u64,
     interval: Duration,
-    lives: Vec<u32>,
+    generations: Vec<u32>,
     rng: Pcg64Mcg,
 }
 
@@ -56,14 +56,23 @@
         let first = workload.publish();
         let links = Links::new(profile, Time::from_millis(0), seed);
         let convergence = Convergence::new(size.nodes);
-        let interval = shortest_interval(size.nodes, first.whole);
-        let whole = first.whole;
+        let interval = poll_interval(size.nodes, first.whole);
+        let document_bytes = first.whole;
         let platform = Platform::new();
-        let lives = vec![0; size.nodes];
+        let generations = vec![0; size.nodes];
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut fleet =
-            Baseline { size, links, platform, workload, convergence, whole, interval, lives, rng };
-        fleet.put(&first);
+        let mut fleet = Baseline {
+            size,
+            links,
+            platform,
+            workload,
+            convergence,
+            document_bytes,
+            interval,
+            generations,
+            rng,
+        };
+        fleet.publish(&first);
         for node in 0..size.nodes {
             let phase = fleet.rng.random_range(0..interval.as_micros() as u64);
             fleet.links.after(Duration::from_micros(phase), Event::Poll(node, 0));
@@ -109,20 +118,20 @@
     }
 
     /// Restarts the given nodes simultaneously and measures until each holds the latest version.
-    pub fn return_at_once(mut self, storm: &'static str, nodes: &[usize]) -> StormFigures {
+    pub fn measure_restart(mut self, storm: &'static str, nodes: &[usize]) -> StormFigures {
         let since = self.links.now();
         for node in nodes {
-            self.lives[*node] += 1;
+            self.generations[*node] += 1;
             self.convergence.restarted(*node, since);
-            self.links.after(Duration::ZERO, Event::Poll(*node, self.lives[*node]));
+            self.links.after(Duration::ZERO, Event::Poll(*node, self.generations[*node]));
         }
-        let end = since + LONGEST_STORM;
+        let end = since + RECOVERY_TIMEOUT;
         let mut last = since;
         while self.convergence.behind(1) > 0 && self.links.next_at() <= Some(end) {
             // Checking all nodes after every event would dominate the run time.
             for _ in 0..nodes.len() {
                 let Some(event) = self.links.pop() else { break };
-                if let Event::Answered(node, 1..) = event {
+                if let Event::ResponseReceived(node, 1..) = event {
                     last = if self.convergence.held(node) == 0 { self.links.now() } else { last };
                 }
                 self.handle(event);
@@ -156,21 +165,26 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Poll(node, life) if life == self.lives[node] => {
+            Event::Poll(node, generation) if generation == self.generations[node] => {
                 let site = self.size.site(node);
-                self.links.send(site, PLATFORM, HEAD_BYTES * self.values(), Event::Asked(node));
-                self.links.after(self.interval, Event::Poll(node, life));
+                self.links.send(
+                    site,
+                    PLATFORM,
+                    HEADER_BYTES * self.value_count(),
+                    Event::RequestReceived(node),
+                );
+                self.links.after(self.interval, Event::Poll(node, generation));
             }
             Event::Poll(..) => {}
-            Event::Asked(node) => self.answer(node),
-            Event::Answered(node, version) => {
+            Event::RequestReceived(node) => self.answer(node),
+            Event::ResponseReceived(node, version) => {
                 if version > self.convergence.held(node) {
                     self.convergence.in_force(node, version, self.links.now());
                 }
             }
             Event::Publish => {
                 let publication = self.workload.change();
-                self.put(&publication);
+                self.publish(&publication);
             }
         }
     }
@@ -178,32 +192,32 @@
     fn answer(&mut self, node: usize) {
         let now = self.links.now();
         let mut index = None;
-        for _ in 0..self.values() {
+        for _ in 0..self.value_count() {
             let key = name("document".to_owned());
             let get = Get { caller: node, key, above: None, until: now };
             match self.platform.get(now, get) {
                 Some(Answer::Value(_, found)) => index = Some(found),
-                _ => return self.poll_later(node),
+                _ => return self.reschedule_poll(node),
             }
         }
         // Each version writes one value, so the platform's index equals the version.
         if let Some(version) = index {
-            let bytes = self.whole + HEAD_BYTES * self.values();
+            let bytes = self.document_bytes + HEADER_BYTES * self.value_count();
             let site = self.size.site(node);
-            self.links.send(PLATFORM, site, bytes, Event::Answered(node, version));
+            self.links.send(PLATFORM, site, bytes, Event::ResponseReceived(node, version));
         }
     }
 
     /// Reschedules a rejected node at a random phase, so that the same nodes are not rejected in
     /// every interval.
-    fn poll_later(&mut self, node: usize) {
-        self.lives[node] += 1;
+    fn reschedule_poll(&mut self, node: usize) {
+        self.generations[node] += 1;
         let phase = self.rng.random_range(0..self.interval.as_micros() as u64);
-        self.links.after(Duration::from_micros(phase), Event::Poll(node, self.lives[node]));
+        self.links.after(Duration::from_micros(phase), Event::Poll(node, self.generations[node]));
     }
 
-    fn put(&mut self, publication: &Publication) {
-        self.whole = publication.whole;
+    fn publish(&mut self, publication: &Publication) {
+        self.document_bytes = publication.whole;
         self.platform.put(name("document".to_owned()), Bytes::new());
         self.convergence.published(publication.in_force.version, self.links.now());
         if publication.in_force.version == 1 {
@@ -211,18 +225,18 @@
         }
     }
 
-    fn values(&self) -> u64 {
-        values(self.whole)
+    fn value_count(&self) -> u64 {
+        value_count(self.document_bytes)
     }
 }
 
 /// Minimum number of platform values needed to store a document.
-fn values(whole: u64) -> u64 {
-    whole.div_ceil(MAX_DOCUMENT_BYTES as u64)
+fn value_count(document_bytes: u64) -> u64 {
+    document_bytes.div_ceil(MAX_DOCUMENT_BYTES as u64)
 }
 
-fn shortest_interval(nodes: usize, whole: u64) -> Duration {
-    let calls = nodes as u64 * values(whole);
-    let span = Duration::from_millis(calls * 1_000 * 100 / (CALLS_PER_S * LIMIT_PERCENT));
-    span.max(SHORTEST_INTERVAL)
+fn poll_interval(nodes: usize, document_bytes: u64) -> Duration {
+    let calls = nodes as u64 * value_count(document_bytes);
+    let span = Duration::from_millis(calls * 1_000 * 100 / (CALLS_PER_S * RATE_LIMIT_PERCENT));
+    span.max(MIN_POLL_INTERVAL)
 }
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -205,13 +205,13 @@
     let smallest = smallest(setup, plan);
     let across_to_smallest = figures.across_bytes_per_version / smallest;
     let all: Vec<usize> = (0..setup.size.nodes).collect();
-    let start = baseline().return_at_once("everything", &all);
+    let start = baseline().measure_restart("everything", &all);
     let mut storm_figures = Vec::new();
     for storm in storms {
         match storm {
             Storm::Zone => {
                 let zone = nodes_in_zone(&setup.size, 1);
-                storm_figures.push(baseline().return_at_once(storm.name(), &zone));
+                storm_figures.push(baseline().measure_restart(storm.name(), &zone));
             }
             Storm::Everything => storm_figures.push(start.clone()),
             _ => {}
