--- a/bench/src/bin/sycamore-bench-calls.rs
+++ b/bench/src/bin/sycamore-bench-calls.rs
@@ -21,7 +21,7 @@
 
 /// JSON result, printed as the last line. A skipped system is null.
 #[derive(Serialize)]
-struct Both<T> {
+struct Comparison<T> {
     ours: Option<T>,
     naive: Option<T>,
 }
@@ -79,9 +79,9 @@
         print(system, &measured);
         io::Result::Ok(Some(measured))
     };
-    let both = Both { ours: measure(System::Ours)?, naive: measure(System::Naive)? };
+    let comparison = Comparison { ours: measure(System::Ours)?, naive: measure(System::Naive)? };
     println!("machine: {}", machine()?);
-    println!("{}", serde_json::to_string(&both)?);
+    println!("{}", serde_json::to_string(&comparison)?);
     Ok(())
 }
 
@@ -137,10 +137,10 @@
         print!("{:>8.1}%", fault.after * 100.0);
         println!("{:>20}{:>20}", ms(fault.recovered_during_ms), ms(fault.recovered_after_ms));
     }
-    let broken = overload.violations;
+    let violations = overload.violations;
     println!(
         "lost {}, run twice {}, false not run {}, truncated {}\n",
-        broken.lost, broken.run_twice, broken.false_not_run, broken.truncated
+        violations.lost, violations.run_twice, violations.false_not_run, violations.truncated
     );
 }
 
