--- a/bench/src/bin/sycamore-lab.rs
+++ b/bench/src/bin/sycamore-lab.rs
@@ -59,7 +59,7 @@
     for path in &cfg.scenarios {
         let scenario = Scenario::read(path)?;
         match command.as_str() {
-            "run" => play(&cfg, scenario)?,
+            "run" => simulate(&cfg, scenario)?,
             "compare" => compare(&cfg, scenario)?,
             "ablate" => ablate(&cfg, scenario)?,
             "bound" => print!("{}", report::bounds(&bound::bound(&scenario))),
@@ -80,7 +80,7 @@
         "override a policy value, such as late-wait-percent=300; may be repeated",
         "NAME=N",
     );
-    options.optopt("", "jobs", "number of parallel runs (default: half of the CPUs)", "N");
+    options.optopt("", "jobs", "number of parallel runs (default: default_jobs of the CPUs)", "N");
     options.optflag("", "json", "run: print JSON");
     options.optopt("", "svg", "run: write a plot to this file", "FILE");
     options
@@ -93,7 +93,7 @@
         }
         let mut policy = Policy::new();
         for name in matches.opt_strs("without") {
-            policy = policy.without(part(&name)?);
+            policy = policy.without(parse_mechanism(&name)?);
         }
         for text in matches.opt_strs("set") {
             let (name, value) =
@@ -106,12 +106,13 @@
                 ))
             })?;
         }
-        let half = std::thread::available_parallelism().map_or(1, |all| all.get().div_ceil(2));
-        let jobs = matches.opt_get_default("jobs", half).map_err(usage)?;
+        let default_jobs =
+            std::thread::available_parallelism().map_or(1, |all| all.get().div_ceil(2));
+        let jobs = matches.opt_get_default("jobs", default_jobs).map_err(usage)?;
         Ok(Config {
             scenarios: files.iter().map(PathBuf::from).collect(),
             policy,
-            seeds: seeds(&matches.opt_str("seeds").unwrap_or_else(|| "1..4".to_owned()))?,
+            seeds: parse_seeds(&matches.opt_str("seeds").unwrap_or_else(|| "1..4".to_owned()))?,
             jobs,
             json: matches.opt_present("json"),
             svg: matches.opt_str("svg").map(PathBuf::from),
@@ -124,15 +125,15 @@
 }
 
 /// Parses a seed range into the first seed and the count.
-fn seeds(text: &str) -> Result<(u64, u64)> {
-    let wrong = || usage(format!("--seeds {text}: expected a non-empty range such as 1..4"));
-    let (first, end) = text.split_once("..").ok_or_else(wrong)?;
+fn parse_seeds(text: &str) -> Result<(u64, u64)> {
+    let invalid = || usage(format!("--seeds {text}: expected a non-empty range such as 1..4"));
+    let (first, end) = text.split_once("..").ok_or_else(invalid)?;
     let (first, end): (u64, u64) =
-        (first.parse().map_err(|_| wrong())?, end.parse().map_err(|_| wrong())?);
-    if first < end { Ok((first, end - first)) } else { Err(wrong()) }
+        (first.parse().map_err(|_| invalid())?, end.parse().map_err(|_| invalid())?);
+    if first < end { Ok((first, end - first)) } else { Err(invalid()) }
 }
 
-fn part(name: &str) -> Result<Mechanism> {
+fn parse_mechanism(name: &str) -> Result<Mechanism> {
     serde_json::from_value(name.into()).map_err(|_| {
         let label = |part: &Mechanism| serde_json::to_string(part).unwrap_or_default();
         let known: Vec<String> = Mechanism::ALL.iter().map(label).collect();
@@ -140,7 +141,7 @@
     })
 }
 
-fn play(cfg: &Config, scenario: Scenario) -> Result<()> {
+fn simulate(cfg: &Config, scenario: Scenario) -> Result<()> {
     let trial = cfg.trial(scenario).with_policy(cfg.policy.clone());
     let runs = trial.run(progress(&trial.scenario))?;
     let scenario = &trial.scenario;
@@ -171,11 +172,11 @@
 }
 
 fn compare(cfg: &Config, scenario: Scenario) -> Result<()> {
-    let whole = cfg.trial(scenario);
-    let before: Vec<Tally> = whole.run(progress(&whole.scenario))?;
-    let changed = whole.clone().with_policy(cfg.policy.clone());
-    let after = changed.run(progress(&whole.scenario))?;
-    println!("{}\n\n{}", whole.scenario.name, report::compared(&before, &after));
+    let baseline = cfg.trial(scenario);
+    let before: Vec<Tally> = baseline.run(progress(&baseline.scenario))?;
+    let changed = baseline.clone().with_policy(cfg.policy.clone());
+    let after = changed.run(progress(&baseline.scenario))?;
+    println!("{}\n\n{}", baseline.scenario.name, report::compared(&before, &after));
     Ok(())
 }
 
