--- a/bench/src/bin/sycamore-demo.rs
+++ b/bench/src/bin/sycamore-demo.rs
@@ -38,16 +38,16 @@
         _ => {}
     }
     process::end_on_signals()?;
-    let stack = open(deployment, &output)?;
-    let (evidence, seen) = Demo::new(stack).run()?;
-    let report = Report::new(deployment.name, &evidence, seen.control_bytes());
+    let stack = open_stack(deployment, &output)?;
+    let (evidence, observations) = Demo::new(stack).run()?;
+    let report = Report::new(deployment.name, &evidence, observations.control_bytes());
     println!("\n{report}\ntimeline: target/demo/timeline.svg");
     println!("{}", serde_json::to_string(&report)?);
     Ok(report.violations.none())
 }
 
 /// Opens the example deployment, on a different network if another demo is using its addresses.
-fn open(deployment: Deployment, output: &Path) -> io::Result<Stack> {
+fn open_stack(deployment: Deployment, output: &Path) -> io::Result<Stack> {
     let example = Path::new("examples").join(deployment.name);
     let claim = Claim::new(deployment)?;
     let found = claim.deployment;
