--- a/bench/src/calls/cluster.rs
+++ b/bench/src/calls/cluster.rs
@@ -130,10 +130,10 @@
         (memory, usages.iter().map(|usage| usage.processor).sum())
     }
 
-    /// Stops the node or proxy of the first zone, and its target for the duration `away`.
-    pub fn lose_zone(&mut self, away: Duration) -> io::Result<()> {
+    /// Stops the node or proxy of the first zone, and its target for the duration `downtime`.
+    pub fn stop_zone(&mut self, downtime: Duration) -> io::Result<()> {
         let vm = DEPLOYMENT.vms().swap_remove(0).name;
-        self.stack.drive_target("crash", &vm, away.as_millis().to_string())?;
+        self.stack.drive_target("crash", &vm, downtime.as_millis().to_string())?;
         self.stack.nodes.shift_remove(&vm);
         if !self.proxies.is_empty() {
             self.proxies.remove(0);
--- a/bench/src/calls/overload.rs
+++ b/bench/src/calls/overload.rs
@@ -218,7 +218,7 @@
             Fault::SlowTarget => self.slow(1, SLOW),
             Fault::RetryStorm => self.slow(DEPLOYMENT.vms().len(), SLOW),
             // The target restarts shortly before its node.
-            Fault::ZoneLoss => self.cluster.lose_zone(FAULT - Duration::from_millis(200)),
+            Fault::ZoneLoss => self.cluster.stop_zone(FAULT - Duration::from_millis(200)),
         }
     }
 
