--- a/bench/src/calls/latency.rs
+++ b/bench/src/calls/latency.rs
@@ -20,17 +20,17 @@
 /// Calls per second for the latency measurement.
 const RATE: f64 = 300.0;
 /// Calls per second for the CPU time measurement.
-const BUSY_RATE: f64 = 4_000.0;
+const CPU_RATE: f64 = 4_000.0;
 /// Duration of the load before measurement starts.
 pub(super) const WARM_UP: Duration = Duration::from_secs(1);
 /// Length of the call chain in the nested measurement.
-const DEEP: u32 = 9;
+const NESTED_DEPTH: u32 = 9;
 /// Second octet of the addresses of targets that call each other directly.
 const DIRECT_NETWORK: u8 = 41;
 
 /// Latency at one depth.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
+pub struct DepthResult {
     /// Length of the call chain.
     pub depth: u32,
     /// Share of calls through the path that succeeded. The quantiles cover answered calls only.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Latency {
     /// Results by depth.
-    pub measured: Vec<Measured>,
+    pub measured: Vec<DepthResult>,
     /// Calls per second per core of CPU time used by nodes or proxies, on both entry node and
     /// gatekeeper.
     pub calls_per_second_per_core: f64,
@@ -72,15 +72,15 @@
     let _targets = start_direct_targets(&cluster.stack)?;
     let direct: Vec<SocketAddr> = direct_targets().iter().map(|target| target.address).collect();
     let mut measured = Vec::new();
-    for depth in [1, DEEP] {
-        measured.push(Measured::take(&cluster.entries(), &direct, depth, span)?);
+    for depth in [1, NESTED_DEPTH] {
+        measured.push(DepthResult::measure(&cluster.entries(), &direct, depth, span)?);
     }
     let before = cluster.usage().1;
-    let busy = run(&cluster.entries(), 1, BUSY_RATE, span)?;
+    let cpu_run = run(&cluster.entries(), 1, CPU_RATE, span)?;
     let (memory_kib, after) = cluster.usage();
     cluster.stack.stop();
     // CPU time includes the warm-up calls.
-    let calls = busy.counts.answered as f64 + BUSY_RATE * WARM_UP.as_secs_f64();
+    let calls = cpu_run.counts.answered as f64 + CPU_RATE * WARM_UP.as_secs_f64();
     let calls_per_second_per_core = calls / (after - before).as_secs_f64();
     Ok(Latency { measured, calls_per_second_per_core, memory_kib })
 }
@@ -137,25 +137,25 @@
     Ok(targets)
 }
 
-impl Measured {
+impl DepthResult {
     /// Measures both paths concurrently, so that background load affects them equally.
-    fn take(
+    fn measure(
         entries: &[SocketAddr],
         targets: &[SocketAddr],
         depth: u32,
         span: Duration,
-    ) -> io::Result<Measured> {
+    ) -> io::Result<DepthResult> {
         std::thread::scope(|scope| {
             let through = scope.spawn(|| run(entries, depth, RATE, span));
             let direct = run(targets, depth, RATE, span)?;
             let through = through
                 .join()
                 .map_err(|_| io::Error::other("load generator thread panicked"))??;
-            Ok(Measured::new(depth, through, direct))
+            Ok(DepthResult::new(depth, through, direct))
         })
     }
 
-    fn new(depth: u32, through: Row, direct: Row) -> Measured {
+    fn new(depth: u32, through: Row, direct: Row) -> DepthResult {
         let counts = through.counts;
         let answered = (counts.answered - counts.errors) as f64 / counts.sent.max(1) as f64;
         let (through, direct) = (Quantiles::new(&through), Quantiles::new(&direct));
@@ -165,7 +165,7 @@
             p99_ms: added(through.p99_ms, direct.p99_ms),
             p999_ms: added(through.p999_ms, direct.p999_ms),
         };
-        Measured { depth, answered, through, direct, added_per_call }
+        DepthResult { depth, answered, through, direct, added_per_call }
     }
 }
 
