--- a/bench/src/bin/sycamore-bench-calls.rs
+++ b/bench/src/bin/sycamore-bench-calls.rs
@@ -65,7 +65,7 @@
     print: fn(System, &T),
 ) -> io::Result<()> {
     let seconds = matches.opt_get_default("seconds", DEFAULT_SECONDS).map_err(io::Error::other)?;
-    if seconds <= overload::FILL.as_secs() {
+    if seconds <= overload::RAMP_UP.as_secs() {
         return Err(io::Error::other("--seconds must be at least 2"));
     }
     process::end_on_signals()?;
--- a/bench/src/calls/overload.rs
+++ b/bench/src/calls/overload.rs
@@ -16,21 +16,21 @@
 use sycamore_tools::load::plan::Plan;
 
 /// Service time of a call, long enough that target slots rather than CPU time limit goodput.
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 /// Offered loads, as multiples of the targets' capacity.
 const LOADS: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 4.0];
 /// Offered load during faults, as a multiple of the targets' capacity.
 const FAULT_LOAD: f64 = 0.7;
 /// Service time multiplier of slow targets.
-const SLOW: f64 = 5.0;
+const SLOW_FACTOR: f64 = 5.0;
 /// Phases of a fault run: before, during and after the fault.
-const BEFORE: Duration = Duration::from_secs(2);
-const FAULT: Duration = Duration::from_secs(3);
-const AFTER: Duration = Duration::from_secs(4);
+const BEFORE_FAULT: Duration = Duration::from_secs(2);
+const FAULT_DURATION: Duration = Duration::from_secs(3);
+const AFTER_FAULT: Duration = Duration::from_secs(4);
 /// Significant digits of recorded durations.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 /// Time for queues to fill at each load, excluded from the goodput.
-pub const FILL: Duration = Duration::from_secs(1);
+pub const RAMP_UP: Duration = Duration::from_secs(1);
 /// Load generator threads.
 const THREADS: usize = 3;
 
@@ -109,7 +109,7 @@
         system,
         cluster: Cluster::start(system, output)?,
         evidence: Evidence::default(),
-        count: 0,
+        run_count: 0,
     };
     bench.run(0.5, Duration::from_secs(1), RetryPolicy::HonourRetryAfter)?;
     let loads: io::Result<Vec<_>> = LOADS.iter().map(|load| bench.goodput(*load, span)).collect();
@@ -128,15 +128,17 @@
     system: System,
     cluster: Cluster,
     evidence: Evidence,
-    count: usize,
+    run_count: usize,
 }
 
 impl Bench {
     fn plan(&self, load: f64, duration: Duration, retry_policy: RetryPolicy) -> Plan {
         Plan {
-            mix: Mix { classes: vec![class("work", 4, WORK), class("once", 1, WORK)] },
+            mix: Mix {
+                classes: vec![class("work", 4, SERVICE_TIME), class("once", 1, SERVICE_TIME)],
+            },
             entries: self.cluster.entries(),
-            rate: load * capacity(WORK),
+            rate: load * capacity(SERVICE_TIME),
             duration,
             threads: THREADS,
             seed: 1,
@@ -161,10 +163,10 @@
         plan: &Plan,
         act: impl FnOnce(&mut Bench) -> io::Result<T>,
     ) -> io::Result<(Vec<Record>, T)> {
-        self.count += 1;
-        let file = self.cluster.stack.output(&format!("history-{}.jsonl", self.count));
+        self.run_count += 1;
+        let file = self.cluster.stack.output(&format!("history-{}.jsonl", self.run_count));
         let history = Arc::new(History::new(Some(Path::new(&file)))?);
-        let acted = std::thread::scope(|scope| {
+        let result = std::thread::scope(|scope| {
             scope.spawn(|| plan.run(&history));
             act(self)
         })?;
@@ -173,7 +175,7 @@
         }
         let records = history::read(Path::new(&file))?;
         self.evidence.records.extend(records.iter().cloned());
-        Ok((records, acted))
+        Ok((records, result))
     }
 
     fn goodput(&mut self, load: f64, span: Duration) -> io::Result<Goodput> {
@@ -186,7 +188,7 @@
         let ms = |quantile| refused.value_at_quantile(quantile) as f64 / 1_000.0;
         Ok(Goodput {
             load,
-            offered_per_second: load * capacity(WORK),
+            offered_per_second: load * capacity(SERVICE_TIME),
             goodput_per_second: per_second,
             hits_per_call: hits as f64 / records.len().max(1) as f64,
             sends_per_call: sends().count() as f64 / records.len().max(1) as f64,
@@ -200,38 +202,38 @@
             Fault::RetryStorm => RetryPolicy::Immediate,
             Fault::SlowTarget | Fault::ZoneLoss => RetryPolicy::HonourRetryAfter,
         };
-        let plan = self.plan(FAULT_LOAD, BEFORE + FAULT + AFTER, retry_policy);
+        let plan = self.plan(FAULT_LOAD, BEFORE_FAULT + FAULT_DURATION + AFTER_FAULT, retry_policy);
         let (records, (start_us, end_us)) = self.run_while(&plan, |bench| {
-            std::thread::sleep(BEFORE);
+            std::thread::sleep(BEFORE_FAULT);
             let start_us = now_us();
-            bench.begin(fault)?;
-            std::thread::sleep(FAULT);
+            bench.inject_fault(fault)?;
+            std::thread::sleep(FAULT_DURATION);
             let end_us = now_us();
-            bench.end(fault)?;
+            bench.clear_fault(fault)?;
             Ok((start_us, end_us))
         })?;
         Ok(FaultResult::new(fault, &Timeseries::new(&records), start_us, end_us))
     }
 
-    fn begin(&mut self, fault: Fault) -> io::Result<()> {
+    fn inject_fault(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
-            Fault::SlowTarget => self.slow(1, SLOW),
-            Fault::RetryStorm => self.slow(DEPLOYMENT.vms().len(), SLOW),
+            Fault::SlowTarget => self.set_work_factor(1, SLOW_FACTOR),
+            Fault::RetryStorm => self.set_work_factor(DEPLOYMENT.vms().len(), SLOW_FACTOR),
             // The target restarts shortly before its node.
-            Fault::ZoneLoss => self.cluster.stop_zone(FAULT - Duration::from_millis(200)),
+            Fault::ZoneLoss => self.cluster.stop_zone(FAULT_DURATION - Duration::from_millis(200)),
         }
     }
 
-    fn end(&mut self, fault: Fault) -> io::Result<()> {
+    fn clear_fault(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
-            Fault::SlowTarget => self.slow(1, 1.0),
-            Fault::RetryStorm => self.slow(DEPLOYMENT.vms().len(), 1.0),
+            Fault::SlowTarget => self.set_work_factor(1, 1.0),
+            Fault::RetryStorm => self.set_work_factor(DEPLOYMENT.vms().len(), 1.0),
             Fault::ZoneLoss => self.cluster.restore_zone(self.system),
         }
     }
 
     /// Sets the service time multiplier of the first `targets` targets.
-    fn slow(&self, targets: usize, work_factor: f64) -> io::Result<()> {
+    fn set_work_factor(&self, targets: usize, work_factor: f64) -> io::Result<()> {
         let behaviour = serde_json::to_string(&Behaviour { work_factor, ..Behaviour::default() })?;
         for vm in DEPLOYMENT.vms().iter().take(targets) {
             self.cluster.stack.drive_target("habits", &vm.name, behaviour.clone())?;
@@ -240,19 +242,19 @@
     }
 }
 
-/// Calls per second answered in time after [`FILL`]. Responses that arrive after the load has ended
+/// Calls per second answered in time after [`RAMP_UP`]. Responses that arrive after the load has ended
 /// drain the queues and are excluded.
 fn goodput_per_second(records: &[Record], span: Duration) -> f64 {
     let us = |span: Duration| span.as_micros() as u64;
     let start_us = records.iter().map(|record| record.invoked_us).min().unwrap_or_default();
-    let steady = start_us + us(FILL)..start_us + us(span);
+    let steady = start_us + us(RAMP_UP)..start_us + us(span);
     let good = records.iter().filter(|record| in_time(record) && steady.contains(&record.final_us));
-    good.count() as f64 / (span - FILL).as_secs_f64()
+    good.count() as f64 / (span - RAMP_UP).as_secs_f64()
 }
 
 /// Durations of rejected requests, in microseconds.
 fn refusals<'a>(sends: impl Iterator<Item = &'a Send>) -> Histogram<u64> {
-    let mut spans = Histogram::new(DIGITS).expect("the number of digits is valid");
+    let mut spans = Histogram::new(SIGNIFICANT_DIGITS).expect("the number of digits is valid");
     for send in sends.filter(|send| send.result == SendResult::NotRun) {
         // Recording cannot fail: the histogram resizes automatically.
         let _ = spans.record(send.end_us.saturating_sub(send.at_us));
@@ -263,8 +265,8 @@
 impl FaultResult {
     fn new(fault: Fault, series: &Timeseries, start_us: u64, end_us: u64) -> FaultResult {
         let us = |span: Duration| span.as_micros() as u64;
-        let last_us = end_us + us(AFTER);
-        let before = series.share(start_us - us(BEFORE), start_us);
+        let last_us = end_us + us(AFTER_FAULT);
+        let before = series.share(start_us - us(BEFORE_FAULT), start_us);
         FaultResult {
             name: fault.name(),
             before,
