--- a/bench/src/calls/slopes.rs
+++ b/bench/src/calls/slopes.rs
@@ -52,7 +52,7 @@
         depths.push(point(&cluster, depth, DEPTH_RATE, span)?);
     }
     cluster.stack.stop();
-    let (by_rate, by_depth) = (line(&rates), line(&depths));
+    let (by_rate, by_depth) = (fit_line(&rates), fit_line(&depths));
     Ok(Slopes { rates, depths, by_rate, by_depth })
 }
 
@@ -67,7 +67,7 @@
     Ok(Point { calls_per_second, cpu_ms_per_second, memory_kib })
 }
 
-fn line(points: &[Point]) -> Line {
+fn fit_line(points: &[Point]) -> Line {
     let points: Vec<(f64, f64)> =
         points.iter().map(|point| (point.calls_per_second, point.cpu_ms_per_second)).collect();
     Line::fit(&points)
