--- a/bench/src/bin/sycamore-lab.rs
+++ b/bench/src/bin/sycamore-lab.rs
@@ -80,7 +80,7 @@
         "override a policy value, such as late-wait-percent=300; may be repeated",
         "NAME=N",
     );
-    options.optopt("", "jobs", "number of parallel runs (default: default_jobs of the CPUs)", "N");
+    options.optopt("", "jobs", "number of parallel runs (default: half of the CPUs)", "N");
     options.optflag("", "json", "run: print JSON");
     options.optopt("", "svg", "run: write a plot to this file", "FILE");
     options
