--- a/bench/src/demo/observer.rs
+++ b/bench/src/demo/observer.rs
@@ -19,17 +19,17 @@
 use sycamore_tools::load::history::now_us;
 
 /// Pause between two polls of a node's status; the resolution of measured convergence times.
-const STATUS_PAUSE: Duration = Duration::from_millis(25);
+const STATUS_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Status polls per metrics poll.
-const STATUS_PER_METRICS: usize = 20;
+const STATUS_POLLS_PER_METRICS_POLL: usize = 20;
 
 /// Prefix of the control byte counters in the metrics.
-const CONTROL_BYTES: &str = "sycamore_control_bytes_total{link=\"";
+const CONTROL_BYTES_PREFIX: &str = "sycamore_control_bytes_total{link=\"";
 
 /// A node to poll.
 #[derive(Clone, Debug)]
-pub struct Watched {
+pub struct MonitoredNode {
     /// VM of the node.
     pub vm: String,
     /// Address of its admin port.
@@ -38,7 +38,7 @@
 
 /// Data collected from all nodes.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Versions in force, in chronological order.
     pub samples: Vec<Sample>,
     /// Latest control byte counters by link class, per process (VM and start time).
@@ -49,26 +49,26 @@
 #[derive(Debug)]
 pub struct Observer {
     stop: Arc<AtomicBool>,
-    thread: JoinHandle<Seen>,
+    thread: JoinHandle<Observations>,
 }
 
 impl Observer {
     /// Starts polling.
-    pub fn start(nodes: Vec<Watched>) -> Observer {
+    pub fn start(nodes: Vec<MonitoredNode>) -> Observer {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
-        let thread = std::thread::spawn(move || watch_all(nodes, &stopped));
+        let thread = std::thread::spawn(move || poll_all(nodes, &stopped));
         Observer { stop, thread }
     }
 
     /// Stops the thread and returns the collected data.
-    pub fn stop(self) -> Seen {
+    pub fn stop(self) -> Observations {
         self.stop.store(true, Ordering::Release);
         self.thread.join().unwrap_or_default()
     }
 }
 
-impl Seen {
+impl Observations {
     /// Control bytes sent by all processes, by link class.
     pub fn control_bytes(&self) -> IndexMap<String, u64> {
         let mut total = IndexMap::new();
@@ -80,45 +80,52 @@
     }
 }
 
-fn watch_all(nodes: Vec<Watched>, stop: &Arc<AtomicBool>) -> Seen {
+fn poll_all(nodes: Vec<MonitoredNode>, stop: &Arc<AtomicBool>) -> Observations {
     let executor = Rc::new(LocalExecutor::new());
-    let seen = Rc::new(RefCell::new(Seen::default()));
-    let watches: Vec<_> = nodes
+    let observations = Rc::new(RefCell::new(Observations::default()));
+    let tasks: Vec<_> = nodes
         .into_iter()
         .map(|node| {
             let pool = Pool::new(node.admin, executor.clone());
-            executor.spawn(watch(node.vm, pool, seen.clone(), stop.clone()))
+            executor.spawn(poll_node(node.vm, pool, observations.clone(), stop.clone()))
         })
         .collect();
     async_io::block_on(executor.run(async {
-        for watch in watches {
-            watch.await;
+        for task in tasks {
+            task.await;
         }
     }));
-    seen.take()
+    observations.take()
 }
 
-async fn watch(vm: String, pool: Pool, seen: Rc<RefCell<Seen>>, stop: Arc<AtomicBool>) {
+async fn poll_node(
+    vm: String,
+    pool: Pool,
+    observations: Rc<RefCell<Observations>>,
+    stop: Arc<AtomicBool>,
+) {
     let mut started = None;
-    let mut looks = 0;
+    let mut polls = 0;
     loop {
         let stopping = stop.load(Ordering::Acquire);
         if let Some(status) = status(&pool).await {
             started = Some(status.started);
             let version = status.in_force.map(|in_force| in_force.version);
             let sample = Sample { vm: vm.clone(), at_us: now_us(), version };
-            seen.borrow_mut().samples.push(sample);
+            observations.borrow_mut().samples.push(sample);
         }
-        if let Some(started) = started.filter(|_| looks % STATUS_PER_METRICS == 0 || stopping) {
+        if let Some(started) =
+            started.filter(|_| polls % STATUS_POLLS_PER_METRICS_POLL == 0 || stopping)
+        {
             if let Some(bytes) = control_bytes(&pool).await {
-                seen.borrow_mut().control_bytes.insert((vm.clone(), started), bytes);
+                observations.borrow_mut().control_bytes.insert((vm.clone(), started), bytes);
             }
         }
         if stopping {
             return;
         }
-        looks += 1;
-        Timer::after(STATUS_PAUSE).await;
+        polls += 1;
+        Timer::after(STATUS_INTERVAL).await;
     }
 }
 
@@ -130,7 +137,7 @@
 async fn control_bytes(pool: &Pool) -> Option<IndexMap<String, u64>> {
     let body = http::send(pool, "GET", "/metrics", Bytes::new()).await.ok()?;
     let text = std::str::from_utf8(&body).ok()?;
-    let lines = text.lines().filter_map(|line| line.strip_prefix(CONTROL_BYTES));
+    let lines = text.lines().filter_map(|line| line.strip_prefix(CONTROL_BYTES_PREFIX));
     let counts = lines.filter_map(|line| {
         let (link, count) = line.split_once("\"} ")?;
         Some((link.to_string(), count.parse::<f64>().ok()? as u64))
--- a/bench/src/demo/plan.rs
+++ b/bench/src/demo/plan.rs
@@ -1,6 +1,6 @@
 //! Sequence of configuration changes and faults in the demo.
 
-use super::observer::{Observer, Seen, Watched};
+use super::observer::{MonitoredNode, Observations, Observer};
 use super::rules::{Evidence, Publication, Stop};
 use crate::process::Process;
 use crate::stack::{STOP_LIMIT, Stack};
@@ -39,7 +39,7 @@
     }
 
     /// Runs the demo and returns the collected evidence.
-    pub fn run(mut self) -> io::Result<(Evidence, Seen)> {
+    pub fn run(mut self) -> io::Result<(Evidence, Observations)> {
         self.stack.start_standins()?;
         let first = Publication { version: FIRST_VERSION, at_us: now_us(), valid: true };
         self.evidence.publications.push(first);
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    fn collect(mut self, seen: Seen) -> io::Result<(Evidence, Seen)> {
+    fn collect(mut self, seen: Observations) -> io::Result<(Evidence, Observations)> {
         let output = |below| self.stack.output(below);
         let evidence = &mut self.evidence;
         evidence.records = history::read(Path::new(&output("history.jsonl")))?;
@@ -184,8 +184,8 @@
         vms.nth(index).map_or(String::new(), |vm| vm.name)
     }
 
-    fn watched(&self) -> Vec<Watched> {
-        let watched = |(vm, settings): (&String, &Settings)| Watched {
+    fn watched(&self) -> Vec<MonitoredNode> {
+        let watched = |(vm, settings): (&String, &Settings)| MonitoredNode {
             vm: vm.clone(),
             admin: settings.listen.admin,
         };
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -5,7 +5,7 @@
 use super::forwarder::{Forwarder, Port};
 use super::plan::{self, Fault, Round};
 use super::{DEPLOYMENT, FIRST_NETWORK, NETWORKS, classes};
-use crate::demo::observer::{Observer, Watched};
+use crate::demo::observer::{MonitoredNode, Observer};
 use crate::demo::rules::{Evidence, Publication, Stop};
 use crate::http;
 use crate::process::Process;
@@ -384,9 +384,9 @@
         zones[index].clone()
     }
 
-    fn watched(&self) -> Vec<Watched> {
+    fn watched(&self) -> Vec<MonitoredNode> {
         let nodes = self.stack.settings.iter();
-        nodes.map(|(vm, node)| Watched { vm: vm.clone(), admin: node.listen.admin }).collect()
+        nodes.map(|(vm, node)| MonitoredNode { vm: vm.clone(), admin: node.listen.admin }).collect()
     }
 }
 
