--- a/bench/src/demo/plan.rs
+++ b/bench/src/demo/plan.rs
@@ -17,9 +17,9 @@
 /// Duration of the load, in seconds.
 const LOAD_SECONDS: &str = "34";
 /// Maximum time from the start of the load until all requests have an outcome.
-const LOAD_LIMIT: Duration = Duration::from_secs(46);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(46);
 /// Time between killing and restarting a node.
-const AWAY: Duration = Duration::from_secs(2);
+const RESTART_DELAY: Duration = Duration::from_secs(2);
 
 /// Version in force at startup.
 const FIRST_VERSION: u64 = 1;
@@ -44,24 +44,24 @@
         let first = Publication { version: FIRST_VERSION, at_us: now_us(), valid: true };
         self.evidence.publications.push(first);
         self.stack.start_nodes()?;
-        let observer = Observer::start(self.watched());
+        let observer = Observer::start(self.monitored_nodes());
         self.stack.wait_until_ready()?;
-        self.say("all nodes are ready with the first version");
+        self.log_step("all nodes are ready with the first version");
         let mut timeline = self.start_timeline()?;
         let mut load = self.start_load()?;
         self.start = Instant::now();
-        self.disturb()?;
-        if !load.wait(LOAD_LIMIT.saturating_sub(self.start.elapsed())) {
+        self.apply_changes_and_faults()?;
+        if !load.wait(LOAD_TIMEOUT.saturating_sub(self.start.elapsed())) {
             return Err(io::Error::other("load generator did not exit in time"));
         }
-        self.say("all requests have an outcome");
+        self.log_step("all requests have an outcome");
         timeline.terminate();
         timeline.wait(STOP_LIMIT);
-        let seen = observer.stop();
+        let observations = observer.stop();
         for vm in self.stack.stop() {
-            self.say(&format!("{vm} did not stop within {STOP_LIMIT:?}; killed"));
+            self.log_step(&format!("{vm} did not stop within {STOP_LIMIT:?}; killed"));
         }
-        self.collect(seen)
+        self.collect(observations)
     }
 
     fn start_load(&self) -> io::Result<Process> {
@@ -88,30 +88,30 @@
     }
 
     /// Applies configuration changes and faults while the load runs.
-    fn disturb(&mut self) -> io::Result<()> {
-        self.until(4);
+    fn apply_changes_and_faults(&mut self) -> io::Result<()> {
+        self.sleep_until(4);
         self.publish(2, "peak", "published/preset/peak.json", true)?;
-        self.until(9);
+        self.sleep_until(9);
         self.publish(3, "dangling", "refused/dangling.json", false)?;
-        self.until(12);
+        self.sleep_until(12);
         self.kill_and_restart(&self.vm(0, 1))?;
-        self.until(19);
+        self.sleep_until(19);
         self.drain(&self.vm(2, 0))?;
-        self.until(25);
-        self.cut_zone(4)?;
-        self.until(27);
+        self.sleep_until(25);
+        self.disconnect_zone(4)?;
+        self.sleep_until(27);
         self.publish(4, "maintenance", "published/preset/maintenance.json", true)?;
-        self.until(31);
+        self.sleep_until(31);
         self.stack.set_faults(&Faults::default())?;
-        self.say("restored the connection of the zone to the platform");
+        self.log_step("restored the connection of the zone to the platform");
         Ok(())
     }
 
     fn publish(&mut self, version: u64, preset: &str, file: &str, valid: bool) -> io::Result<()> {
         let at_us = self.stack.publish(version, preset, file)?;
         self.evidence.publications.push(Publication { version, at_us, valid });
-        let what = if valid { "preset" } else { "invalid preset" };
-        self.say(&format!("published version {version}, {what} {preset}"));
+        let kind = if valid { "preset" } else { "invalid preset" };
+        self.log_step(&format!("published version {version}, {kind} {preset}"));
         Ok(())
     }
 
@@ -119,11 +119,11 @@
         let at_us = now_us();
         // Dropping the process kills it.
         self.stack.nodes.shift_remove(vm);
-        self.say(&format!("killed {vm}"));
-        std::thread::sleep(AWAY);
+        self.log_step(&format!("killed {vm}"));
+        std::thread::sleep(RESTART_DELAY);
         self.stack.start_node(vm)?;
-        self.say(&format!("restarted {vm}"));
-        let stop = self.stop_of(vm, at_us);
+        self.log_step(&format!("restarted {vm}"));
+        let stop = self.stop_record(vm, at_us);
         self.evidence.kills.push(stop);
         Ok(())
     }
@@ -132,47 +132,47 @@
         let at_us = now_us();
         let Some(mut node) = self.stack.nodes.shift_remove(vm) else { return Ok(()) };
         node.terminate();
-        self.say(&format!("draining {vm}"));
+        self.log_step(&format!("draining {vm}"));
         let ended = node.wait(STOP_LIMIT);
-        self.say(&format!("{vm} {}", if ended { "stopped" } else { "did not stop in time" }));
-        let stop = self.stop_of(vm, at_us);
+        self.log_step(&format!("{vm} {}", if ended { "stopped" } else { "did not stop in time" }));
+        let stop = self.stop_record(vm, at_us);
         self.evidence.drains.push(stop);
         Ok(())
     }
 
-    fn stop_of(&self, vm: &str, at_us: u64) -> Stop {
+    fn stop_record(&self, vm: &str, at_us: u64) -> Stop {
         let entry = self.stack.settings[vm].listen.calls;
         Stop { vm: vm.to_string(), entry, at_us, until_us: now_us() }
     }
 
-    fn cut_zone(&self, zone: usize) -> io::Result<()> {
+    fn disconnect_zone(&self, zone: usize) -> io::Result<()> {
         let (_, name, number) = self.stack.deployment.zones()[zone].clone();
         let blocked = vec![self.stack.deployment.platform_address(number).ip()];
         self.stack.set_faults(&Faults { blocked, ..Faults::default() })?;
-        self.say(&format!("disconnected zone {name} from the platform"));
+        self.log_step(&format!("disconnected zone {name} from the platform"));
         Ok(())
     }
 
-    fn collect(mut self, seen: Observations) -> io::Result<(Evidence, Observations)> {
-        let output = |below| self.stack.output(below);
+    fn collect(mut self, observations: Observations) -> io::Result<(Evidence, Observations)> {
+        let output = |file_name| self.stack.output(file_name);
         let evidence = &mut self.evidence;
         evidence.records = history::read(Path::new(&output("history.jsonl")))?;
         evidence.runs = run_log::read(Path::new(&output("runs.jsonl")))?;
-        evidence.samples = seen.samples.clone();
+        evidence.samples = observations.samples.clone();
         let drained = |vm: &str| evidence.drains.iter().any(|stop| stop.vm == vm);
         let vms = self.stack.settings.keys();
         evidence.lasting = vms.filter(|vm| !drained(vm)).cloned().collect();
         std::fs::write(output("samples.json"), serde_json::to_vec(&evidence.samples)?)?;
-        Ok((self.evidence, seen))
+        Ok((self.evidence, observations))
     }
 
     /// Sleeps until `seconds` after the start of the load.
-    fn until(&self, seconds: u64) {
+    fn sleep_until(&self, seconds: u64) {
         let left = Duration::from_secs(seconds).saturating_sub(self.start.elapsed());
         std::thread::sleep(left);
     }
 
-    fn say(&self, text: &str) {
+    fn log_step(&self, text: &str) {
         println!("{:>5.1} s  {text}", self.start.elapsed().as_secs_f64());
     }
 
@@ -184,11 +184,11 @@
         vms.nth(index).map_or(String::new(), |vm| vm.name)
     }
 
-    fn watched(&self) -> Vec<MonitoredNode> {
-        let watched = |(vm, settings): (&String, &Settings)| MonitoredNode {
+    fn monitored_nodes(&self) -> Vec<MonitoredNode> {
+        let monitored_node = |(vm, settings): (&String, &Settings)| MonitoredNode {
             vm: vm.clone(),
             admin: settings.listen.admin,
         };
-        self.stack.settings.iter().map(watched).collect()
+        self.stack.settings.iter().map(monitored_node).collect()
     }
 }
