--- a/bench/src/bin/sycamore-demo.rs
+++ b/bench/src/bin/sycamore-demo.rs
@@ -43,7 +43,7 @@
     let report = Report::new(deployment.name, &evidence, observations.control_bytes());
     println!("\n{report}\ntimeline: target/demo/timeline.svg");
     println!("{}", serde_json::to_string(&report)?);
-    Ok(report.violations.none())
+    Ok(report.violations.is_empty())
 }
 
 /// Opens the example deployment, on a different network if another demo is using its addresses.
--- a/bench/src/demo/plan.rs
+++ b/bench/src/demo/plan.rs
@@ -161,7 +161,7 @@
         evidence.samples = observations.samples.clone();
         let drained = |vm: &str| evidence.drains.iter().any(|stop| stop.vm == vm);
         let vms = self.stack.settings.keys();
-        evidence.lasting = vms.filter(|vm| !drained(vm)).cloned().collect();
+        evidence.expected_vms = vms.filter(|vm| !drained(vm)).cloned().collect();
         std::fs::write(output("samples.json"), serde_json::to_vec(&evidence.samples)?)?;
         Ok((self.evidence, observations))
     }
--- a/bench/src/demo/rules.rs
+++ b/bench/src/demo/rules.rs
@@ -9,14 +9,14 @@
 use sycamore_tools::load::history::{Outcome, Record, SendResult};
 
 /// Time after a planned stop during which its effects may still appear.
-const SETTLE_US: u64 = 1_000_000;
+const STOP_GRACE_US: u64 = 1_000_000;
 
 /// Tolerance between two clocks' readings of a deadline.
 const DEADLINE_MARGIN_US: u64 = 20_000;
 
 /// Time after the restart of a killed node during which unknown outcomes are attributed to the
 /// kill: keys created before the restart may be used until their deadline.
-const KILL_EFFECT_US: u64 = 6_000_000;
+const KILL_ATTRIBUTION_US: u64 = 6_000_000;
 
 /// Data collected about a run.
 #[derive(Clone, Debug, Default)]
@@ -34,7 +34,7 @@
     /// Nodes stopped as planned.
     pub drains: Vec<Stop>,
     /// VMs whose nodes run to the end and must therefore receive every version.
-    pub lasting: Vec<String>,
+    pub expected_vms: Vec<String>,
 }
 
 /// Version in force on a node at a point in time.
@@ -117,7 +117,7 @@
     }
 
     /// Whether there are no violations.
-    pub fn none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         *self == Violations::default()
     }
 }
@@ -130,14 +130,15 @@
 }
 
 fn converged(evidence: &Evidence, publication: &Publication) -> Option<u64> {
-    let shown_on = |vm: &String| {
+    let first_reported_on = |vm: &String| {
         let holds = |sample: &&Sample| {
             sample.vm == *vm && sample.version.is_some_and(|found| found >= publication.version)
         };
         evidence.samples.iter().filter(holds).map(|sample| sample.at_us).min()
     };
-    let shown: Option<Vec<u64>> = evidence.lasting.iter().map(shown_on).collect();
-    let last = shown?.into_iter().max()?;
+    let reported_us: Option<Vec<u64>> =
+        evidence.expected_vms.iter().map(first_reported_on).collect();
+    let last = reported_us?.into_iter().max()?;
     Some(last.saturating_sub(publication.at_us) / 1_000)
 }
 
@@ -149,7 +150,7 @@
 
 /// Whether the request overlapped the downtime of a killed node or the time shortly after it.
 fn explains(kill: &Stop, record: &Record) -> bool {
-    record.final_us >= kill.at_us && record.invoked_us <= kill.until_us + KILL_EFFECT_US
+    record.final_us >= kill.at_us && record.invoked_us <= kill.until_us + KILL_ATTRIBUTION_US
 }
 
 fn count<T>(items: &[T], holds: impl Fn(&&T) -> bool) -> usize {
@@ -209,14 +210,14 @@
 fn cut_by_drain(evidence: &Evidence) -> usize {
     let mut cut: IndexSet<&str> = IndexSet::new();
     for drain in &evidence.drains {
-        let sends = evidence.records.iter().filter(|record| cut_on_way(drain, record));
+        let sends = evidence.records.iter().filter(|record| interrupted_in_flight(drain, record));
         cut.extend(sends.map(|record| record.id.as_str()));
-        cut.extend(cut_at_target(evidence, drain));
+        cut.extend(aborted_at_target(evidence, drain));
     }
     cut.len()
 }
 
-fn cut_on_way(drain: &Stop, record: &Record) -> bool {
+fn interrupted_in_flight(drain: &Stop, record: &Record) -> bool {
     record.sends.iter().any(|send| {
         let broken = matches!(send.result, SendResult::Broken | SendResult::BodyCut);
         let during = send.at_us <= drain.until_us && send.end_us >= drain.at_us;
@@ -227,11 +228,11 @@
 
 /// Aborted runs at the target of a stopping node, except those whose deadline had passed or whose
 /// request had been answered by another target.
-fn cut_at_target<'a>(evidence: &'a Evidence, drain: &Stop) -> Vec<&'a str> {
+fn aborted_at_target<'a>(evidence: &'a Evidence, drain: &Stop) -> Vec<&'a str> {
     let deadlines: IndexMap<&str, u64> =
         evidence.records.iter().map(|record| (record.id.as_str(), record.deadline_us)).collect();
     let cut = evidence.runs.iter().filter(|run| {
-        let during = (drain.at_us..=drain.until_us + SETTLE_US).contains(&run.at_us);
+        let during = (drain.at_us..=drain.until_us + STOP_GRACE_US).contains(&run.at_us);
         let awaited = deadlines.get(run.id.as_str()).is_none_or(|deadline| run.at_us < *deadline);
         run.event == RunEvent::Aborted && run.vm == drain.vm && during && awaited
     });
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -353,7 +353,7 @@
     }
 
     fn end(mut self) -> io::Result<Report> {
-        self.evidence.lasting = self.vms();
+        self.evidence.expected_vms = self.vms();
         for node in self.stack.nodes.values() {
             node.terminate();
         }
--- a/bench/tests/demo.rs
+++ b/bench/tests/demo.rs
@@ -75,7 +75,7 @@
             at_us: 1_050_000,
             until_us: 1_500_000,
         }],
-        lasting: vec!["vm-1".into(), "vm-2".into()],
+        expected_vms: vec!["vm-1".into(), "vm-2".into()],
     }
 }
 
@@ -219,6 +219,6 @@
 
 #[test]
 fn find_not_converged() {
-    let change = |evidence: &mut Evidence| evidence.lasting.push("vm-3".into());
+    let change = |evidence: &mut Evidence| evidence.expected_vms.push("vm-3".into());
     check(change, Violations { not_converged: 2, ..Violations::default() });
 }
