--- a/bench/src/demo/report.rs
+++ b/bench/src/demo/report.rs
@@ -10,7 +10,7 @@
 use sycamore_tools::load::history::{Outcome, Record, SendResult};
 
 /// Significant digits of latencies.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Maximum number of unknown outcomes listed individually.
 const MAX_LISTED: usize = 10;
@@ -78,7 +78,7 @@
         let convergence = rules::convergence(evidence);
         // Skips the first version: it was published before the nodes started, so its convergence
         // time measures node startup.
-        let slowest: Option<Vec<u64>> = convergence.values().skip(1).copied().collect();
+        let convergence_ms: Option<Vec<u64>> = convergence.values().skip(1).copied().collect();
         Report {
             deployment: deployment.to_string(),
             sent: evidence.records.len(),
@@ -87,7 +87,7 @@
             not_run: outcomes(Outcome::NotRun),
             unknown: outcomes(Outcome::Unknown),
             violations: Violations::find(evidence),
-            converged_ms: slowest.and_then(|all| all.into_iter().max()),
+            converged_ms: convergence_ms.and_then(|all| all.into_iter().max()),
             converged_ms_by_version: convergence,
             control_bytes: control_bytes.values().sum(),
             control_bytes_by_link: control_bytes,
@@ -99,7 +99,8 @@
 
 impl ClassRow {
     fn new() -> ClassRow {
-        let histogram = || Histogram::new(DIGITS).expect("the number of digits is valid");
+        let histogram =
+            || Histogram::new(SIGNIFICANT_DIGITS).expect("the number of digits is valid");
         ClassRow {
             sent: 0,
             answered: 0,
