--- a/bench/src/bin/sycamore-bench-calls.rs
+++ b/bench/src/bin/sycamore-bench-calls.rs
@@ -68,7 +68,7 @@
     if seconds <= overload::RAMP_UP.as_secs() {
         return Err(io::Error::other("--seconds must be at least 2"));
     }
-    process::end_on_signals()?;
+    process::kill_children_on_signal()?;
     let only = matches.opt_str("only");
     let measure = |system: System| {
         if only.as_ref().is_some_and(|only| only != system.name()) {
--- a/bench/src/bin/sycamore-demo.rs
+++ b/bench/src/bin/sycamore-demo.rs
@@ -37,7 +37,7 @@
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
     }
-    process::end_on_signals()?;
+    process::kill_children_on_signal()?;
     let stack = open_stack(deployment, &output)?;
     let (evidence, observations) = Demo::new(stack).run()?;
     let report = Report::new(deployment.name, &evidence, observations.control_bytes());
--- a/bench/src/calls/cluster.rs
+++ b/bench/src/calls/cluster.rs
@@ -127,7 +127,7 @@
         let usages: Vec<Usage> =
             self.stack.nodes.values().chain(&self.proxies).map(Process::usage).collect();
         let memory = usages.iter().map(|usage| usage.memory_kib).max().unwrap_or_default();
-        (memory, usages.iter().map(|usage| usage.processor).sum())
+        (memory, usages.iter().map(|usage| usage.cpu_time).sum())
     }
 
     /// Stops the node or proxy of the first zone, and its target for the duration `downtime`.
--- a/bench/src/process.rs
+++ b/bench/src/process.rs
@@ -12,30 +12,30 @@
 use std::time::{Duration, Instant};
 
 /// Interval for polling whether a process has exited.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Exit code after SIGINT or SIGTERM.
-const INTERRUPTED: i32 = 130;
+const EXIT_INTERRUPTED: i32 = 130;
 
 /// Ids of child processes that have not been reaped.
-static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
+static CHILD_IDS: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 /// Installs a handler that kills all child processes on SIGINT or SIGTERM and then exits, so that
 /// an interrupted benchmark leaves no processes behind.
-pub fn end_on_signals() -> io::Result<()> {
+pub fn kill_children_on_signal() -> io::Result<()> {
     let mut signals = Signals::new([Signal::Int, Signal::Term])?;
     std::thread::spawn(move || {
         async_io::block_on(signals.next());
         // The lock is held until exit, so that no further processes are started.
-        let running = running();
-        running.iter().for_each(|id| send_signal(*id, rustix::process::Signal::KILL));
-        std::process::exit(INTERRUPTED);
+        let child_ids = lock_child_ids();
+        child_ids.iter().for_each(|id| send_signal(*id, rustix::process::Signal::KILL));
+        std::process::exit(EXIT_INTERRUPTED);
     });
     Ok(())
 }
 
-fn running() -> MutexGuard<'static, BTreeSet<u32>> {
-    RUNNING.lock().unwrap_or_else(|e| e.into_inner())
+fn lock_child_ids() -> MutexGuard<'static, BTreeSet<u32>> {
+    CHILD_IDS.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 fn send_signal(id: u32, signal: rustix::process::Signal) {
@@ -73,7 +73,7 @@
     /// Starts a program and appends its output to the file `log`.
     pub fn start(&self, program: &str, args: &[&str], log: &str) -> io::Result<Process> {
         let log = File::options().create(true).append(true).open(self.logs.join(log))?;
-        let mut running = running();
+        let mut child_ids = lock_child_ids();
         let child = Command::new(self.programs.join(program))
             .args(args)
             .stdin(Stdio::null())
@@ -81,7 +81,7 @@
             .stderr(log)
             .spawn()
             .map_err(|e| io::Error::new(e.kind(), format!("{program}: {e}")))?;
-        running.insert(child.id());
+        child_ids.insert(child.id());
         Ok(Process { child })
     }
 }
@@ -109,31 +109,31 @@
 
     /// Kills the process and waits for it.
     pub fn kill(&mut self) {
-        let mut running = running();
+        let mut child_ids = lock_child_ids();
         // Fails only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        running.remove(&self.child.id());
+        child_ids.remove(&self.child.id());
     }
 
     /// Whether the process has exited.
-    pub fn ended(&mut self) -> bool {
-        let mut running = running();
-        let ended = !matches!(self.child.try_wait(), Ok(None));
-        if ended {
-            running.remove(&self.child.id());
+    pub fn has_exited(&mut self) -> bool {
+        let mut child_ids = lock_child_ids();
+        let exited = !matches!(self.child.try_wait(), Ok(None));
+        if exited {
+            child_ids.remove(&self.child.id());
         }
-        ended
+        exited
     }
 
     /// Waits for the process to exit. Returns false if it is still running after `timeout`.
     pub fn wait(&mut self, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
-        while !self.ended() {
+        while !self.has_exited() {
             if Instant::now() >= end {
                 return false;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         true
     }
@@ -161,11 +161,11 @@
     /// Resident memory.
     pub memory_kib: u64,
     /// CPU time since the process started.
-    pub processor: Duration,
+    pub cpu_time: Duration,
 }
 
 /// Unit of CPU time in `/proc`, which is the same on all Linux architectures.
-const TICK: Duration = Duration::from_millis(10);
+const CLOCK_TICK: Duration = Duration::from_millis(10);
 
 impl Usage {
     fn read(pid: u32) -> Option<Usage> {
@@ -177,6 +177,6 @@
         // and 15.
         let fields: Vec<&str> = stat.rsplit(") ").next()?.split(' ').collect();
         let ticks = |field: usize| fields.get(field - 3)?.parse::<u32>().ok();
-        Some(Usage { memory_kib, processor: TICK * (ticks(14)? + ticks(15)?) })
+        Some(Usage { memory_kib, cpu_time: CLOCK_TICK * (ticks(14)? + ticks(15)?) })
     }
 }
--- a/bench/src/stack.rs
+++ b/bench/src/stack.rs
@@ -151,7 +151,8 @@
     /// Fails if a process has exited. Otherwise another deployment on the same addresses could be
     /// mistaken for this one.
     fn check_running(&mut self) -> io::Result<()> {
-        let ended = self.standins.iter_mut().chain(self.nodes.values_mut()).any(Process::ended);
+        let ended =
+            self.standins.iter_mut().chain(self.nodes.values_mut()).any(Process::has_exited);
         if ended {
             let logs = self.output.display();
             return Err(io::Error::other(format!(
