--- a/bench/src/bin/sycamore-demo.rs
+++ b/bench/src/bin/sycamore-demo.rs
@@ -7,7 +7,7 @@
 use sycamore_bench::demo::plan::Demo;
 use sycamore_bench::demo::report::Report;
 use sycamore_bench::process;
-use sycamore_bench::stack::{Claim, Stack};
+use sycamore_bench::stack::{NetworkClaim, Stack};
 use sycamore_standins::example::{self, COOPERATIVE, Deployment, FRANCHISE_OFFICE};
 
 /// Exit code for an invalid command line.
@@ -49,7 +49,7 @@
 /// Opens the example deployment, on a different network if another demo is using its addresses.
 fn open_stack(deployment: Deployment, output: &Path) -> io::Result<Stack> {
     let example = Path::new("examples").join(deployment.name);
-    let claim = Claim::new(deployment)?;
+    let claim = NetworkClaim::new(deployment)?;
     let found = claim.deployment;
     if found.network == deployment.network {
         return Ok(Stack::new(found, &example, output)?.with_claim(claim));
--- a/bench/src/calls/cluster.rs
+++ b/bench/src/calls/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::http;
 use crate::process::{Process, Usage};
-use crate::stack::{Claim, Stack};
+use crate::stack::{NetworkClaim, Stack};
 use indexmap::IndexMap;
 use std::io;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
         let files = output.join("files");
         example::write(&DEPLOYMENT, &files)?;
         // Concurrent benchmarks would distort each other's results.
-        let claim = Claim::new(DEPLOYMENT)?;
+        let claim = NetworkClaim::new(DEPLOYMENT)?;
         if claim.deployment.network != DEPLOYMENT.network {
             return Err(io::ErrorKind::AddrInUse.into());
         }
@@ -133,7 +133,7 @@
     /// Stops the node or proxy of the first zone, and its target for the duration `downtime`.
     pub fn stop_zone(&mut self, downtime: Duration) -> io::Result<()> {
         let vm = DEPLOYMENT.vms().swap_remove(0).name;
-        self.stack.drive_target("crash", &vm, downtime.as_millis().to_string())?;
+        self.stack.control_target("crash", &vm, downtime.as_millis().to_string())?;
         self.stack.nodes.shift_remove(&vm);
         if !self.proxies.is_empty() {
             self.proxies.remove(0);
--- a/bench/src/calls/overload.rs
+++ b/bench/src/calls/overload.rs
@@ -236,7 +236,7 @@
     fn set_work_factor(&self, targets: usize, work_factor: f64) -> io::Result<()> {
         let behaviour = serde_json::to_string(&Behaviour { work_factor, ..Behaviour::default() })?;
         for vm in DEPLOYMENT.vms().iter().take(targets) {
-            self.cluster.stack.drive_target("habits", &vm.name, behaviour.clone())?;
+            self.cluster.stack.control_target("habits", &vm.name, behaviour.clone())?;
         }
         Ok(())
     }
--- a/bench/src/demo/plan.rs
+++ b/bench/src/demo/plan.rs
@@ -3,7 +3,7 @@
 use super::observer::{MonitoredNode, Observations, Observer};
 use super::rules::{Evidence, Publication, Stop};
 use crate::process::Process;
-use crate::stack::{STOP_LIMIT, Stack};
+use crate::stack::{STOP_TIMEOUT, Stack};
 use std::io;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -56,10 +56,10 @@
         }
         self.log_step("all requests have an outcome");
         timeline.terminate();
-        timeline.wait(STOP_LIMIT);
+        timeline.wait(STOP_TIMEOUT);
         let observations = observer.stop();
         for vm in self.stack.stop() {
-            self.log_step(&format!("{vm} did not stop within {STOP_LIMIT:?}; killed"));
+            self.log_step(&format!("{vm} did not stop within {STOP_TIMEOUT:?}; killed"));
         }
         self.collect(observations)
     }
@@ -133,7 +133,7 @@
         let Some(mut node) = self.stack.nodes.shift_remove(vm) else { return Ok(()) };
         node.terminate();
         self.log_step(&format!("draining {vm}"));
-        let ended = node.wait(STOP_LIMIT);
+        let ended = node.wait(STOP_TIMEOUT);
         self.log_step(&format!("{vm} {}", if ended { "stopped" } else { "did not stop in time" }));
         let stop = self.stop_record(vm, at_us);
         self.evidence.drains.push(stop);
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -9,7 +9,7 @@
 use crate::demo::rules::{Evidence, Publication, Stop};
 use crate::http;
 use crate::process::Process;
-use crate::stack::{POLL, Stack};
+use crate::stack::{POLL_INTERVAL, Stack};
 use async_executor::LocalExecutor;
 use bytes::Bytes;
 use futures_lite::future;
@@ -180,7 +180,7 @@
                 // Dropping the process kills it.
                 self.stack.nodes.shift_remove(&vm);
                 if target {
-                    self.stack.drive_target("crash", &vm, "300".into())?;
+                    self.stack.control_target("crash", &vm, "300".into())?;
                 }
                 Ok(())
             }
@@ -396,7 +396,7 @@
         if Instant::now() >= end {
             return Err(io::Error::new(io::ErrorKind::TimedOut, detail));
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/bench/src/stack.rs
+++ b/bench/src/stack.rs
@@ -16,13 +16,13 @@
 use sycamore_tools::load::history::now_us;
 
 /// Timeout for all nodes to become ready.
-const START_LIMIT: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for the planned stop of a node.
-pub const STOP_LIMIT: Duration = Duration::from_secs(10);
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 /// Polling interval.
-pub const POLL: Duration = Duration::from_millis(20);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for the stand-ins to start listening before nodes connect.
-const STANDINS_START: Duration = Duration::from_millis(200);
+const STANDIN_START_DELAY: Duration = Duration::from_millis(200);
 
 /// A running deployment. Dropping it kills its processes.
 #[derive(Debug)]
@@ -38,31 +38,31 @@
     files: PathBuf,
     output: PathBuf,
     standins: Vec<Process>,
-    claim: Option<Claim>,
+    claim: Option<NetworkClaim>,
 }
 
 /// Maximum number of concurrent deployments on one machine, each on a separate network.
-const MAX_AT_ONCE: u8 = 8;
+const MAX_CONCURRENT_DEPLOYMENTS: u8 = 8;
 
 /// Port that is bound while a deployment's network is in use.
 const CLAIM_PORT: u16 = 7082;
 
 /// Exclusive use of a network until dropped.
 #[derive(Debug)]
-pub struct Claim {
+pub struct NetworkClaim {
     /// The deployment on the claimed network.
     pub deployment: Deployment,
-    _held: TcpListener,
+    _listener: TcpListener,
 }
 
-impl Claim {
+impl NetworkClaim {
     /// Claims the deployment's own network, or the next one that is free.
-    pub fn new(deployment: Deployment) -> io::Result<Claim> {
-        let networks = deployment.network..deployment.network + MAX_AT_ONCE;
+    pub fn new(deployment: Deployment) -> io::Result<NetworkClaim> {
+        let networks = deployment.network..deployment.network + MAX_CONCURRENT_DEPLOYMENTS;
         let mut candidates = networks.map(|network| Deployment { network, ..deployment });
         let claim = |deployment: Deployment| {
             let at = SocketAddr::new(deployment.platform_control().ip(), CLAIM_PORT);
-            Some(Claim { deployment, _held: TcpListener::bind(at).ok()? })
+            Some(NetworkClaim { deployment, _listener: TcpListener::bind(at).ok()? })
         };
         candidates.find_map(claim).ok_or(io::ErrorKind::AddrInUse.into())
     }
@@ -91,7 +91,7 @@
     }
 
     /// Holds a claim on the network until the stack is dropped.
-    pub fn with_claim(mut self, claim: Claim) -> Stack {
+    pub fn with_claim(mut self, claim: NetworkClaim) -> Stack {
         self.claim = Some(claim);
         self
     }
@@ -110,7 +110,7 @@
         let runs = self.output("runs.jsonl");
         let args = ["--targets", targets.as_str(), "--run-log", runs.as_str()];
         self.standins.push(self.launcher.start("standin-target", &args, "targets.log")?);
-        std::thread::sleep(STANDINS_START);
+        std::thread::sleep(STANDIN_START_DELAY);
         Ok(())
     }
 
@@ -133,17 +133,17 @@
 
     /// Waits until all nodes are ready to accept calls.
     pub fn wait_until_ready(&mut self) -> io::Result<()> {
-        let end = Instant::now() + START_LIMIT;
+        let end = Instant::now() + START_TIMEOUT;
         let mut waiting: Vec<_> =
             self.nodes.keys().map(|vm| self.settings[vm].listen.admin).collect();
         while !waiting.is_empty() {
             self.check_running()?;
             if Instant::now() >= end {
-                let detail = format!("nodes not ready after {START_LIMIT:?}: {waiting:?}");
+                let detail = format!("nodes not ready after {START_TIMEOUT:?}: {waiting:?}");
                 return Err(io::Error::other(detail));
             }
             waiting.retain(|admin| http::get(*admin, "/ready").is_err());
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -151,9 +151,9 @@
     /// Fails if a process has exited. Otherwise another deployment on the same addresses could be
     /// mistaken for this one.
     fn check_running(&mut self) -> io::Result<()> {
-        let ended =
+        let any_exited =
             self.standins.iter_mut().chain(self.nodes.values_mut()).any(Process::has_exited);
-        if ended {
+        if any_exited {
             let logs = self.output.display();
             return Err(io::Error::other(format!(
                 "a process exited unexpectedly; see the logs in {logs}"
@@ -182,9 +182,9 @@
     }
 
     /// Sends a control request (`habits` or `crash`) to a target.
-    pub fn drive_target(&self, what: &str, vm: &str, body: String) -> io::Result<()> {
+    pub fn control_target(&self, command: &str, vm: &str, body: String) -> io::Result<()> {
         let control = self.deployment.targets_control();
-        http::put(control, &format!("/{what}/{vm}"), body.into()).map(|_| ())
+        http::put(control, &format!("/{command}/{vm}"), body.into()).map(|_| ())
     }
 
     /// Stops all nodes, then kills the stand-ins. Returns the VMs whose nodes did not stop in time
@@ -193,7 +193,7 @@
         self.nodes.values().for_each(Process::terminate);
         let mut killed = Vec::new();
         for (vm, node) in &mut self.nodes {
-            if !node.wait(STOP_LIMIT) {
+            if !node.wait(STOP_TIMEOUT) {
                 killed.push(vm.clone());
             }
         }
@@ -203,12 +203,12 @@
     }
 
     /// Path of a deployment file.
-    pub fn file(&self, below: &str) -> String {
-        self.files.join(below).display().to_string()
+    pub fn file(&self, file_name: &str) -> String {
+        self.files.join(file_name).display().to_string()
     }
 
     /// Path of an output file.
-    pub fn output(&self, below: &str) -> String {
-        self.output.join(below).display().to_string()
+    pub fn output(&self, file_name: &str) -> String {
+        self.output.join(file_name).display().to_string()
     }
 }
