--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -102,7 +102,7 @@
             }
             Action::List(nodes, state) => self.list(&nodes, state),
             Action::Trouble(loss_ppm, jitter_percent) => {
-                let profile = self.setup.profile.with_trouble(loss_ppm, jitter_percent);
+                let profile = self.setup.profile.with_loss_and_jitter(loss_ppm, jitter_percent);
                 self.links.set_profile(profile);
             }
             Action::RecordDue(version) => self.record_due(version),
--- a/bench/src/history/trial.rs
+++ b/bench/src/history/trial.rs
@@ -85,7 +85,7 @@
         let mut planner = Planner::new(self.seed);
         let plan = planner.plan();
         let loss_ppm = if self.lossy { 10_000 } else { 0 };
-        let profile = Profile::franchise().with_trouble(loss_ppm, 20);
+        let profile = Profile::franchise().with_loss_and_jitter(loss_ppm, 20);
         let setup = Setup::new(planner.size, self.seed)
             .with_profile(profile)
             .with_called_services(planner.called_services)
--- a/bench/src/links.rs
+++ b/bench/src/links.rs
@@ -73,7 +73,7 @@
     }
 
     /// Sets message loss and jitter.
-    pub fn with_trouble(mut self, loss_ppm: u32, jitter_percent: u32) -> Profile {
+    pub fn with_loss_and_jitter(mut self, loss_ppm: u32, jitter_percent: u32) -> Profile {
         self.loss_ppm = loss_ppm;
         self.jitter_percent = jitter_percent;
         self
@@ -100,10 +100,10 @@
 impl Traffic {
     /// Difference from an earlier reading.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
-        let minus = |a: &[u64; 3], b: &[u64; 3]| std::array::from_fn(|i| a[i] - b[i]);
+        let subtract = |a: &[u64; 3], b: &[u64; 3]| std::array::from_fn(|i| a[i] - b[i]);
         Traffic {
-            messages: minus(&self.messages, &earlier.messages),
-            bytes: minus(&self.bytes, &earlier.bytes),
+            messages: subtract(&self.messages, &earlier.messages),
+            bytes: subtract(&self.bytes, &earlier.bytes),
         }
     }
 
@@ -113,30 +113,30 @@
     }
 }
 
-struct Queued<E> {
+struct ScheduledEvent<E> {
     at: Time,
-    order: u64,
+    sequence: u64,
     event: E,
 }
 
-impl<E> PartialEq for Queued<E> {
+impl<E> PartialEq for ScheduledEvent<E> {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
 
-impl<E> Eq for Queued<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
-impl<E> PartialOrd for Queued<E> {
+impl<E> PartialOrd for ScheduledEvent<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Queued<E> {
+impl<E> Ord for ScheduledEvent<E> {
     /// Reversed, since [`BinaryHeap`] is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -144,10 +144,10 @@
 pub struct Links<E> {
     profile: Profile,
     now: Time,
-    order: u64,
-    queue: BinaryHeap<Queued<E>>,
+    sequence: u64,
+    queue: BinaryHeap<ScheduledEvent<E>>,
     busy_until: HashMap<(u16, u16), Time>,
-    cuts: HashSet<(u16, u16)>,
+    partitions: HashSet<(u16, u16)>,
     rng: Pcg64Mcg,
     traffic: Traffic,
 }
@@ -158,10 +158,10 @@
         Links {
             profile,
             now: start,
-            order: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
             busy_until: HashMap::new(),
-            cuts: HashSet::new(),
+            partitions: HashSet::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             traffic: Traffic::default(),
         }
@@ -179,8 +179,8 @@
 
     /// Schedules an event at a time, or now if that time has passed.
     pub fn at(&mut self, at: Time, event: E) {
-        self.order += 1;
-        self.queue.push(Queued { at: at.max(self.now), order: self.order, event });
+        self.sequence += 1;
+        self.queue.push(ScheduledEvent { at: at.max(self.now), sequence: self.sequence, event });
     }
 
     /// Schedules an event after `span`.
@@ -190,14 +190,14 @@
 
     /// Removes the next event and advances the clock to it.
     pub fn pop(&mut self) -> Option<E> {
-        let queued = self.queue.pop()?;
-        self.now = queued.at;
-        Some(queued.event)
+        let scheduled = self.queue.pop()?;
+        self.now = scheduled.at;
+        Some(scheduled.event)
     }
 
     /// Time of the next event.
     pub fn next_at(&self) -> Option<Time> {
-        self.queue.peek().map(|queued| queued.at)
+        self.queue.peek().map(|scheduled| scheduled.at)
     }
 
     /// Sends `size` bytes and schedules `event` for their arrival. Returns false if a partition or
@@ -206,12 +206,12 @@
         let link = from.link_to(to);
         self.traffic.messages[link as usize] += 1;
         self.traffic.bytes[link as usize] += size;
-        if self.is_cut(from, to) || self.lost() {
+        if self.is_cut(from, to) || self.draw_loss() {
             return false;
         }
-        let sent = self.transmitted(self.now, from, to, size);
+        let sent = self.transmission_end(self.now, from, to, size);
         let latency = self.profile.latency(link);
-        let at = sent + latency + self.jitter(latency);
+        let at = sent + latency + self.draw_jitter(latency);
         self.at(at, event);
         true
     }
@@ -226,32 +226,32 @@
     pub fn send_call_at(&mut self, departs: Time, from: Site, to: Site, size: u64, event: E) {
         if !self.is_cut(from, to) {
             let latency = self.profile.latency(from.link_to(to));
-            let sent = self.transmitted(departs, from, to, size);
-            let at = sent + latency + self.jitter(latency);
+            let sent = self.transmission_end(departs, from, to, size);
+            let at = sent + latency + self.draw_jitter(latency);
             self.at(at, event);
         }
     }
 
     /// Whether two sites are partitioned.
     pub fn is_cut(&self, from: Site, to: Site) -> bool {
-        self.cuts.contains(&(from.zone, to.zone))
+        self.partitions.contains(&(from.zone, to.zone))
     }
 
     /// Partitions two zones in both directions. Use [`PLATFORM_ZONE`] for the platform.
     pub fn cut(&mut self, a: u16, b: u16) {
-        self.cuts.insert((a, b));
-        self.cuts.insert((b, a));
+        self.partitions.insert((a, b));
+        self.partitions.insert((b, a));
     }
 
     /// Removes the partition between two zones.
     pub fn heal(&mut self, a: u16, b: u16) {
-        self.cuts.remove(&(a, b));
-        self.cuts.remove(&(b, a));
+        self.partitions.remove(&(a, b));
+        self.partitions.remove(&(b, a));
     }
 
     /// Removes all partitions.
     pub fn heal_all(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
     }
 
     /// Changes the link characteristics for future messages.
@@ -261,7 +261,7 @@
 
     /// Returns when the last byte has been transmitted. Links between regions transmit messages
     /// sequentially.
-    fn transmitted(&mut self, departs: Time, from: Site, to: Site, size: u64) -> Time {
+    fn transmission_end(&mut self, departs: Time, from: Site, to: Site, size: u64) -> Time {
         if from.region == to.region {
             return departs;
         }
@@ -271,17 +271,17 @@
         *busy
     }
 
-    fn lost(&mut self) -> bool {
+    fn draw_loss(&mut self) -> bool {
         let loss = self.profile.loss_ppm;
         loss > 0 && self.rng.random_range(0..1_000_000) < loss
     }
 
-    fn jitter(&mut self, latency: Duration) -> Duration {
-        let most = latency.as_micros() as u64 * u64::from(self.profile.jitter_percent) / 100;
-        if most == 0 {
+    fn draw_jitter(&mut self, latency: Duration) -> Duration {
+        let max_us = latency.as_micros() as u64 * u64::from(self.profile.jitter_percent) / 100;
+        if max_us == 0 {
             Duration::ZERO
         } else {
-            Duration::from_micros(self.rng.random_range(0..=most))
+            Duration::from_micros(self.rng.random_range(0..=max_us))
         }
     }
 }
--- a/bench/tests/links.rs
+++ b/bench/tests/links.rs
@@ -65,7 +65,7 @@
 #[test]
 fn send_loss_by_seed() {
     let arrivals = |seed| {
-        let profile = Profile::franchise().with_trouble(500_000, 20);
+        let profile = Profile::franchise().with_loss_and_jitter(500_000, 20);
         let mut links = Links::new(profile, Time(0), seed);
         (0..64).filter(|event| links.send(HERE, NEAR, 0, *event)).collect::<Vec<u32>>()
     };
