--- a/bench/src/lab/bound.rs
+++ b/bench/src/lab/bound.rs
@@ -10,10 +10,10 @@
 use sycamore_core::Name;
 
 /// Maximum slot utilization at which requests can still be answered in time.
-const USABLE: f64 = 0.95;
+const MAX_UTILIZATION: f64 = 0.95;
 
 /// Amounts of work below this are treated as rounding errors, in slots.
-const LEAST: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 
 /// Demand and capacity of one service.
 #[derive(Clone, Debug, Serialize)]
@@ -51,7 +51,7 @@
 }
 
 /// Mean time that one request holds a slot, including its nested calls, in seconds.
-fn slot_seconds(scenario: &Scenario, kind: &Kind, speed: f64) -> f64 {
+fn slot_seconds_per_request(scenario: &Scenario, kind: &Kind, speed: f64) -> f64 {
     let nested = |call: &super::scenario::NestedCall| {
         let way = 2.0 * scenario.links.zone_ms;
         let called = &scenario.kinds[&call.kind];
@@ -69,29 +69,32 @@
     let speed = mean(&model.speeds);
     let zones: Vec<&Name> = scenario.zones.keys().collect();
     let callers: f64 = scenario.zones.values().map(|zone| zone.callers).sum();
-    let part = |zone: &Name| scenario.zones[zone].callers / callers.max(LEAST);
-    let own: Vec<(&Name, &Kind)> =
+    let caller_share = |zone: &Name| scenario.zones[zone].callers / callers.max(EPSILON);
+    let service_kinds: Vec<(&Name, &Kind)> =
         scenario.kinds.iter().filter(|(_, kind)| kind.service == *name).collect();
     let nested = nested_rates(scenario);
     let rate =
         |(name, kind): &(&Name, &Kind)| kind.per_s + nested.get(*name).copied().unwrap_or(0.0);
-    let needed: f64 = own.iter().map(|of| rate(of) * slot_seconds(scenario, of.1, speed)).sum();
+    let needed: f64 = service_kinds
+        .iter()
+        .map(|of| rate(of) * slot_seconds_per_request(scenario, of.1, speed))
+        .sum();
     let slots_of =
         |zone: &Name| f64::from(model.slots) * *model.targets.get(zone).unwrap_or(&0) as f64;
     let slots: f64 = zones.iter().map(|zone| slots_of(zone)).sum();
     // Excludes requests beyond the total capacity, which need not leave their zone.
-    let served = (USABLE * slots / needed.max(LEAST)).min(1.0);
-    let need: Vec<f64> = zones.iter().map(|zone| part(zone) * needed * served).collect();
-    let room: Vec<f64> = zones.iter().map(|zone| USABLE * slots_of(zone)).collect();
+    let served = (MAX_UTILIZATION * slots / needed.max(EPSILON)).min(1.0);
+    let demand: Vec<f64> = zones.iter().map(|zone| caller_share(zone) * needed * served).collect();
+    let capacity: Vec<f64> = zones.iter().map(|zone| MAX_UTILIZATION * slots_of(zone)).collect();
     let region = |zone: usize| &scenario.zones[zones[zone]].region;
-    let (near, across) = surplus(&need, &room, |a, b| region(a) == region(b));
-    let small = smallest_density(scenario, &own, speed, rate);
+    let (within_region, across) = work_moved(&demand, &capacity, |a, b| region(a) == region(b));
+    let bytes_per_slot_second = min_bytes_per_slot_second(scenario, &service_kinds, speed, rate);
     ServiceBound {
         needed,
         slots,
         served,
-        crossing: (near + across) * small,
-        across: across * small,
+        crossing: (within_region + across) * bytes_per_slot_second,
+        across: across * bytes_per_slot_second,
     }
 }
 
@@ -109,39 +112,44 @@
 
 /// Minimum bytes per second transferred for each slot of work moved, assuming that the kind with
 /// the fewest bytes per unit of work is moved first.
-fn smallest_density(
+fn min_bytes_per_slot_second(
     scenario: &Scenario,
-    own: &[(&Name, &Kind)],
+    service_kinds: &[(&Name, &Kind)],
     speed: f64,
     rate: impl Fn(&(&Name, &Kind)) -> f64,
 ) -> f64 {
     let density = |(_, kind): &(&Name, &Kind)| {
         let bytes = kind.answer_bytes as f64 + 2.0 * super::path::HEAD_BYTES as f64;
-        bytes / slot_seconds(scenario, kind, speed).max(LEAST)
+        bytes / slot_seconds_per_request(scenario, kind, speed).max(EPSILON)
     };
-    let used = own.iter().filter(|of| rate(of) > 0.0);
+    let used = service_kinds.iter().filter(|of| rate(of) > 0.0);
     used.map(density).fold(f64::INFINITY, f64::min).clamp(0.0, f64::MAX)
 }
 
 /// Work that must be moved within regions and between regions: capacity is used first in the own
 /// zone, then in the own region, then anywhere.
-fn surplus(need: &[f64], room: &[f64], together: impl Fn(usize, usize) -> bool) -> (f64, f64) {
-    let mut left: Vec<f64> = need.iter().zip(room).map(|(need, room)| need - room).collect();
-    let near = level(&mut left, &together);
-    let across = level(&mut left, &|_, _| true);
-    (near, across)
+fn work_moved(
+    demand: &[f64],
+    capacity: &[f64],
+    together: impl Fn(usize, usize) -> bool,
+) -> (f64, f64) {
+    let mut excess: Vec<f64> =
+        demand.iter().zip(capacity).map(|(demand, capacity)| demand - capacity).collect();
+    let within_region = move_surplus(&mut excess, &together);
+    let across = move_surplus(&mut excess, &|_, _| true);
+    (within_region, across)
 }
 
 /// Moves surplus work to zones with spare capacity, between pairs accepted by `together`. Returns
 /// the amount moved.
-fn level(left: &mut [f64], together: &impl Fn(usize, usize) -> bool) -> f64 {
+fn move_surplus(excess: &mut [f64], together: &impl Fn(usize, usize) -> bool) -> f64 {
     let mut moved = 0.0;
-    for from in 0..left.len() {
-        for to in 0..left.len() {
-            let amount = left[from].min(-left[to]);
-            if from != to && together(from, to) && amount > LEAST {
-                left[from] -= amount;
-                left[to] += amount;
+    for from in 0..excess.len() {
+        for to in 0..excess.len() {
+            let amount = excess[from].min(-excess[to]);
+            if from != to && together(from, to) && amount > EPSILON {
+                excess[from] -= amount;
+                excess[to] += amount;
                 moved += amount;
             }
         }
