--- a/bench/src/lab/scenario.rs
+++ b/bench/src/lab/scenario.rs
@@ -179,13 +179,13 @@
     pub for_s: f64,
     /// Kind of fault.
     #[serde(flatten)]
-    pub what: What,
+    pub what: TroubleKind,
 }
 
 /// Kind of fault.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum What {
+pub enum TroubleKind {
     /// Changes the request rate in one zone or in all zones.
     Burst {
         /// Rate multiplier.
@@ -310,17 +310,17 @@
     }
 
     fn check(&self) -> Result<()> {
-        positive("seconds", self.seconds, MAX_SECONDS)?;
-        within("warm_up_s", self.warm_up_s, 0.0, self.seconds)?;
+        check_positive("seconds", self.seconds, MAX_SECONDS)?;
+        check_range("warm_up_s", self.warm_up_s, 0.0, self.seconds)?;
         if self.zones.is_empty() {
-            return Err(wrong("zones", "none", "at least one zone"));
+            return Err(invalid("zones", "none", "at least one zone"));
         }
         if !(1..=MAX_NODES).contains(&self.nodes()) {
             let allowed = format!("1 to {MAX_NODES} targets in total");
-            return Err(wrong("services", self.nodes(), &allowed));
+            return Err(invalid("services", self.nodes(), &allowed));
         }
         for (name, zone) in &self.zones {
-            within(&format!("zones.{name}.callers"), zone.callers, 0.0, 1e6)?;
+            check_range(&format!("zones.{name}.callers"), zone.callers, 0.0, 1e6)?;
         }
         for (name, service) in &self.services {
             self.check_service(&format!("services.{name}"), service)?;
@@ -334,94 +334,97 @@
         Ok(())
     }
 
-    fn check_service(&self, place: &str, service: &ServiceModel) -> Result<()> {
+    fn check_service(&self, field: &str, service: &ServiceModel) -> Result<()> {
         if service.slots == 0 {
-            return Err(wrong(&format!("{place}.slots"), 0, "1 or more"));
+            return Err(invalid(&format!("{field}.slots"), 0, "1 or more"));
         }
         if service.speeds.is_empty() || service.speeds.iter().any(|speed| *speed <= 0.0) {
-            return Err(wrong(
-                &format!("{place}.speeds"),
+            return Err(invalid(
+                &format!("{field}.speeds"),
                 "an empty list or a value of 0 or less",
                 "multipliers above 0",
             ));
         }
         for zone in service.targets.keys() {
-            self.check_zone(&format!("{place}.targets.{zone}"), zone)?;
+            self.check_zone(&format!("{field}.targets.{zone}"), zone)?;
         }
         Ok(())
     }
 
-    fn check_kind(&self, place: &str, kind: &Kind) -> Result<()> {
+    fn check_kind(&self, field: &str, kind: &Kind) -> Result<()> {
         if !self.services.contains_key(&kind.service) {
             let known: Vec<&str> = self.services.keys().map(Name::as_str).collect();
-            return Err(wrong(&format!("{place}.service"), &kind.service, &known.join(", ")));
+            return Err(invalid(&format!("{field}.service"), &kind.service, &known.join(", ")));
         }
-        within(&format!("{place}.per_s"), kind.per_s, 0.0, 1e6)?;
-        positive(&format!("{place}.work_ms"), kind.work_ms, 60_000.0)?;
-        within(&format!("{place}.spread"), kind.spread, 0.0, 3.0)?;
+        check_range(&format!("{field}.per_s"), kind.per_s, 0.0, 1e6)?;
+        check_positive(&format!("{field}.work_ms"), kind.work_ms, 60_000.0)?;
+        check_range(&format!("{field}.spread"), kind.spread, 0.0, 3.0)?;
         for (index, call) in kind.calls.iter().enumerate() {
             let known = self.kinds.get(&call.kind);
             let leaf = known.is_some_and(|known| known.calls.is_empty());
             if !leaf {
                 let allowed = "a kind without nested calls";
-                return Err(wrong(&format!("{place}.calls[{index}].kind"), &call.kind, allowed));
+                return Err(invalid(&format!("{field}.calls[{index}].kind"), &call.kind, allowed));
             }
-            within(&format!("{place}.calls[{index}].share"), call.share, 0.0, 1.0)?;
+            check_range(&format!("{field}.calls[{index}].share"), call.share, 0.0, 1.0)?;
         }
         Ok(())
     }
 
-    fn check_trouble(&self, place: &str, trouble: &Trouble) -> Result<()> {
-        within(&format!("{place}.at_s"), trouble.at_s, 0.0, self.seconds)?;
-        positive(&format!("{place}.for_s"), trouble.for_s, MAX_SECONDS)?;
+    fn check_trouble(&self, field: &str, trouble: &Trouble) -> Result<()> {
+        check_range(&format!("{field}.at_s"), trouble.at_s, 0.0, self.seconds)?;
+        check_positive(&format!("{field}.for_s"), trouble.for_s, MAX_SECONDS)?;
         match &trouble.what {
-            What::Burst { zone: Some(zone), .. } | What::Lost { zone: Some(zone), .. } => {
-                self.check_zone(&format!("{place}.zone"), zone)
+            TroubleKind::Burst { zone: Some(zone), .. }
+            | TroubleKind::Lost { zone: Some(zone), .. } => {
+                self.check_zone(&format!("{field}.zone"), zone)
             }
-            What::Shift { from, to, .. } => {
-                self.check_zone(&format!("{place}.from"), from)?;
-                self.check_zone(&format!("{place}.to"), to)
+            TroubleKind::Shift { from, to, .. } => {
+                self.check_zone(&format!("{field}.from"), from)?;
+                self.check_zone(&format!("{field}.to"), to)
             }
-            What::Slow { service, .. }
-            | What::Grey { service, .. }
-            | What::Shed { service, .. }
-            | What::Mute { service, .. }
-            | What::Leave { service, .. } => match self.services.contains_key(service) {
+            TroubleKind::Slow { service, .. }
+            | TroubleKind::Grey { service, .. }
+            | TroubleKind::Shed { service, .. }
+            | TroubleKind::Mute { service, .. }
+            | TroubleKind::Leave { service, .. } => match self.services.contains_key(service) {
                 true => Ok(()),
-                false => {
-                    Err(wrong(&format!("{place}.service"), service, "a service listed in services"))
-                }
+                false => Err(invalid(
+                    &format!("{field}.service"),
+                    service,
+                    "a service listed in services",
+                )),
             },
-            What::Burst { zone: None, .. }
-            | What::Lost { zone: None, .. }
-            | What::Abuse { .. }
-            | What::GiveUp { .. } => Ok(()),
+            TroubleKind::Burst { zone: None, .. }
+            | TroubleKind::Lost { zone: None, .. }
+            | TroubleKind::Abuse { .. }
+            | TroubleKind::GiveUp { .. } => Ok(()),
         }
     }
 
-    fn check_zone(&self, place: &str, zone: &Name) -> Result<()> {
+    fn check_zone(&self, field: &str, zone: &Name) -> Result<()> {
         match self.zones.contains_key(zone) {
             true => Ok(()),
-            false => Err(wrong(place, zone, "a zone listed in zones")),
+            false => Err(invalid(field, zone, "a zone listed in zones")),
         }
     }
 }
 
-fn positive(place: &str, value: f64, most: f64) -> Result<()> {
-    match value > 0.0 && value <= most {
+fn check_positive(field: &str, value: f64, max: f64) -> Result<()> {
+    match value > 0.0 && value <= max {
         true => Ok(()),
-        false => Err(wrong(place, value, &format!("above 0, at most {most}"))),
+        false => Err(invalid(field, value, &format!("above 0, at most {max}"))),
     }
 }
 
-fn within(place: &str, value: f64, least: f64, most: f64) -> Result<()> {
-    match value >= least && value <= most {
+fn check_range(field: &str, value: f64, min: f64, max: f64) -> Result<()> {
+    match value >= min && value <= max {
         true => Ok(()),
-        false => Err(wrong(place, value, &format!("{least} to {most}"))),
+        false => Err(invalid(field, value, &format!("{min} to {max}"))),
     }
 }
 
-fn wrong(place: &str, found: impl std::fmt::Display, allowed: &str) -> Fault {
+fn invalid(field: &str, found: impl std::fmt::Display, allowed: &str) -> Fault {
     let detail = format!("found {found}; allowed: {allowed}");
-    Fault::new(Code::InputInvalid).with_location(place).with_detail(detail)
+    Fault::new(Code::InputInvalid).with_location(field).with_detail(detail)
 }
--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -1,7 +1,7 @@
 //! Start and end of injected faults.
 
 use super::mesh::Listed;
-use super::scenario::What;
+use super::scenario::TroubleKind;
 use super::world::World;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
@@ -45,53 +45,53 @@
     pub(super) fn trouble(&mut self, index: usize, begins: bool) {
         let what = self.cfg.troubles[index].what.clone();
         match what {
-            What::Burst { factor, zone } => {
+            TroubleKind::Burst { factor, zone } => {
                 let burst = (zone.map(|zone| self.zone(&zone)), factor);
                 change(&mut self.now_troubles.bursts, burst, begins);
             }
-            What::Shift { from, to, share } => {
+            TroubleKind::Shift { from, to, share } => {
                 let shift = (self.zone(&from), self.zone(&to), share);
                 change(&mut self.now_troubles.shifts, shift, begins);
             }
-            What::Abuse { share, times } => {
+            TroubleKind::Abuse { share, times } => {
                 self.now_troubles.abuse = begins.then_some((share, times));
             }
-            What::GiveUp { share, after_ms } => {
+            TroubleKind::GiveUp { share, after_ms } => {
                 let after = Duration::from_millis(after_ms.into());
                 self.now_troubles.give_up = begins.then_some((share, after));
             }
-            What::Slow { service, share, factor } => {
+            TroubleKind::Slow { service, share, factor } => {
                 let slow = if begins { factor } else { 1.0 };
                 self.for_some(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.slow = slow;
                 });
             }
-            What::Grey { service, share, errors } => {
+            TroubleKind::Grey { service, share, errors } => {
                 let errors = if begins { errors } else { 0.0 };
                 self.for_some(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.errors = errors;
                 });
             }
-            What::Shed { service, share, part } => {
+            TroubleKind::Shed { service, share, part } => {
                 let shed = if begins { part } else { 0.0 };
                 self.for_some(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.shed = shed;
                 });
             }
-            What::Mute { service, share, part } => {
+            TroubleKind::Mute { service, share, part } => {
                 let mute = if begins { part } else { 0.0 };
                 self.for_some(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.mute = mute;
                 });
             }
-            What::Leave { service, share } => {
+            TroubleKind::Leave { service, share } => {
                 let listed = if begins { Listed::Leaving } else { Listed::Ready };
                 self.for_some(&service, share, index, |world, node| {
                     world.mesh.listed[node] = listed;
                 });
                 self.list_again();
             }
-            What::Lost { zone, share } => self.lose(zone.as_ref(), share, index, begins),
+            TroubleKind::Lost { zone, share } => self.lose(zone.as_ref(), share, index, begins),
         }
     }
 
