--- a/bench/src/lab/caller.rs
+++ b/bench/src/lab/caller.rs
@@ -1,7 +1,7 @@
 //! Caller model: arrivals, retries and abandoned requests.
 
 use super::path::Asker;
-use super::tally::Ending;
+use super::tally::RequestOutcome;
 use super::world::{Happening, Request, World};
 use rand::RngExt;
 use std::time::Duration;
@@ -82,10 +82,10 @@
         let deadline = born + Duration::from_millis(self.kinds[kind].cfg.deadline_ms.into());
         let now = self.links.now();
         if now >= deadline {
-            return self.finish(request, Ending::Failed);
+            return self.finish(request, RequestOutcome::Failed);
         }
         let Some(node) = self.draw_node(zone) else {
-            return self.come_back(request, ASK_AGAIN, Ending::Failed);
+            return self.come_back(request, ASK_AGAIN, RequestOutcome::Failed);
         };
         let call = self.arrive(node, kind, Asker::Caller(request), deadline.since(now));
         self.requests[request].call = call;
@@ -108,9 +108,9 @@
         let cfg = &self.kinds[kind].cfg;
         let ms = |ms: u32| Duration::from_millis(ms.into());
         let ending = match took {
-            took if took <= ms(cfg.objective_ms) => Ending::InTime,
-            took if took <= ms(cfg.deadline_ms) => Ending::Late,
-            _ => Ending::Failed,
+            took if took <= ms(cfg.objective_ms) => RequestOutcome::InTime,
+            took if took <= ms(cfg.deadline_ms) => RequestOutcome::Late,
+            _ => RequestOutcome::Failed,
         };
         self.finish(request, ending);
     }
@@ -122,16 +122,18 @@
         match outcome {
             Outcome::NotRun { retry_after, .. } => {
                 self.tally.refusals += u64::from(self.counts(self.requests[request].born));
-                self.come_back(request, retry_after, Ending::Refused);
+                self.come_back(request, retry_after, RequestOutcome::Refused);
             }
             Outcome::Unknown { .. } | Outcome::Answered if idempotent => {
-                self.come_back(request, ASK_AGAIN, Ending::Failed);
+                self.come_back(request, ASK_AGAIN, RequestOutcome::Failed);
+            }
+            Outcome::Unknown { .. } | Outcome::Answered => {
+                self.finish(request, RequestOutcome::Failed)
             }
-            Outcome::Unknown { .. } | Outcome::Answered => self.finish(request, Ending::Failed),
         }
     }
 
-    fn come_back(&mut self, request: usize, wait: Duration, otherwise: Ending) {
+    fn come_back(&mut self, request: usize, wait: Duration, otherwise: RequestOutcome) {
         let Request { kind, born, retries_left, abusive, ended, .. } = self.requests[request];
         if ended {
             return;
@@ -155,10 +157,10 @@
         if let Some(call) = self.requests[request].call.take() {
             self.leave(call);
         }
-        self.finish(request, Ending::GaveUp);
+        self.finish(request, RequestOutcome::GaveUp);
     }
 
-    fn finish(&mut self, request: usize, ending: Ending) {
+    fn finish(&mut self, request: usize, ending: RequestOutcome) {
         let known = &mut self.requests[request];
         if std::mem::replace(&mut known.ended, true) {
             return;
@@ -171,6 +173,6 @@
         let worth = (info.cfg.worth, info.cfg.late_worth);
         let second = self.second_of(born);
         let name = info.name.clone();
-        self.tally.count(&name, worth, second, ending);
+        self.tally.record(&name, worth, second, ending);
     }
 }
--- a/bench/src/lab/tally.rs
+++ b/bench/src/lab/tally.rs
@@ -6,7 +6,7 @@
 
 /// Final outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// Answered within the latency objective.
     InTime,
     /// Answered after the objective.
@@ -81,37 +81,43 @@
     }
 
     /// Counts a request that arrived in `second`.
-    pub fn count(&mut self, kind: &Name, worth: (f64, f64), second: usize, ending: Ending) {
+    pub fn record(
+        &mut self,
+        kind: &Name,
+        worth: (f64, f64),
+        second: usize,
+        outcome: RequestOutcome,
+    ) {
         let last = self.seconds.len().saturating_sub(1);
         let Some(second) = self.seconds.get_mut(second.min(last)) else {
             return;
         };
         let counts = self.kinds.entry(kind.clone()).or_default();
-        if ending == Ending::GaveUp {
+        if outcome == RequestOutcome::GaveUp {
             return;
         }
         counts.asked += 1;
         counts.owed += worth.0;
-        match ending {
-            Ending::InTime => {
+        match outcome {
+            RequestOutcome::InTime => {
                 counts.in_time += 1;
                 counts.earned += worth.0;
                 second.in_time += 1;
             }
-            Ending::Late => {
+            RequestOutcome::Late => {
                 counts.late += 1;
                 counts.earned += worth.1;
                 second.late += 1;
             }
-            Ending::Refused => {
+            RequestOutcome::Refused => {
                 counts.refused += 1;
                 second.lost += 1;
             }
-            Ending::Failed => {
+            RequestOutcome::Failed => {
                 counts.failed += 1;
                 second.lost += 1;
             }
-            Ending::GaveUp => {}
+            RequestOutcome::GaveUp => {}
         }
     }
 
