--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -1,7 +1,7 @@
 //! Run of a request at its target: work, nested calls and the response.
 
 use super::{Asker, Back, HEAD_BYTES, RunKey};
-use crate::lab::target::Taken;
+use crate::lab::target::Submission;
 use crate::lab::world::{Happening, World};
 use rand::RngExt;
 use std::time::Duration;
@@ -18,10 +18,10 @@
         gated.waited = self.links.now().since(gated.came);
         let (node, key) = (gated.node, gated.call);
         self.count_arrival(key);
-        match self.nodes[node].target.take(gate, &mut self.rng) {
-            Taken::Runs => self.begin_work(gate),
-            Taken::Waits => {}
-            Taken::Refused => {
+        match self.nodes[node].target.submit(gate, &mut self.rng) {
+            Submission::Running => self.begin_work(gate),
+            Submission::Queued => {}
+            Submission::Rejected => {
                 let end = End::Rejected(Code::TargetRefused);
                 self.tell_gate(node, gatekeeper::Input::End { call: gate, end });
             }
@@ -41,9 +41,9 @@
     fn begin_work(&mut self, gate: RunKey) {
         let Some(gated) = self.gated.get(&gate) else { return };
         let (node, kind) = (gated.node, gated.kind);
-        let fails = self.nodes[node].target.fails(&mut self.rng);
+        let fails = self.nodes[node].target.draw_failure(&mut self.rng);
         let work = self.draw_work(kind);
-        let time = self.nodes[node].target.time_for(self.links.now(), work, fails);
+        let time = self.nodes[node].target.work_time(self.links.now(), work, fails);
         let mut steps = Vec::new();
         for (called, times, share) in self.kinds[kind].calls.clone() {
             if !fails && self.rng.random_bool(share) {
@@ -88,7 +88,7 @@
     fn end_run(&mut self, run: RunKey, failed: bool) {
         let Some(gated) = self.gated.get(&run) else { return };
         let (node, kind, key) = (gated.node, gated.kind, gated.call);
-        if self.nodes[node].target.loses_answer(&mut self.rng) {
+        if self.nodes[node].target.draw_response_loss(&mut self.rng) {
             return self.free_target(node, run);
         }
         let body = if failed { 0 } else { self.kinds[kind].cfg.answer_bytes };
@@ -146,7 +146,7 @@
 
     /// Frees a slot at the target and starts the next queued request.
     pub(super) fn free_target(&mut self, node: usize, run: RunKey) {
-        if let Some(next) = self.nodes[node].target.end(run) {
+        if let Some(next) = self.nodes[node].target.remove(run) {
             self.begin_work(next);
         }
     }
--- a/bench/src/lab/target.rs
+++ b/bench/src/lab/target.rs
@@ -9,30 +9,30 @@
 use sycamore_core::call::CallKey;
 
 /// Work time of a failing run, relative to a successful one.
-const FAILED_WORK: f64 = 0.2;
+const FAILED_WORK_SHARE: f64 = 0.2;
 
 /// Result of submitting a request to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Submission {
     /// The request is running.
-    Runs,
+    Running,
     /// The request is in the target's queue.
-    Waits,
+    Queued,
     /// The request was rejected without running.
-    Refused,
+    Rejected,
 }
 
 /// Active faults of a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     /// Work time multiplier.
-    pub slow: f64,
+    pub work_factor: f64,
     /// Share of requests that fail.
-    pub errors: f64,
+    pub error_share: f64,
     /// Share of requests that are rejected.
-    pub shed: f64,
+    pub reject_share: f64,
     /// Share of responses that are dropped.
-    pub mute: f64,
+    pub loss_share: f64,
 }
 
 /// A target.
@@ -41,9 +41,9 @@
     slots: usize,
     queue: usize,
     speed: f64,
-    near_full: f64,
+    full_slowdown: f64,
     cold_factor: f64,
-    cold: Duration,
+    cold_duration: Duration,
     started: Time,
     running: Vec<CallKey>,
     waiting: VecDeque<CallKey>,
@@ -54,7 +54,7 @@
 impl Faults {
     /// No faults.
     pub fn none() -> Faults {
-        Faults { slow: 1.0, errors: 0.0, shed: 0.0, mute: 0.0 }
+        Faults { work_factor: 1.0, error_share: 0.0, reject_share: 0.0, loss_share: 0.0 }
     }
 }
 
@@ -65,9 +65,9 @@
             slots: model.slots as usize,
             queue: model.queue as usize,
             speed: model.speeds[rank % model.speeds.len()],
-            near_full: model.near_full_percent / 100.0,
+            full_slowdown: model.near_full_percent / 100.0,
             cold_factor: model.cold.factor,
-            cold: Duration::from_secs_f64(model.cold.seconds.max(0.0)),
+            cold_duration: Duration::from_secs_f64(model.cold.seconds.max(0.0)),
             started: Time::ZERO,
             running: Vec::new(),
             waiting: VecDeque::new(),
@@ -83,24 +83,24 @@
     }
 
     /// Submits a request.
-    pub fn take(&mut self, call: CallKey, rng: &mut Pcg64Mcg) -> Taken {
-        if self.faults.shed > 0.0 && rng.random_bool(self.faults.shed) {
-            return Taken::Refused;
+    pub fn submit(&mut self, call: CallKey, rng: &mut Pcg64Mcg) -> Submission {
+        if self.faults.reject_share > 0.0 && rng.random_bool(self.faults.reject_share) {
+            return Submission::Rejected;
         }
         if self.running.len() < self.slots {
             self.running.push(call);
-            return Taken::Runs;
+            return Submission::Running;
         }
         if self.waiting.len() < self.queue {
             self.waiting.push_back(call);
-            return Taken::Waits;
+            return Submission::Queued;
         }
-        Taken::Refused
+        Submission::Rejected
     }
 
     /// Removes a request that has ended or whose connection was closed. Returns the queued request
     /// that starts in its place.
-    pub fn end(&mut self, call: CallKey) -> Option<CallKey> {
+    pub fn remove(&mut self, call: CallKey) -> Option<CallKey> {
         self.waiting.retain(|other| *other != call);
         let at = self.running.iter().position(|other| *other == call)?;
         self.running.swap_remove(at);
@@ -110,22 +110,22 @@
     }
 
     /// Draws whether a run fails.
-    pub fn fails(&self, rng: &mut Pcg64Mcg) -> bool {
-        self.faults.errors > 0.0 && rng.random_bool(self.faults.errors)
+    pub fn draw_failure(&self, rng: &mut Pcg64Mcg) -> bool {
+        self.faults.error_share > 0.0 && rng.random_bool(self.faults.error_share)
     }
 
     /// Draws whether a response is dropped.
-    pub fn loses_answer(&self, rng: &mut Pcg64Mcg) -> bool {
-        self.faults.mute > 0.0 && rng.random_bool(self.faults.mute)
+    pub fn draw_response_loss(&self, rng: &mut Pcg64Mcg) -> bool {
+        self.faults.loss_share > 0.0 && rng.random_bool(self.faults.loss_share)
     }
 
     /// Time that `work` takes under the current conditions.
-    pub fn time_for(&self, now: Time, work: Duration, fails: bool) -> Duration {
+    pub fn work_time(&self, now: Time, work: Duration, fails: bool) -> Duration {
         let used = self.running.len() as f64 / self.slots as f64;
-        let cold = now.since(self.started) < self.cold && self.started > Time::ZERO;
+        let cold = now.since(self.started) < self.cold_duration && self.started > Time::ZERO;
         let cold = if cold { self.cold_factor.max(1.0) } else { 1.0 };
-        let done = if fails { FAILED_WORK } else { 1.0 };
-        let full = 1.0 + self.near_full * (used - 0.5).max(0.0) * 2.0;
-        work.mul_f64(self.speed * full * cold * self.faults.slow * done)
+        let done = if fails { FAILED_WORK_SHARE } else { 1.0 };
+        let full = 1.0 + self.full_slowdown * (used - 0.5).max(0.0) * 2.0;
+        work.mul_f64(self.speed * full * cold * self.faults.work_factor * done)
     }
 }
--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -63,25 +63,25 @@
             TroubleKind::Slow { service, share, factor } => {
                 let slow = if begins { factor } else { 1.0 };
                 self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.slow = slow;
+                    world.nodes[node].target.faults.work_factor = slow;
                 });
             }
             TroubleKind::Grey { service, share, errors } => {
                 let errors = if begins { errors } else { 0.0 };
                 self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.errors = errors;
+                    world.nodes[node].target.faults.error_share = errors;
                 });
             }
             TroubleKind::Shed { service, share, part } => {
                 let shed = if begins { part } else { 0.0 };
                 self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.shed = shed;
+                    world.nodes[node].target.faults.reject_share = shed;
                 });
             }
             TroubleKind::Mute { service, share, part } => {
                 let mute = if begins { part } else { 0.0 };
                 self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.mute = mute;
+                    world.nodes[node].target.faults.loss_share = mute;
                 });
             }
             TroubleKind::Leave { service, share } => {
