--- a/bench/src/lab/mesh.rs
+++ b/bench/src/lab/mesh.rs
@@ -14,7 +14,7 @@
 const CONNECTIONS: u32 = 500;
 
 /// Maximum request body size.
-const MAX_BODY_BYTES: u64 = 1 << 20;
+const MAX_REQUEST_BODY_BYTES: u64 = 1 << 20;
 
 /// Location of a node and the service of its target.
 #[derive(Clone, Debug)]
@@ -31,13 +31,13 @@
 
 /// State of a target in the published configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum TargetState {
     /// Accepts requests.
     Ready,
     /// Draining: finishes its current requests.
-    Leaving,
+    Draining,
     /// Not listed.
-    Gone,
+    Absent,
 }
 
 /// Nodes of a scenario, ordered by service and zone.
@@ -48,7 +48,7 @@
     /// Zone names, sorted.
     pub zones: Vec<Name>,
     /// State of each node's target.
-    pub listed: Vec<Listed>,
+    pub target_states: Vec<TargetState>,
     services: IndexMap<Name, Service>,
     slots: Vec<u32>,
     routes: IndexMap<Name, Route>,
@@ -64,7 +64,7 @@
             let mut rank = 0;
             for (zone, count) in &model.targets {
                 let region = scenario.zones[zone].region.clone();
-                let number = zones.iter().position(|known| known == zone).unwrap_or_default();
+                let number = zones.iter().position(|other| other == zone).unwrap_or_default();
                 for _ in 0..*count {
                     let place = Place { region: region.clone(), zone: zone.clone() };
                     sites.push(Site { place, zone: number, service, rank });
@@ -78,7 +78,7 @@
             |name: &Name| (name.clone(), Service { limits: limits.clone(), targets: Vec::new() });
         let route = |(name, kind): (&Name, &Kind)| (name.clone(), route(name, kind));
         Mesh {
-            listed: vec![Listed::Ready; sites.len()],
+            target_states: vec![TargetState::Ready; sites.len()],
             sites,
             zones,
             services: scenario.services.keys().map(service).collect(),
@@ -93,18 +93,18 @@
         self.version += 1;
         let mut services = self.services.clone();
         for (node, site) in self.sites.iter().enumerate() {
-            if self.listed[node] == Listed::Gone {
+            if self.target_states[node] == TargetState::Absent {
                 continue;
             }
             let target = Target {
-                vm: vm(node)?,
+                vm: vm_name(node)?,
                 region: site.place.region.clone(),
                 zone: site.place.zone.clone(),
-                gate: gate(node),
-                peers: gate(node),
+                gate: gatekeeper_address(node),
+                peers: gatekeeper_address(node),
                 incarnation: None,
                 slots: Some(self.slots[site.service]),
-                leaving: self.listed[node] == Listed::Leaving,
+                leaving: self.target_states[node] == TargetState::Draining,
             };
             services[site.service].targets.push(target);
         }
@@ -117,32 +117,32 @@
 }
 
 /// VM name of a node.
-pub fn vm(node: usize) -> Result<Name> {
+pub fn vm_name(node: usize) -> Result<Name> {
     Name::new(format!("vm{node}")).ok_or_else(|| Fault::new(Code::InputInvalid))
 }
 
 /// Address of a node's gatekeeper, which encodes the node index for [`node_at`].
-fn gate(node: usize) -> SocketAddr {
+fn gatekeeper_address(node: usize) -> SocketAddr {
     let [_, _, high, low] = (node as u32).to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 5))
 }
 
 /// Index of the node with this gatekeeper address.
-pub fn node_at(gate: SocketAddr) -> usize {
-    match gate.ip() {
+pub fn node_at(address: SocketAddr) -> usize {
+    match address.ip() {
         std::net::IpAddr::V4(ip) => (u32::from(ip) & 0xffff) as usize,
         std::net::IpAddr::V6(_) => usize::MAX,
     }
 }
 
 /// Request path of a kind.
-pub fn path(kind: &Name) -> String {
+pub fn request_path(kind: &Name) -> String {
     format!("/{kind}/")
 }
 
 fn route(name: &Name, kind: &Kind) -> Route {
     Route {
-        path_prefix: path(name),
+        path_prefix: request_path(name),
         host: None,
         service: kind.service.clone(),
         split: Vec::new(),
@@ -154,6 +154,6 @@
         deadline_ms: kind.timeout_ms,
         max_attempts: kind.attempts,
         spare_forwards: policy::SPARE_FORWARDS,
-        max_body_bytes: MAX_BODY_BYTES,
+        max_body_bytes: MAX_REQUEST_BODY_BYTES,
     }
 }
--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -1,6 +1,6 @@
 //! Start and end of injected faults.
 
-use super::mesh::Listed;
+use super::mesh::TargetState;
 use super::scenario::TroubleKind;
 use super::world::World;
 use rand::SeedableRng;
@@ -85,9 +85,9 @@
                 });
             }
             TroubleKind::Leave { service, share } => {
-                let listed = if begins { Listed::Leaving } else { Listed::Ready };
+                let state = if begins { TargetState::Draining } else { TargetState::Ready };
                 self.for_some(&service, share, index, |world, node| {
-                    world.mesh.listed[node] = listed;
+                    world.mesh.target_states[node] = state;
                 });
                 self.list_again();
             }
@@ -101,7 +101,8 @@
         let in_zone = |node: &usize| zone.is_none_or(|zone| self.mesh.sites[*node].zone == zone);
         let nodes = (0..self.nodes.len()).filter(in_zone).collect();
         for node in self.some_of(nodes, share, index) {
-            self.mesh.listed[node] = if begins { Listed::Gone } else { Listed::Ready };
+            self.mesh.target_states[node] =
+                if begins { TargetState::Absent } else { TargetState::Ready };
             match begins {
                 true => self.stop(node),
                 false => self.start(node),
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -182,7 +182,7 @@
         let mbps = self.cfg.links.vm_mbps;
         let kbps = (mbps > 0.0).then_some((mbps * 1e3) as u64);
         let now = self.links.now();
-        let gate = Gatekeeper::new(super::mesh::vm(node)?, now, seed)
+        let gate = Gatekeeper::new(super::mesh::vm_name(node)?, now, seed)
             .with_link(kbps)
             .with_policy(self.policy.clone());
         Ok((entry, gate))
@@ -324,7 +324,7 @@
     let number = |name: &Name| cfg.kinds.keys().position(|known| known == name).unwrap_or_default();
     let info = |(name, kind): (&Name, &Kind)| KindInfo {
         name: name.clone(),
-        path: super::mesh::path(name),
+        path: super::mesh::request_path(name),
         calls: kind.calls.iter().map(|call| (number(&call.kind), call.times, call.share)).collect(),
         cfg: kind.clone(),
     };
