--- a/bench/src/lab/report.rs
+++ b/bench/src/lab/report.rs
@@ -3,7 +3,7 @@
 use super::bound::Bound;
 use super::scenario::Scenario;
 use super::tally::{Counts, Tally};
-use super::trial::{Ablated, Estimate, Figure};
+use super::trial::{AblationRow, Estimate, Metric};
 use serde::Serialize;
 use std::fmt::Write;
 
@@ -94,14 +94,14 @@
 pub fn compared(before: &[Tally], after: &[Tally]) -> String {
     let mut text = String::from("| metric | before | after | difference | significant |\n");
     text.push_str("|---|---:|---:|---:|---|\n");
-    for figure in Figure::ALL {
-        let of = |runs: &[Tally]| mean(runs, |run| figure.of(run));
-        let difference = Estimate::paired(figure, before, after);
-        let tells = if difference.tells() { "yes" } else { "no" };
+    for metric in Metric::ALL {
+        let of = |runs: &[Tally]| mean(runs, |run| metric.value_of(run));
+        let difference = Estimate::paired(metric, before, after);
+        let significant = if difference.is_significant() { "yes" } else { "no" };
         let _ = writeln!(
             text,
-            "| {} | {:.2} | {:.2} | {} | {tells} |",
-            figure.title(),
+            "| {} | {:.2} | {:.2} | {} | {significant} |",
+            metric.title(),
             of(before),
             of(after),
             estimate(&difference),
@@ -111,8 +111,8 @@
 }
 
 /// Formats a table of the change in each metric when a mechanism is disabled.
-pub fn ablated(scenario: &Scenario, rows: &[Ablated]) -> String {
-    let titles: Vec<&str> = Figure::ALL.iter().map(|figure| figure.title()).collect();
+pub fn ablated(scenario: &Scenario, rows: &[AblationRow]) -> String {
+    let titles: Vec<&str> = Metric::ALL.iter().map(|metric| metric.title()).collect();
     let mut text = format!("{}\n\n| without | {} |\n", scenario.name, titles.join(" | "));
     let _ = writeln!(text, "|---|{}", "---:|".repeat(titles.len()));
     for row in rows {
--- a/bench/src/lab/trial.rs
+++ b/bench/src/lab/trial.rs
@@ -26,7 +26,7 @@
 /// Metric by which runs are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Figure {
+pub enum Metric {
     /// Earned worth, in percent of the maximum.
     Worth,
     /// Percentage of requests answered in time.
@@ -48,31 +48,31 @@
     pub half: f64,
 }
 
-impl Figure {
+impl Metric {
     /// All metrics.
-    pub const ALL: [Figure; 5] =
-        [Figure::Worth, Figure::InTime, Figure::Served, Figure::CrossedMb, Figure::Repeats];
+    pub const ALL: [Metric; 5] =
+        [Metric::Worth, Metric::InTime, Metric::Served, Metric::CrossedMb, Metric::Repeats];
 
     /// Name and unit.
     pub fn title(self) -> &'static str {
         match self {
-            Figure::Worth => "worth, %",
-            Figure::InTime => "in time, %",
-            Figure::Served => "answered, %",
-            Figure::CrossedMb => "between zones, MB",
-            Figure::Repeats => "repeats, %",
+            Metric::Worth => "worth, %",
+            Metric::InTime => "in time, %",
+            Metric::Served => "answered, %",
+            Metric::CrossedMb => "between zones, MB",
+            Metric::Repeats => "repeats, %",
         }
     }
 
     /// Value in a run.
-    pub fn of(self, tally: &Tally) -> f64 {
+    pub fn value_of(self, tally: &Tally) -> f64 {
         let total = tally.total();
         match self {
-            Figure::Worth => 100.0 * total.worth(),
-            Figure::InTime => 100.0 * total.in_time_share(),
-            Figure::Served => 100.0 * total.served_share(),
-            Figure::CrossedMb => tally.crossed_mb(),
-            Figure::Repeats => tally.repeats_percent(),
+            Metric::Worth => 100.0 * total.worth(),
+            Metric::InTime => 100.0 * total.in_time_share(),
+            Metric::Served => 100.0 * total.served_share(),
+            Metric::CrossedMb => tally.crossed_mb(),
+            Metric::Repeats => tally.repeats_percent(),
         }
     }
 }
@@ -128,43 +128,44 @@
                 results[index as usize] = Some(result);
             }
         });
-        let lost =
+        let missing =
             || Fault::new(Code::InputInvalid).with_detail("a simulation run produced no result");
-        results.into_iter().map(|result| result.unwrap_or_else(|| Err(lost()))).collect()
+        results.into_iter().map(|result| result.unwrap_or_else(|| Err(missing()))).collect()
     }
 }
 
 impl Estimate {
     /// Estimates the mean of `values`.
-    pub fn of(values: &[f64]) -> Estimate {
+    pub fn mean_of(values: &[f64]) -> Estimate {
         let n = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / n;
         if values.len() < 2 {
             return Estimate { mean, half: f64::INFINITY };
         }
         let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (n - 1.0);
-        Estimate { mean, half: student(values.len() - 1) * (variance / n).sqrt() }
+        Estimate { mean, half: t_quantile(values.len() - 1) * (variance / n).sqrt() }
     }
 
     /// Estimates the mean difference between runs paired by seed.
-    pub fn paired(figure: Figure, before: &[Tally], after: &[Tally]) -> Estimate {
+    pub fn paired(metric: Metric, before: &[Tally], after: &[Tally]) -> Estimate {
         let pairs = before.iter().zip(after);
-        let differences: Vec<f64> = pairs.map(|(a, b)| figure.of(b) - figure.of(a)).collect();
-        Estimate::of(&differences)
+        let differences: Vec<f64> =
+            pairs.map(|(a, b)| metric.value_of(b) - metric.value_of(a)).collect();
+        Estimate::mean_of(&differences)
     }
 
     /// Whether the confidence interval excludes zero.
-    pub fn tells(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         self.mean.abs() > self.half
     }
 }
 
 /// 97.5 % quantile of Student's t-distribution.
-fn student(freedom: usize) -> f64 {
+fn t_quantile(degrees_of_freedom: usize) -> f64 {
     const QUANTILES: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
-    match freedom {
+    match degrees_of_freedom {
         0 => f64::INFINITY,
-        1..=10 => QUANTILES[freedom - 1],
+        1..=10 => QUANTILES[degrees_of_freedom - 1],
         11..=20 => 2.15,
         21..=40 => 2.05,
         _ => 1.97,
@@ -173,7 +174,7 @@
 
 /// Effect of disabling one mechanism.
 #[derive(Clone, Debug, Serialize)]
-pub struct Ablated {
+pub struct AblationRow {
     /// Disabled mechanism.
     pub part: Mechanism,
     /// Change in each metric, compared with the full policy.
@@ -181,14 +182,14 @@
 }
 
 /// Runs a trial with the full policy, then with each mechanism disabled in turn.
-pub fn ablate(trial: &Trial, mut done: impl FnMut(Mechanism)) -> Result<Vec<Ablated>> {
-    let whole = trial.run(|_| {})?;
+pub fn ablate(trial: &Trial, mut done: impl FnMut(Mechanism)) -> Result<Vec<AblationRow>> {
+    let baseline = trial.run(|_| {})?;
     let mut rows = Vec::new();
     for part in Mechanism::ALL {
         let policy = trial.policy.clone().without(part);
         let without = trial.clone().with_policy(policy).run(|_| {})?;
-        let difference = |figure| Estimate::paired(figure, &whole, &without);
-        rows.push(Ablated { part, differences: Figure::ALL.map(difference).to_vec() });
+        let difference = |metric| Estimate::paired(metric, &baseline, &without);
+        rows.push(AblationRow { part, differences: Metric::ALL.map(difference).to_vec() });
         done(part);
     }
     Ok(rows)
--- a/bench/tests/lab.rs
+++ b/bench/tests/lab.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 use sycamore_bench::lab::bound::bound;
-use sycamore_bench::lab::trial::{Estimate, Figure};
+use sycamore_bench::lab::trial::{Estimate, Metric};
 use sycamore_bench::lab::{Scenario, Tally, Trial, tally::Counts};
 use sycamore_core::Code;
 use sycamore_core::call::Policy;
@@ -153,8 +153,8 @@
     let without = play(scenario.clone(), Policy::new().without(Mechanism::AnswerTimes));
     let with = play(scenario, Policy::new());
     assert!(in_time(&with, 4, 11) > 0.95, "{}", in_time(&with, 4, 11));
-    let gain = Estimate::paired(Figure::InTime, &without, &with);
-    assert!(gain.mean > 0.0 && gain.tells(), "{gain:?}");
+    let gain = Estimate::paired(Metric::InTime, &without, &with);
+    assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
 }
 
 #[test]
@@ -166,8 +166,8 @@
     let scenario = with_troubles(grey);
     let without = play(scenario.clone(), Policy::new().without(Mechanism::FailureShare));
     let with = play(scenario, Policy::new());
-    let gain = Estimate::paired(Figure::Worth, &without, &with);
-    assert!(gain.mean > 0.0 && gain.tells(), "{gain:?}");
+    let gain = Estimate::paired(Metric::Worth, &without, &with);
+    assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
 }
 
 #[test]
@@ -179,8 +179,8 @@
     let before =
         play(scenario.clone(), Policy::new().with_value("late-wait-percent", 700).unwrap());
     let after = play(scenario, Policy::new());
-    let gain = Estimate::paired(Figure::InTime, &before, &after);
-    assert!(gain.mean > 0.0 && gain.tells(), "{gain:?}");
+    let gain = Estimate::paired(Metric::InTime, &before, &after);
+    assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
 }
 
 #[test]
@@ -189,8 +189,8 @@
     let scenario = with_troubles(burst);
     let before = play(scenario.clone(), Policy::new().without(Mechanism::InTimeFirst));
     let after = play(scenario, Policy::new());
-    let gain = Estimate::paired(Figure::Worth, &before, &after);
-    assert!(gain.mean > 0.0 && gain.tells(), "{gain:?}");
+    let gain = Estimate::paired(Metric::Worth, &before, &after);
+    assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
 }
 
 #[test]
