--- a/bench/src/bin/sycamore-lab.rs
+++ b/bench/src/bin/sycamore-lab.rs
@@ -62,7 +62,7 @@
             "run" => simulate(&cfg, scenario)?,
             "compare" => compare(&cfg, scenario)?,
             "ablate" => ablate(&cfg, scenario)?,
-            "bound" => print!("{}", report::bounds(&bound::bound(&scenario))),
+            "bound" => print!("{}", report::bounds_table(&bound::bound(&scenario))),
             other => return Err(usage(format!("unknown command {other}; see --help"))),
         }
     }
@@ -158,8 +158,8 @@
             bound: &bound,
         });
     }
-    println!("{}", report::runs(scenario, &runs, &bound));
-    print!("{}", report::flows(scenario, &runs));
+    println!("{}", report::runs_table(scenario, &runs, &bound));
+    print!("{}", report::traffic_table(scenario, &runs));
     Ok(())
 }
 
@@ -176,7 +176,7 @@
     let before: Vec<Tally> = baseline.run(progress(&baseline.scenario))?;
     let changed = baseline.clone().with_policy(cfg.policy.clone());
     let after = changed.run(progress(&baseline.scenario))?;
-    println!("{}\n\n{}", baseline.scenario.name, report::compared(&before, &after));
+    println!("{}\n\n{}", baseline.scenario.name, report::comparison_table(&before, &after));
     Ok(())
 }
 
@@ -184,7 +184,7 @@
     let trial = cfg.trial(scenario).with_policy(cfg.policy.clone());
     let rows =
         trial::ablate(&trial, |part| eprintln!("{}: without {part:?}", trial.scenario.name))?;
-    println!("{}", report::ablated(&trial.scenario, &rows));
+    println!("{}", report::ablation_table(&trial.scenario, &rows));
     Ok(())
 }
 
--- a/bench/src/lab/report.rs
+++ b/bench/src/lab/report.rs
@@ -23,7 +23,7 @@
 }
 
 /// Formats a table of the outcomes by kind of request, averaged over seeds.
-pub fn runs(scenario: &Scenario, runs: &[Tally], bound: &Bound) -> String {
+pub fn runs_table(scenario: &Scenario, runs: &[Tally], bound: &Bound) -> String {
     let mut text =
         format!("{} ({} nodes, {} seeds)\n\n", scenario.name, scenario.nodes(), runs.len());
     let _ = writeln!(text, "| requests | asked | in time | late | refused | failed | worth |");
@@ -44,13 +44,13 @@
     let _ =
         writeln!(text, "repeated attempts at targets: {:.2} %", mean(runs, Tally::repeats_percent));
     let _ = writeln!(text, "rejections: {:.0}", mean(runs, |run| run.refusals as f64));
-    let (near, across) = (
+    let (within_region, between_regions) = (
         mean(runs, |run| run.crossed.0 as f64 / 1e6),
         mean(runs, |run| run.crossed.1 as f64 / 1e6),
     );
     let _ = writeln!(
         text,
-        "MB between zones of a region {near:.2}, between regions {across:.2}, lower bound {:.2}",
+        "MB between zones of a region {within_region:.2}, between regions {between_regions:.2}, lower bound {:.2}",
         bound.crossed_mb
     );
     text
@@ -78,7 +78,7 @@
 }
 
 /// Formats a matrix of the kilobytes sent from zone (row) to zone (column) in a run.
-pub fn flows(scenario: &Scenario, runs: &[Tally]) -> String {
+pub fn traffic_table(scenario: &Scenario, runs: &[Tally]) -> String {
     let zones: Vec<&str> = scenario.zones.keys().map(|zone| zone.as_str()).collect();
     let mut text = format!("| kB from, to | {} |\n", zones.join(" | "));
     let _ = writeln!(text, "|---|{}", "---:|".repeat(zones.len()));
@@ -91,7 +91,7 @@
 }
 
 /// Formats a table comparing runs paired by seed.
-pub fn compared(before: &[Tally], after: &[Tally]) -> String {
+pub fn comparison_table(before: &[Tally], after: &[Tally]) -> String {
     let mut text = String::from("| metric | before | after | difference | significant |\n");
     text.push_str("|---|---:|---:|---:|---|\n");
     for metric in Metric::ALL {
@@ -104,31 +104,31 @@
             metric.title(),
             of(before),
             of(after),
-            estimate(&difference),
+            format_estimate(&difference),
         );
     }
     text
 }
 
 /// Formats a table of the change in each metric when a mechanism is disabled.
-pub fn ablated(scenario: &Scenario, rows: &[AblationRow]) -> String {
+pub fn ablation_table(scenario: &Scenario, rows: &[AblationRow]) -> String {
     let titles: Vec<&str> = Metric::ALL.iter().map(|metric| metric.title()).collect();
     let mut text = format!("{}\n\n| without | {} |\n", scenario.name, titles.join(" | "));
     let _ = writeln!(text, "|---|{}", "---:|".repeat(titles.len()));
     for row in rows {
-        let cells: Vec<String> = row.differences.iter().map(estimate).collect();
+        let cells: Vec<String> = row.differences.iter().map(format_estimate).collect();
         let part = serde_json::to_string(&row.part).unwrap_or_default();
         let _ = writeln!(text, "| {} | {} |", part.trim_matches('"'), cells.join(" | "));
     }
     text
 }
 
-fn estimate(estimate: &Estimate) -> String {
+fn format_estimate(estimate: &Estimate) -> String {
     format!("{:+.2} ± {:.2}", estimate.mean, estimate.half)
 }
 
 /// Formats a table of the bounds of a scenario.
-pub fn bounds(bound: &Bound) -> String {
+pub fn bounds_table(bound: &Bound) -> String {
     let mut text = String::from(
         "| service | slots needed | slots | max served | min crossing zones, kB/s | regions, kB/s |\n",
     );
