--- a/bench/src/lab/plot.rs
+++ b/bench/src/lab/plot.rs
@@ -14,10 +14,10 @@
 /// Image size, in pixels.
 const SIZE: (u32, u32) = (1_000, 980);
 /// Vertical positions at which the image is split into three charts, in pixels.
-const HEIGHTS: [u32; 2] = [400, 620];
+const SPLITS: [u32; 2] = [400, 620];
 const IN_TIME: RGBColor = RGBColor(51, 145, 85);
 const LATE: RGBColor = RGBColor(230, 170, 50);
-const LOST: RGBColor = RGBColor(200, 60, 60);
+const FAILED: RGBColor = RGBColor(200, 60, 60);
 const QUEUED: RGBColor = RGBColor(70, 90, 160);
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
@@ -29,32 +29,32 @@
     };
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(|e| failed(&e))?;
-    let (top, rest) = root.split_vertically(HEIGHTS[0]);
-    let (middle, bottom) = rest.split_vertically(HEIGHTS[1] - HEIGHTS[0]);
-    answers(&top, scenario, run).map_err(|e| failed(&e))?;
-    waiting(&middle, run).map_err(|e| failed(&e))?;
-    matrix(&bottom, scenario, run).map_err(|e| failed(&e))?;
+    let (top, rest) = root.split_vertically(SPLITS[0]);
+    let (middle, bottom) = rest.split_vertically(SPLITS[1] - SPLITS[0]);
+    draw_requests(&top, scenario, run).map_err(|e| failed(&e))?;
+    draw_queue(&middle, run).map_err(|e| failed(&e))?;
+    draw_traffic(&bottom, scenario, run).map_err(|e| failed(&e))?;
     root.present().map_err(|e| failed(&e))
 }
 
 /// Label, color and upper edge of a layer.
 type Layer = (&'static str, RGBColor, fn(&Second) -> u64);
 
-type Drawn = std::result::Result<(), Box<dyn std::error::Error>>;
+type DrawResult = std::result::Result<(), Box<dyn std::error::Error>>;
 
 /// Draws requests by the second in which they arrived, as stacked areas.
-fn answers(area: &Area<'_>, scenario: &Scenario, run: &Tally) -> Drawn {
+fn draw_requests(area: &Area<'_>, scenario: &Scenario, run: &Tally) -> DrawResult {
     let sum = |of: &Second| of.in_time + of.late + of.lost;
-    let most = run.seconds.iter().map(sum).max().unwrap_or(1) as f64;
+    let max = run.seconds.iter().map(sum).max().unwrap_or(1) as f64;
     let mut chart = ChartBuilder::on(area)
         .caption(format!("{}: requests per second by outcome", scenario.name), ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..run.seconds.len() as f64, 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..run.seconds.len() as f64, 0.0..max * 1.1)?;
     chart.configure_mesh().x_desc("second").draw()?;
     let layers: [Layer; 3] = [
-        ("refused or failed", LOST, |of| of.in_time + of.late + of.lost),
+        ("refused or failed", FAILED, |of| of.in_time + of.late + of.lost),
         ("late", LATE, |of| of.in_time + of.late),
         ("in time", IN_TIME, |of| of.in_time),
     ];
@@ -75,14 +75,14 @@
 }
 
 /// Draws the number of requests queued at gatekeepers.
-fn waiting(area: &Area<'_>, run: &Tally) -> Drawn {
-    let most = run.seconds.iter().map(|of| of.queued).max().unwrap_or(1).max(1) as f64;
+fn draw_queue(area: &Area<'_>, run: &Tally) -> DrawResult {
+    let max = run.seconds.iter().map(|of| of.queued).max().unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
         .caption("requests waiting for a slot", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(20)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..run.seconds.len() as f64, 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..run.seconds.len() as f64, 0.0..max * 1.1)?;
     chart.configure_mesh().draw()?;
     let points = run.seconds.iter().enumerate().map(|(at, of)| (at as f64, of.queued as f64));
     chart.draw_series(LineSeries::new(points, &QUEUED))?;
@@ -90,12 +90,12 @@
 }
 
 /// Draws a heat map of the bytes sent from zone (row) to zone (column).
-fn matrix(area: &Area<'_>, scenario: &Scenario, run: &Tally) -> Drawn {
+fn draw_traffic(area: &Area<'_>, scenario: &Scenario, run: &Tally) -> DrawResult {
     let zones: Vec<&str> = scenario.zones.keys().map(|zone| zone.as_str()).collect();
     let count = zones.len();
     let between = |from: usize, to: usize| if from == to { 0 } else { run.bytes[from][to] };
     let all = (0..count * count).map(|cell| between(cell / count, cell % count));
-    let most = all.max().unwrap_or(1).max(1) as f64;
+    let max = all.max().unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
         .caption("kB from zone (rows) to zone (columns)", ("sans-serif", 16))
         .margin(10)
@@ -116,7 +116,7 @@
         let (from, to) = (cell / count, cell % count);
         let bytes = between(from, to) as f64;
         let (x, y) = (to as f64, from as f64);
-        let style = QUEUED.mix(0.8 * bytes / most).filled();
+        let style = QUEUED.mix(0.8 * bytes / max).filled();
         let square = Rectangle::new([(x, y), (x + 1.0, y + 1.0)], style);
         let text =
             Text::new(format!("{:.0}", bytes / 1e3), (x + 0.35, y + 0.55), ("sans-serif", 12));
