--- a/bench/src/lab/caller.rs
+++ b/bench/src/lab/caller.rs
@@ -2,7 +2,7 @@
 
 use super::path::Asker;
 use super::tally::RequestOutcome;
-use super::world::{Happening, Request, World};
+use super::world::{Event, Request, World};
 use rand::RngExt;
 use std::time::Duration;
 use sycamore_core::Time;
@@ -24,7 +24,7 @@
         let weights = self.zone_weights();
         per_s *= weights.iter().sum::<f64>() / self.usual_weight();
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / per_s.max(1e-9);
-        self.links.after(Duration::from_secs_f64(gap), Happening::Ask(kind));
+        self.links.after(Duration::from_secs_f64(gap), Event::RequestArrival(kind));
         let zone = self.draw(&weights);
         let cfg = &self.kinds[kind].cfg;
         let retries = cfg.caller_retries;
@@ -44,7 +44,7 @@
             call: None,
         });
         if let Some((_, after)) = after {
-            self.links.after(after, Happening::GiveUp(request));
+            self.links.after(after, Event::Abandon(request));
         }
         self.submit(request);
     }
@@ -146,7 +146,7 @@
         let wait = if abusive { ASK_AGAIN } else { wait.min(left / MOST_OF_TIME_LEFT) };
         self.requests[request].retries_left -= 1;
         self.requests[request].call = None;
-        self.links.after(wait, Happening::AskAgain(request));
+        self.links.after(wait, Event::Retry(request));
     }
 
     /// Abandons a request that is still in progress.
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -3,7 +3,7 @@
 mod run;
 
 use super::mesh::node_at;
-use super::world::{Happening, World};
+use super::world::{Event, World};
 use std::time::Duration;
 use sycamore_core::call::entry::{self, AttemptEnd, Forward};
 use sycamore_core::call::gatekeeper::{self, End};
@@ -123,7 +123,7 @@
             match output {
                 gatekeeper::Output::Run { call, .. } => self.start_run(call),
                 gatekeeper::Output::Queue(call, until) => {
-                    self.links.at(until, Happening::QueueEnd(call));
+                    self.links.at(until, Event::QueueTimeout(call));
                 }
                 gatekeeper::Output::Refuse { call, outcome, crashes } => {
                     self.refuse(call, outcome, crashes);
@@ -144,7 +144,7 @@
         *busy
     }
 
-    fn send(&mut self, departs: Time, from: usize, to: usize, bytes: u64, event: Happening) {
+    fn send(&mut self, departs: Time, from: usize, to: usize, bytes: u64, event: Event) {
         self.count_bytes(from, to, bytes);
         let sites = (self.link_site(from), self.link_site(to));
         self.links.send_call_at(departs, sites.0, sites.1, bytes, event);
@@ -157,14 +157,14 @@
         let key = forward.call;
         self.calls.get(&key)?;
         if forward.attempt == 1 {
-            self.links.at(forward.deadline, Happening::Expire(key));
+            self.links.at(forward.deadline, Event::DeadlineExpired(key));
         }
         if let Some(patience) = forward.hedge_delay_ms {
             let patience = Duration::from_millis(patience.into());
-            self.links.after(patience, Happening::Slow(key, gate));
+            self.links.after(patience, Event::HedgeDue(key, gate));
         }
         let to = node_at(forward.gate);
-        self.send(departs, node, to, HEAD_BYTES, Happening::AtGate(Box::new(forward), gate));
+        self.send(departs, node, to, HEAD_BYTES, Event::AttemptArrived(Box::new(forward), gate));
         Some((key, gate))
     }
 
@@ -231,7 +231,7 @@
         let Some(call) = self.calls.get(&back.call) else { return };
         let to = call.node;
         let departs = if self.nodes[node].up { self.dealt_with(node) } else { self.links.now() };
-        self.send(departs, node, to, HEAD_BYTES, Happening::Back(back));
+        self.send(departs, node, to, HEAD_BYTES, Event::AttemptEnded(back));
     }
 
     /// Handles an attempt rejected by its gatekeeper.
@@ -335,7 +335,7 @@
         let Some(gate) = gate else { return };
         if let Some(gated) = self.gated.get(&gate) {
             let to = gated.node;
-            self.send(self.links.now(), node, to, 0, Happening::Closed(gate));
+            self.send(self.links.now(), node, to, 0, Event::ConnectionClosed(gate));
         }
     }
 
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -2,7 +2,7 @@
 
 use super::{Asker, Back, HEAD_BYTES, RunKey};
 use crate::lab::target::Submission;
-use crate::lab::world::{Happening, World};
+use crate::lab::world::{Event, World};
 use rand::RngExt;
 use std::time::Duration;
 use sycamore_core::call::CallKey;
@@ -54,7 +54,7 @@
         if let Some(gated) = self.gated.get_mut(&gate) {
             (gated.fails, gated.steps, gated.part) = (fails, steps, part);
         }
-        self.links.after(part, Happening::Worked(gate));
+        self.links.after(part, Event::WorkStepDone(gate));
     }
 
     /// Draws the work time of a request from a log-normal distribution with the configured mean.
@@ -103,7 +103,7 @@
             let end = End::ResponseRead { unsent: HEAD_BYTES + body };
             self.tell_gate(node, gatekeeper::Input::End { call: run, end });
         }
-        self.links.at(departs, Happening::Sent(run, failed));
+        self.links.at(departs, Event::ResponseSent(run, failed));
     }
 
     /// Returns when the link of a node's VM has transmitted a response.
@@ -140,7 +140,7 @@
             }
         };
         let departs = self.dealt_with(node);
-        let back = Happening::Back(Back { call: key, gate: run, end });
+        let back = Event::AttemptEnded(Back { call: key, gate: run, end });
         self.send(departs, node, to, HEAD_BYTES + body, back);
     }
 
@@ -158,13 +158,13 @@
         let Some(gated) = self.gated.get_mut(&run) else { return };
         gated.child = None;
         match answered {
-            true => self.links.after(gated.part, Happening::Worked(run)),
+            true => self.links.after(gated.part, Event::WorkStepDone(run)),
             // Ends the run in a separate event, since its gatekeeper may be the one that has just
             // rejected the nested call.
             false => {
                 gated.fails = true;
                 gated.steps.clear();
-                self.links.after(Duration::ZERO, Happening::Worked(run));
+                self.links.after(Duration::ZERO, Event::WorkStepDone(run));
             }
         }
     }
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -31,37 +31,37 @@
 const TAIL: Duration = Duration::from_secs(10);
 
 /// A simulation event.
-pub(super) enum Happening {
+pub(super) enum Event {
     /// The next request of a kind arrives.
-    Ask(usize),
+    RequestArrival(usize),
     /// A caller retries a request.
-    AskAgain(usize),
+    Retry(usize),
     /// A caller abandons a request.
-    GiveUp(usize),
+    Abandon(usize),
     /// An attempt arrives at its gatekeeper.
-    AtGate(Box<Forward>, CallKey),
+    AttemptArrived(Box<Forward>, CallKey),
     /// The result of an attempt arrives at the entry node.
-    Back(Back),
+    AttemptEnded(Back),
     /// The deadline of a call expires at its entry node.
-    Expire(CallKey),
+    DeadlineExpired(CallKey),
     /// The hedge delay of an attempt expires.
-    Slow(CallKey, CallKey),
+    HedgeDue(CallKey, CallKey),
     /// The queue timeout of a request expires at its gatekeeper.
-    QueueEnd(CallKey),
+    QueueTimeout(CallKey),
     /// The entry node has closed the connection of an attempt.
-    Closed(CallKey),
+    ConnectionClosed(CallKey),
     /// A run has completed a work step.
-    Worked(RunKey),
+    WorkStepDone(RunKey),
     /// The response of a run has been sent; the flag marks an error response.
-    Sent(RunKey, bool),
+    ResponseSent(RunKey, bool),
     /// A fault starts (true) or ends (false).
-    Trouble(usize, bool),
+    FaultToggled(usize, bool),
     /// The nodes apply a new configuration version.
-    Listed(Arc<Snapshot>),
+    ConfigurationApplied(Arc<Snapshot>),
     /// Periodic tick of the gatekeepers.
     Tick,
     /// A second of the run ends.
-    Second(usize),
+    SecondEnded(usize),
 }
 
 /// A node and its target.
@@ -99,7 +99,7 @@
 pub struct World<'a> {
     pub(super) cfg: &'a Scenario,
     pub(super) mesh: Mesh,
-    pub(super) links: Links<Happening>,
+    pub(super) links: Links<Event>,
     pub(super) rng: Pcg64Mcg,
     pub(super) nodes: Vec<Node>,
     pub(super) kinds: Vec<KindInfo>,
@@ -191,17 +191,17 @@
     fn plan(&mut self) {
         for kind in 0..self.kinds.len() {
             if self.kinds[kind].cfg.per_s > 0.0 {
-                self.links.at(START, Happening::Ask(kind));
+                self.links.at(START, Event::RequestArrival(kind));
             }
         }
         for (index, trouble) in self.cfg.troubles.iter().enumerate() {
             let begin = START + Duration::from_secs_f64(trouble.at_s);
             let end = begin + Duration::from_secs_f64(trouble.for_s);
-            self.links.at(begin, Happening::Trouble(index, true));
-            self.links.at(end, Happening::Trouble(index, false));
+            self.links.at(begin, Event::FaultToggled(index, true));
+            self.links.at(end, Event::FaultToggled(index, false));
         }
-        self.links.after(TICK, Happening::Tick);
-        self.links.after(Duration::from_secs(1), Happening::Second(0));
+        self.links.after(TICK, Event::Tick);
+        self.links.after(Duration::from_secs(1), Event::SecondEnded(0));
     }
 
     fn run(&mut self) {
@@ -212,23 +212,23 @@
         }
     }
 
-    fn take(&mut self, event: Happening) {
+    fn take(&mut self, event: Event) {
         match event {
-            Happening::Ask(kind) => self.ask(kind),
-            Happening::AskAgain(request) => self.submit(request),
-            Happening::GiveUp(request) => self.give_up(request),
-            Happening::AtGate(forward, gate) => self.at_gate(*forward, gate),
-            Happening::Back(back) => self.back(back),
-            Happening::Expire(call) => self.expire(call),
-            Happening::Slow(call, gate) => self.slow(call, gate),
-            Happening::QueueEnd(gate) => self.queue_end(gate),
-            Happening::Closed(gate) => self.closed(gate),
-            Happening::Worked(run) => self.worked(run),
-            Happening::Sent(run, failed) => self.sent(run, failed),
-            Happening::Trouble(index, begins) => self.trouble(index, begins),
-            Happening::Listed(snapshot) => self.configure(&snapshot),
-            Happening::Tick => self.tick(),
-            Happening::Second(second) => self.second(second),
+            Event::RequestArrival(kind) => self.ask(kind),
+            Event::Retry(request) => self.submit(request),
+            Event::Abandon(request) => self.give_up(request),
+            Event::AttemptArrived(forward, gate) => self.at_gate(*forward, gate),
+            Event::AttemptEnded(back) => self.back(back),
+            Event::DeadlineExpired(call) => self.expire(call),
+            Event::HedgeDue(call, gate) => self.slow(call, gate),
+            Event::QueueTimeout(gate) => self.queue_end(gate),
+            Event::ConnectionClosed(gate) => self.closed(gate),
+            Event::WorkStepDone(run) => self.worked(run),
+            Event::ResponseSent(run, failed) => self.sent(run, failed),
+            Event::FaultToggled(index, begins) => self.trouble(index, begins),
+            Event::ConfigurationApplied(snapshot) => self.configure(&snapshot),
+            Event::Tick => self.tick(),
+            Event::SecondEnded(second) => self.second(second),
         }
     }
 
@@ -239,7 +239,7 @@
             }
         }
         if self.links.now() < self.end + TAIL {
-            self.links.after(TICK, Happening::Tick);
+            self.links.after(TICK, Event::Tick);
         }
     }
 
@@ -250,7 +250,7 @@
             second.queued = queued;
         }
         if now < self.end {
-            self.links.after(Duration::from_secs(1), Happening::Second(second + 1));
+            self.links.after(Duration::from_secs(1), Event::SecondEnded(second + 1));
         }
     }
 
@@ -273,7 +273,7 @@
     /// Publishes a changed target list, which nodes apply after a delay.
     pub(super) fn list_again(&mut self) {
         if let Ok(snapshot) = self.mesh.publish() {
-            self.links.after(SPREAD, Happening::Listed(snapshot));
+            self.links.after(SPREAD, Event::ConfigurationApplied(snapshot));
         }
     }
 
