--- a/bench/src/lab/caller.rs
+++ b/bench/src/lab/caller.rs
@@ -17,7 +17,7 @@
 impl World<'_> {
     /// Issues a request of a kind and schedules the next arrival.
     pub(super) fn ask(&mut self, kind: usize) {
-        if !self.callers_ask() {
+        if !self.callers_active() {
             return;
         }
         let mut per_s = self.kinds[kind].cfg.per_s;
@@ -28,19 +28,19 @@
         let zone = self.draw(&weights);
         let cfg = &self.kinds[kind].cfg;
         let retries = cfg.caller_retries;
-        let abuse = self.now_troubles.abuse;
+        let abuse = self.conditions.abuse;
         let abusive = abuse.is_some_and(|(share, _)| self.rng.random_bool(share));
         let times = abuse.filter(|_| abusive).map_or(0, |(_, times)| times);
-        let leaves = self.now_troubles.give_up;
+        let leaves = self.conditions.give_up;
         let after = leaves.filter(|(share, _)| self.rng.random_bool(*share));
         let request = self.requests.len();
         self.requests.push(Request {
             kind,
             zone,
-            born: self.links.now(),
+            issued_at: self.links.now(),
             retries_left: retries + times,
             abusive,
-            ended: false,
+            finished: false,
             call: None,
         });
         if let Some((_, after)) = after {
@@ -53,7 +53,7 @@
     fn zone_weights(&self) -> Vec<f64> {
         let zones = self.cfg.zones.values().map(|zone| zone.callers);
         let mut weights: Vec<f64> = zones.collect();
-        self.now_troubles.change_weights(&mut weights);
+        self.conditions.change_weights(&mut weights);
         weights
     }
 
@@ -75,11 +75,11 @@
     /// Sends a request to a random node in the caller's zone, or in any zone if that has no running
     /// node.
     pub(super) fn submit(&mut self, request: usize) {
-        let Request { kind, zone, born, ended, .. } = self.requests[request];
-        if ended {
+        let Request { kind, zone, issued_at, finished, .. } = self.requests[request];
+        if finished {
             return;
         }
-        let deadline = born + Duration::from_millis(self.kinds[kind].cfg.deadline_ms.into());
+        let deadline = issued_at + Duration::from_millis(self.kinds[kind].cfg.deadline_ms.into());
         let now = self.links.now();
         if now >= deadline {
             return self.finish(request, RequestOutcome::Failed);
@@ -102,9 +102,9 @@
 
     /// Handles a successful response to a caller's attempt.
     pub(super) fn caller_answered(&mut self, request: usize) {
-        let Request { kind, born, .. } = self.requests[request];
+        let Request { kind, issued_at, .. } = self.requests[request];
         let way = Duration::from_secs_f64(self.cfg.links.caller_ms / 1e3) * 2;
-        let took = self.links.now().since(born) + way;
+        let took = self.links.now().since(issued_at) + way;
         let cfg = &self.kinds[kind].cfg;
         let ms = |ms: u32| Duration::from_millis(ms.into());
         let ending = match took {
@@ -121,7 +121,8 @@
         let idempotent = self.kinds[kind].cfg.idempotent;
         match outcome {
             Outcome::NotRun { retry_after, .. } => {
-                self.tally.refusals += u64::from(self.counts(self.requests[request].born));
+                self.tally.refusals +=
+                    u64::from(self.is_measured(self.requests[request].issued_at));
                 self.come_back(request, retry_after, RequestOutcome::Refused);
             }
             Outcome::Unknown { .. } | Outcome::Answered if idempotent => {
@@ -134,11 +135,12 @@
     }
 
     fn come_back(&mut self, request: usize, wait: Duration, otherwise: RequestOutcome) {
-        let Request { kind, born, retries_left, abusive, ended, .. } = self.requests[request];
-        if ended {
+        let Request { kind, issued_at, retries_left, abusive, finished, .. } =
+            self.requests[request];
+        if finished {
             return;
         }
-        let deadline = born + Duration::from_millis(self.kinds[kind].cfg.deadline_ms.into());
+        let deadline = issued_at + Duration::from_millis(self.kinds[kind].cfg.deadline_ms.into());
         let left = deadline.since(self.links.now());
         if retries_left == 0 || left.is_zero() {
             return self.finish(request, otherwise);
@@ -151,7 +153,7 @@
 
     /// Abandons a request that is still in progress.
     pub(super) fn give_up(&mut self, request: usize) {
-        if self.requests[request].ended {
+        if self.requests[request].finished {
             return;
         }
         if let Some(call) = self.requests[request].call.take() {
@@ -162,16 +164,16 @@
 
     fn finish(&mut self, request: usize, ending: RequestOutcome) {
         let known = &mut self.requests[request];
-        if std::mem::replace(&mut known.ended, true) {
+        if std::mem::replace(&mut known.finished, true) {
             return;
         }
-        let (kind, born): (usize, Time) = (known.kind, known.born);
-        if !self.counts(born) {
+        let (kind, issued_at): (usize, Time) = (known.kind, known.issued_at);
+        if !self.is_measured(issued_at) {
             return;
         }
         let info = &self.kinds[kind];
         let worth = (info.cfg.worth, info.cfg.late_worth);
-        let second = self.second_of(born);
+        let second = self.second_of(issued_at);
         let name = info.name.clone();
         self.tally.record(&name, worth, second, ending);
     }
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -80,7 +80,7 @@
         asker: Asker,
         left: Duration,
     ) -> Option<CallKey> {
-        let call = self.new_key();
+        let call = self.next_call_key();
         self.calls.insert(call, Call { node, kind, asker, gate: None, second: None, arrivals: 0 });
         let path = self.kinds[kind].path.clone();
         let own_runs = match asker {
@@ -153,7 +153,7 @@
     /// Sends an attempt. Returns the call's key and the attempt's key at the gatekeeper.
     fn forward(&mut self, node: usize, forward: Forward) -> Option<(CallKey, CallKey)> {
         let departs = self.dealt_with(node);
-        let gate = self.new_key();
+        let gate = self.next_call_key();
         let key = forward.call;
         self.calls.get(&key)?;
         if forward.attempt == 1 {
@@ -386,11 +386,11 @@
     /// Restarts a VM with a cold target.
     pub(super) fn start(&mut self, node: usize) {
         let now = self.links.now();
-        if let Ok((entry, gate)) = self.new_process(node) {
+        if let Ok((entry, gate)) = self.new_deciders(node) {
             let back = &mut self.nodes[node];
             (back.entry, back.gate, back.up) = (entry, gate, true);
             back.target.restart(now);
-            let snapshot = self.newest.clone();
+            let snapshot = self.latest_snapshot.clone();
             self.configure_node(node, &snapshot);
         }
     }
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -29,7 +29,7 @@
     }
 
     fn count_arrival(&mut self, key: CallKey) {
-        let counts = self.counts(self.links.now());
+        let counts = self.is_measured(self.links.now());
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.arrivals += 1;
         if counts {
@@ -152,7 +152,7 @@
     }
 
     pub(super) fn child_ended(&mut self, run: RunKey, answered: bool) {
-        let counts = self.counts(self.links.now());
+        let counts = self.is_measured(self.links.now());
         self.tally.nested.0 += u64::from(counts && answered);
         self.tally.nested.1 += u64::from(counts && !answered);
         let Some(gated) = self.gated.get_mut(&run) else { return };
--- a/bench/src/lab/trial.rs
+++ b/bench/src/lab/trial.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::Scenario;
 use super::tally::Tally;
-use super::world::play;
+use super::world::simulate;
 use serde::Serialize;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
@@ -116,7 +116,7 @@
                         if index >= count {
                             return;
                         }
-                        let result = play(&self.scenario, &self.policy, first + index);
+                        let result = simulate(&self.scenario, &self.policy, first + index);
                         // Cannot fail: the receiver outlives the workers.
                         let _ = tx.send((index, result));
                     }
--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -47,18 +47,18 @@
         match what {
             TroubleKind::Burst { factor, zone } => {
                 let burst = (zone.map(|zone| self.zone(&zone)), factor);
-                change(&mut self.now_troubles.bursts, burst, begins);
+                change(&mut self.conditions.bursts, burst, begins);
             }
             TroubleKind::Shift { from, to, share } => {
                 let shift = (self.zone(&from), self.zone(&to), share);
-                change(&mut self.now_troubles.shifts, shift, begins);
+                change(&mut self.conditions.shifts, shift, begins);
             }
             TroubleKind::Abuse { share, times } => {
-                self.now_troubles.abuse = begins.then_some((share, times));
+                self.conditions.abuse = begins.then_some((share, times));
             }
             TroubleKind::GiveUp { share, after_ms } => {
                 let after = Duration::from_millis(after_ms.into());
-                self.now_troubles.give_up = begins.then_some((share, after));
+                self.conditions.give_up = begins.then_some((share, after));
             }
             TroubleKind::Slow { service, share, factor } => {
                 let slow = if begins { factor } else { 1.0 };
@@ -89,7 +89,7 @@
                 self.for_some(&service, share, index, |world, node| {
                     world.mesh.target_states[node] = state;
                 });
-                self.list_again();
+                self.publish_targets();
             }
             TroubleKind::Lost { zone, share } => self.lose(zone.as_ref(), share, index, begins),
         }
@@ -108,7 +108,7 @@
                 false => self.start(node),
             }
         }
-        self.list_again();
+        self.publish_targets();
     }
 
     fn zone(&self, name: &Name) -> usize {
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -19,16 +19,16 @@
 use sycamore_core::{Name, Result, Time};
 
 /// Initial time of the clock, large enough that subtracting durations does not underflow.
-const START: Time = Time(1_000_000_000_000_000);
+const START_TIME: Time = Time(1_000_000_000_000_000);
 
 /// Bandwidth between two regions, shared by all traffic.
-const ACROSS_BYTES_PER_S: u64 = 500_000_000;
+const CROSS_REGION_BYTES_PER_S: u64 = 500_000_000;
 
 /// Delay until all nodes apply a change of the target list.
-const SPREAD: Duration = Duration::from_millis(700);
+const PROPAGATION_DELAY: Duration = Duration::from_millis(700);
 
 /// Time for the last requests to complete after callers stop issuing requests.
-const TAIL: Duration = Duration::from_secs(10);
+const DRAIN_TIME: Duration = Duration::from_secs(10);
 
 /// A simulation event.
 pub(super) enum Event {
@@ -79,15 +79,15 @@
 pub(super) struct Request {
     pub kind: usize,
     pub zone: usize,
-    pub born: Time,
+    pub issued_at: Time,
     pub retries_left: u32,
     pub abusive: bool,
-    pub ended: bool,
+    pub finished: bool,
     pub call: Option<CallKey>,
 }
 
 /// A kind of request with resolved references.
-pub(super) struct KindInfo {
+pub(super) struct ResolvedKind {
     pub name: Name,
     pub path: String,
     pub cfg: Kind,
@@ -102,22 +102,22 @@
     pub(super) links: Links<Event>,
     pub(super) rng: Pcg64Mcg,
     pub(super) nodes: Vec<Node>,
-    pub(super) kinds: Vec<KindInfo>,
+    pub(super) kinds: Vec<ResolvedKind>,
     pub(super) requests: Vec<Request>,
     pub(super) calls: IndexMap<CallKey, Call>,
     pub(super) gated: IndexMap<CallKey, Gated>,
     pub(super) next_key: u64,
-    pub(super) now_troubles: Conditions,
+    pub(super) conditions: Conditions,
     pub(super) tally: Tally,
     /// Latest configuration version applied by the nodes.
-    pub(super) newest: Arc<Snapshot>,
+    pub(super) latest_snapshot: Arc<Snapshot>,
     policy: Policy,
-    warm: Time,
-    end: Time,
+    warm_up_end: Time,
+    arrivals_end: Time,
 }
 
 /// Simulates a scenario with a seed.
-pub fn play(scenario: &Scenario, policy: &Policy, seed: u64) -> Result<Tally> {
+pub fn simulate(scenario: &Scenario, policy: &Policy, seed: u64) -> Result<Tally> {
     let mut world = World::new(scenario, policy, seed)?;
     world.run();
     Ok(world.tally)
@@ -130,14 +130,14 @@
             zone: ms(cfg.links.zone_ms),
             region: ms(cfg.links.region_ms),
             across: ms(cfg.links.across_ms),
-            across_bytes_per_s: ACROSS_BYTES_PER_S,
+            across_bytes_per_s: CROSS_REGION_BYTES_PER_S,
             jitter_percent: 0,
             loss_ppm: 0,
         };
         let mut mesh = Mesh::new(cfg);
         let snapshot = mesh.publish()?;
         let mut world = World {
-            links: Links::new(profile, START, seed),
+            links: Links::new(profile, START_TIME, seed),
             rng: Pcg64Mcg::seed_from_u64(seed),
             nodes: Vec::new(),
             kinds: kinds(cfg),
@@ -145,21 +145,21 @@
             calls: IndexMap::new(),
             gated: IndexMap::new(),
             next_key: 0,
-            now_troubles: Conditions::none(),
+            conditions: Conditions::none(),
             tally: Tally::new(mesh.zones.len(), cfg.seconds.ceil() as usize),
             policy: policy.clone(),
-            warm: START + Duration::from_secs_f64(cfg.warm_up_s),
-            end: START + Duration::from_secs_f64(cfg.seconds),
-            newest: snapshot.clone(),
+            warm_up_end: START_TIME + Duration::from_secs_f64(cfg.warm_up_s),
+            arrivals_end: START_TIME + Duration::from_secs_f64(cfg.seconds),
+            latest_snapshot: snapshot.clone(),
             mesh,
             cfg,
         };
         for node in 0..world.mesh.sites.len() {
-            let made = world.new_node(node)?;
-            world.nodes.push(made);
+            let new_node = world.new_node(node)?;
+            world.nodes.push(new_node);
         }
         world.configure(&snapshot);
-        world.plan();
+        world.schedule_initial_events();
         Ok(world)
     }
 
@@ -169,13 +169,13 @@
             return Err(sycamore_core::Fault::new(sycamore_core::Code::InputInvalid));
         };
         let target = Target::new(model, site.rank);
-        let (entry, gate) = self.new_process(node)?;
+        let (entry, gate) = self.new_deciders(node)?;
         let (busy_until, link_until) = (Time::ZERO, Time::ZERO);
         Ok(Node { entry, gate, target, up: true, busy_until, link_until })
     }
 
     /// Creates the entry and gatekeeper of a newly started process.
-    pub(super) fn new_process(&mut self, node: usize) -> Result<(Entry, Gatekeeper)> {
+    pub(super) fn new_deciders(&mut self, node: usize) -> Result<(Entry, Gatekeeper)> {
         let place = self.mesh.sites[node].place.clone();
         let seed = self.rng.random();
         let entry = Entry::new(place, seed).with_policy(self.policy.clone());
@@ -188,14 +188,14 @@
         Ok((entry, gate))
     }
 
-    fn plan(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for kind in 0..self.kinds.len() {
             if self.kinds[kind].cfg.per_s > 0.0 {
-                self.links.at(START, Event::RequestArrival(kind));
+                self.links.at(START_TIME, Event::RequestArrival(kind));
             }
         }
         for (index, trouble) in self.cfg.troubles.iter().enumerate() {
-            let begin = START + Duration::from_secs_f64(trouble.at_s);
+            let begin = START_TIME + Duration::from_secs_f64(trouble.at_s);
             let end = begin + Duration::from_secs_f64(trouble.for_s);
             self.links.at(begin, Event::FaultToggled(index, true));
             self.links.at(end, Event::FaultToggled(index, false));
@@ -205,14 +205,14 @@
     }
 
     fn run(&mut self) {
-        let stop = self.end + TAIL;
+        let stop = self.arrivals_end + DRAIN_TIME;
         while self.links.next_at().is_some_and(|at| at <= stop) {
             let Some(event) = self.links.pop() else { break };
-            self.take(event);
+            self.dispatch(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         match event {
             Event::RequestArrival(kind) => self.ask(kind),
             Event::Retry(request) => self.submit(request),
@@ -228,7 +228,7 @@
             Event::FaultToggled(index, begins) => self.trouble(index, begins),
             Event::ConfigurationApplied(snapshot) => self.configure(&snapshot),
             Event::Tick => self.tick(),
-            Event::SecondEnded(second) => self.second(second),
+            Event::SecondEnded(second) => self.sample_second(second),
         }
     }
 
@@ -238,25 +238,25 @@
                 self.tell_gate(node, gatekeeper::Input::Tick);
             }
         }
-        if self.links.now() < self.end + TAIL {
+        if self.links.now() < self.arrivals_end + DRAIN_TIME {
             self.links.after(TICK, Event::Tick);
         }
     }
 
-    fn second(&mut self, second: usize) {
+    fn sample_second(&mut self, second: usize) {
         let now = self.links.now();
         let queued = self.nodes.iter().map(|node| u64::from(node.gate.load(now).queued)).sum();
         if let Some(second) = self.tally.seconds.get_mut(second) {
             second.queued = queued;
         }
-        if now < self.end {
+        if now < self.arrivals_end {
             self.links.after(Duration::from_secs(1), Event::SecondEnded(second + 1));
         }
     }
 
     /// Applies a configuration version on every running node.
     pub(super) fn configure(&mut self, snapshot: &Arc<Snapshot>) {
-        self.newest = snapshot.clone();
+        self.latest_snapshot = snapshot.clone();
         for node in 0..self.nodes.len() {
             if self.nodes[node].up {
                 self.configure_node(node, snapshot);
@@ -271,28 +271,28 @@
     }
 
     /// Publishes a changed target list, which nodes apply after a delay.
-    pub(super) fn list_again(&mut self) {
+    pub(super) fn publish_targets(&mut self) {
         if let Ok(snapshot) = self.mesh.publish() {
-            self.links.after(SPREAD, Event::ConfigurationApplied(snapshot));
+            self.links.after(PROPAGATION_DELAY, Event::ConfigurationApplied(snapshot));
         }
     }
 
     /// Whether callers still issue requests.
-    pub(super) fn callers_ask(&self) -> bool {
-        self.links.now() < self.end
+    pub(super) fn callers_active(&self) -> bool {
+        self.links.now() < self.arrivals_end
     }
 
     /// Whether an event at this time is past the warm-up and included in the results.
-    pub(super) fn counts(&self, born: Time) -> bool {
-        born >= self.warm
+    pub(super) fn is_measured(&self, issued_at: Time) -> bool {
+        issued_at >= self.warm_up_end
     }
 
     /// Index of the second of the run that contains a time.
     pub(super) fn second_of(&self, at: Time) -> usize {
-        at.since(START).as_secs() as usize
+        at.since(START_TIME).as_secs() as usize
     }
 
-    pub(super) fn new_key(&mut self) -> CallKey {
+    pub(super) fn next_call_key(&mut self) -> CallKey {
         self.next_key += 1;
         CallKey(self.next_key)
     }
@@ -307,7 +307,7 @@
 
     /// Counts bytes sent from one node to another.
     pub(super) fn count_bytes(&mut self, from: usize, to: usize, bytes: u64) {
-        if !self.counts(self.links.now()) {
+        if !self.is_measured(self.links.now()) {
             return;
         }
         let (a, b) = (&self.mesh.sites[from], &self.mesh.sites[to]);
@@ -320,9 +320,9 @@
     }
 }
 
-fn kinds(cfg: &Scenario) -> Vec<KindInfo> {
+fn kinds(cfg: &Scenario) -> Vec<ResolvedKind> {
     let number = |name: &Name| cfg.kinds.keys().position(|known| known == name).unwrap_or_default();
-    let info = |(name, kind): (&Name, &Kind)| KindInfo {
+    let info = |(name, kind): (&Name, &Kind)| ResolvedKind {
         name: name.clone(),
         path: super::mesh::request_path(name),
         calls: kind.calls.iter().map(|call| (number(&call.kind), call.times, call.share)).collect(),
