--- a/bench/src/lab/caller.rs
+++ b/bench/src/lab/caller.rs
@@ -9,30 +9,30 @@
 use sycamore_core::call::Outcome;
 
 /// Divisor that caps the delay of a retry relative to the time left until the deadline.
-const MOST_OF_TIME_LEFT: u32 = 3;
+const RETRY_DELAY_DIVISOR: u32 = 3;
 
 /// Retry delay without a `Retry-After` from the node.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl World<'_> {
     /// Issues a request of a kind and schedules the next arrival.
-    pub(super) fn ask(&mut self, kind: usize) {
+    pub(super) fn issue_request(&mut self, kind: usize) {
         if !self.callers_active() {
             return;
         }
         let mut per_s = self.kinds[kind].cfg.per_s;
         let weights = self.zone_weights();
-        per_s *= weights.iter().sum::<f64>() / self.usual_weight();
+        per_s *= weights.iter().sum::<f64>() / self.base_weight();
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / per_s.max(1e-9);
         self.links.after(Duration::from_secs_f64(gap), Event::RequestArrival(kind));
-        let zone = self.draw(&weights);
+        let zone = self.draw_zone(&weights);
         let cfg = &self.kinds[kind].cfg;
         let retries = cfg.caller_retries;
         let abuse = self.conditions.abuse;
         let abusive = abuse.is_some_and(|(share, _)| self.rng.random_bool(share));
         let times = abuse.filter(|_| abusive).map_or(0, |(_, times)| times);
-        let leaves = self.conditions.give_up;
-        let after = leaves.filter(|(share, _)| self.rng.random_bool(*share));
+        let abandonment = self.conditions.give_up;
+        let after = abandonment.filter(|(share, _)| self.rng.random_bool(*share));
         let request = self.requests.len();
         self.requests.push(Request {
             kind,
@@ -57,11 +57,11 @@
         weights
     }
 
-    fn usual_weight(&self) -> f64 {
+    fn base_weight(&self) -> f64 {
         self.cfg.zones.values().map(|zone| zone.callers).sum::<f64>().max(1e-9)
     }
 
-    fn draw(&mut self, weights: &[f64]) -> usize {
+    fn draw_zone(&mut self, weights: &[f64]) -> usize {
         let mut left = self.rng.random::<f64>() * weights.iter().sum::<f64>();
         for (index, weight) in weights.iter().enumerate() {
             left -= weight;
@@ -85,7 +85,7 @@
             return self.finish(request, RequestOutcome::Failed);
         }
         let Some(node) = self.draw_node(zone) else {
-            return self.come_back(request, ASK_AGAIN, RequestOutcome::Failed);
+            return self.schedule_retry(request, DEFAULT_RETRY_DELAY, RequestOutcome::Failed);
         };
         let call = self.arrive(node, kind, Asker::Caller(request), deadline.since(now));
         self.requests[request].call = call;
@@ -94,17 +94,17 @@
     fn draw_node(&mut self, zone: usize) -> Option<usize> {
         let up = |node: &usize| self.nodes[*node].up;
         let own = |node: &usize| self.mesh.sites[*node].zone == zone;
-        let near: Vec<usize> = (0..self.nodes.len()).filter(up).filter(own).collect();
+        let local: Vec<usize> = (0..self.nodes.len()).filter(up).filter(own).collect();
         let all = || (0..self.nodes.len()).filter(up).collect();
-        let nodes: Vec<usize> = if near.is_empty() { all() } else { near };
+        let nodes: Vec<usize> = if local.is_empty() { all() } else { local };
         (!nodes.is_empty()).then(|| nodes[self.rng.random_range(0..nodes.len())])
     }
 
     /// Handles a successful response to a caller's attempt.
     pub(super) fn caller_answered(&mut self, request: usize) {
         let Request { kind, issued_at, .. } = self.requests[request];
-        let way = Duration::from_secs_f64(self.cfg.links.caller_ms / 1e3) * 2;
-        let took = self.links.now().since(issued_at) + way;
+        let round_trip = Duration::from_secs_f64(self.cfg.links.caller_ms / 1e3) * 2;
+        let took = self.links.now().since(issued_at) + round_trip;
         let cfg = &self.kinds[kind].cfg;
         let ms = |ms: u32| Duration::from_millis(ms.into());
         let ending = match took {
@@ -116,17 +116,17 @@
     }
 
     /// Handles an attempt that was rejected or failed.
-    pub(super) fn caller_refused(&mut self, request: usize, outcome: Outcome) {
+    pub(super) fn caller_attempt_failed(&mut self, request: usize, outcome: Outcome) {
         let kind = self.requests[request].kind;
         let idempotent = self.kinds[kind].cfg.idempotent;
         match outcome {
             Outcome::NotRun { retry_after, .. } => {
                 self.tally.refusals +=
                     u64::from(self.is_measured(self.requests[request].issued_at));
-                self.come_back(request, retry_after, RequestOutcome::Refused);
+                self.schedule_retry(request, retry_after, RequestOutcome::Refused);
             }
             Outcome::Unknown { .. } | Outcome::Answered if idempotent => {
-                self.come_back(request, ASK_AGAIN, RequestOutcome::Failed);
+                self.schedule_retry(request, DEFAULT_RETRY_DELAY, RequestOutcome::Failed);
             }
             Outcome::Unknown { .. } | Outcome::Answered => {
                 self.finish(request, RequestOutcome::Failed)
@@ -134,7 +134,7 @@
         }
     }
 
-    fn come_back(&mut self, request: usize, wait: Duration, otherwise: RequestOutcome) {
+    fn schedule_retry(&mut self, request: usize, wait: Duration, otherwise: RequestOutcome) {
         let Request { kind, issued_at, retries_left, abusive, finished, .. } =
             self.requests[request];
         if finished {
@@ -145,14 +145,14 @@
         if retries_left == 0 || left.is_zero() {
             return self.finish(request, otherwise);
         }
-        let wait = if abusive { ASK_AGAIN } else { wait.min(left / MOST_OF_TIME_LEFT) };
+        let wait = if abusive { DEFAULT_RETRY_DELAY } else { wait.min(left / RETRY_DELAY_DIVISOR) };
         self.requests[request].retries_left -= 1;
         self.requests[request].call = None;
         self.links.after(wait, Event::Retry(request));
     }
 
     /// Abandons a request that is still in progress.
-    pub(super) fn give_up(&mut self, request: usize) {
+    pub(super) fn abandon(&mut self, request: usize) {
         if self.requests[request].finished {
             return;
         }
@@ -163,11 +163,11 @@
     }
 
     fn finish(&mut self, request: usize, ending: RequestOutcome) {
-        let known = &mut self.requests[request];
-        if std::mem::replace(&mut known.finished, true) {
+        let state = &mut self.requests[request];
+        if std::mem::replace(&mut state.finished, true) {
             return;
         }
-        let (kind, issued_at): (usize, Time) = (known.kind, known.issued_at);
+        let (kind, issued_at): (usize, Time) = (state.kind, state.issued_at);
         if !self.is_measured(issued_at) {
             return;
         }
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -278,7 +278,7 @@
         let Some(call) = self.calls.swap_remove(&key) else { return };
         match (call.asker, result) {
             (Asker::Caller(request), Ok(())) => self.caller_answered(request),
-            (Asker::Caller(request), Err(outcome)) => self.caller_refused(request, outcome),
+            (Asker::Caller(request), Err(outcome)) => self.caller_attempt_failed(request, outcome),
             (Asker::Run(run), result) => self.child_ended(run, result.is_ok()),
         }
     }
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -214,9 +214,9 @@
 
     fn dispatch(&mut self, event: Event) {
         match event {
-            Event::RequestArrival(kind) => self.ask(kind),
+            Event::RequestArrival(kind) => self.issue_request(kind),
             Event::Retry(request) => self.submit(request),
-            Event::Abandon(request) => self.give_up(request),
+            Event::Abandon(request) => self.abandon(request),
             Event::AttemptArrived(forward, gate) => self.at_gate(*forward, gate),
             Event::AttemptEnded(back) => self.back(back),
             Event::DeadlineExpired(call) => self.expire(call),
