--- a/bench/src/lab/caller.rs
+++ b/bench/src/lab/caller.rs
@@ -1,6 +1,6 @@
 //! Caller model: arrivals, retries and abandoned requests.
 
-use super::path::Asker;
+use super::path::Origin;
 use super::tally::RequestOutcome;
 use super::world::{Event, Request, World};
 use rand::RngExt;
@@ -87,7 +87,7 @@
         let Some(node) = self.draw_node(zone) else {
             return self.schedule_retry(request, DEFAULT_RETRY_DELAY, RequestOutcome::Failed);
         };
-        let call = self.arrive(node, kind, Asker::Caller(request), deadline.since(now));
+        let call = self.start_call(node, kind, Origin::Caller(request), deadline.since(now));
         self.requests[request].call = call;
     }
 
@@ -157,7 +157,7 @@
             return;
         }
         if let Some(call) = self.requests[request].call.take() {
-            self.leave(call);
+            self.cancel_call(call);
         }
         self.finish(request, RequestOutcome::GaveUp);
     }
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -21,7 +21,7 @@
 
 /// Originator of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Asker {
+pub(super) enum Origin {
     /// A caller, identified by the index of its request.
     Caller(usize),
     /// A run that blocks until the call ends.
@@ -32,39 +32,39 @@
 pub(super) struct Call {
     pub node: usize,
     kind: usize,
-    asker: Asker,
+    origin: Origin,
     // Primary attempt, by its key at the gatekeeper.
     gate: Option<CallKey>,
     // Hedged attempt.
-    second: Option<CallKey>,
+    hedge: Option<CallKey>,
     // Number of times the call was handed to a target.
     arrivals: u32,
 }
 
 impl Call {
     fn waits_for(&self, gate: CallKey) -> bool {
-        self.gate == Some(gate) || self.second == Some(gate)
+        self.gate == Some(gate) || self.hedge == Some(gate)
     }
 }
 
 /// An attempt at its gatekeeper.
-pub(super) struct Gated {
+pub(super) struct GatekeeperAttempt {
     pub node: usize,
     call: CallKey,
     kind: usize,
     deadline: Time,
-    came: Time,
+    arrived_at: Time,
     waited: Duration,
     running: bool,
     fails: bool,
     // Kinds of the remaining nested calls, and the work time before each of them.
-    steps: Vec<usize>,
-    part: Duration,
-    child: Option<CallKey>,
+    remaining_calls: Vec<usize>,
+    step_time: Duration,
+    nested_call: Option<CallKey>,
 }
 
 /// Result of an attempt, on its way to the entry node.
-pub(super) struct Back {
+pub(super) struct AttemptResult {
     call: CallKey,
     gate: CallKey,
     end: AttemptEnd,
@@ -73,32 +73,32 @@
 impl World<'_> {
     /// Handles a request arriving at an entry node. Returns the call's key unless the
     /// call has already ended.
-    pub(super) fn arrive(
+    pub(super) fn start_call(
         &mut self,
         node: usize,
         kind: usize,
-        asker: Asker,
+        origin: Origin,
         left: Duration,
     ) -> Option<CallKey> {
         let call = self.next_call_key();
-        self.calls.insert(call, Call { node, kind, asker, gate: None, second: None, arrivals: 0 });
+        self.calls.insert(call, Call { node, kind, origin, gate: None, hedge: None, arrivals: 0 });
         let path = self.kinds[kind].path.clone();
-        let own_runs = match asker {
-            Asker::Run(_) => self.nodes[node].gate.runs(),
-            Asker::Caller(_) => Runs::default(),
+        let own_runs = match origin {
+            Origin::Run(_) => self.nodes[node].gate.runs(),
+            Origin::Caller(_) => Runs::default(),
         };
         let arrival = entry::Arrival {
             time_left: Some(left),
-            depth: if matches!(asker, Asker::Run(_)) { NESTED_DEPTH } else { 0 },
+            depth: if matches!(origin, Origin::Run(_)) { NESTED_DEPTH } else { 0 },
             body_bytes: Some(0),
             own_runs,
             ..entry::Arrival::new(call, "", &path)
         };
-        self.tell_entry(node, entry::Input::Arrive(arrival));
+        self.entry_input(node, entry::Input::Arrive(arrival));
         self.calls.contains_key(&call).then_some(call)
     }
 
-    pub(super) fn tell_entry(&mut self, node: usize, input: entry::Input<'_>) {
+    pub(super) fn entry_input(&mut self, node: usize, input: entry::Input<'_>) {
         let mut out = Vec::new();
         self.nodes[node].entry.handle(self.links.now(), input, &mut out);
         for output in out {
@@ -116,7 +116,7 @@
         }
     }
 
-    pub(super) fn tell_gate(&mut self, node: usize, input: gatekeeper::Input<'_>) {
+    pub(super) fn gatekeeper_input(&mut self, node: usize, input: gatekeeper::Input<'_>) {
         let mut out = Vec::new();
         self.nodes[node].gate.handle(self.links.now(), input, &mut out);
         for output in out {
@@ -126,7 +126,7 @@
                     self.links.at(until, Event::QueueTimeout(call));
                 }
                 gatekeeper::Output::Refuse { call, outcome, crashes } => {
-                    self.refuse(call, outcome, crashes);
+                    self.reject_attempt(call, outcome, crashes);
                 }
                 gatekeeper::Output::Replay(..)
                 | gatekeeper::Output::Send(_)
@@ -136,7 +136,7 @@
     }
 
     /// Charges a node for processing one message. Returns the time at which processing completes.
-    fn dealt_with(&mut self, node: usize) -> Time {
+    fn process_message(&mut self, node: usize) -> Time {
         let now = self.links.now();
         let cost = Duration::from_micros(self.cfg.message_us);
         let busy = &mut self.nodes[node].busy_until;
@@ -152,16 +152,16 @@
 
     /// Sends an attempt. Returns the call's key and the attempt's key at the gatekeeper.
     fn forward(&mut self, node: usize, forward: Forward) -> Option<(CallKey, CallKey)> {
-        let departs = self.dealt_with(node);
+        let departs = self.process_message(node);
         let gate = self.next_call_key();
         let key = forward.call;
         self.calls.get(&key)?;
         if forward.attempt == 1 {
             self.links.at(forward.deadline, Event::DeadlineExpired(key));
         }
-        if let Some(patience) = forward.hedge_delay_ms {
-            let patience = Duration::from_millis(patience.into());
-            self.links.after(patience, Event::HedgeDue(key, gate));
+        if let Some(hedge_delay) = forward.hedge_delay_ms {
+            let hedge_delay = Duration::from_millis(hedge_delay.into());
+            self.links.after(hedge_delay, Event::HedgeDue(key, gate));
         }
         let to = node_at(forward.gate);
         self.send(departs, node, to, HEAD_BYTES, Event::AttemptArrived(Box::new(forward), gate));
@@ -169,46 +169,47 @@
     }
 
     /// Handles the expiry of an attempt's hedge delay, after which a hedged attempt may start.
-    pub(super) fn slow(&mut self, key: CallKey, gate: CallKey) {
-        let waits = |call: &&Call| call.gate == Some(gate) && call.second.is_none();
+    pub(super) fn hedge_due(&mut self, key: CallKey, gate: CallKey) {
+        let waits = |call: &&Call| call.gate == Some(gate) && call.hedge.is_none();
         let Some(node) = self.calls.get(&key).filter(waits).map(|call| call.node) else { return };
         let mut out = Vec::new();
         self.nodes[node].entry.handle(self.links.now(), entry::Input::HedgeDue(key), &mut out);
         for output in out {
             let entry::Output::Forward(forward) = output else { continue };
-            let second = self.forward(node, forward).map(|(_, gate)| gate);
+            let hedge = self.forward(node, forward).map(|(_, gate)| gate);
             if let Some(call) = self.calls.get_mut(&key) {
-                call.second = second;
+                call.hedge = hedge;
             }
         }
     }
 
     /// Handles an attempt arriving at its gatekeeper.
-    pub(super) fn at_gate(&mut self, forward: Forward, gate: CallKey) {
+    pub(super) fn receive_attempt(&mut self, forward: Forward, gate: CallKey) {
         let key = forward.call;
         let node = node_at(forward.gate);
         let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(gate)) else {
             return;
         };
-        let (kind, asker) = (call.kind, call.asker);
+        let (kind, origin) = (call.kind, call.origin);
         if !self.nodes[node].up {
-            return self.send_back(node, Back { call: key, gate, end: AttemptEnd::NotSent });
+            return self
+                .send_result(node, AttemptResult { call: key, gate, end: AttemptEnd::NotSent });
         }
-        self.dealt_with(node);
-        self.gated.insert(
+        self.process_message(node);
+        self.attempts.insert(
             gate,
-            Gated {
+            GatekeeperAttempt {
                 node,
                 call: key,
                 kind,
                 deadline: forward.deadline,
-                came: self.links.now(),
+                arrived_at: self.links.now(),
                 waited: Duration::ZERO,
                 running: false,
                 fails: false,
-                steps: Vec::new(),
-                part: Duration::ZERO,
-                child: None,
+                remaining_calls: Vec::new(),
+                step_time: Duration::ZERO,
+                nested_call: None,
             },
         );
         let path = self.kinds[kind].path.clone();
@@ -221,23 +222,24 @@
             digest: None,
             fingerprint: Fingerprint(gate.0),
             crashes: forward.crashes,
-            depth: if matches!(asker, Asker::Run(_)) { NESTED_DEPTH } else { 0 },
+            depth: if matches!(origin, Origin::Run(_)) { NESTED_DEPTH } else { 0 },
             deadline: forward.deadline,
         };
-        self.tell_gate(node, gatekeeper::Input::Arrive(arrival));
+        self.gatekeeper_input(node, gatekeeper::Input::Arrive(arrival));
     }
 
-    fn send_back(&mut self, node: usize, back: Back) {
-        let Some(call) = self.calls.get(&back.call) else { return };
+    fn send_result(&mut self, node: usize, result: AttemptResult) {
+        let Some(call) = self.calls.get(&result.call) else { return };
         let to = call.node;
-        let departs = if self.nodes[node].up { self.dealt_with(node) } else { self.links.now() };
-        self.send(departs, node, to, HEAD_BYTES, Event::AttemptEnded(back));
+        let departs =
+            if self.nodes[node].up { self.process_message(node) } else { self.links.now() };
+        self.send(departs, node, to, HEAD_BYTES, Event::AttemptEnded(result));
     }
 
     /// Handles an attempt rejected by its gatekeeper.
-    fn refuse(&mut self, gate: CallKey, outcome: Outcome, crashes: u32) {
-        let Some(gated) = self.gated.swap_remove(&gate) else { return };
-        let load = Some(self.nodes[gated.node].gate.load(self.links.now()));
+    fn reject_attempt(&mut self, gate: CallKey, outcome: Outcome, crashes: u32) {
+        let Some(attempt) = self.attempts.swap_remove(&gate) else { return };
+        let load = Some(self.nodes[attempt.node].gate.load(self.links.now()));
         let end = match outcome {
             Outcome::NotRun { code, retry_after } => {
                 AttemptEnd::Refused { code, retry_after, load, crashes }
@@ -245,30 +247,30 @@
             Outcome::Unknown { code } => AttemptEnd::Failed { code, crashes },
             Outcome::Answered => return,
         };
-        self.send_back(gated.node, Back { call: gated.call, gate, end });
+        self.send_result(attempt.node, AttemptResult { call: attempt.call, gate, end });
     }
 
     /// Handles the result of an attempt arriving at the entry node.
-    pub(super) fn back(&mut self, back: Back) {
-        let Back { call: key, gate, end } = back;
+    pub(super) fn receive_result(&mut self, result: AttemptResult) {
+        let AttemptResult { call: key, gate, end } = result;
         let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(gate)) else {
             return;
         };
-        let (node, raced) = (call.node, call.second.is_some());
-        self.dealt_with(node);
-        if raced && !self.settle_race(key, gate, &end) {
+        let (node, hedged) = (call.node, call.hedge.is_some());
+        self.process_message(node);
+        if hedged && !self.settle_hedge(key, gate, &end) {
             return;
         }
         let answered = matches!(end, AttemptEnd::ResponseStarted { .. });
         let failure = matches!(end, AttemptEnd::ErrorResponseStarted { .. });
-        self.tell_entry(node, entry::Input::Attempt { call: key, end, replayable: true });
+        self.entry_input(node, entry::Input::Attempt { call: key, end, replayable: true });
         let same = self.calls.get(&key).is_some_and(|call| call.gate == Some(gate));
         if same && answered {
-            self.tell_entry(node, entry::Input::Close(key));
+            self.entry_input(node, entry::Input::Close(key));
             self.end_call(key, Ok(()));
         } else if same && failure {
             // The call was not retried, so the error response is final.
-            self.tell_entry(node, entry::Input::Close(key));
+            self.entry_input(node, entry::Input::Close(key));
             self.end_call(key, Err(Outcome::Unknown { code: Code::TargetFailed }));
         }
     }
@@ -276,56 +278,56 @@
     /// Ends a call and notifies its originator.
     fn end_call(&mut self, key: CallKey, result: Result<(), Outcome>) {
         let Some(call) = self.calls.swap_remove(&key) else { return };
-        match (call.asker, result) {
-            (Asker::Caller(request), Ok(())) => self.caller_answered(request),
-            (Asker::Caller(request), Err(outcome)) => self.caller_attempt_failed(request, outcome),
-            (Asker::Run(run), result) => self.child_ended(run, result.is_ok()),
+        match (call.origin, result) {
+            (Origin::Caller(request), Ok(())) => self.caller_answered(request),
+            (Origin::Caller(request), Err(outcome)) => self.caller_attempt_failed(request, outcome),
+            (Origin::Run(run), result) => self.nested_call_ended(run, result.is_ok()),
         }
     }
 
     /// Handles the expiry of a call's deadline at its entry node.
-    pub(super) fn expire(&mut self, key: CallKey) {
+    pub(super) fn expire_call(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(&key) else { return };
-        let (node, gate, second) = (call.node, call.gate, call.second);
+        let (node, gate, hedge) = (call.node, call.gate, call.hedge);
         self.close_attempt(node, gate);
-        self.close_attempt(node, second);
-        self.tell_entry(node, entry::Input::Expire { call: key, sent: true });
+        self.close_attempt(node, hedge);
+        self.entry_input(node, entry::Input::Expire { call: key, sent: true });
     }
 
     /// Cancels a call whose originator no longer waits for it.
-    pub(super) fn leave(&mut self, key: CallKey) {
+    pub(super) fn cancel_call(&mut self, key: CallKey) {
         let Some(call) = self.calls.swap_remove(&key) else { return };
-        self.tell_entry(call.node, entry::Input::Close(key));
+        self.entry_input(call.node, entry::Input::Close(key));
         self.close_attempt(call.node, call.gate);
-        self.close_attempt(call.node, call.second);
+        self.close_attempt(call.node, call.hedge);
     }
 
     /// Handles the end of one of two concurrent attempts. Returns whether it was answered and thus
     /// decides the outcome of the call.
-    fn settle_race(&mut self, key: CallKey, gate: CallKey, end: &AttemptEnd) -> bool {
+    fn settle_hedge(&mut self, key: CallKey, gate: CallKey, end: &AttemptEnd) -> bool {
         let Some(call) = self.calls.get_mut(&key) else { return false };
-        let (node, first, second) = (call.node, call.gate, call.second.take());
+        let (node, first, hedge) = (call.node, call.gate, call.hedge.take());
         let answered = matches!(end, AttemptEnd::ResponseStarted { .. });
         let is_first = first == Some(gate);
         match (is_first, answered) {
             (true, true) => {
-                self.close_attempt(node, second);
-                self.tell_entry(node, entry::Input::HedgeEnded { call: key, end: None });
+                self.close_attempt(node, hedge);
+                self.entry_input(node, entry::Input::HedgeEnded { call: key, end: None });
             }
             (true, false) => {
-                call.gate = second;
+                call.gate = hedge;
                 let input = entry::Input::PrimaryEnded { call: key, end: end.clone() };
-                self.tell_entry(node, input);
+                self.entry_input(node, input);
             }
             (false, true) => {
-                call.gate = second;
+                call.gate = hedge;
                 self.close_attempt(node, first);
                 let end = AttemptEnd::LostToHedge;
-                self.tell_entry(node, entry::Input::PrimaryEnded { call: key, end });
+                self.entry_input(node, entry::Input::PrimaryEnded { call: key, end });
             }
             (false, false) => {
                 let end = Some(end.clone());
-                self.tell_entry(node, entry::Input::HedgeEnded { call: key, end });
+                self.entry_input(node, entry::Input::HedgeEnded { call: key, end });
             }
         }
         answered
@@ -333,63 +335,64 @@
 
     fn close_attempt(&mut self, node: usize, gate: Option<CallKey>) {
         let Some(gate) = gate else { return };
-        if let Some(gated) = self.gated.get(&gate) {
-            let to = gated.node;
+        if let Some(attempt) = self.attempts.get(&gate) {
+            let to = attempt.node;
             self.send(self.links.now(), node, to, 0, Event::ConnectionClosed(gate));
         }
     }
 
     /// Handles a connection closed by the entry node, at the gatekeeper.
-    pub(super) fn closed(&mut self, gate: CallKey) {
-        let Some(gated) = self.gated.swap_remove(&gate) else { return };
-        if let Some(child) = gated.child {
-            self.leave(child);
+    pub(super) fn connection_closed(&mut self, gate: CallKey) {
+        let Some(attempt) = self.attempts.swap_remove(&gate) else { return };
+        if let Some(nested_call) = attempt.nested_call {
+            self.cancel_call(nested_call);
         }
-        let input = match gated.running {
+        let input = match attempt.running {
             true => gatekeeper::Input::End { call: gate, end: End::Cancelled },
             false => gatekeeper::Input::Withdraw(gate),
         };
-        self.free_target(gated.node, gate);
-        self.tell_gate(gated.node, input);
+        self.free_target(attempt.node, gate);
+        self.gatekeeper_input(attempt.node, input);
     }
 
     /// Expires a request that is still queued at its gatekeeper.
-    pub(super) fn queue_end(&mut self, gate: CallKey) {
-        if let Some(gated) = self.gated.get(&gate).filter(|gated| !gated.running) {
-            self.tell_gate(gated.node, gatekeeper::Input::Expire(gate));
+    pub(super) fn queue_timeout(&mut self, gate: CallKey) {
+        if let Some(attempt) = self.attempts.get(&gate).filter(|attempt| !attempt.running) {
+            self.gatekeeper_input(attempt.node, gatekeeper::Input::Expire(gate));
         }
     }
 
     /// Stops a VM. Its callers and the entry nodes of its runs lose their connections.
-    pub(super) fn stop(&mut self, node: usize) {
+    pub(super) fn stop_vm(&mut self, node: usize) {
         self.nodes[node].up = false;
         let own = |(key, call): (&CallKey, &Call)| (call.node == node).then_some(*key);
         let calls: Vec<CallKey> = self.calls.iter().filter_map(own).collect();
-        let here = |(key, gated): (&CallKey, &Gated)| (gated.node == node).then_some(*key);
-        let runs: Vec<CallKey> = self.gated.iter().filter_map(here).collect();
+        let here =
+            |(key, attempt): (&CallKey, &GatekeeperAttempt)| (attempt.node == node).then_some(*key);
+        let runs: Vec<CallKey> = self.attempts.iter().filter_map(here).collect();
         for key in calls {
             let Some(call) = self.calls.get(&key) else { continue };
-            let (gate, second) = (call.gate, call.second);
+            let (gate, hedge) = (call.gate, call.hedge);
             self.close_attempt(node, gate);
-            self.close_attempt(node, second);
+            self.close_attempt(node, hedge);
             self.end_call(key, Err(Outcome::Unknown { code: Code::AnswerLost }));
         }
         for run in runs {
-            let Some(gated) = self.gated.swap_remove(&run) else { continue };
-            self.send_back(
+            let Some(attempt) = self.attempts.swap_remove(&run) else { continue };
+            self.send_result(
                 node,
-                Back { call: gated.call, gate: run, end: AttemptEnd::ConnectionLost },
+                AttemptResult { call: attempt.call, gate: run, end: AttemptEnd::ConnectionLost },
             );
         }
     }
 
     /// Restarts a VM with a cold target.
-    pub(super) fn start(&mut self, node: usize) {
+    pub(super) fn start_vm(&mut self, node: usize) {
         let now = self.links.now();
         if let Ok((entry, gate)) = self.new_deciders(node) {
-            let back = &mut self.nodes[node];
-            (back.entry, back.gate, back.up) = (entry, gate, true);
-            back.target.restart(now);
+            let restarted = &mut self.nodes[node];
+            (restarted.entry, restarted.gate, restarted.up) = (entry, gate, true);
+            restarted.target.restart(now);
             let snapshot = self.latest_snapshot.clone();
             self.configure_node(node, &snapshot);
         }
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -1,6 +1,6 @@
 //! Run of a request at its target: work, nested calls and the response.
 
-use super::{Asker, Back, HEAD_BYTES, RunKey};
+use super::{AttemptResult, HEAD_BYTES, Origin, RunKey};
 use crate::lab::target::Submission;
 use crate::lab::world::{Event, World};
 use rand::RngExt;
@@ -13,17 +13,17 @@
 impl World<'_> {
     /// Hands a request to the target after the gatekeeper has granted a slot.
     pub(super) fn start_run(&mut self, gate: RunKey) {
-        let Some(gated) = self.gated.get_mut(&gate) else { return };
-        gated.running = true;
-        gated.waited = self.links.now().since(gated.came);
-        let (node, key) = (gated.node, gated.call);
+        let Some(attempt) = self.attempts.get_mut(&gate) else { return };
+        attempt.running = true;
+        attempt.waited = self.links.now().since(attempt.arrived_at);
+        let (node, key) = (attempt.node, attempt.call);
         self.count_arrival(key);
         match self.nodes[node].target.submit(gate, &mut self.rng) {
             Submission::Running => self.begin_work(gate),
             Submission::Queued => {}
             Submission::Rejected => {
                 let end = End::Rejected(Code::TargetRefused);
-                self.tell_gate(node, gatekeeper::Input::End { call: gate, end });
+                self.gatekeeper_input(node, gatekeeper::Input::End { call: gate, end });
             }
         }
     }
@@ -39,22 +39,23 @@
     }
 
     fn begin_work(&mut self, gate: RunKey) {
-        let Some(gated) = self.gated.get(&gate) else { return };
-        let (node, kind) = (gated.node, gated.kind);
+        let Some(attempt) = self.attempts.get(&gate) else { return };
+        let (node, kind) = (attempt.node, attempt.kind);
         let fails = self.nodes[node].target.draw_failure(&mut self.rng);
         let work = self.draw_work(kind);
         let time = self.nodes[node].target.work_time(self.links.now(), work, fails);
-        let mut steps = Vec::new();
+        let mut remaining_calls = Vec::new();
         for (called, times, share) in self.kinds[kind].calls.clone() {
             if !fails && self.rng.random_bool(share) {
-                steps.extend(std::iter::repeat_n(called, times as usize));
+                remaining_calls.extend(std::iter::repeat_n(called, times as usize));
             }
         }
-        let part = time / (steps.len() as u32 + 1);
-        if let Some(gated) = self.gated.get_mut(&gate) {
-            (gated.fails, gated.steps, gated.part) = (fails, steps, part);
+        let step_time = time / (remaining_calls.len() as u32 + 1);
+        if let Some(attempt) = self.attempts.get_mut(&gate) {
+            (attempt.fails, attempt.remaining_calls, attempt.step_time) =
+                (fails, remaining_calls, step_time);
         }
-        self.links.after(part, Event::WorkStepDone(gate));
+        self.links.after(step_time, Event::WorkStepDone(gate));
     }
 
     /// Draws the work time of a request from a log-normal distribution with the configured mean.
@@ -68,26 +69,26 @@
     }
 
     /// Handles the end of a work step: the run makes its next nested call or ends.
-    pub(in crate::lab) fn worked(&mut self, run: RunKey) {
-        let Some(gated) = self.gated.get_mut(&run) else { return };
-        let Some(kind) = gated.steps.pop() else {
-            let fails = gated.fails;
+    pub(in crate::lab) fn work_step_done(&mut self, run: RunKey) {
+        let Some(attempt) = self.attempts.get_mut(&run) else { return };
+        let Some(kind) = attempt.remaining_calls.pop() else {
+            let fails = attempt.fails;
             return self.end_run(run, fails);
         };
-        let (node, deadline) = (gated.node, gated.deadline);
+        let (node, deadline) = (attempt.node, attempt.deadline);
         let now = self.links.now();
         let most = Duration::from_millis(self.kinds[kind].cfg.deadline_ms.into());
         let left = deadline.since(now).min(most);
-        let child = self.arrive(node, kind, Asker::Run(run), left);
-        if let Some(gated) = self.gated.get_mut(&run) {
-            gated.child = child;
+        let nested_call = self.start_call(node, kind, Origin::Run(run), left);
+        if let Some(attempt) = self.attempts.get_mut(&run) {
+            attempt.nested_call = nested_call;
         }
     }
 
     /// Handles a finished run and schedules the transmission of its response.
     fn end_run(&mut self, run: RunKey, failed: bool) {
-        let Some(gated) = self.gated.get(&run) else { return };
-        let (node, kind, key) = (gated.node, gated.kind, gated.call);
+        let Some(attempt) = self.attempts.get(&run) else { return };
+        let (node, kind, key) = (attempt.node, attempt.kind, attempt.call);
         if self.nodes[node].target.draw_response_loss(&mut self.rng) {
             return self.free_target(node, run);
         }
@@ -101,7 +102,7 @@
             // The slot is freed once the gatekeeper has buffered the response.
             self.free_target(node, run);
             let end = End::ResponseRead { unsent: HEAD_BYTES + body };
-            self.tell_gate(node, gatekeeper::Input::End { call: run, end });
+            self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
         }
         self.links.at(departs, Event::ResponseSent(run, failed));
     }
@@ -121,15 +122,15 @@
     }
 
     /// Handles a response whose last byte has left the target's VM.
-    pub(in crate::lab) fn sent(&mut self, run: RunKey, failed: bool) {
-        let Some(gated) = self.gated.get(&run) else { return };
-        let (node, key, kind, waited) = (gated.node, gated.call, gated.kind, gated.waited);
+    pub(in crate::lab) fn response_sent(&mut self, run: RunKey, failed: bool) {
+        let Some(attempt) = self.attempts.get(&run) else { return };
+        let (node, key, kind, waited) = (attempt.node, attempt.call, attempt.kind, attempt.waited);
         self.free_target(node, run);
         let load = self.nodes[node].gate.load(self.links.now());
         let end = End::Answered { cached: None };
-        self.tell_gate(node, gatekeeper::Input::End { call: run, end });
-        self.tell_gate(node, gatekeeper::Input::ResponseSent(run));
-        self.gated.swap_remove(&run);
+        self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
+        self.gatekeeper_input(node, gatekeeper::Input::ResponseSent(run));
+        self.attempts.swap_remove(&run);
         let Some(call) = self.calls.get(&key) else { return };
         let to = call.node;
         let (end, body) = match failed {
@@ -139,9 +140,9 @@
                 (AttemptEnd::ResponseStarted { load: Some(load), waited }, body)
             }
         };
-        let departs = self.dealt_with(node);
-        let back = Event::AttemptEnded(Back { call: key, gate: run, end });
-        self.send(departs, node, to, HEAD_BYTES + body, back);
+        let departs = self.process_message(node);
+        let event = Event::AttemptEnded(AttemptResult { call: key, gate: run, end });
+        self.send(departs, node, to, HEAD_BYTES + body, event);
     }
 
     /// Frees a slot at the target and starts the next queued request.
@@ -151,19 +152,19 @@
         }
     }
 
-    pub(super) fn child_ended(&mut self, run: RunKey, answered: bool) {
+    pub(super) fn nested_call_ended(&mut self, run: RunKey, answered: bool) {
         let counts = self.is_measured(self.links.now());
         self.tally.nested.0 += u64::from(counts && answered);
         self.tally.nested.1 += u64::from(counts && !answered);
-        let Some(gated) = self.gated.get_mut(&run) else { return };
-        gated.child = None;
+        let Some(attempt) = self.attempts.get_mut(&run) else { return };
+        attempt.nested_call = None;
         match answered {
-            true => self.links.after(gated.part, Event::WorkStepDone(run)),
+            true => self.links.after(attempt.step_time, Event::WorkStepDone(run)),
             // Ends the run in a separate event, since its gatekeeper may be the one that has just
             // rejected the nested call.
             false => {
-                gated.fails = true;
-                gated.steps.clear();
+                attempt.fails = true;
+                attempt.remaining_calls.clear();
                 self.links.after(Duration::ZERO, Event::WorkStepDone(run));
             }
         }
--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -104,8 +104,8 @@
             self.mesh.target_states[node] =
                 if begins { TargetState::Absent } else { TargetState::Ready };
             match begins {
-                true => self.stop(node),
-                false => self.start(node),
+                true => self.stop_vm(node),
+                false => self.start_vm(node),
             }
         }
         self.publish_targets();
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -1,7 +1,7 @@
 //! Simulation of a run: event queue and event dispatch.
 
 use super::mesh::{Mesh, Site};
-use super::path::{Back, Call, Gated, RunKey};
+use super::path::{AttemptResult, Call, GatekeeperAttempt, RunKey};
 use super::scenario::{Kind, Scenario};
 use super::tally::Tally;
 use super::target::Target;
@@ -41,7 +41,7 @@
     /// An attempt arrives at its gatekeeper.
     AttemptArrived(Box<Forward>, CallKey),
     /// The result of an attempt arrives at the entry node.
-    AttemptEnded(Back),
+    AttemptEnded(AttemptResult),
     /// The deadline of a call expires at its entry node.
     DeadlineExpired(CallKey),
     /// The hedge delay of an attempt expires.
@@ -105,7 +105,7 @@
     pub(super) kinds: Vec<ResolvedKind>,
     pub(super) requests: Vec<Request>,
     pub(super) calls: IndexMap<CallKey, Call>,
-    pub(super) gated: IndexMap<CallKey, Gated>,
+    pub(super) attempts: IndexMap<CallKey, GatekeeperAttempt>,
     pub(super) next_key: u64,
     pub(super) conditions: Conditions,
     pub(super) tally: Tally,
@@ -143,7 +143,7 @@
             kinds: kinds(cfg),
             requests: Vec::new(),
             calls: IndexMap::new(),
-            gated: IndexMap::new(),
+            attempts: IndexMap::new(),
             next_key: 0,
             conditions: Conditions::none(),
             tally: Tally::new(mesh.zones.len(), cfg.seconds.ceil() as usize),
@@ -217,14 +217,14 @@
             Event::RequestArrival(kind) => self.issue_request(kind),
             Event::Retry(request) => self.submit(request),
             Event::Abandon(request) => self.abandon(request),
-            Event::AttemptArrived(forward, gate) => self.at_gate(*forward, gate),
-            Event::AttemptEnded(back) => self.back(back),
-            Event::DeadlineExpired(call) => self.expire(call),
-            Event::HedgeDue(call, gate) => self.slow(call, gate),
-            Event::QueueTimeout(gate) => self.queue_end(gate),
-            Event::ConnectionClosed(gate) => self.closed(gate),
-            Event::WorkStepDone(run) => self.worked(run),
-            Event::ResponseSent(run, failed) => self.sent(run, failed),
+            Event::AttemptArrived(forward, gate) => self.receive_attempt(*forward, gate),
+            Event::AttemptEnded(result) => self.receive_result(result),
+            Event::DeadlineExpired(call) => self.expire_call(call),
+            Event::HedgeDue(call, gate) => self.hedge_due(call, gate),
+            Event::QueueTimeout(gate) => self.queue_timeout(gate),
+            Event::ConnectionClosed(gate) => self.connection_closed(gate),
+            Event::WorkStepDone(run) => self.work_step_done(run),
+            Event::ResponseSent(run, failed) => self.response_sent(run, failed),
             Event::FaultToggled(index, begins) => self.trouble(index, begins),
             Event::ConfigurationApplied(snapshot) => self.configure(&snapshot),
             Event::Tick => self.tick(),
@@ -235,7 +235,7 @@
     fn tick(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].up {
-                self.tell_gate(node, gatekeeper::Input::Tick);
+                self.gatekeeper_input(node, gatekeeper::Input::Tick);
             }
         }
         if self.links.now() < self.arrivals_end + DRAIN_TIME {
@@ -266,8 +266,8 @@
 
     /// Applies a configuration version on one node.
     pub(super) fn configure_node(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
-        self.tell_gate(node, gatekeeper::Input::Configure(snapshot.clone()));
-        self.tell_entry(node, entry::Input::Configure(snapshot.clone()));
+        self.gatekeeper_input(node, gatekeeper::Input::Configure(snapshot.clone()));
+        self.entry_input(node, entry::Input::Configure(snapshot.clone()));
     }
 
     /// Publishes a changed target list, which nodes apply after a delay.
