--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -351,7 +351,7 @@
             true => gatekeeper::Input::End { call: gate, end: End::Cancelled },
             false => gatekeeper::Input::Withdraw(gate),
         };
-        self.free_target(attempt.node, gate);
+        self.release_slot(attempt.node, gate);
         self.gatekeeper_input(attempt.node, input);
     }
 
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -73,7 +73,7 @@
         let Some(attempt) = self.attempts.get_mut(&run) else { return };
         let Some(kind) = attempt.remaining_calls.pop() else {
             let fails = attempt.fails;
-            return self.end_run(run, fails);
+            return self.finish_run(run, fails);
         };
         let (node, deadline) = (attempt.node, attempt.deadline);
         let now = self.links.now();
@@ -86,21 +86,21 @@
     }
 
     /// Handles a finished run and schedules the transmission of its response.
-    fn end_run(&mut self, run: RunKey, failed: bool) {
+    fn finish_run(&mut self, run: RunKey, failed: bool) {
         let Some(attempt) = self.attempts.get(&run) else { return };
         let (node, kind, key) = (attempt.node, attempt.kind, attempt.call);
         if self.nodes[node].target.draw_response_loss(&mut self.rng) {
-            return self.free_target(node, run);
+            return self.release_slot(node, run);
         }
         let body = if failed { 0 } else { self.kinds[kind].cfg.answer_bytes };
         let to = self.calls.get(&key).map(|call| call.node);
         let departs = match to {
-            Some(to) if to != node => self.link_takes(node, run, HEAD_BYTES + body),
+            Some(to) if to != node => self.transmission_end(node, run, HEAD_BYTES + body),
             _ => self.links.now(),
         };
         if departs > self.links.now() {
             // The slot is freed once the gatekeeper has buffered the response.
-            self.free_target(node, run);
+            self.release_slot(node, run);
             let end = End::ResponseRead { unsent: HEAD_BYTES + body };
             self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
         }
@@ -108,24 +108,24 @@
     }
 
     /// Returns when the link of a node's VM has transmitted a response.
-    fn link_takes(&mut self, node: usize, run: RunKey, bytes: u64) -> Time {
+    fn transmission_end(&mut self, node: usize, run: RunKey, bytes: u64) -> Time {
         let now = self.links.now();
         let mbps = self.cfg.links.vm_mbps;
         if mbps <= 0.0 {
             return now;
         }
-        let begins = self.nodes[node].gate.schedule_chunk(now, run, bytes);
-        let takes = Duration::from_secs_f64(bytes as f64 * 8.0 / (mbps * 1e6));
-        let until = &mut self.nodes[node].link_until;
-        *until = (*until).max(begins) + takes;
-        *until
+        let start = self.nodes[node].gate.schedule_chunk(now, run, bytes);
+        let duration = Duration::from_secs_f64(bytes as f64 * 8.0 / (mbps * 1e6));
+        let link_until = &mut self.nodes[node].link_until;
+        *link_until = (*link_until).max(start) + duration;
+        *link_until
     }
 
     /// Handles a response whose last byte has left the target's VM.
     pub(in crate::lab) fn response_sent(&mut self, run: RunKey, failed: bool) {
         let Some(attempt) = self.attempts.get(&run) else { return };
         let (node, key, kind, waited) = (attempt.node, attempt.call, attempt.kind, attempt.waited);
-        self.free_target(node, run);
+        self.release_slot(node, run);
         let load = self.nodes[node].gate.load(self.links.now());
         let end = End::Answered { cached: None };
         self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
@@ -146,7 +146,7 @@
     }
 
     /// Frees a slot at the target and starts the next queued request.
-    pub(super) fn free_target(&mut self, node: usize, run: RunKey) {
+    pub(super) fn release_slot(&mut self, node: usize, run: RunKey) {
         if let Some(next) = self.nodes[node].target.remove(run) {
             self.begin_work(next);
         }
