--- a/bench/src/lab/caller.rs
+++ b/bench/src/lab/caller.rs
@@ -53,7 +53,7 @@
     fn zone_weights(&self) -> Vec<f64> {
         let zones = self.cfg.zones.values().map(|zone| zone.callers);
         let mut weights: Vec<f64> = zones.collect();
-        self.conditions.change_weights(&mut weights);
+        self.conditions.apply_to_weights(&mut weights);
         weights
     }
 
--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -27,7 +27,7 @@
     }
 
     /// Applies active bursts and shifts to the callers' zone weights.
-    pub(super) fn change_weights(&self, weights: &mut [f64]) {
+    pub(super) fn apply_to_weights(&self, weights: &mut [f64]) {
         for (from, to, share) in &self.shifts {
             let moved = weights[*from] * share;
             weights[*from] -= moved;
@@ -42,68 +42,70 @@
 
 impl World<'_> {
     /// Starts or ends a fault.
-    pub(super) fn trouble(&mut self, index: usize, begins: bool) {
+    pub(super) fn toggle_fault(&mut self, index: usize, starts: bool) {
         let what = self.cfg.troubles[index].what.clone();
         match what {
             TroubleKind::Burst { factor, zone } => {
-                let burst = (zone.map(|zone| self.zone(&zone)), factor);
-                change(&mut self.conditions.bursts, burst, begins);
+                let burst = (zone.map(|zone| self.zone_index(&zone)), factor);
+                toggle(&mut self.conditions.bursts, burst, starts);
             }
             TroubleKind::Shift { from, to, share } => {
-                let shift = (self.zone(&from), self.zone(&to), share);
-                change(&mut self.conditions.shifts, shift, begins);
+                let shift = (self.zone_index(&from), self.zone_index(&to), share);
+                toggle(&mut self.conditions.shifts, shift, starts);
             }
             TroubleKind::Abuse { share, times } => {
-                self.conditions.abuse = begins.then_some((share, times));
+                self.conditions.abuse = starts.then_some((share, times));
             }
             TroubleKind::GiveUp { share, after_ms } => {
                 let after = Duration::from_millis(after_ms.into());
-                self.conditions.give_up = begins.then_some((share, after));
+                self.conditions.give_up = starts.then_some((share, after));
             }
             TroubleKind::Slow { service, share, factor } => {
-                let slow = if begins { factor } else { 1.0 };
-                self.for_some(&service, share, index, |world, node| {
+                let slow = if starts { factor } else { 1.0 };
+                self.for_selected(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.work_factor = slow;
                 });
             }
             TroubleKind::Grey { service, share, errors } => {
-                let errors = if begins { errors } else { 0.0 };
-                self.for_some(&service, share, index, |world, node| {
+                let errors = if starts { errors } else { 0.0 };
+                self.for_selected(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.error_share = errors;
                 });
             }
             TroubleKind::Shed { service, share, part } => {
-                let shed = if begins { part } else { 0.0 };
-                self.for_some(&service, share, index, |world, node| {
+                let shed = if starts { part } else { 0.0 };
+                self.for_selected(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.reject_share = shed;
                 });
             }
             TroubleKind::Mute { service, share, part } => {
-                let mute = if begins { part } else { 0.0 };
-                self.for_some(&service, share, index, |world, node| {
+                let mute = if starts { part } else { 0.0 };
+                self.for_selected(&service, share, index, |world, node| {
                     world.nodes[node].target.faults.loss_share = mute;
                 });
             }
             TroubleKind::Leave { service, share } => {
-                let state = if begins { TargetState::Draining } else { TargetState::Ready };
-                self.for_some(&service, share, index, |world, node| {
+                let state = if starts { TargetState::Draining } else { TargetState::Ready };
+                self.for_selected(&service, share, index, |world, node| {
                     world.mesh.target_states[node] = state;
                 });
                 self.publish_targets();
             }
-            TroubleKind::Lost { zone, share } => self.lose(zone.as_ref(), share, index, begins),
+            TroubleKind::Lost { zone, share } => {
+                self.toggle_vms(zone.as_ref(), share, index, starts)
+            }
         }
     }
 
     /// Stops VMs with their nodes and targets, or restarts them.
-    fn lose(&mut self, zone: Option<&Name>, share: f64, index: usize, begins: bool) {
-        let zone = zone.map(|zone| self.zone(zone));
+    fn toggle_vms(&mut self, zone: Option<&Name>, share: f64, index: usize, starts: bool) {
+        let zone = zone.map(|zone| self.zone_index(zone));
         let in_zone = |node: &usize| zone.is_none_or(|zone| self.mesh.sites[*node].zone == zone);
         let nodes = (0..self.nodes.len()).filter(in_zone).collect();
-        for node in self.some_of(nodes, share, index) {
+        for node in self.select_nodes(nodes, share, index) {
             self.mesh.target_states[node] =
-                if begins { TargetState::Absent } else { TargetState::Ready };
-            match begins {
+                if starts { TargetState::Absent } else { TargetState::Ready };
+            match starts {
                 true => self.stop_vm(node),
                 false => self.start_vm(node),
             }
@@ -111,11 +113,11 @@
         self.publish_targets();
     }
 
-    fn zone(&self, name: &Name) -> usize {
+    fn zone_index(&self, name: &Name) -> usize {
         self.mesh.zones.iter().position(|zone| zone == name).unwrap_or_default()
     }
 
-    fn for_some(
+    fn for_selected(
         &mut self,
         service: &Name,
         share: f64,
@@ -125,14 +127,14 @@
         let number = self.cfg.services.keys().position(|known| known == service);
         let own = |node: &usize| Some(self.mesh.sites[*node].service) == number;
         let nodes = (0..self.nodes.len()).filter(own).collect();
-        for node in self.some_of(nodes, share, index) {
+        for node in self.select_nodes(nodes, share, index) {
             apply(self, node);
         }
     }
 
     /// Selects a share of the nodes, at least one. The selection depends only on the fault's index,
     /// so that its start and its end affect the same nodes.
-    fn some_of(&self, mut nodes: Vec<usize>, share: f64, index: usize) -> Vec<usize> {
+    fn select_nodes(&self, mut nodes: Vec<usize>, share: f64, index: usize) -> Vec<usize> {
         let mut rng = Pcg64Mcg::seed_from_u64(index as u64);
         nodes.shuffle(&mut rng);
         let count = (nodes.len() as f64 * share).round().max(1.0) as usize;
@@ -141,8 +143,8 @@
     }
 }
 
-fn change<T: PartialEq>(list: &mut Vec<T>, item: T, begins: bool) {
-    match begins {
+fn toggle<T: PartialEq>(list: &mut Vec<T>, item: T, starts: bool) {
+    match starts {
         true => list.push(item),
         false => list.retain(|other| *other != item),
     }
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -225,7 +225,7 @@
             Event::ConnectionClosed(gate) => self.connection_closed(gate),
             Event::WorkStepDone(run) => self.work_step_done(run),
             Event::ResponseSent(run, failed) => self.response_sent(run, failed),
-            Event::FaultToggled(index, begins) => self.trouble(index, begins),
+            Event::FaultToggled(index, starts) => self.toggle_fault(index, starts),
             Event::ConfigurationApplied(snapshot) => self.configure(&snapshot),
             Event::Tick => self.tick(),
             Event::SecondEnded(second) => self.sample_second(second),
