--- a/bench/tests/lab.rs
+++ b/bench/tests/lab.rs
@@ -50,11 +50,11 @@
     Scenario::parse(text.as_bytes()).unwrap()
 }
 
-fn play(scenario: Scenario, policy: Policy) -> Vec<Tally> {
+fn simulate(scenario: Scenario, policy: Policy) -> Vec<Tally> {
     Trial::new(scenario).with_policy(policy).with_seeds(1, 6).with_jobs(3).run(|_| {}).unwrap()
 }
 
-fn all_bytes(run: &Tally) -> u64 {
+fn total_bytes(run: &Tally) -> u64 {
     run.bytes.iter().flatten().sum()
 }
 
@@ -70,19 +70,19 @@
 #[test]
 fn placing_even_nothing_leaves_its_zone() {
     // Guards against traffic between zones when every zone has sufficient capacity.
-    for run in play(even(), Policy::new()) {
+    for run in simulate(even(), Policy::new()) {
         let crossed = run.crossed.0 + run.crossed.1;
-        assert!(crossed * 50 <= all_bytes(&run), "{crossed} of {}", all_bytes(&run));
+        assert!(crossed * 50 <= total_bytes(&run), "{crossed} of {}", total_bytes(&run));
         assert!(run.total().in_time_share() > 0.98, "{:?}", run.total());
     }
 }
 
 /// Policy that keeps requests in their zone while it has a target, regardless of queue lengths.
-fn never_leaves() -> Policy {
-    let far = 1_000_000;
+fn stay_in_zone() -> Policy {
+    let unreachable = 1_000_000;
     let policy = Policy::new().without(Mechanism::FullKnown);
-    let policy = policy.with_value("region-percent", far).unwrap();
-    policy.with_value("across-percent", far).unwrap()
+    let policy = policy.with_value("region-percent", unreachable).unwrap();
+    policy.with_value("across-percent", unreachable).unwrap()
 }
 
 #[test]
@@ -90,7 +90,7 @@
     // Guards against other zones sending requests to an overloaded zone while its surplus goes to
     // them.
     let burst = r#"{"at_s": 3, "for_s": 8, "what": "burst", "factor": 4, "zone": "east-1"}"#;
-    let runs = play(with_troubles(burst), Policy::new());
+    let runs = simulate(with_troubles(burst), Policy::new());
     assert!(in_time(&runs, 4, 11) > 0.95, "{}", in_time(&runs, 4, 11));
     for run in &runs {
         // Responses flow into the overloaded zone. Its requests, a quarter of the size, flow out.
@@ -98,7 +98,7 @@
         let back: u64 = (1..6).map(|zone| run.bytes[0][zone]).sum();
         assert!(back * 3 < to, "{back} bytes out, {to} bytes in");
     }
-    let without = play(with_troubles(burst), never_leaves());
+    let without = simulate(with_troubles(burst), stay_in_zone());
     assert!(in_time(&without, 4, 11) < 0.9, "the burst does not overload the zone");
 }
 
@@ -114,10 +114,10 @@
         )
     };
     let shifts = zones.map(shift).join(",");
-    let runs = play(with_troubles(&shifts), Policy::new());
+    let runs = simulate(with_troubles(&shifts), Policy::new());
     assert!(in_time(&runs, 4, 7) > 0.9, "{}", in_time(&runs, 4, 7));
     assert!(in_time(&runs, 8, 12) > 0.98, "{}", in_time(&runs, 8, 12));
-    let without = play(with_troubles(&shifts), never_leaves());
+    let without = simulate(with_troubles(&shifts), stay_in_zone());
     assert!(in_time(&without, 4, 7) < 0.8, "the shift does not overload the zone");
 }
 
@@ -126,7 +126,7 @@
     // One zone has callers but no targets. The other zone of its region must serve them, without
     // other traffic between zones.
     let scenario = EVEN.replace(r#""mid-1": 2, "mid-2": 2,"#, r#""mid-2": 4,"#);
-    let runs = play(Scenario::parse(scenario.as_bytes()).unwrap(), Policy::new());
+    let runs = simulate(Scenario::parse(scenario.as_bytes()).unwrap(), Policy::new());
     assert!(in_time(&runs, 2, 12) > 0.98, "{}", in_time(&runs, 2, 12));
     for run in &runs {
         // mid-1 and mid-2 are the third and the fourth zone.
@@ -150,8 +150,8 @@
     let slow = r#"
         {"at_s": 3, "for_s": 8, "what": "slow", "service": "desk", "share": 0.25, "factor": 8.0}"#;
     let scenario = with_troubles(slow);
-    let without = play(scenario.clone(), Policy::new().without(Mechanism::AnswerTimes));
-    let with = play(scenario, Policy::new());
+    let without = simulate(scenario.clone(), Policy::new().without(Mechanism::AnswerTimes));
+    let with = simulate(scenario, Policy::new());
     assert!(in_time(&with, 4, 11) > 0.95, "{}", in_time(&with, 4, 11));
     let gain = Estimate::paired(Metric::InTime, &without, &with);
     assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
@@ -164,8 +164,8 @@
     let grey = r#"
         {"at_s": 3, "for_s": 8, "what": "grey", "service": "desk", "share": 0.25, "errors": 0.5}"#;
     let scenario = with_troubles(grey);
-    let without = play(scenario.clone(), Policy::new().without(Mechanism::FailureShare));
-    let with = play(scenario, Policy::new());
+    let without = simulate(scenario.clone(), Policy::new().without(Mechanism::FailureShare));
+    let with = simulate(scenario, Policy::new());
     let gain = Estimate::paired(Metric::Worth, &without, &with);
     assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
 }
@@ -177,8 +177,8 @@
     let burst = r#"{"at_s": 3, "for_s": 9, "what": "burst", "factor": 3.1}"#;
     let scenario = with_troubles(burst);
     let before =
-        play(scenario.clone(), Policy::new().with_value("late-wait-percent", 700).unwrap());
-    let after = play(scenario, Policy::new());
+        simulate(scenario.clone(), Policy::new().with_value("late-wait-percent", 700).unwrap());
+    let after = simulate(scenario, Policy::new());
     let gain = Estimate::paired(Metric::InTime, &before, &after);
     assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
 }
@@ -187,15 +187,15 @@
 fn overload_in_time_first() {
     let burst = r#"{"at_s": 3, "for_s": 9, "what": "burst", "factor": 3.1}"#;
     let scenario = with_troubles(burst);
-    let before = play(scenario.clone(), Policy::new().without(Mechanism::InTimeFirst));
-    let after = play(scenario, Policy::new());
+    let before = simulate(scenario.clone(), Policy::new().without(Mechanism::InTimeFirst));
+    let after = simulate(scenario, Policy::new());
     let gain = Estimate::paired(Metric::Worth, &before, &after);
     assert!(gain.mean > 0.0 && gain.is_significant(), "{gain:?}");
 }
 
 #[test]
 fn play_same_seed_same_result() {
-    assert_eq!(play(even(), Policy::new()), play(even(), Policy::new()));
+    assert_eq!(simulate(even(), Policy::new()), simulate(even(), Policy::new()));
 }
 
 #[test]
@@ -284,11 +284,14 @@
         let text = text.replace(r#""troubles": []"#, &troubles);
         Scenario::parse(text.as_bytes()).unwrap()
     };
-    let with = lookups_in_time(&play(scenario(), Policy::new()));
-    let without = lookups_in_time(&play(scenario(), without_hedges()));
-    let calm = lookups_in_time(&play(even(), Policy::new()));
-    let lost = (calm - with, calm - without);
-    assert!(lost.0 < lost.1 * 0.5, "{with} with hedging, {without} without, {calm} without faults");
+    let with = lookups_in_time(&simulate(scenario(), Policy::new()));
+    let without = lookups_in_time(&simulate(scenario(), without_hedges()));
+    let fault_free = lookups_in_time(&simulate(even(), Policy::new()));
+    let lost = (fault_free - with, fault_free - without);
+    assert!(
+        lost.0 < lost.1 * 0.5,
+        "{with} with hedging, {without} without, {fault_free} without faults"
+    );
 }
 
 /// Guards against hedges that add load when all targets of a service are slow.
@@ -296,7 +299,7 @@
 fn hedge_all_slow_adds_nothing() {
     let slow = r#"{"at_s": 3, "for_s": 8, "what": "slow", "service": "desk", "share": 1,
         "factor": 12}"#;
-    let with = repeats(&play(with_troubles(slow), Policy::new()));
-    let without = repeats(&play(with_troubles(slow), without_hedges()));
+    let with = repeats(&simulate(with_troubles(slow), Policy::new()));
+    let without = repeats(&simulate(with_troubles(slow), without_hedges()));
     assert!(with - without < 0.05, "{with} with hedging, {without} without");
 }
