--- a/bench/tests/lab_cli.rs
+++ b/bench/tests/lab_cli.rs
@@ -17,18 +17,18 @@
 }
 
 /// Temporary file, removed on drop.
-struct Scratch(PathBuf);
+struct TempFile(PathBuf);
 
-impl Scratch {
-    fn new(name: &str, content: &str) -> Scratch {
+impl TempFile {
+    fn new(name: &str, content: &str) -> TempFile {
         let name = format!("sycamore-lab-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, content).unwrap();
-        Scratch(path)
+        TempFile(path)
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -52,25 +52,26 @@
 
 #[test]
 fn run_prints_json_and_draws() {
-    let picture = Scratch::new("run.svg", "");
-    let svg = picture.0.display().to_string();
+    let plot = TempFile::new("run.svg", "");
+    let svg = plot.0.display().to_string();
     let args = ["run", &example("ordinary.json"), "--seeds", "1..2", "--json", "--svg", &svg];
     let output = lab(&args);
     assert!(output.status.success(), "{}", text(&output.stderr));
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(report["runs"].as_array().map(Vec::len), Some(1));
-    assert!(std::fs::read_to_string(&picture.0).unwrap().contains("</svg>"));
+    assert!(std::fs::read_to_string(&plot.0).unwrap().contains("</svg>"));
 }
 
 #[test]
 fn scenario_wrong_says_where_and_what() {
     let scenario = std::fs::read_to_string(example("uneven.json")).unwrap();
-    let wrong = Scratch::new("wrong.json", &scenario.replace(r#""share": 0.7"#, r#""share": 7"#));
-    let output = lab(&["run", &wrong.0.display().to_string()]);
+    let invalid =
+        TempFile::new("wrong.json", &scenario.replace(r#""share": 0.7"#, r#""share": 7"#));
+    let output = lab(&["run", &invalid.0.display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
-    let said = text(&output.stderr);
-    assert!(said.contains("kinds.lookup.calls[0].share"), "{said}");
-    assert!(said.contains("allowed: 0 to 1"), "{said}");
+    let stderr = text(&output.stderr);
+    assert!(stderr.contains("kinds.lookup.calls[0].share"), "{stderr}");
+    assert!(stderr.contains("allowed: 0 to 1"), "{stderr}");
 }
 
 #[test]
