--- a/bench/tests/demo.rs
+++ b/bench/tests/demo.rs
@@ -48,7 +48,7 @@
 }
 
 /// Two requests, two valid versions and one planned stop, without violations.
-fn clean() -> Evidence {
+fn valid_evidence() -> Evidence {
     Evidence {
         records: vec![record("a"), record("b")],
         runs: vec![
@@ -81,7 +81,7 @@
 
 /// Asserts that applying `change` to the clean evidence causes exactly the `expected` violations.
 fn check(change: impl FnOnce(&mut Evidence), expected: Violations) {
-    let mut evidence = clean();
+    let mut evidence = valid_evidence();
     change(&mut evidence);
     assert_eq!(Violations::find(&evidence), expected);
 }
@@ -89,7 +89,7 @@
 #[test]
 fn find_nothing() {
     check(|_| {}, Violations::default());
-    let converged: Vec<_> = convergence(&clean()).into_iter().collect();
+    let converged: Vec<_> = convergence(&valid_evidence()).into_iter().collect();
     assert_eq!(converged, [(1, Some(100)), (2, Some(300))]);
 }
 
@@ -174,16 +174,16 @@
 /// Guards against counting an aborted run whose caller was answered by another target.
 #[test]
 fn find_cut_by_drain_overtaken_run() {
-    let second = |evidence: &mut Evidence, answered_at: u64| {
+    let add_second_run = |evidence: &mut Evidence, answered_at: u64| {
         evidence.runs[1].event = RunEvent::Aborted;
         evidence.runs.push(run(3, "a", 1_020_000, RunEvent::Start));
         evidence.runs.push(run(3, "a", answered_at, RunEvent::Completed));
     };
-    let mut evidence = clean();
-    second(&mut evidence, 1_080_000);
+    let mut evidence = valid_evidence();
+    add_second_run(&mut evidence, 1_080_000);
     assert_eq!(Violations::find(&evidence).cut_by_drain, 0);
-    let mut evidence = clean();
-    second(&mut evidence, 1_100_000);
+    let mut evidence = valid_evidence();
+    add_second_run(&mut evidence, 1_100_000);
     assert_eq!(
         Violations::find(&evidence).cut_by_drain,
         1,
@@ -206,7 +206,7 @@
 fn find_unknown_with_and_without_kill() {
     let expected = Violations { unknown_unexplained: 1, ..Violations::default() };
     check(|evidence| evidence.records[0].outcome = Outcome::Unknown, expected);
-    let mut evidence = clean();
+    let mut evidence = valid_evidence();
     evidence.records[0].outcome = Outcome::Unknown;
     evidence.kills.push(Stop {
         at_us: 1_050_000,
