--- a/bench/tests/lab.rs
+++ b/bench/tests/lab.rs
@@ -79,10 +79,10 @@
 
 /// Policy that keeps requests in their zone while it has a target, regardless of queue lengths.
 fn stay_in_zone() -> Policy {
-    let unreachable = 1_000_000;
+    let prohibitive_percent = 1_000_000;
     let policy = Policy::new().without(Mechanism::FullKnown);
-    let policy = policy.with_value("region-percent", unreachable).unwrap();
-    policy.with_value("across-percent", unreachable).unwrap()
+    let policy = policy.with_value("region-percent", prohibitive_percent).unwrap();
+    policy.with_value("across-percent", prohibitive_percent).unwrap()
 }
 
 #[test]
