--- a/bench/src/calls/overload.rs
+++ b/bench/src/calls/overload.rs
@@ -242,8 +242,8 @@
     }
 }
 
-/// Calls per second answered in time after [`RAMP_UP`]. Responses that arrive after the load has ended
-/// drain the queues and are excluded.
+/// Calls per second answered in time after [`RAMP_UP`]. Responses that arrive after the load has
+/// ended drain the queues and are excluded.
 fn goodput_per_second(records: &[Record], span: Duration) -> f64 {
     let us = |span: Duration| span.as_micros() as u64;
     let start_us = records.iter().map(|record| record.invoked_us).min().unwrap_or_default();
