--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -1,5 +1,5 @@
-//! The naive way to spread a version: every node polls the source for the whole document at a
-//! fixed interval. The figures of the system stand beside its figures.
+//! Baseline for configuration distribution: every node polls the platform for the full document at
+//! a fixed interval.
 
 use crate::fleet::measure::{Convergence, Figures};
 use crate::fleet::platform::{Answer, CALLS_PER_S, Get, Platform};
@@ -14,25 +14,25 @@
 use sycamore_core::Time;
 use sycamore_core::config::document::MAX_DOCUMENT_BYTES;
 
-/// Shortest interval between two polls of a node.
-const SHORTEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum polling interval of a node.
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Share of the platform's limit that polling may use.
-const LIMIT_PERCENT: u64 = 80;
+/// Share of the platform's rate limit that polling may use, in percent.
+const RATE_LIMIT_PERCENT: u64 = 80;
 
-/// Longest wait for nodes that return to hold the last version.
+/// Maximum time for restarted nodes to reach the latest version.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Bytes of the head of a request and of an answer.
-const HEAD_BYTES: u64 = 120;
+/// Header size of a request or response, in bytes.
+const HEADER_BYTES: u64 = 120;
 
-/// Where the platform stands.
+/// Location of the platform.
 const PLATFORM: Site = Site { region: 0, zone: PLATFORM_ZONE };
 
 enum Event {
     Poll(usize, u32),
-    Asked(usize),
-    Answered(usize, u64),
+    RequestReceived(usize),
+    ResponseReceived(usize, u64),
     Publish,
 }
 
@@ -43,27 +43,36 @@
     platform: Platform<usize>,
     workload: Workload,
     convergence: Convergence,
-    whole: u64,
+    document_bytes: u64,
     interval: Duration,
-    lives: Vec<u32>,
+    generations: Vec<u32>,
     rng: Pcg64Mcg,
 }
 
 impl Baseline {
-    /// A fleet that holds version 1, and polls as often as the platform's limit allows.
+    /// Creates a fleet that holds version 1 and polls as often as the platform's rate limit allows.
     pub fn new(size: Size, profile: Profile, seed: u64) -> Baseline {
         let mut workload = Workload::new(size, seed);
         let first = workload.publish();
         let links = Links::new(profile, Time::from_millis(0), seed);
         let convergence = Convergence::new(size.nodes);
-        let interval = shortest_interval(size.nodes, first.preset_bytes);
-        let whole = first.preset_bytes;
+        let interval = poll_interval(size.nodes, first.preset_bytes);
+        let document_bytes = first.preset_bytes;
         let platform = Platform::new();
-        let lives = vec![0; size.nodes];
+        let generations = vec![0; size.nodes];
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut fleet =
-            Baseline { size, links, platform, workload, convergence, whole, interval, lives, rng };
-        fleet.put(&first);
+        let mut fleet = Baseline {
+            size,
+            links,
+            platform,
+            workload,
+            convergence,
+            document_bytes,
+            interval,
+            generations,
+            rng,
+        };
+        fleet.publish(&first);
         for node in 0..size.nodes {
             let phase = fleet.rng.random_range(0..interval.as_micros() as u64);
             fleet.links.after(Duration::from_micros(phase), Event::Poll(node, 0));
@@ -72,13 +81,13 @@
         fleet
     }
 
-    /// The interval between two polls of a node.
+    /// Polling interval of a node.
     pub fn interval(&self) -> Duration {
         self.interval
     }
 
-    /// Publishes `versions` changes, one each `pause`, and measures until every node has polled
-    /// once after the last.
+    /// Publishes `versions` changes, one every `pause`, and measures until every node has polled
+    /// after the last one.
     pub fn run(mut self, versions: usize, pause: Duration) -> Figures {
         let started = self.links.now();
         for index in 1..=versions {
@@ -89,7 +98,7 @@
         let mut measured = false;
         let end = changing + self.interval * 2 + Duration::from_secs(2);
         while self.links.next_at().is_some_and(|at| at <= end) {
-            // Rates are taken over the span of the changes, as they are for the system.
+            // Rates cover only the period of the changes, as in the measurement of the system.
             if !measured && self.links.next_at() >= Some(changing) {
                 measured = true;
                 figures = self.rates(versions, changing.since(started));
@@ -108,25 +117,25 @@
         }
     }
 
-    /// Restarts these nodes at the same moment, and measures until each holds the last version.
-    pub fn return_at_once(
+    /// Restarts the given nodes simultaneously and measures until each holds the latest version.
+    pub fn measure_restart(
         mut self,
         disruption: &'static str,
         nodes: &[usize],
     ) -> DisruptionFigures {
         let since = self.links.now();
         for node in nodes {
-            self.lives[*node] += 1;
+            self.generations[*node] += 1;
             self.convergence.record_restart(*node, since);
-            self.links.after(Duration::ZERO, Event::Poll(*node, self.lives[*node]));
+            self.links.after(Duration::ZERO, Event::Poll(*node, self.generations[*node]));
         }
         let end = since + RECOVERY_TIMEOUT;
         let mut last = since;
         while self.convergence.behind(1) > 0 && self.links.next_at() <= Some(end) {
-            // Counting the nodes after each event would cost more than the run.
+            // Checking all nodes after every event would dominate the run time.
             for _ in 0..nodes.len() {
                 let Some(event) = self.links.pop() else { break };
-                if let Event::Answered(node, 1..) = event {
+                if let Event::ResponseReceived(node, 1..) = event {
                     last = if self.convergence.held(node) == 0 { self.links.now() } else { last };
                 }
                 self.handle(event);
@@ -160,21 +169,26 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Poll(node, life) if life == self.lives[node] => {
+            Event::Poll(node, generation) if generation == self.generations[node] => {
                 let site = self.size.site(node);
-                self.links.send(site, PLATFORM, HEAD_BYTES * self.values(), Event::Asked(node));
-                self.links.after(self.interval, Event::Poll(node, life));
+                self.links.send(
+                    site,
+                    PLATFORM,
+                    HEADER_BYTES * self.value_count(),
+                    Event::RequestReceived(node),
+                );
+                self.links.after(self.interval, Event::Poll(node, generation));
             }
             Event::Poll(..) => {}
-            Event::Asked(node) => self.answer(node),
-            Event::Answered(node, version) => {
+            Event::RequestReceived(node) => self.answer(node),
+            Event::ResponseReceived(node, version) => {
                 if version > self.convergence.held(node) {
                     self.convergence.record_in_force(node, version, self.links.now());
                 }
             }
             Event::Publish => {
                 let publication = self.workload.publish_change();
-                self.put(&publication);
+                self.publish(&publication);
             }
         }
     }
@@ -182,32 +196,32 @@
     fn answer(&mut self, node: usize) {
         let now = self.links.now();
         let mut index = None;
-        for _ in 0..self.values() {
+        for _ in 0..self.value_count() {
             let key = name("document".to_owned());
             let get = Get { caller: node, key, min_index_exclusive: None, until: now };
             match self.platform.get(now, get) {
                 Some(Answer::Value(_, found)) => index = Some(found),
-                _ => return self.poll_later(node),
+                _ => return self.reschedule_poll(node),
             }
         }
-        // One value is written for each version, so that the index is the version.
+        // Each version writes one value, so the platform's index equals the version.
         if let Some(version) = index {
-            let bytes = self.whole + HEAD_BYTES * self.values();
+            let bytes = self.document_bytes + HEADER_BYTES * self.value_count();
             let site = self.size.site(node);
-            self.links.send(PLATFORM, site, bytes, Event::Answered(node, version));
+            self.links.send(PLATFORM, site, bytes, Event::ResponseReceived(node, version));
         }
     }
 
-    /// A refused node polls again at another phase. With the old one the same nodes would be
-    /// refused each time.
-    fn poll_later(&mut self, node: usize) {
-        self.lives[node] += 1;
+    /// Reschedules a rejected node at a random phase, so that the same nodes are not rejected in
+    /// every interval.
+    fn reschedule_poll(&mut self, node: usize) {
+        self.generations[node] += 1;
         let phase = self.rng.random_range(0..self.interval.as_micros() as u64);
-        self.links.after(Duration::from_micros(phase), Event::Poll(node, self.lives[node]));
+        self.links.after(Duration::from_micros(phase), Event::Poll(node, self.generations[node]));
     }
 
-    fn put(&mut self, publication: &Publication) {
-        self.whole = publication.preset_bytes;
+    fn publish(&mut self, publication: &Publication) {
+        self.document_bytes = publication.preset_bytes;
         self.platform.put(name("document".to_owned()), Bytes::new());
         self.convergence.record_published(publication.in_force.version, self.links.now());
         if publication.in_force.version == 1 {
@@ -215,18 +229,18 @@
         }
     }
 
-    fn values(&self) -> u64 {
-        values(self.whole)
+    fn value_count(&self) -> u64 {
+        value_count(self.document_bytes)
     }
 }
 
-/// Values of the platform that a whole document takes at least.
-fn values(whole: u64) -> u64 {
-    whole.div_ceil(MAX_DOCUMENT_BYTES as u64)
+/// Minimum number of platform values needed to store a document.
+fn value_count(document_bytes: u64) -> u64 {
+    document_bytes.div_ceil(MAX_DOCUMENT_BYTES as u64)
 }
 
-fn shortest_interval(nodes: usize, whole: u64) -> Duration {
-    let calls = nodes as u64 * values(whole);
-    let span = Duration::from_millis(calls * 1_000 * 100 / (CALLS_PER_S * LIMIT_PERCENT));
-    span.max(SHORTEST_INTERVAL)
+fn poll_interval(nodes: usize, document_bytes: u64) -> Duration {
+    let calls = nodes as u64 * value_count(document_bytes);
+    let span = Duration::from_millis(calls * 1_000 * 100 / (CALLS_PER_S * RATE_LIMIT_PERCENT));
+    span.max(MIN_POLL_INTERVAL)
 }
--- a/bench/src/fleet/fault.rs
+++ b/bench/src/fleet/fault.rs
@@ -104,7 +104,7 @@
             }
             Action::SetListedState(nodes, state) => self.set_listed_state(&nodes, state),
             Action::DegradeLinks(loss_ppm, jitter_percent) => {
-                let profile = self.setup.profile.with_trouble(loss_ppm, jitter_percent);
+                let profile = self.setup.profile.with_loss_and_jitter(loss_ppm, jitter_percent);
                 self.links.set_profile(profile);
             }
             Action::CheckVersion(version) => self.record_due_version(version),
--- a/bench/src/fleet/run.rs
+++ b/bench/src/fleet/run.rs
@@ -211,13 +211,13 @@
     let min_cross_region_bytes = min_cross_region_bytes(setup, plan);
     let cross_region_bytes_to_min = figures.cross_region_bytes_per_version / min_cross_region_bytes;
     let all: Vec<usize> = (0..setup.size.nodes).collect();
-    let start = baseline().return_at_once("everything", &all);
+    let start = baseline().measure_restart("everything", &all);
     let mut disruption_figures = Vec::new();
     for disruption in disruptions {
         match disruption {
             Disruption::ZoneRestart => {
                 let zone = nodes_in_zone(&setup.size, 1);
-                disruption_figures.push(baseline().return_at_once(disruption.name(), &zone));
+                disruption_figures.push(baseline().measure_restart(disruption.name(), &zone));
             }
             Disruption::FleetRestart => disruption_figures.push(start.clone()),
             _ => {}
--- a/bench/src/lab/mesh.rs
+++ b/bench/src/lab/mesh.rs
@@ -1,4 +1,4 @@
-//! The nodes of a scenario, and the versions that list their targets.
+//! Nodes of a scenario, and the configuration versions that list their targets.
 
 use super::scenario::{Kind, Scenario};
 use indexmap::IndexMap;
@@ -10,45 +10,45 @@
 use sycamore_core::place::Place;
 use sycamore_core::{Code, Fault, Name, Result};
 
-/// Connections that each target takes.
+/// Connection limit of each target.
 const CONNECTIONS: u32 = 500;
 
-/// Largest request, in bytes.
-const MAX_BODY_BYTES: u64 = 1 << 20;
+/// Maximum request body size.
+const MAX_REQUEST_BODY_BYTES: u64 = 1 << 20;
 
-/// Where a node is and what runs beside it.
+/// Location of a node and the service of its target.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Region and zone.
+    /// Region and zone names.
     pub place: Place,
-    /// Number of the zone, in the order of names.
+    /// Index of the zone, ordered by name.
     pub zone: usize,
-    /// Number of the service, in the order of names.
+    /// Index of the service, ordered by name.
     pub service: usize,
-    /// Number among the targets of its service.
+    /// Index among the targets of the service.
     pub rank: usize,
 }
 
-/// Whether a target is listed, and how.
+/// State of a target in the published configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
-    /// It takes work.
+pub enum TargetState {
+    /// Accepts requests.
     Ready,
-    /// It finishes what it has.
-    Leaving,
-    /// It is not there.
-    Gone,
+    /// Draining: finishes its current requests.
+    Draining,
+    /// Not listed.
+    Absent,
 }
 
-/// The nodes, in the order of services and zones.
+/// Nodes of a scenario, ordered by service and zone.
 #[derive(Clone, Debug)]
 pub struct Mesh {
-    /// Every node.
+    /// All nodes.
     pub sites: Vec<Site>,
-    /// Names of zones, in order.
+    /// Zone names, sorted.
     pub zones: Vec<Name>,
-    /// How each node's target is listed.
-    pub listed: Vec<Listed>,
+    /// State of each node's target.
+    pub target_states: Vec<TargetState>,
     services: IndexMap<Name, Service>,
     slots: Vec<u32>,
     routes: IndexMap<Name, Route>,
@@ -56,7 +56,7 @@
 }
 
 impl Mesh {
-    /// The nodes of a scenario, every target ready.
+    /// Creates the nodes of a scenario, with every target ready.
     pub fn new(scenario: &Scenario) -> Mesh {
         let zones: Vec<Name> = scenario.zones.keys().cloned().collect();
         let mut sites = Vec::new();
@@ -64,7 +64,7 @@
             let mut rank = 0;
             for (zone, count) in &model.targets {
                 let region = scenario.zones[zone].region.clone();
-                let number = zones.iter().position(|known| known == zone).unwrap_or_default();
+                let number = zones.iter().position(|other| other == zone).unwrap_or_default();
                 for _ in 0..*count {
                     let place = Place { region: region.clone(), zone: zone.clone() };
                     sites.push(Site { place, zone: number, service, rank });
@@ -78,7 +78,7 @@
             |name: &Name| (name.clone(), Service { limits: limits.clone(), targets: Vec::new() });
         let route = |(name, kind): (&Name, &Kind)| (name.clone(), route(name, kind));
         Mesh {
-            listed: vec![Listed::Ready; sites.len()],
+            target_states: vec![TargetState::Ready; sites.len()],
             sites,
             zones,
             services: scenario.services.keys().map(service).collect(),
@@ -88,23 +88,23 @@
         }
     }
 
-    /// The next version, with the targets as they are listed now.
+    /// Creates the next configuration version from the current target states.
     pub fn publish(&mut self) -> Result<Arc<Snapshot>> {
         self.version += 1;
         let mut services = self.services.clone();
         for (node, site) in self.sites.iter().enumerate() {
-            if self.listed[node] == Listed::Gone {
+            if self.target_states[node] == TargetState::Absent {
                 continue;
             }
             let target = Target {
-                vm: vm(node)?,
+                vm: vm_name(node)?,
                 region: site.place.region.clone(),
                 zone: site.place.zone.clone(),
-                gate: gate(node),
-                peers: gate(node),
+                gate: gatekeeper_address(node),
+                peers: gatekeeper_address(node),
                 incarnation: None,
                 slots: Some(self.slots[site.service]),
-                leaving: self.listed[node] == Listed::Leaving,
+                leaving: self.target_states[node] == TargetState::Draining,
             };
             services[site.service].targets.push(target);
         }
@@ -116,33 +116,33 @@
     }
 }
 
-/// Name of a node's VM.
-pub fn vm(node: usize) -> Result<Name> {
+/// VM name of a node.
+pub fn vm_name(node: usize) -> Result<Name> {
     Name::new(format!("vm{node}")).ok_or_else(|| Fault::new(Code::InputInvalid))
 }
 
-/// Address of a node's gatekeeper, from which [`node_at`] tells the node.
-fn gate(node: usize) -> SocketAddr {
+/// Address of a node's gatekeeper, which encodes the node index for [`node_at`].
+fn gatekeeper_address(node: usize) -> SocketAddr {
     let [_, _, high, low] = (node as u32).to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 5))
 }
 
-/// The node with this gatekeeper.
-pub fn node_at(gate: SocketAddr) -> usize {
-    match gate.ip() {
+/// Index of the node with this gatekeeper address.
+pub fn node_at(address: SocketAddr) -> usize {
+    match address.ip() {
         std::net::IpAddr::V4(ip) => (u32::from(ip) & 0xffff) as usize,
         std::net::IpAddr::V6(_) => usize::MAX,
     }
 }
 
-/// Path of the requests of a kind.
-pub fn path(kind: &Name) -> String {
+/// Request path of a kind.
+pub fn request_path(kind: &Name) -> String {
     format!("/{kind}/")
 }
 
 fn route(name: &Name, kind: &Kind) -> Route {
     Route {
-        path_prefix: path(name),
+        path_prefix: request_path(name),
         host: None,
         service: kind.service.clone(),
         split: Vec::new(),
@@ -154,6 +154,6 @@
         deadline_ms: kind.timeout_ms,
         max_attempts: kind.attempts,
         spare_forwards: policy::SPARE_FORWARDS,
-        max_body_bytes: MAX_BODY_BYTES,
+        max_body_bytes: MAX_REQUEST_BODY_BYTES,
     }
 }
--- a/bench/src/lab/target.rs
+++ b/bench/src/lab/target.rs
@@ -1,4 +1,4 @@
-//! A target: its slots, its speed, and its faults.
+//! Target model: slots, speed and faults.
 
 use super::scenario::ServiceModel;
 use rand::RngExt;
@@ -8,66 +8,66 @@
 use sycamore_core::Time;
 use sycamore_core::call::CallKey;
 
-/// Work of a run that fails, as a share of the whole.
-const FAILED_WORK: f64 = 0.2;
+/// Work time of a failing run, relative to a successful one.
+const FAILED_WORK_SHARE: f64 = 0.2;
 
-/// What a target says to a request that it is handed.
+/// Result of submitting a request to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It runs.
-    Runs,
-    /// It waits for a slot of the target's own.
-    Waits,
-    /// It is refused, and has not run.
-    Refused,
+pub enum Submission {
+    /// The request is running.
+    Running,
+    /// The request is in the target's queue.
+    Queued,
+    /// The request was rejected without running.
+    Rejected,
 }
 
-/// Faults of one target while they last.
+/// Active faults of a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// How much longer work takes, as a multiple.
-    pub slow: f64,
-    /// Part of the requests that fail.
-    pub errors: f64,
-    /// Part of the requests that are refused.
-    pub shed: f64,
-    /// Part of the answers that nobody gets.
-    pub mute: f64,
+    /// Work time multiplier.
+    pub work_factor: f64,
+    /// Share of requests that fail.
+    pub error_share: f64,
+    /// Share of requests that are rejected.
+    pub reject_share: f64,
+    /// Share of responses that are dropped.
+    pub loss_share: f64,
 }
 
-/// One target.
+/// A target.
 #[derive(Clone, Debug)]
 pub struct Target {
     slots: usize,
     queue: usize,
     speed: f64,
-    near_full: f64,
+    full_slowdown: f64,
     cold_factor: f64,
-    cold: Duration,
+    cold_duration: Duration,
     started: Time,
     running: Vec<CallKey>,
     waiting: VecDeque<CallKey>,
-    /// What is wrong with it.
+    /// Active faults.
     pub faults: Faults,
 }
 
 impl Faults {
-    /// Nothing is wrong.
+    /// No faults.
     pub fn none() -> Faults {
-        Faults { slow: 1.0, errors: 0.0, shed: 0.0, mute: 0.0 }
+        Faults { work_factor: 1.0, error_share: 0.0, reject_share: 0.0, loss_share: 0.0 }
     }
 }
 
 impl Target {
-    /// A warm target, the `rank`th of its service.
+    /// Creates a warm target; `rank` is its index within the service.
     pub fn new(model: &ServiceModel, rank: usize) -> Target {
         Target {
             slots: model.slots as usize,
             queue: model.queue as usize,
             speed: model.speeds[rank % model.speeds.len()],
-            near_full: model.near_full_percent / 100.0,
+            full_slowdown: model.near_full_percent / 100.0,
             cold_factor: model.cold.factor,
-            cold: Duration::from_secs_f64(model.cold.seconds.max(0.0)),
+            cold_duration: Duration::from_secs_f64(model.cold.seconds.max(0.0)),
             started: Time::ZERO,
             running: Vec::new(),
             waiting: VecDeque::new(),
@@ -75,31 +75,32 @@
         }
     }
 
-    /// It starts anew, cold, with nothing to do.
+    /// Restarts the target cold, discarding all requests.
     pub fn restart(&mut self, now: Time) {
         self.started = now;
         self.running.clear();
         self.waiting.clear();
     }
 
-    /// Takes a request in.
-    pub fn take(&mut self, call: CallKey, rng: &mut Pcg64Mcg) -> Taken {
-        if self.faults.shed > 0.0 && rng.random_bool(self.faults.shed) {
-            return Taken::Refused;
+    /// Submits a request.
+    pub fn submit(&mut self, call: CallKey, rng: &mut Pcg64Mcg) -> Submission {
+        if self.faults.reject_share > 0.0 && rng.random_bool(self.faults.reject_share) {
+            return Submission::Rejected;
         }
         if self.running.len() < self.slots {
             self.running.push(call);
-            return Taken::Runs;
+            return Submission::Running;
         }
         if self.waiting.len() < self.queue {
             self.waiting.push_back(call);
-            return Taken::Waits;
+            return Submission::Queued;
         }
-        Taken::Refused
+        Submission::Rejected
     }
 
-    /// A request is over, or its connection was closed. Returns the one that runs in its place.
-    pub fn end(&mut self, call: CallKey) -> Option<CallKey> {
+    /// Removes a request that has ended or whose connection was closed. Returns the queued request
+    /// that starts in its place.
+    pub fn remove(&mut self, call: CallKey) -> Option<CallKey> {
         self.waiting.retain(|other| *other != call);
         let at = self.running.iter().position(|other| *other == call)?;
         self.running.swap_remove(at);
@@ -108,23 +109,23 @@
         Some(next)
     }
 
-    /// Whether a run fails.
-    pub fn fails(&self, rng: &mut Pcg64Mcg) -> bool {
-        self.faults.errors > 0.0 && rng.random_bool(self.faults.errors)
+    /// Draws whether a run fails.
+    pub fn draw_failure(&self, rng: &mut Pcg64Mcg) -> bool {
+        self.faults.error_share > 0.0 && rng.random_bool(self.faults.error_share)
     }
 
-    /// Whether an answer is lost.
-    pub fn loses_answer(&self, rng: &mut Pcg64Mcg) -> bool {
-        self.faults.mute > 0.0 && rng.random_bool(self.faults.mute)
+    /// Draws whether a response is dropped.
+    pub fn draw_response_loss(&self, rng: &mut Pcg64Mcg) -> bool {
+        self.faults.loss_share > 0.0 && rng.random_bool(self.faults.loss_share)
     }
 
-    /// How long this much work takes here now.
-    pub fn time_for(&self, now: Time, work: Duration, fails: bool) -> Duration {
+    /// Time that `work` takes under the current conditions.
+    pub fn work_time(&self, now: Time, work: Duration, fails: bool) -> Duration {
         let used = self.running.len() as f64 / self.slots as f64;
-        let cold = now.since(self.started) < self.cold && self.started > Time::ZERO;
+        let cold = now.since(self.started) < self.cold_duration && self.started > Time::ZERO;
         let cold = if cold { self.cold_factor.max(1.0) } else { 1.0 };
-        let done = if fails { FAILED_WORK } else { 1.0 };
-        let full = 1.0 + self.near_full * (used - 0.5).max(0.0) * 2.0;
-        work.mul_f64(self.speed * full * cold * self.faults.slow * done)
+        let done = if fails { FAILED_WORK_SHARE } else { 1.0 };
+        let full = 1.0 + self.full_slowdown * (used - 0.5).max(0.0) * 2.0;
+        work.mul_f64(self.speed * full * cold * self.faults.work_factor * done)
     }
 }
--- a/bench/src/lab/trial.rs
+++ b/bench/src/lab/trial.rs
@@ -1,8 +1,8 @@
-//! Runs over several seeds, and what the difference between two ways of deciding is.
+//! Runs over several seeds, and comparisons between policies.
 
 use super::scenario::Scenario;
 use super::tally::Tally;
-use super::world::play;
+use super::world::simulate;
 use serde::Serialize;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
@@ -10,32 +10,32 @@
 use sycamore_core::call::policy::Mechanism;
 use sycamore_core::{Code, Fault, Result};
 
-/// One scenario under one policy, over several seeds.
+/// Runs of one scenario under one policy over several seeds.
 #[derive(Clone, Debug)]
 pub struct Trial {
     /// The scenario.
     pub scenario: Scenario,
-    /// What is at work.
+    /// Policy under test.
     pub policy: Policy,
-    /// First seed, and how many from it on.
+    /// First seed and number of seeds.
     pub seeds: (u64, u64),
-    /// Runs at one time.
+    /// Number of parallel runs.
     pub jobs: usize,
 }
 
-/// A figure that runs are compared by.
+/// Metric by which runs are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Figure {
-    /// Worth earned, in percent of that owed.
+pub enum Metric {
+    /// Earned worth, in percent of the maximum.
     Worth,
-    /// Requests answered in time, in percent.
+    /// Percentage of requests answered in time.
     InTime,
-    /// Requests answered, in percent.
+    /// Percentage of requests answered.
     Served,
-    /// Megabytes between zones.
+    /// Megabytes sent between zones.
     CrossedMb,
-    /// Repeats at targets, in percent of first arrivals.
+    /// Repeated attempts at targets, in percent of first attempts.
     Repeats,
 }
 
@@ -48,61 +48,60 @@
     pub half: f64,
 }
 
-impl Figure {
-    /// Every figure.
-    pub const ALL: [Figure; 5] =
-        [Figure::Worth, Figure::InTime, Figure::Served, Figure::CrossedMb, Figure::Repeats];
+impl Metric {
+    /// All metrics.
+    pub const ALL: [Metric; 5] =
+        [Metric::Worth, Metric::InTime, Metric::Served, Metric::CrossedMb, Metric::Repeats];
 
-    /// Its name and unit.
+    /// Name and unit.
     pub fn title(self) -> &'static str {
         match self {
-            Figure::Worth => "worth, %",
-            Figure::InTime => "in time, %",
-            Figure::Served => "answered, %",
-            Figure::CrossedMb => "between zones, MB",
-            Figure::Repeats => "repeats, %",
+            Metric::Worth => "worth, %",
+            Metric::InTime => "in time, %",
+            Metric::Served => "answered, %",
+            Metric::CrossedMb => "between zones, MB",
+            Metric::Repeats => "repeats, %",
         }
     }
 
-    /// Its value in a run.
-    pub fn of(self, tally: &Tally) -> f64 {
+    /// Value in a run.
+    pub fn value_of(self, tally: &Tally) -> f64 {
         let total = tally.total();
         match self {
-            Figure::Worth => 100.0 * total.worth(),
-            Figure::InTime => 100.0 * total.in_time_share(),
-            Figure::Served => 100.0 * total.served_share(),
-            Figure::CrossedMb => tally.crossed_mb(),
-            Figure::Repeats => tally.repeats_percent(),
+            Metric::Worth => 100.0 * total.worth(),
+            Metric::InTime => 100.0 * total.in_time_share(),
+            Metric::Served => 100.0 * total.served_share(),
+            Metric::CrossedMb => tally.crossed_mb(),
+            Metric::Repeats => tally.repeats_percent(),
         }
     }
 }
 
 impl Trial {
-    /// Everything at work, seeds 1 to 3.
+    /// Creates a trial with the default policy and seeds 1 to 3.
     pub fn new(scenario: Scenario) -> Trial {
         Trial { scenario, policy: Policy::new(), seeds: (1, 3), jobs: 1 }
     }
 
-    /// The same with other mechanisms at work.
+    /// Replaces the policy.
     pub fn with_policy(mut self, policy: Policy) -> Trial {
         self.policy = policy;
         self
     }
 
-    /// The same over other seeds: the first, and how many.
+    /// Replaces the seeds with `count` seeds starting at `first`.
     pub fn with_seeds(mut self, first: u64, count: u64) -> Trial {
         self.seeds = (first, count);
         self
     }
 
-    /// The same with so many runs at one time.
+    /// Sets the number of parallel runs, at least 1.
     pub fn with_jobs(mut self, jobs: usize) -> Trial {
         self.jobs = jobs.max(1);
         self
     }
 
-    /// Plays every seed; `done` hears of each run that has ended. Results stand in the order of
-    /// seeds.
+    /// Runs every seed and calls `done` after each run. Results are ordered by seed.
     pub fn run(&self, mut done: impl FnMut(u64)) -> Result<Vec<Tally>> {
         let (first, count) = self.seeds;
         let next = AtomicUsize::new(0);
@@ -117,8 +116,8 @@
                         if index >= count {
                             return;
                         }
-                        let result = play(&self.scenario, &self.policy, first + index);
-                        // The receiver waits for every result.
+                        let result = simulate(&self.scenario, &self.policy, first + index);
+                        // Cannot fail: the receiver outlives the workers.
                         let _ = tx.send((index, result));
                     }
                 });
@@ -129,66 +128,68 @@
                 results[index as usize] = Some(result);
             }
         });
-        let lost = || Fault::new(Code::InputInvalid).with_detail("a run ended without a result");
-        results.into_iter().map(|result| result.unwrap_or_else(|| Err(lost()))).collect()
+        let missing =
+            || Fault::new(Code::InputInvalid).with_detail("a simulation run produced no result");
+        results.into_iter().map(|result| result.unwrap_or_else(|| Err(missing()))).collect()
     }
 }
 
 impl Estimate {
-    /// The mean of these values.
-    pub fn of(values: &[f64]) -> Estimate {
+    /// Estimates the mean of `values`.
+    pub fn mean_of(values: &[f64]) -> Estimate {
         let n = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / n;
         if values.len() < 2 {
             return Estimate { mean, half: f64::INFINITY };
         }
         let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (n - 1.0);
-        Estimate { mean, half: student(values.len() - 1) * (variance / n).sqrt() }
+        Estimate { mean, half: t_quantile(values.len() - 1) * (variance / n).sqrt() }
     }
 
-    /// The mean of the differences between pairs of runs with the same seed.
-    pub fn paired(figure: Figure, before: &[Tally], after: &[Tally]) -> Estimate {
+    /// Estimates the mean difference between runs paired by seed.
+    pub fn paired(metric: Metric, before: &[Tally], after: &[Tally]) -> Estimate {
         let pairs = before.iter().zip(after);
-        let differences: Vec<f64> = pairs.map(|(a, b)| figure.of(b) - figure.of(a)).collect();
-        Estimate::of(&differences)
+        let differences: Vec<f64> =
+            pairs.map(|(a, b)| metric.value_of(b) - metric.value_of(a)).collect();
+        Estimate::mean_of(&differences)
     }
 
-    /// Whether the interval leaves out zero.
-    pub fn tells(&self) -> bool {
+    /// Whether the confidence interval excludes zero.
+    pub fn is_significant(&self) -> bool {
         self.mean.abs() > self.half
     }
 }
 
-/// The 97.5 % quantile of Student's distribution with so many degrees of freedom.
-fn student(freedom: usize) -> f64 {
+/// 97.5 % quantile of Student's t-distribution.
+fn t_quantile(degrees_of_freedom: usize) -> f64 {
     const QUANTILES: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
-    match freedom {
+    match degrees_of_freedom {
         0 => f64::INFINITY,
-        1..=10 => QUANTILES[freedom - 1],
+        1..=10 => QUANTILES[degrees_of_freedom - 1],
         11..=20 => 2.15,
         21..=40 => 2.05,
         _ => 1.97,
     }
 }
 
-/// One row of an ablation: what a scenario loses without a part.
+/// Effect of disabling one mechanism.
 #[derive(Clone, Debug, Serialize)]
-pub struct Ablated {
-    /// What was off.
+pub struct AblationRow {
+    /// Disabled mechanism.
     pub part: Mechanism,
-    /// Difference of each figure to the run with everything at work.
+    /// Change in each metric, compared with the full policy.
     pub differences: Vec<Estimate>,
 }
 
-/// Plays a trial once whole and once without each part in turn.
-pub fn ablate(trial: &Trial, mut done: impl FnMut(Mechanism)) -> Result<Vec<Ablated>> {
-    let whole = trial.run(|_| {})?;
+/// Runs a trial with the full policy, then with each mechanism disabled in turn.
+pub fn ablate(trial: &Trial, mut done: impl FnMut(Mechanism)) -> Result<Vec<AblationRow>> {
+    let baseline = trial.run(|_| {})?;
     let mut rows = Vec::new();
     for part in Mechanism::ALL {
         let policy = trial.policy.clone().without(part);
         let without = trial.clone().with_policy(policy).run(|_| {})?;
-        let difference = |figure| Estimate::paired(figure, &whole, &without);
-        rows.push(Ablated { part, differences: Figure::ALL.map(difference).to_vec() });
+        let difference = |metric| Estimate::paired(metric, &baseline, &without);
+        rows.push(AblationRow { part, differences: Metric::ALL.map(difference).to_vec() });
         done(part);
     }
     Ok(rows)
--- a/bench/src/lab/trouble.rs
+++ b/bench/src/lab/trouble.rs
@@ -1,7 +1,7 @@
-//! What goes wrong, and when.
+//! Start and end of injected faults.
 
-use super::mesh::Listed;
-use super::scenario::What;
+use super::mesh::TargetState;
+use super::scenario::TroubleKind;
 use super::world::World;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
@@ -9,15 +9,15 @@
 use std::time::Duration;
 use sycamore_core::Name;
 
-/// What callers do while troubles last.
+/// Active faults that affect callers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Conditions {
-    // Multiples by the number of the zone; all zones without one.
+    // Rate multipliers by zone index; `None` applies to all zones.
     bursts: Vec<(Option<usize>, f64)>,
     shifts: Vec<(usize, usize, f64)>,
-    /// Part of the callers that ask again at once, and how often.
+    /// Share of callers that retry without backoff, and their additional retries.
     pub abuse: Option<(f64, u32)>,
-    /// Part of the callers that leave, and when.
+    /// Share of callers that abandon their requests, and after which time.
     pub give_up: Option<(f64, Duration)>,
 }
 
@@ -26,8 +26,8 @@
         Conditions::default()
     }
 
-    /// Changes the parts of the callers by zone.
-    pub(super) fn change_weights(&self, weights: &mut [f64]) {
+    /// Applies active bursts and shifts to the callers' zone weights.
+    pub(super) fn apply_to_weights(&self, weights: &mut [f64]) {
         for (from, to, share) in &self.shifts {
             let moved = weights[*from] * share;
             weights[*from] -= moved;
@@ -41,80 +41,83 @@
 }
 
 impl World<'_> {
-    /// A trouble begins or ends.
-    pub(super) fn trouble(&mut self, index: usize, begins: bool) {
+    /// Starts or ends a fault.
+    pub(super) fn toggle_fault(&mut self, index: usize, starts: bool) {
         let what = self.cfg.troubles[index].what.clone();
         match what {
-            What::Burst { factor, zone } => {
-                let burst = (zone.map(|zone| self.zone(&zone)), factor);
-                change(&mut self.now_troubles.bursts, burst, begins);
+            TroubleKind::Burst { factor, zone } => {
+                let burst = (zone.map(|zone| self.zone_index(&zone)), factor);
+                toggle(&mut self.conditions.bursts, burst, starts);
             }
-            What::Shift { from, to, share } => {
-                let shift = (self.zone(&from), self.zone(&to), share);
-                change(&mut self.now_troubles.shifts, shift, begins);
+            TroubleKind::Shift { from, to, share } => {
+                let shift = (self.zone_index(&from), self.zone_index(&to), share);
+                toggle(&mut self.conditions.shifts, shift, starts);
             }
-            What::Abuse { share, times } => {
-                self.now_troubles.abuse = begins.then_some((share, times));
+            TroubleKind::Abuse { share, times } => {
+                self.conditions.abuse = starts.then_some((share, times));
             }
-            What::GiveUp { share, after_ms } => {
+            TroubleKind::GiveUp { share, after_ms } => {
                 let after = Duration::from_millis(after_ms.into());
-                self.now_troubles.give_up = begins.then_some((share, after));
+                self.conditions.give_up = starts.then_some((share, after));
             }
-            What::Slow { service, share, factor } => {
-                let slow = if begins { factor } else { 1.0 };
-                self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.slow = slow;
+            TroubleKind::Slow { service, share, factor } => {
+                let slow = if starts { factor } else { 1.0 };
+                self.for_selected(&service, share, index, |world, node| {
+                    world.nodes[node].target.faults.work_factor = slow;
                 });
             }
-            What::Grey { service, share, errors } => {
-                let errors = if begins { errors } else { 0.0 };
-                self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.errors = errors;
+            TroubleKind::Grey { service, share, errors } => {
+                let errors = if starts { errors } else { 0.0 };
+                self.for_selected(&service, share, index, |world, node| {
+                    world.nodes[node].target.faults.error_share = errors;
                 });
             }
-            What::Shed { service, share, part } => {
-                let shed = if begins { part } else { 0.0 };
-                self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.shed = shed;
+            TroubleKind::Shed { service, share, part } => {
+                let shed = if starts { part } else { 0.0 };
+                self.for_selected(&service, share, index, |world, node| {
+                    world.nodes[node].target.faults.reject_share = shed;
                 });
             }
-            What::Mute { service, share, part } => {
-                let mute = if begins { part } else { 0.0 };
-                self.for_some(&service, share, index, |world, node| {
-                    world.nodes[node].target.faults.mute = mute;
+            TroubleKind::Mute { service, share, part } => {
+                let mute = if starts { part } else { 0.0 };
+                self.for_selected(&service, share, index, |world, node| {
+                    world.nodes[node].target.faults.loss_share = mute;
                 });
             }
-            What::Leave { service, share } => {
-                let listed = if begins { Listed::Leaving } else { Listed::Ready };
-                self.for_some(&service, share, index, |world, node| {
-                    world.mesh.listed[node] = listed;
+            TroubleKind::Leave { service, share } => {
+                let state = if starts { TargetState::Draining } else { TargetState::Ready };
+                self.for_selected(&service, share, index, |world, node| {
+                    world.mesh.target_states[node] = state;
                 });
-                self.list_again();
+                self.publish_targets();
+            }
+            TroubleKind::Lost { zone, share } => {
+                self.toggle_vms(zone.as_ref(), share, index, starts)
             }
-            What::Lost { zone, share } => self.lose(zone.as_ref(), share, index, begins),
         }
     }
 
-    /// VMs are gone with all that runs there, or are back, their targets cold.
-    fn lose(&mut self, zone: Option<&Name>, share: f64, index: usize, begins: bool) {
-        let zone = zone.map(|zone| self.zone(zone));
+    /// Stops VMs with their nodes and targets, or restarts them.
+    fn toggle_vms(&mut self, zone: Option<&Name>, share: f64, index: usize, starts: bool) {
+        let zone = zone.map(|zone| self.zone_index(zone));
         let in_zone = |node: &usize| zone.is_none_or(|zone| self.mesh.sites[*node].zone == zone);
         let nodes = (0..self.nodes.len()).filter(in_zone).collect();
-        for node in self.some_of(nodes, share, index) {
-            self.mesh.listed[node] = if begins { Listed::Gone } else { Listed::Ready };
-            match begins {
-                true => self.stop(node),
-                false => self.start(node),
+        for node in self.select_nodes(nodes, share, index) {
+            self.mesh.target_states[node] =
+                if starts { TargetState::Absent } else { TargetState::Ready };
+            match starts {
+                true => self.stop_vm(node),
+                false => self.start_vm(node),
             }
         }
-        self.list_again();
+        self.publish_targets();
     }
 
-    fn zone(&self, name: &Name) -> usize {
+    fn zone_index(&self, name: &Name) -> usize {
         self.mesh.zones.iter().position(|zone| zone == name).unwrap_or_default()
     }
 
-    fn for_some(
+    fn for_selected(
         &mut self,
         service: &Name,
         share: f64,
@@ -124,13 +127,14 @@
         let number = self.cfg.services.keys().position(|known| known == service);
         let own = |node: &usize| Some(self.mesh.sites[*node].service) == number;
         let nodes = (0..self.nodes.len()).filter(own).collect();
-        for node in self.some_of(nodes, share, index) {
+        for node in self.select_nodes(nodes, share, index) {
             apply(self, node);
         }
     }
 
-    /// A share of these, one at least: the same at the begin and the end of a trouble.
-    fn some_of(&self, mut nodes: Vec<usize>, share: f64, index: usize) -> Vec<usize> {
+    /// Selects a share of the nodes, at least one. The selection depends only on the fault's index,
+    /// so that its start and its end affect the same nodes.
+    fn select_nodes(&self, mut nodes: Vec<usize>, share: f64, index: usize) -> Vec<usize> {
         let mut rng = Pcg64Mcg::seed_from_u64(index as u64);
         nodes.shuffle(&mut rng);
         let count = (nodes.len() as f64 * share).round().max(1.0) as usize;
@@ -139,8 +143,8 @@
     }
 }
 
-fn change<T: PartialEq>(list: &mut Vec<T>, item: T, begins: bool) {
-    match begins {
+fn toggle<T: PartialEq>(list: &mut Vec<T>, item: T, starts: bool) {
+    match starts {
         true => list.push(item),
         false => list.retain(|other| *other != item),
     }
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -1,7 +1,7 @@
-//! A run: one queue of events, and what happens at each.
+//! Simulation of a run: event queue and event dispatch.
 
 use super::mesh::{Mesh, Site};
-use super::path::{Back, Call, Gated, RunKey};
+use super::path::{AttemptResult, Call, GatekeeperAttempt, RunKey};
 use super::scenario::{Kind, Scenario};
 use super::tally::Tally;
 use super::target::Target;
@@ -18,106 +18,106 @@
 use sycamore_core::config::Snapshot;
 use sycamore_core::{Name, Result, Time};
 
-/// When the clock starts: late enough that differences of times don't reach zero.
-const START: Time = Time(1_000_000_000_000_000);
+/// Initial time of the clock, large enough that subtracting durations does not underflow.
+const START_TIME: Time = Time(1_000_000_000_000_000);
 
-/// Bytes a second between two regions, shared by all traffic.
-const ACROSS_BYTES_PER_S: u64 = 500_000_000;
+/// Bandwidth between two regions, shared by all traffic.
+const CROSS_REGION_BYTES_PER_S: u64 = 500_000_000;
 
-/// How long it takes until every node holds a change of the targets.
-const SPREAD: Duration = Duration::from_millis(700);
+/// Delay until all nodes apply a change of the target list.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(700);
 
-/// Time after the end of callers' requests in which the last ones end.
-const TAIL: Duration = Duration::from_secs(10);
+/// Time for the last requests to complete after callers stop issuing requests.
+const DRAIN_TIME: Duration = Duration::from_secs(10);
 
-/// What happens at a point of time.
-pub(super) enum Happening {
-    /// The next request of a kind comes, and the next after it.
-    Ask(usize),
-    /// A caller asks again.
-    AskAgain(usize),
-    /// A caller leaves.
-    GiveUp(usize),
-    /// A forward reaches its gatekeeper's node.
-    AtGate(Box<Forward>, CallKey),
-    /// What an attempt came to reaches the entry node.
-    Back(Back),
-    /// The deadline of a call at its entry node.
-    Expire(CallKey),
-    /// An attempt takes longer than nearly all do.
-    Slow(CallKey, CallKey),
-    /// A waiting request's time at its gatekeeper.
-    QueueEnd(CallKey),
+/// A simulation event.
+pub(super) enum Event {
+    /// The next request of a kind arrives.
+    RequestArrival(usize),
+    /// A caller retries a request.
+    Retry(usize),
+    /// A caller abandons a request.
+    Abandon(usize),
+    /// An attempt arrives at its gatekeeper.
+    AttemptArrived(Box<Forward>, CallKey),
+    /// The result of an attempt arrives at the entry node.
+    AttemptEnded(AttemptResult),
+    /// The deadline of a call expires at its entry node.
+    DeadlineExpired(CallKey),
+    /// The hedge delay of an attempt expires.
+    HedgeDue(CallKey, CallKey),
+    /// The queue timeout of a request expires at its gatekeeper.
+    QueueTimeout(CallKey),
     /// The entry node has closed the connection of an attempt.
-    Closed(CallKey),
-    /// A run has done the next part of its work.
-    Worked(RunKey),
-    /// The answer of a run has left; whether it is a failure.
-    Sent(RunKey, bool),
-    /// A trouble begins, or ends.
-    Trouble(usize, bool),
-    /// The nodes hold the newest list of targets.
-    Listed(Arc<Snapshot>),
-    /// Time passes for the gatekeepers.
+    ConnectionClosed(CallKey),
+    /// A run has completed a work step.
+    WorkStepDone(RunKey),
+    /// The response of a run has been sent; the flag marks an error response.
+    ResponseSent(RunKey, bool),
+    /// A fault starts (true) or ends (false).
+    FaultToggled(usize, bool),
+    /// The nodes apply a new configuration version.
+    ConfigurationApplied(Arc<Snapshot>),
+    /// Periodic tick of the gatekeepers.
     Tick,
-    /// A second ends.
-    Second(usize),
+    /// A second of the run ends.
+    SecondEnded(usize),
 }
 
-/// One node and the target beside it.
+/// A node and its target.
 pub(super) struct Node {
     pub entry: Entry,
     pub gate: Gatekeeper,
     pub target: Target,
     pub up: bool,
-    // When the node's processor, and its link, will be free.
+    // Times until which the node's CPU and its link are busy.
     pub busy_until: Time,
     pub link_until: Time,
 }
 
-/// A request of a caller, over all of its attempts.
+/// A caller's request, including all of its attempts.
 pub(super) struct Request {
     pub kind: usize,
     pub zone: usize,
-    pub born: Time,
+    pub issued_at: Time,
     pub retries_left: u32,
     pub abusive: bool,
-    pub ended: bool,
+    pub finished: bool,
     pub call: Option<CallKey>,
 }
 
-/// A kind of request, ready for use.
-pub(super) struct KindInfo {
+/// A kind of request with resolved references.
+pub(super) struct ResolvedKind {
     pub name: Name,
     pub path: String,
     pub cfg: Kind,
-    /// Numbers of the kinds that it calls, with times and share.
+    /// Nested calls: kind index, number of calls, and share of the runs that make them.
     pub calls: Vec<(usize, u32, f64)>,
 }
 
-/// A run under way.
+/// State of a run.
 pub struct World<'a> {
     pub(super) cfg: &'a Scenario,
     pub(super) mesh: Mesh,
-    pub(super) links: Links<Happening>,
+    pub(super) links: Links<Event>,
     pub(super) rng: Pcg64Mcg,
     pub(super) nodes: Vec<Node>,
-    pub(super) kinds: Vec<KindInfo>,
+    pub(super) kinds: Vec<ResolvedKind>,
     pub(super) requests: Vec<Request>,
     pub(super) calls: IndexMap<CallKey, Call>,
-    pub(super) gated: IndexMap<CallKey, Gated>,
+    pub(super) attempts: IndexMap<CallKey, GatekeeperAttempt>,
     pub(super) next_key: u64,
-    pub(super) now_troubles: Conditions,
+    pub(super) conditions: Conditions,
     pub(super) tally: Tally,
-    /// The newest list of targets that nodes hold.
-    pub(super) newest: Arc<Snapshot>,
+    /// Latest configuration version applied by the nodes.
+    pub(super) latest_snapshot: Arc<Snapshot>,
     policy: Policy,
-    warm: Time,
-    end: Time,
+    warm_up_end: Time,
+    arrivals_end: Time,
 }
 
-/// Plays a scenario with a seed, and returns what happened.
-pub fn play(scenario: &Scenario, policy: &Policy, seed: u64) -> Result<Tally> {
+/// Simulates a scenario with a seed.
+pub fn simulate(scenario: &Scenario, policy: &Policy, seed: u64) -> Result<Tally> {
     let mut world = World::new(scenario, policy, seed)?;
     world.run();
     Ok(world.tally)
@@ -130,36 +130,36 @@
             zone: ms(cfg.links.zone_ms),
             region: ms(cfg.links.region_ms),
             across: ms(cfg.links.across_ms),
-            across_bytes_per_s: ACROSS_BYTES_PER_S,
+            across_bytes_per_s: CROSS_REGION_BYTES_PER_S,
             jitter_percent: 0,
             loss_ppm: 0,
         };
         let mut mesh = Mesh::new(cfg);
         let snapshot = mesh.publish()?;
         let mut world = World {
-            links: Links::new(profile, START, seed),
+            links: Links::new(profile, START_TIME, seed),
             rng: Pcg64Mcg::seed_from_u64(seed),
             nodes: Vec::new(),
             kinds: kinds(cfg),
             requests: Vec::new(),
             calls: IndexMap::new(),
-            gated: IndexMap::new(),
+            attempts: IndexMap::new(),
             next_key: 0,
-            now_troubles: Conditions::none(),
+            conditions: Conditions::none(),
             tally: Tally::new(mesh.zones.len(), cfg.seconds.ceil() as usize),
             policy: policy.clone(),
-            warm: START + Duration::from_secs_f64(cfg.warm_up_s),
-            end: START + Duration::from_secs_f64(cfg.seconds),
-            newest: snapshot.clone(),
+            warm_up_end: START_TIME + Duration::from_secs_f64(cfg.warm_up_s),
+            arrivals_end: START_TIME + Duration::from_secs_f64(cfg.seconds),
+            latest_snapshot: snapshot.clone(),
             mesh,
             cfg,
         };
         for node in 0..world.mesh.sites.len() {
-            let made = world.new_node(node)?;
-            world.nodes.push(made);
+            let new_node = world.new_node(node)?;
+            world.nodes.push(new_node);
         }
         world.configure(&snapshot);
-        world.plan();
+        world.schedule_initial_events();
         Ok(world)
     }
 
@@ -169,94 +169,94 @@
             return Err(sycamore_core::Fault::new(sycamore_core::Code::InputInvalid));
         };
         let target = Target::new(model, site.rank);
-        let (entry, gate) = self.new_process(node)?;
+        let (entry, gate) = self.new_deciders(node)?;
         let (busy_until, link_until) = (Time::ZERO, Time::ZERO);
         Ok(Node { entry, gate, target, up: true, busy_until, link_until })
     }
 
-    /// The deciders of a process that has just started.
-    pub(super) fn new_process(&mut self, node: usize) -> Result<(Entry, Gatekeeper)> {
+    /// Creates the entry and gatekeeper of a newly started process.
+    pub(super) fn new_deciders(&mut self, node: usize) -> Result<(Entry, Gatekeeper)> {
         let place = self.mesh.sites[node].place.clone();
         let seed = self.rng.random();
         let entry = Entry::new(place, seed).with_policy(self.policy.clone());
         let mbps = self.cfg.links.vm_mbps;
         let kbps = (mbps > 0.0).then_some((mbps * 1e3) as u64);
         let now = self.links.now();
-        let gate = Gatekeeper::new(super::mesh::vm(node)?, now, seed)
+        let gate = Gatekeeper::new(super::mesh::vm_name(node)?, now, seed)
             .with_link(kbps)
             .with_policy(self.policy.clone());
         Ok((entry, gate))
     }
 
-    fn plan(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for kind in 0..self.kinds.len() {
             if self.kinds[kind].cfg.per_s > 0.0 {
-                self.links.at(START, Happening::Ask(kind));
+                self.links.at(START_TIME, Event::RequestArrival(kind));
             }
         }
         for (index, trouble) in self.cfg.troubles.iter().enumerate() {
-            let begin = START + Duration::from_secs_f64(trouble.at_s);
+            let begin = START_TIME + Duration::from_secs_f64(trouble.at_s);
             let end = begin + Duration::from_secs_f64(trouble.for_s);
-            self.links.at(begin, Happening::Trouble(index, true));
-            self.links.at(end, Happening::Trouble(index, false));
+            self.links.at(begin, Event::FaultToggled(index, true));
+            self.links.at(end, Event::FaultToggled(index, false));
         }
-        self.links.after(TICK, Happening::Tick);
-        self.links.after(Duration::from_secs(1), Happening::Second(0));
+        self.links.after(TICK, Event::Tick);
+        self.links.after(Duration::from_secs(1), Event::SecondEnded(0));
     }
 
     fn run(&mut self) {
-        let stop = self.end + TAIL;
+        let stop = self.arrivals_end + DRAIN_TIME;
         while self.links.next_at().is_some_and(|at| at <= stop) {
             let Some(event) = self.links.pop() else { break };
-            self.take(event);
+            self.dispatch(event);
         }
     }
 
-    fn take(&mut self, event: Happening) {
+    fn dispatch(&mut self, event: Event) {
         match event {
-            Happening::Ask(kind) => self.ask(kind),
-            Happening::AskAgain(request) => self.submit(request),
-            Happening::GiveUp(request) => self.give_up(request),
-            Happening::AtGate(forward, gate) => self.at_gate(*forward, gate),
-            Happening::Back(back) => self.back(back),
-            Happening::Expire(call) => self.expire(call),
-            Happening::Slow(call, gate) => self.slow(call, gate),
-            Happening::QueueEnd(gate) => self.queue_end(gate),
-            Happening::Closed(gate) => self.closed(gate),
-            Happening::Worked(run) => self.worked(run),
-            Happening::Sent(run, failed) => self.sent(run, failed),
-            Happening::Trouble(index, begins) => self.trouble(index, begins),
-            Happening::Listed(snapshot) => self.configure(&snapshot),
-            Happening::Tick => self.tick(),
-            Happening::Second(second) => self.second(second),
+            Event::RequestArrival(kind) => self.issue_request(kind),
+            Event::Retry(request) => self.submit(request),
+            Event::Abandon(request) => self.abandon(request),
+            Event::AttemptArrived(forward, gate) => self.receive_attempt(*forward, gate),
+            Event::AttemptEnded(result) => self.receive_result(result),
+            Event::DeadlineExpired(call) => self.expire_call(call),
+            Event::HedgeDue(call, gate) => self.hedge_due(call, gate),
+            Event::QueueTimeout(gate) => self.queue_timeout(gate),
+            Event::ConnectionClosed(gate) => self.connection_closed(gate),
+            Event::WorkStepDone(run) => self.work_step_done(run),
+            Event::ResponseSent(run, failed) => self.response_sent(run, failed),
+            Event::FaultToggled(index, starts) => self.toggle_fault(index, starts),
+            Event::ConfigurationApplied(snapshot) => self.configure(&snapshot),
+            Event::Tick => self.tick(),
+            Event::SecondEnded(second) => self.sample_second(second),
         }
     }
 
     fn tick(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].up {
-                self.tell_gate(node, gatekeeper::Input::Tick);
+                self.gatekeeper_input(node, gatekeeper::Input::Tick);
             }
         }
-        if self.links.now() < self.end + TAIL {
-            self.links.after(TICK, Happening::Tick);
+        if self.links.now() < self.arrivals_end + DRAIN_TIME {
+            self.links.after(TICK, Event::Tick);
         }
     }
 
-    fn second(&mut self, second: usize) {
+    fn sample_second(&mut self, second: usize) {
         let now = self.links.now();
         let queued = self.nodes.iter().map(|node| u64::from(node.gate.load(now).queued)).sum();
         if let Some(second) = self.tally.seconds.get_mut(second) {
             second.queued = queued;
         }
-        if now < self.end {
-            self.links.after(Duration::from_secs(1), Happening::Second(second + 1));
+        if now < self.arrivals_end {
+            self.links.after(Duration::from_secs(1), Event::SecondEnded(second + 1));
         }
     }
 
-    /// Tells every running node a version.
+    /// Applies a configuration version on every running node.
     pub(super) fn configure(&mut self, snapshot: &Arc<Snapshot>) {
-        self.newest = snapshot.clone();
+        self.latest_snapshot = snapshot.clone();
         for node in 0..self.nodes.len() {
             if self.nodes[node].up {
                 self.configure_node(node, snapshot);
@@ -264,40 +264,40 @@
         }
     }
 
-    /// Tells one node a version.
+    /// Applies a configuration version on one node.
     pub(super) fn configure_node(&mut self, node: usize, snapshot: &Arc<Snapshot>) {
-        self.tell_gate(node, gatekeeper::Input::Configure(snapshot.clone()));
-        self.tell_entry(node, entry::Input::Configure(snapshot.clone()));
+        self.gatekeeper_input(node, gatekeeper::Input::Configure(snapshot.clone()));
+        self.entry_input(node, entry::Input::Configure(snapshot.clone()));
     }
 
-    /// The targets are listed otherwise; nodes hear of it a little later.
-    pub(super) fn list_again(&mut self) {
+    /// Publishes a changed target list, which nodes apply after a delay.
+    pub(super) fn publish_targets(&mut self) {
         if let Ok(snapshot) = self.mesh.publish() {
-            self.links.after(SPREAD, Happening::Listed(snapshot));
+            self.links.after(PROPAGATION_DELAY, Event::ConfigurationApplied(snapshot));
         }
     }
 
-    /// Whether callers still ask.
-    pub(super) fn callers_ask(&self) -> bool {
-        self.links.now() < self.end
+    /// Whether callers still issue requests.
+    pub(super) fn callers_active(&self) -> bool {
+        self.links.now() < self.arrivals_end
     }
 
-    /// Whether a request that came then counts.
-    pub(super) fn counts(&self, born: Time) -> bool {
-        born >= self.warm
+    /// Whether an event at this time is past the warm-up and included in the results.
+    pub(super) fn is_measured(&self, issued_at: Time) -> bool {
+        issued_at >= self.warm_up_end
     }
 
-    /// The second of the run in which a time lies.
+    /// Index of the second of the run that contains a time.
     pub(super) fn second_of(&self, at: Time) -> usize {
-        at.since(START).as_secs() as usize
+        at.since(START_TIME).as_secs() as usize
     }
 
-    pub(super) fn new_key(&mut self) -> CallKey {
+    pub(super) fn next_call_key(&mut self) -> CallKey {
         self.next_key += 1;
         CallKey(self.next_key)
     }
 
-    /// Where a node stands, for the links.
+    /// Location of a node in the link model.
     pub(super) fn link_site(&self, node: usize) -> links::Site {
         let site: &Site = &self.mesh.sites[node];
         let region =
@@ -305,9 +305,9 @@
         links::Site { region: region.unwrap_or_default() as u16, zone: site.zone as u16 }
     }
 
-    /// Counts bytes that go from one node to another.
+    /// Counts bytes sent from one node to another.
     pub(super) fn count_bytes(&mut self, from: usize, to: usize, bytes: u64) {
-        if !self.counts(self.links.now()) {
+        if !self.is_measured(self.links.now()) {
             return;
         }
         let (a, b) = (&self.mesh.sites[from], &self.mesh.sites[to]);
@@ -320,11 +320,11 @@
     }
 }
 
-fn kinds(cfg: &Scenario) -> Vec<KindInfo> {
+fn kinds(cfg: &Scenario) -> Vec<ResolvedKind> {
     let number = |name: &Name| cfg.kinds.keys().position(|known| known == name).unwrap_or_default();
-    let info = |(name, kind): (&Name, &Kind)| KindInfo {
+    let info = |(name, kind): (&Name, &Kind)| ResolvedKind {
         name: name.clone(),
-        path: super::mesh::path(name),
+        path: super::mesh::request_path(name),
         calls: kind.calls.iter().map(|call| (number(&call.kind), call.times, call.share)).collect(),
         cfg: kind.clone(),
     };
--- a/bench/src/links.rs
+++ b/bench/src/links.rs
@@ -1,8 +1,8 @@
-//! In-memory links between nodes and the platform: one time-ordered queue with latency,
-//! bandwidth, loss and cuts, and a clock that jumps to the next event.
+//! Simulated network links between nodes and the platform: a discrete-event queue with latency,
+//! bandwidth, message loss and partitions, and a clock that jumps to the next event.
 //!
-//! Runs are deterministic: events at one time come out in the order in which they went in, and
-//! loss and jitter are drawn from a seed.
+//! Runs are deterministic: events at the same time are processed in insertion order, and loss and
+//! jitter are drawn from a seeded generator.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,10 +12,10 @@
 use sycamore_core::Time;
 use sycamore_core::place::Link;
 
-/// Zone number of the platform, which stands in a region but in no zone of the fleet.
+/// Zone number of the platform, which is in a region but in no zone of the fleet.
 pub const PLATFORM_ZONE: u16 = u16::MAX;
 
-/// Where an end of a link stands.
+/// Location of a link endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Site {
     /// Number of the region.
@@ -37,20 +37,20 @@
     }
 }
 
-/// What the links are like.
+/// Characteristics of the links.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// One way within a zone.
+    /// One-way latency within a zone.
     pub zone: Duration,
-    /// One way between two zones of a region.
+    /// One-way latency between zones of a region.
     pub region: Duration,
-    /// One way between two regions.
+    /// One-way latency between regions.
     pub across: Duration,
-    /// Bytes a second each way between two regions, shared by all traffic.
+    /// Bandwidth in each direction between two regions, shared by all traffic.
     pub across_bytes_per_s: u64,
-    /// Further latency, drawn evenly from zero to this share of the latency; lets messages cross.
+    /// Maximum additional latency in percent, uniformly distributed. Jitter can reorder messages.
     pub jitter_percent: u32,
-    /// Messages lost, in parts per million.
+    /// Message loss, in parts per million.
     pub loss_ppm: u32,
 }
 
@@ -67,13 +67,13 @@
         }
     }
 
-    /// Links of the Cooperative: 1.4 ms between zones, else as [`Profile::franchise`].
+    /// Links of the Cooperative: 1.4 ms between zones, otherwise equal to [`Profile::franchise`].
     pub fn cooperative() -> Profile {
         Profile { region: Duration::from_micros(1_400), ..Profile::franchise() }
     }
 
-    /// The same links that lose `loss_ppm` messages in a million and delay some.
-    pub fn with_trouble(mut self, loss_ppm: u32, jitter_percent: u32) -> Profile {
+    /// Sets message loss and jitter.
+    pub fn with_loss_and_jitter(mut self, loss_ppm: u32, jitter_percent: u32) -> Profile {
         self.loss_ppm = loss_ppm;
         self.jitter_percent = jitter_percent;
         self
@@ -88,7 +88,7 @@
     }
 }
 
-/// What went over the links, by class in the order of [`Link::ALL`].
+/// Traffic counters by link class, in the order of [`Link::ALL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Messages sent.
@@ -98,169 +98,170 @@
 }
 
 impl Traffic {
-    /// What was added since an earlier reading.
+    /// Difference from an earlier reading.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
-        let minus = |a: &[u64; 3], b: &[u64; 3]| std::array::from_fn(|i| a[i] - b[i]);
+        let subtract = |a: &[u64; 3], b: &[u64; 3]| std::array::from_fn(|i| a[i] - b[i]);
         Traffic {
-            messages: minus(&self.messages, &earlier.messages),
-            bytes: minus(&self.bytes, &earlier.bytes),
+            messages: subtract(&self.messages, &earlier.messages),
+            bytes: subtract(&self.bytes, &earlier.bytes),
         }
     }
 
-    /// Bytes between regions.
+    /// Bytes sent between regions.
     pub fn across_bytes(&self) -> u64 {
         self.bytes[Link::CrossRegion as usize]
     }
 }
 
-struct Queued<E> {
+struct ScheduledEvent<E> {
     at: Time,
-    order: u64,
+    sequence: u64,
     event: E,
 }
 
-impl<E> PartialEq for Queued<E> {
+impl<E> PartialEq for ScheduledEvent<E> {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
 
-impl<E> Eq for Queued<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
-impl<E> PartialOrd for Queued<E> {
+impl<E> PartialOrd for ScheduledEvent<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Queued<E> {
-    /// Reversed, since [`BinaryHeap`] takes out the greatest first.
+impl<E> Ord for ScheduledEvent<E> {
+    /// Reversed, since [`BinaryHeap`] is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// The queue, the clock and the state of every link.
+/// Event queue, clock and state of all links.
 pub struct Links<E> {
     profile: Profile,
     now: Time,
-    order: u64,
-    queue: BinaryHeap<Queued<E>>,
+    sequence: u64,
+    queue: BinaryHeap<ScheduledEvent<E>>,
     busy_until: HashMap<(u16, u16), Time>,
-    cuts: HashSet<(u16, u16)>,
+    partitions: HashSet<(u16, u16)>,
     rng: Pcg64Mcg,
     traffic: Traffic,
 }
 
 impl<E> Links<E> {
-    /// Links without cuts, with the clock at `start`.
+    /// Creates links without partitions, with the clock at `start`.
     pub fn new(profile: Profile, start: Time, seed: u64) -> Links<E> {
         Links {
             profile,
             now: start,
-            order: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
             busy_until: HashMap::new(),
-            cuts: HashSet::new(),
+            partitions: HashSet::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             traffic: Traffic::default(),
         }
     }
 
-    /// The time of the last event taken out.
+    /// Time of the last event popped.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// What went over the links so far.
+    /// Traffic sent so far.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// Puts in an event that happens at a known time, now at the earliest.
+    /// Schedules an event at a time, or now if that time has passed.
     pub fn at(&mut self, at: Time, event: E) {
-        self.order += 1;
-        self.queue.push(Queued { at: at.max(self.now), order: self.order, event });
+        self.sequence += 1;
+        self.queue.push(ScheduledEvent { at: at.max(self.now), sequence: self.sequence, event });
     }
 
-    /// Puts in an event that happens after `span`.
+    /// Schedules an event after `span`.
     pub fn after(&mut self, span: Duration, event: E) {
         self.at(self.now + span, event);
     }
 
-    /// Takes out the next event and moves the clock to it.
+    /// Removes the next event and advances the clock to it.
     pub fn pop(&mut self) -> Option<E> {
-        let queued = self.queue.pop()?;
-        self.now = queued.at;
-        Some(queued.event)
+        let scheduled = self.queue.pop()?;
+        self.now = scheduled.at;
+        Some(scheduled.event)
     }
 
-    /// When the next event is due.
+    /// Time of the next event.
     pub fn next_at(&self) -> Option<Time> {
-        self.queue.peek().map(|queued| queued.at)
+        self.queue.peek().map(|scheduled| scheduled.at)
     }
 
-    /// Sends `size` bytes from one site to another; `event` happens when they arrive. Returns
-    /// whether they will: a cut or loss swallows them without a word.
+    /// Sends `size` bytes and schedules `event` for their arrival. Returns false if a partition or
+    /// message loss drops them, in which case no event occurs.
     pub fn send(&mut self, from: Site, to: Site, size: u64, event: E) -> bool {
         let link = from.link_to(to);
         self.traffic.messages[link as usize] += 1;
         self.traffic.bytes[link as usize] += size;
-        if self.is_cut(from, to) || self.lost() {
+        if self.is_cut(from, to) || self.draw_loss() {
             return false;
         }
-        let sent = self.transmitted(self.now, from, to, size);
+        let sent = self.transmission_end(self.now, from, to, size);
         let latency = self.profile.latency(link);
-        let at = sent + latency + self.jitter(latency);
+        let at = sent + latency + self.draw_jitter(latency);
         self.at(at, event);
         true
     }
 
-    /// Sends a call's bytes: like [`Links::send`], but not counted as control traffic, and never
-    /// lost, since a lost segment of a connection is sent again.
+    /// Like [`Links::send`] for a call's data: not counted as control traffic, and not subject to
+    /// message loss, since TCP retransmits lost segments.
     pub fn send_call(&mut self, from: Site, to: Site, size: u64, event: E) {
         self.send_call_at(self.now, from, to, size, event);
     }
 
-    /// The same for bytes that leave their node only at `departs`.
+    /// Like [`Links::send_call`], but the data leaves its node at `departs`.
     pub fn send_call_at(&mut self, departs: Time, from: Site, to: Site, size: u64, event: E) {
         if !self.is_cut(from, to) {
             let latency = self.profile.latency(from.link_to(to));
-            let sent = self.transmitted(departs, from, to, size);
-            let at = sent + latency + self.jitter(latency);
+            let sent = self.transmission_end(departs, from, to, size);
+            let at = sent + latency + self.draw_jitter(latency);
             self.at(at, event);
         }
     }
 
-    /// Whether nothing passes between two sites.
+    /// Whether two sites are partitioned.
     pub fn is_cut(&self, from: Site, to: Site) -> bool {
-        self.cuts.contains(&(from.zone, to.zone))
+        self.partitions.contains(&(from.zone, to.zone))
     }
 
-    /// Cuts two zones from each other, both ways; [`PLATFORM_ZONE`] stands for the platform.
+    /// Partitions two zones in both directions. Use [`PLATFORM_ZONE`] for the platform.
     pub fn cut(&mut self, a: u16, b: u16) {
-        self.cuts.insert((a, b));
-        self.cuts.insert((b, a));
+        self.partitions.insert((a, b));
+        self.partitions.insert((b, a));
     }
 
-    /// Heals the link between two zones.
+    /// Removes the partition between two zones.
     pub fn heal(&mut self, a: u16, b: u16) {
-        self.cuts.remove(&(a, b));
-        self.cuts.remove(&(b, a));
+        self.partitions.remove(&(a, b));
+        self.partitions.remove(&(b, a));
     }
 
-    /// Heals every link.
+    /// Removes all partitions.
     pub fn heal_all(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
     }
 
-    /// Changes what the links are like from now on.
+    /// Changes the link characteristics for future messages.
     pub fn set_profile(&mut self, profile: Profile) {
         self.profile = profile;
     }
 
-    /// When the last byte has left: links between regions send one message after another.
-    fn transmitted(&mut self, departs: Time, from: Site, to: Site, size: u64) -> Time {
+    /// Returns when the last byte has been transmitted. Links between regions transmit messages
+    /// sequentially.
+    fn transmission_end(&mut self, departs: Time, from: Site, to: Site, size: u64) -> Time {
         if from.region == to.region {
             return departs;
         }
@@ -270,17 +271,17 @@
         *busy
     }
 
-    fn lost(&mut self) -> bool {
+    fn draw_loss(&mut self) -> bool {
         let loss = self.profile.loss_ppm;
         loss > 0 && self.rng.random_range(0..1_000_000) < loss
     }
 
-    fn jitter(&mut self, latency: Duration) -> Duration {
-        let most = latency.as_micros() as u64 * u64::from(self.profile.jitter_percent) / 100;
-        if most == 0 {
+    fn draw_jitter(&mut self, latency: Duration) -> Duration {
+        let max_us = latency.as_micros() as u64 * u64::from(self.profile.jitter_percent) / 100;
+        if max_us == 0 {
             Duration::ZERO
         } else {
-            Duration::from_micros(self.rng.random_range(0..=most))
+            Duration::from_micros(self.rng.random_range(0..=max_us))
         }
     }
 }
--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -5,11 +5,11 @@
 use super::forwarder::{Forwarder, Port};
 use super::plan::{self, Fault, Round};
 use super::{DEPLOYMENT, FIRST_NETWORK, NETWORKS, classes};
-use crate::demo::observer::{Observer, Watched};
+use crate::demo::observer::{MonitoredNode, Observer};
 use crate::demo::rules::{Evidence, Publication, Stop};
 use crate::http;
 use crate::process::Process;
-use crate::stack::{POLL, Stack};
+use crate::stack::{POLL_INTERVAL, Stack};
 use async_executor::LocalExecutor;
 use bytes::Bytes;
 use futures_lite::future;
@@ -178,7 +178,7 @@
                 // Dropping the process kills it.
                 self.stack.nodes.shift_remove(&vm);
                 if target {
-                    self.stack.drive_target("crash", &vm, "300".into())?;
+                    self.stack.control_target("crash", &vm, "300".into())?;
                 }
                 Ok(())
             }
@@ -358,7 +358,7 @@
     }
 
     fn finish(mut self) -> io::Result<Report> {
-        self.evidence.lasting = self.vms();
+        self.evidence.expected_vms = self.vms();
         for node in self.stack.nodes.values() {
             node.terminate();
         }
@@ -390,9 +390,9 @@
         zones[index].clone()
     }
 
-    fn watched_nodes(&self) -> Vec<Watched> {
+    fn watched_nodes(&self) -> Vec<MonitoredNode> {
         let nodes = self.stack.settings.iter();
-        nodes.map(|(vm, node)| Watched { vm: vm.clone(), admin: node.listen.admin }).collect()
+        nodes.map(|(vm, node)| MonitoredNode { vm: vm.clone(), admin: node.listen.admin }).collect()
     }
 }
 
@@ -402,7 +402,7 @@
         if Instant::now() >= end {
             return Err(io::Error::new(io::ErrorKind::TimedOut, detail));
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/bench/tests/demo.rs
+++ b/bench/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The check of a demonstration finds planted faults.
+//! Invariant checks detect injected violations.
 
 use std::net::SocketAddr;
 use sycamore_bench::demo::rules::{
@@ -47,8 +47,8 @@
     Sample { vm: vm.into(), at_us, version: Some(version) }
 }
 
-/// Two requests, two versions, one planned stop, and nothing wrong.
-fn clean() -> Evidence {
+/// Two requests, two valid versions and one planned stop, without violations.
+fn valid_evidence() -> Evidence {
     Evidence {
         records: vec![record("a"), record("b")],
         runs: vec![
@@ -75,13 +75,13 @@
             at_us: 1_050_000,
             until_us: 1_500_000,
         }],
-        lasting: vec!["vm-1".into(), "vm-2".into()],
+        expected_vms: vec!["vm-1".into(), "vm-2".into()],
     }
 }
 
-/// The clean evidence with one change must break exactly the rules of `expected`.
+/// Asserts that applying `change` to the clean evidence causes exactly the `expected` violations.
 fn check(change: impl FnOnce(&mut Evidence), expected: Violations) {
-    let mut evidence = clean();
+    let mut evidence = valid_evidence();
     change(&mut evidence);
     assert_eq!(Violations::find(&evidence), expected);
 }
@@ -89,7 +89,7 @@
 #[test]
 fn find_nothing() {
     check(|_| {}, Violations::default());
-    let converged: Vec<_> = convergence(&clean()).into_iter().collect();
+    let converged: Vec<_> = convergence(&valid_evidence()).into_iter().collect();
     assert_eq!(converged, [(1, Some(100)), (2, Some(300))]);
 }
 
@@ -139,8 +139,7 @@
 
 #[test]
 fn find_older_version_after_restart() {
-    // Story: a node with version 2 is killed, comes back in a zone that is cut off, and serves
-    // version 1 from a stale source. Callers are sent where version 2 no longer sends them.
+    // Guards against a restarted node that serves an older version from a stale source.
     let change = |evidence: &mut Evidence| evidence.samples.push(sample("vm-1", 2_900_000, 1));
     check(change, Violations { older_version_seen: 1, ..Violations::default() });
 }
@@ -172,20 +171,24 @@
     check(|evidence| evidence.runs[1].event = RunEvent::Aborted, expected);
 }
 
-/// Guards against a run that counts as cut though its caller had the answer of another target.
+/// Guards against counting an aborted run whose caller was answered by another target.
 #[test]
 fn find_cut_by_drain_overtaken_run() {
-    let second = |evidence: &mut Evidence, answered_at: u64| {
+    let add_second_run = |evidence: &mut Evidence, answered_at: u64| {
         evidence.runs[1].event = RunEvent::Aborted;
         evidence.runs.push(run(3, "a", 1_020_000, RunEvent::Start));
         evidence.runs.push(run(3, "a", answered_at, RunEvent::Completed));
     };
-    let mut evidence = clean();
-    second(&mut evidence, 1_080_000);
+    let mut evidence = valid_evidence();
+    add_second_run(&mut evidence, 1_080_000);
     assert_eq!(Violations::find(&evidence).cut_by_drain, 0);
-    let mut evidence = clean();
-    second(&mut evidence, 1_100_000);
-    assert_eq!(Violations::find(&evidence).cut_by_drain, 1, "it was answered after the cut");
+    let mut evidence = valid_evidence();
+    add_second_run(&mut evidence, 1_100_000);
+    assert_eq!(
+        Violations::find(&evidence).cut_by_drain,
+        1,
+        "the other run completed after the abort"
+    );
 }
 
 #[test]
@@ -203,7 +206,7 @@
 fn find_unknown_with_and_without_kill() {
     let expected = Violations { unknown_unexplained: 1, ..Violations::default() };
     check(|evidence| evidence.records[0].outcome = Outcome::Unknown, expected);
-    let mut evidence = clean();
+    let mut evidence = valid_evidence();
     evidence.records[0].outcome = Outcome::Unknown;
     evidence.kills.push(Stop {
         at_us: 1_050_000,
@@ -216,6 +219,6 @@
 
 #[test]
 fn find_not_converged() {
-    let change = |evidence: &mut Evidence| evidence.lasting.push("vm-3".into());
+    let change = |evidence: &mut Evidence| evidence.expected_vms.push("vm-3".into());
     check(change, Violations { not_converged: 2, ..Violations::default() });
 }
--- a/bench/tests/links.rs
+++ b/bench/tests/links.rs
@@ -1,4 +1,4 @@
-//! The in-memory links and platform: what the benches and histories stand on.
+//! Simulated links and platform.
 
 use std::time::Duration;
 use sycamore_bench::fleet::platform::{Answer, CALLS_PER_S, Get, Health, Platform};
@@ -41,7 +41,7 @@
 #[test]
 fn send_bandwidth_shared() {
     let mut links = links();
-    // 5 MB take 10 ms at 4 Gbit/s; the second waits for the first.
+    // 5 MB take 10 ms at 4 Gbit/s; the second message is transmitted after the first.
     links.send(HERE, FAR, 5_000_000, 1);
     links.send(NEAR, FAR, 5_000_000, 2);
     links.pop();
@@ -65,7 +65,7 @@
 #[test]
 fn send_loss_by_seed() {
     let arrivals = |seed| {
-        let profile = Profile::franchise().with_trouble(500_000, 20);
+        let profile = Profile::franchise().with_loss_and_jitter(500_000, 20);
         let mut links = Links::new(profile, Time(0), seed);
         (0..64).filter(|event| links.send(HERE, NEAR, 0, *event)).collect::<Vec<u32>>()
     };
