--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -25,8 +25,8 @@
 use std::time::Duration;
 
 /// `Retry-After` of refusals that are not caused by load.
-const SHORT_RETRY_AFTER: Duration = Duration::from_millis(200);
-const LONG_RETRY_AFTER: Duration = Duration::from_secs(1);
+const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
+const RETRY_AFTER_LONG: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Call {
@@ -143,14 +143,14 @@
     }
 
     fn check(&self, arrival: &Arrival<'_>) -> Result<(Arc<Snapshot>, RouteKey), Outcome> {
-        let refuse = |code| Err(Outcome::not_run(code, LONG_RETRY_AFTER));
+        let refuse = |code| Err(Outcome::not_run(code, RETRY_AFTER_LONG));
         if self.draining {
-            return Err(Outcome::not_run(Code::Draining, SHORT_RETRY_AFTER));
+            return Err(Outcome::not_run(Code::Draining, RETRY_AFTER_SHORT));
         }
         let Some(snapshot) = &self.snapshot else {
             // Only this node lacks a configuration, so another node can accept the call
             // immediately.
-            return Err(Outcome::not_run(Code::NotConfigured, SHORT_RETRY_AFTER));
+            return Err(Outcome::not_run(Code::NotConfigured, RETRY_AFTER_SHORT));
         };
         if arrival.depth >= MAX_DEPTH {
             return refuse(Code::TooDeep);
@@ -216,7 +216,7 @@
             possibly_run: None,
         };
         let Some(vm) = self.choose(now, &mut call, service) else {
-            let outcome = Outcome::not_run(Code::NoTarget, LONG_RETRY_AFTER);
+            let outcome = Outcome::not_run(Code::NoTarget, RETRY_AFTER_LONG);
             return out.push(Output::Finish { call: arrival.call, outcome });
         };
         self.calls.insert(arrival.call, call);
@@ -256,7 +256,7 @@
         match self.start(now, key, &vm, false) {
             Some(forward) => out.push(Output::Forward(forward)),
             // A newer configuration version has removed the target.
-            None => self.finish(key, Code::NoTarget, SHORT_RETRY_AFTER, out),
+            None => self.finish(key, Code::NoTarget, RETRY_AFTER_SHORT, out),
         }
     }
 
@@ -345,7 +345,7 @@
     ) -> EndEffect {
         let vm = &attempt.vm;
         let Some(call) = self.calls.get_mut(&key) else {
-            return EndEffect::NoResponse(Code::AnswerLost, SHORT_RETRY_AFTER);
+            return EndEffect::NoResponse(Code::AnswerLost, RETRY_AFTER_SHORT);
         };
         let report = |balancer: &mut Balancer, load: Option<Load>| {
             if let Some(load) = load {
@@ -393,17 +393,17 @@
                     Code::DeadlinePassed => self.balancer.record_request_failure(now, vm),
                     _ => {}
                 }
-                EndEffect::NoResponse(code, SHORT_RETRY_AFTER)
+                EndEffect::NoResponse(code, RETRY_AFTER_SHORT)
             }
             AttemptEnd::NotSent => {
                 self.balancer.record_unreachable(now, vm);
-                EndEffect::NoResponse(Code::GatekeeperUnreachable, LONG_RETRY_AFTER)
+                EndEffect::NoResponse(Code::GatekeeperUnreachable, RETRY_AFTER_LONG)
             }
             AttemptEnd::ConnectionLost => {
                 call.terms.repeat = true;
                 call.possibly_run.get_or_insert(Code::AnswerLost);
                 self.balancer.record_failure(now, vm);
-                EndEffect::NoResponse(Code::AnswerLost, SHORT_RETRY_AFTER)
+                EndEffect::NoResponse(Code::AnswerLost, RETRY_AFTER_SHORT)
             }
             AttemptEnd::LostToHedge => {
                 let took = now.since(attempt.sent_at);
@@ -442,7 +442,7 @@
         if sent {
             call.possibly_run.get_or_insert(Code::DeadlinePassed);
         }
-        let outcome = call.final_outcome(Code::DeadlinePassed, SHORT_RETRY_AFTER);
+        let outcome = call.final_outcome(Code::DeadlinePassed, RETRY_AFTER_SHORT);
         out.push(Output::Finish { call: key, outcome });
     }
 }
