--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -154,7 +154,7 @@
         let late_wait = run_time * self.policy.late_wait_percent / 100;
         let expires_at =
             expires_at.min(latest_start.max(now) + late_wait).min(offer.deadline - run_time);
-        let wait_percent = match objective.allow_late {
+        let wait_percent = match objective.may_exceed_objective {
             true => 100,
             false => self.policy.first_wait_percent,
         };
@@ -164,7 +164,7 @@
             return Admission::Queue(expires_at);
         }
         let too_late = now + wait + self.wait_behind_late(now, &offer) > expires_at;
-        if !objective.allow_late || too_late || !self.has_room_for_late() {
+        if !objective.may_exceed_objective || too_late || !self.has_room_for_late() {
             return Admission::Refuse(Code::QueueFull, wait);
         }
         self.late.push_back(QueuedRequest { offer, latest_start, expires_at });
--- a/core/src/call/admit/offer.rs
+++ b/core/src/call/admit/offer.rs
@@ -48,7 +48,7 @@
     pub by: Time,
     /// Whether the request may be queued although its response will miss the objective, because no
     /// other target can meet it either.
-    pub allow_late: bool,
+    pub may_exceed_objective: bool,
 }
 
 impl Offer {
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -240,7 +240,8 @@
         let call = arrival.call;
         // Gating requests count as nested even if the caller does not send the depth.
         let depth = arrival.depth.max((terms.class == Class::Gating).into());
-        let objective = Objective { by: terms.objective, allow_late: terms.may_exceed_objective };
+        let objective =
+            Objective { by: terms.objective, may_exceed_objective: terms.may_exceed_objective };
         let offer = Offer {
             call,
             class: terms.class,
--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -21,14 +21,20 @@
     ServiceLimits { slots: 12, queue: 64, queue_wait_ms: 3_000, ..ServiceLimits::default() }
 }
 
-fn offer(call: u64, now: u64, rank: u8, objective: Option<u64>, allow_late: bool) -> Offer {
+fn offer(
+    call: u64,
+    now: u64,
+    rank: u8,
+    objective: Option<u64>,
+    may_exceed_objective: bool,
+) -> Offer {
     Offer {
         call: CallKey(call),
         class: Class::Interactive,
         rank,
         depth: 0,
         deadline: at(now + DEADLINE_MS),
-        objective: objective.map(|ms| Objective { by: at(now + ms), allow_late }),
+        objective: objective.map(|ms| Objective { by: at(now + ms), may_exceed_objective }),
     }
 }
 
