--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -6,6 +6,7 @@
 pub mod admit;
 pub mod balance;
 pub mod budget;
+pub mod caller_waits;
 pub mod depth;
 pub mod entry;
 pub mod gatekeeper;
@@ -13,7 +14,6 @@
 pub mod link;
 pub mod note;
 pub mod once;
-pub mod patience;
 pub mod policy;
 pub mod quarantine;
 pub mod runs;
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -9,7 +9,7 @@
 pub use port::{Arrival, AttemptEnd, Forward, Input, Output, Reason};
 
 use super::balance::{Balancer, PickRequest};
-use super::patience::CallerWaits;
+use super::caller_waits::CallerWaits;
 use super::policy::{Mechanism, Policy};
 use super::split::TrafficSplits;
 use super::{CallKey, Load, MAX_DEPTH, Members, Outcome, RequestKey, Terms};
