--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -78,10 +78,10 @@
                     Some(body),
                 );
             }
-            gatekeeper::Output::Refuse { call, outcome, crashes } => {
+            gatekeeper::Output::Reject { call, outcome, crashes } => {
                 let end = match outcome {
                     Outcome::NotRun { code, retry_after } => {
-                        AttemptEnd::Refused { code, retry_after, load: None, crashes }
+                        AttemptEnd::Rejected { code, retry_after, load: None, crashes }
                     }
                     Outcome::Unknown { code } => AttemptEnd::Failed { code, crashes },
                     Outcome::Answered => AttemptEnd::Failed { code: Code::AnswerLost, crashes },
@@ -148,7 +148,7 @@
             End::Answered { .. } | End::ResponseRead { .. } => {
                 AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO }
             }
-            End::NotSent | End::Rejected(_) => AttemptEnd::Refused {
+            End::NotSent | End::Rejected(_) => AttemptEnd::Rejected {
                 code: Code::TargetUnreachable,
                 retry_after: RETRY_DELAY,
                 load: None,
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -125,7 +125,7 @@
                 gatekeeper::Output::Queue(call, until) => {
                     self.links.at(until, Event::QueueTimeout(call));
                 }
-                gatekeeper::Output::Refuse { call, outcome, crashes } => {
+                gatekeeper::Output::Reject { call, outcome, crashes } => {
                     self.reject_attempt(call, outcome, crashes);
                 }
                 gatekeeper::Output::Replay(..)
@@ -242,7 +242,7 @@
         let load = Some(self.nodes[attempt.node].gate.load(self.links.now()));
         let end = match outcome {
             Outcome::NotRun { code, retry_after } => {
-                AttemptEnd::Refused { code, retry_after, load, crashes }
+                AttemptEnd::Rejected { code, retry_after, load, crashes }
             }
             Outcome::Unknown { code } => AttemptEnd::Failed { code, crashes },
             Outcome::Answered => return,
--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -128,7 +128,7 @@
             offer.objective.filter(|_| self.policy.is_enabled(Mechanism::InTimeFirst));
         self.depths.record(offer.depth);
         if offer.deadline <= now {
-            return Admission::Refuse(Code::DeadlinePassed, Duration::ZERO);
+            return Admission::Reject(Code::DeadlinePassed, Duration::ZERO);
         }
         let first = self.queued() == 0 || (offer.depth > 0 && self.ahead_of(&offer) == 0);
         if first && self.has_slot(now, &offer) {
@@ -137,13 +137,13 @@
         }
         let wait = self.expected_wait(now, &offer);
         if self.queued() >= self.limits.queue {
-            return Admission::Refuse(Code::QueueFull, wait);
+            return Admission::Reject(Code::QueueFull, wait);
         }
         let max_wait = Duration::from_millis(self.limits.queue_wait_ms.into());
         let expires_at = offer.deadline.min(now + max_wait);
         let Some(objective) = offer.objective else {
             if now + wait > expires_at {
-                return Admission::Refuse(Code::QueueFull, wait);
+                return Admission::Reject(Code::QueueFull, wait);
             }
             self.enqueue(QueuedRequest { offer, latest_start: expires_at, expires_at });
             return Admission::Queue(expires_at);
@@ -165,7 +165,7 @@
         }
         let too_late = now + wait + self.wait_behind_late(now, &offer) > expires_at;
         if !objective.may_exceed_objective || too_late || !self.has_room_for_late() {
-            return Admission::Refuse(Code::QueueFull, wait);
+            return Admission::Reject(Code::QueueFull, wait);
         }
         self.late.push_back(QueuedRequest { offer, latest_start, expires_at });
         Admission::Queue(expires_at)
--- a/core/src/call/admit/offer.rs
+++ b/core/src/call/admit/offer.rs
@@ -13,7 +13,7 @@
     /// Wait for a slot, at most until this time.
     Queue(Time),
     /// Rejected; may be retried after this time.
-    Refuse(Code, Duration),
+    Reject(Code, Duration),
 }
 
 /// A request removed from the queue.
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -19,7 +19,7 @@
 use crate::{Code, Name, Time};
 use hedge::HedgeBudget;
 use indexmap::IndexMap;
-use retry::{is_early_refusal, reached_target};
+use retry::{is_early_rejection, reached_target};
 use retry_budget::RetryBudgets;
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     deadline: Time,
     attempt: u32,
     // Forwards refused before they cost a target any work.
-    early_refusals: u32,
+    early_rejections: u32,
     primary: Option<ActiveAttempt>,
     // Second attempt, sent when the primary is slow.
     hedge: Option<ActiveAttempt>,
@@ -143,7 +143,7 @@
     }
 
     fn check(&self, arrival: &Arrival<'_>) -> Result<(Arc<Snapshot>, RouteKey), Outcome> {
-        let refuse = |code| Err(Outcome::not_run(code, RETRY_AFTER_LONG));
+        let reject = |code| Err(Outcome::not_run(code, RETRY_AFTER_LONG));
         if self.draining {
             return Err(Outcome::not_run(Code::Draining, RETRY_AFTER_SHORT));
         }
@@ -153,21 +153,21 @@
             return Err(Outcome::not_run(Code::NotConfigured, RETRY_AFTER_SHORT));
         };
         if arrival.depth >= MAX_DEPTH {
-            return refuse(Code::TooDeep);
+            return reject(Code::TooDeep);
         }
         let Some(key) = snapshot.route_for(arrival.host, arrival.path) else {
-            return refuse(Code::NoRoute);
+            return reject(Code::NoRoute);
         };
         let route = &snapshot.route(key).route;
         let keyed = !route.idempotent && route.once == AtMostOnceMode::Key;
         if keyed && arrival.key.is_none() {
-            return refuse(Code::KeyMissing);
+            return reject(Code::KeyMissing);
         }
         if arrival.body_bytes.is_some_and(|bytes| bytes > route.max_body_bytes) {
-            return refuse(Code::RequestTooLarge);
+            return reject(Code::RequestTooLarge);
         }
         if arrival.time_left == Some(Duration::ZERO) {
-            return refuse(Code::DeadlinePassed);
+            return reject(Code::DeadlinePassed);
         }
         Ok((snapshot.clone(), key))
     }
@@ -208,7 +208,7 @@
             key: request_key,
             deadline,
             attempt: 0,
-            early_refusals: 0,
+            early_rejections: 0,
             primary: None,
             hedge: None,
             tried: Vec::new(),
@@ -364,7 +364,7 @@
                 report(&mut self.balancer, load);
                 EndEffect::ErrorResponse
             }
-            AttemptEnd::Refused { code, retry_after, load, crashes } => {
+            AttemptEnd::Rejected { code, retry_after, load, crashes } => {
                 call.crashes = call.crashes.max(crashes);
                 report(&mut self.balancer, load);
                 match code {
@@ -378,8 +378,8 @@
                     Code::TargetRefused => self.balancer.record_rejection(now, vm),
                     _ => {}
                 }
-                if is_early_refusal(code) {
-                    call.early_refusals += 1;
+                if is_early_rejection(code) {
+                    call.early_rejections += 1;
                 }
                 call.terms.repeat |= reached_target(code);
                 EndEffect::NoResponse(code, retry_after)
--- a/core/src/call/entry/hedge.rs
+++ b/core/src/call/entry/hedge.rs
@@ -27,7 +27,7 @@
         let call = self.calls.get(&key)?;
         let route = &call.snapshot.route(call.route).route;
         let eligible = call.terms.idempotent && call.hedge.is_none() && call.primary.is_some();
-        let attempts = call.attempt - call.early_refusals.min(route.spare_forwards);
+        let attempts = call.attempt - call.early_rejections.min(route.spare_forwards);
         if !eligible
             || attempts >= route.max_attempts
             || !self.hedges.is_available(call.terms.class)
--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -79,7 +79,7 @@
             load: Option<Load>,
         },
         /// The gatekeeper reported that the request did not run.
-        Refused {
+        Rejected {
             code: Code,
             retry_after: Duration,
             load: Option<Load>,
--- a/core/src/call/entry/retry.rs
+++ b/core/src/call/entry/retry.rs
@@ -28,14 +28,14 @@
         let call = self.calls.get(&key)?;
         let route = &call.snapshot.route(call.route).route;
         let time_left = call.deadline.since(now);
-        let early_refusals = call.early_refusals.min(route.spare_forwards);
-        let attempts = call.attempt - early_refusals;
+        let early_rejections = call.early_rejections.min(route.spare_forwards);
+        let attempts = call.attempt - early_rejections;
         if !replayable || time_left < MIN_ATTEMPT_TIME {
             return None;
         }
         if attempts >= route.max_attempts {
             // Refusals that cost no target any work do not count as attempts.
-            let unused = call.key.is_none() && call.early_refusals == call.attempt;
+            let unused = call.key.is_none() && call.early_rejections == call.attempt;
             return unused.then(|| self.queue_at_nearest(now, key, code)).flatten();
         }
         match call.key {
@@ -118,7 +118,7 @@
         // The balancer tracks the targets of the current configuration version.
         let service = self.snapshot.as_ref()?.service_named(&call.service)?;
         let overloaded = matches!(code, Code::QueueFull | Code::QueueTimeout);
-        if overloaded && spare_forwards > 0 && call.early_refusals >= spare_forwards {
+        if overloaded && spare_forwards > 0 && call.early_rejections >= spare_forwards {
             return None;
         }
         let request = PickRequest::new(now, service, &call.terms).with_tried(&call.tried);
@@ -145,7 +145,7 @@
 }
 
 /// Whether the request was refused before any target worked on it.
-pub(super) fn is_early_refusal(code: Code) -> bool {
+pub(super) fn is_early_rejection(code: Code) -> bool {
     !matches!(code, Code::TargetRefused | Code::TargetReplaced | Code::TargetUnreachable)
 }
 
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -221,12 +221,12 @@
     }
 
     fn arrive(&mut self, now: Time, arrival: &Arrival<'_>, out: &mut Vec<Output>) {
-        let refuse = match self.check(now, arrival) {
+        let outcome = match self.check(now, arrival) {
             CheckResult::Accept(terms, key) => return self.admit(now, arrival, &terms, key, out),
             CheckResult::Replay(answer) => return out.push(Output::Replay(arrival.call, answer)),
-            CheckResult::Refuse(outcome) => outcome,
+            CheckResult::Reject(outcome) => outcome,
         };
-        self.refuse(now, arrival, refuse, out);
+        self.reject(now, arrival, outcome, out);
     }
 
     fn admit(
@@ -252,9 +252,9 @@
             objective: (depth == 0).then_some(objective),
         };
         let admission = self.slots.offer(now, offer);
-        if let Admission::Refuse(code, wait) = admission {
+        if let Admission::Reject(code, wait) = admission {
             let wait = self.with_jitter(wait);
-            return self.refuse(now, arrival, Outcome::not_run(code, wait), out);
+            return self.reject(now, arrival, Outcome::not_run(code, wait), out);
         }
         let entry = Call {
             offer,
@@ -288,9 +288,9 @@
         out.push(Output::Run { call, once });
     }
 
-    fn refuse(&self, now: Time, arrival: &Arrival<'_>, outcome: Outcome, out: &mut Vec<Output>) {
+    fn reject(&self, now: Time, arrival: &Arrival<'_>, outcome: Outcome, out: &mut Vec<Output>) {
         let crashes = self.crashes(now, arrival);
-        out.push(Output::Refuse { call: arrival.call, outcome, crashes });
+        out.push(Output::Reject { call: arrival.call, outcome, crashes });
     }
 
     /// Assigns free slots to queued requests and rejects those that have expired.
@@ -298,7 +298,7 @@
         while let Some(popped) = self.slots.pop(now) {
             match popped {
                 Popped::Run(call) => self.run_dequeued(now, call, out),
-                Popped::Expired(call) => self.refuse_waiting(now, call, out),
+                Popped::Expired(call) => self.reject_waiting(now, call, out),
             }
         }
     }
@@ -309,13 +309,13 @@
         let Some(entry) = self.calls.get(&call).copied() else {
             return self.slots.release(call);
         };
-        let refuse = entry.key.and_then(|key| self.check_permission(key));
-        match refuse {
-            Some(CheckResult::Refuse(outcome)) => {
+        let rejection = entry.key.and_then(|key| self.check_permission(key));
+        match rejection {
+            Some(CheckResult::Reject(outcome)) => {
                 self.slots.release(call);
                 self.remove_unstarted(call);
                 let crashes = self.crashes_of(now, &entry);
-                out.push(Output::Refuse { call, outcome, crashes });
+                out.push(Output::Reject { call, outcome, crashes });
             }
             _ => self.run(call, out),
         }
@@ -323,11 +323,11 @@
 
     fn expire(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
         if self.slots.withdraw(call) {
-            self.refuse_waiting(now, call, out);
+            self.reject_waiting(now, call, out);
         }
     }
 
-    fn refuse_waiting(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
+    fn reject_waiting(&mut self, now: Time, call: CallKey, out: &mut Vec<Output>) {
         let Some(entry) = self.remove_unstarted(call) else {
             return;
         };
@@ -336,7 +336,7 @@
         let wait = self.slots.retry_after(now, &entry.offer);
         let outcome = Outcome::not_run(code, self.with_jitter(wait));
         let crashes = self.crashes_of(now, &entry);
-        out.push(Output::Refuse { call, outcome, crashes });
+        out.push(Output::Reject { call, outcome, crashes });
     }
 
     fn withdraw(&mut self, call: CallKey) {
@@ -378,7 +378,7 @@
                 self.mark_target_down(out);
                 let outcome = Outcome::not_run(Code::TargetUnreachable, RETRY_AFTER_LONG);
                 let crashes = self.crashes_of(now, &entry);
-                out.push(Output::Refuse { call, outcome, crashes });
+                out.push(Output::Reject { call, outcome, crashes });
             }
             End::Rejected(code) => {
                 self.slots.release(call);
@@ -388,7 +388,7 @@
                 let wait = self.slots.retry_after(now, &entry.offer);
                 let outcome = Outcome::not_run(code, self.with_jitter(wait));
                 let crashes = self.crashes_of(now, &entry);
-                out.push(Output::Refuse { call, outcome, crashes });
+                out.push(Output::Reject { call, outcome, crashes });
             }
             End::Broken { target_gone } => {
                 self.slots.release(call);
@@ -397,7 +397,7 @@
                 let outcome = Outcome::Unknown { code: Code::TargetFailed };
                 // The note about the previous crash may not have arrived yet.
                 let crashes = self.crashes_of(now, &entry).max(entry.crashes.saturating_add(1));
-                out.push(Output::Refuse { call, outcome, crashes });
+                out.push(Output::Reject { call, outcome, crashes });
             }
             End::Cancelled => {
                 self.slots.end(now, call);
--- a/core/src/call/gatekeeper/check.rs
+++ b/core/src/call/gatekeeper/check.rs
@@ -15,7 +15,7 @@
 pub(super) enum CheckResult {
     Accept(Terms, Option<RequestKey>),
     Replay(Arc<CachedResponse>),
-    Refuse(Outcome),
+    Reject(Outcome),
 }
 
 impl Gatekeeper {
@@ -41,7 +41,7 @@
             KeyStatus::Unknown => unknown(Code::KeyOutcomeUnknown),
             KeyStatus::Reused => not_run(Code::KeyReused, RETRY_AFTER_LONG),
             KeyStatus::New => match self.check_permission(key) {
-                Some(refuse) => refuse,
+                Some(rejection) => rejection,
                 None => self.check_availability(now, arrival, terms, Some(key)),
             },
         }
@@ -117,9 +117,9 @@
 }
 
 fn not_run(code: Code, retry_after: Duration) -> CheckResult {
-    CheckResult::Refuse(Outcome::not_run(code, retry_after))
+    CheckResult::Reject(Outcome::not_run(code, retry_after))
 }
 
 fn unknown(code: Code) -> CheckResult {
-    CheckResult::Refuse(Outcome::Unknown { code })
+    CheckResult::Reject(Outcome::Unknown { code })
 }
--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -109,7 +109,7 @@
         /// Send the cached response.
         Replay(CallKey, Arc<CachedResponse>),
         /// Reject the request.
-        Refuse {
+        Reject {
             call: CallKey,
             /// The outcome to report to the entry node.
             outcome: Outcome,
--- a/core/tests/call_admit.rs
+++ b/core/tests/call_admit.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn slots_refused_early() {
+fn slots_rejected_early() {
     // A request that cannot complete in time is rejected at once, with the time after which to
     // retry.
     let mut slots = Slots::new(limits(1, 100));
@@ -173,7 +173,7 @@
     assert_eq!(offer(&mut slots, 10, Class::Interactive), Admission::Run);
     assert!(matches!(offer(&mut slots, 11, Class::Interactive), Admission::Queue(_)));
     match offer(&mut slots, 12, Class::Interactive) {
-        Admission::Refuse(Code::QueueFull, wait) => assert!(wait > Duration::from_millis(500)),
+        Admission::Reject(Code::QueueFull, wait) => assert!(wait > Duration::from_millis(500)),
         other => panic!("{other:?}"),
     }
     let late = Offer {
@@ -185,7 +185,7 @@
         objective: None,
     };
     let late = slots.offer(after(5), late);
-    assert!(matches!(late, Admission::Refuse(Code::DeadlinePassed, _)));
+    assert!(matches!(late, Admission::Reject(Code::DeadlinePassed, _)));
 }
 
 #[test]
@@ -341,7 +341,7 @@
                             prop_assert!((naive.waiting.len() as u32) < queue);
                             naive.waiting.push((offer, until));
                         }
-                        Admission::Refuse(code, _) => {
+                        Admission::Reject(code, _) => {
                             // Early rejection depends on the mean run time, which the model lacks;
                             // only the code is checked.
                             prop_assert_eq!(code, Code::QueueFull);
--- a/core/tests/call_entry.rs
+++ b/core/tests/call_entry.rs
@@ -85,8 +85,8 @@
     }
 }
 
-fn refused(code: Code) -> AttemptEnd {
-    AttemptEnd::Refused { code, retry_after: RETRY_AFTER, load: None, crashes: 0 }
+fn rejected(code: Code) -> AttemptEnd {
+    AttemptEnd::Rejected { code, retry_after: RETRY_AFTER, load: None, crashes: 0 }
 }
 
 fn key(low: u64) -> RequestKey {
@@ -118,7 +118,7 @@
 fn retry_not_when_body_used_up() {
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
-    let end = refused(Code::QueueFull);
+    let end = rejected(Code::QueueFull);
     let output = driver.input(Input::Attempt { call: first.call, end, replayable: false });
     assert_eq!(
         finished(output),
@@ -135,7 +135,7 @@
     let broken = AttemptEnd::Failed { code: Code::TargetFailed, crashes: 1 };
     let second = forward(driver.end(first.call, broken));
     assert_eq!(second.crashes, 1);
-    let outcome = finished(driver.end(second.call, refused(Code::DeadlinePassed)));
+    let outcome = finished(driver.end(second.call, rejected(Code::DeadlinePassed)));
     assert_eq!(outcome, Outcome::Unknown { code: Code::TargetFailed });
 }
 
@@ -170,11 +170,11 @@
     // moves to the next home only after a refusal that guarantees that it did not run.
     let mut driver = Driver::new(&SIX);
     let home = forward(driver.arrive_at("/once", Some(key(1))));
-    let next = forward(driver.end(home.call, refused(Code::Draining)));
+    let next = forward(driver.end(home.call, rejected(Code::Draining)));
     assert_ne!(next.vm, home.vm);
     let direct = forward(driver.arrive_at("/once", Some(key(1))));
     assert_eq!(direct.vm, next.vm);
-    let back = forward(driver.end(direct.call, refused(Code::NotHome)));
+    let back = forward(driver.end(direct.call, rejected(Code::NotHome)));
     assert!(back.vm != next.vm);
     let outcome = finished(driver.end(back.call, AttemptEnd::ConnectionLost));
     assert_eq!(outcome, Outcome::Unknown { code: Code::AnswerLost });
@@ -187,11 +187,11 @@
         (0..50).map(|low| forward(driver.arrive_at("/once", Some(key(low))))).collect();
     driver.input(Input::Configure(snapshot(2, &["g/r/z", "h/r/z"])));
     for call in calls {
-        let next = forward(driver.end(call.call, refused(Code::NotHome)));
+        let next = forward(driver.end(call.call, rejected(Code::NotHome)));
         assert!(["g", "h"].contains(&next.vm.as_str()));
-        let other = forward(driver.end(call.call, refused(Code::NotHome)));
+        let other = forward(driver.end(call.call, rejected(Code::NotHome)));
         assert!(["g", "h"].contains(&other.vm.as_str()) && other.vm != next.vm);
-        let last = finished(driver.end(call.call, refused(Code::NotHome)));
+        let last = finished(driver.end(call.call, rejected(Code::NotHome)));
         assert!(matches!(last, Outcome::NotRun { code: Code::NotHome, .. }));
     }
 }
@@ -234,7 +234,7 @@
     // as live.
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
-    let second = forward(driver.end(first.call, refused(Code::Draining)));
+    let second = forward(driver.end(first.call, rejected(Code::Draining)));
     assert_ne!(second.vm, first.vm);
     for _ in 0..200 {
         assert_ne!(driver.arrive().vm, first.vm);
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn arrive_refused() {
+fn arrive_rejected() {
     let mut driver = Driver::new(&SIX);
     let mut code = |path, key| match finished(driver.arrive_at(path, key)) {
         Outcome::NotRun { code, .. } => code,
@@ -364,10 +364,10 @@
                     let end = match kind {
                         0 => AttemptEnd::ConnectionLost,
                         1 => AttemptEnd::NotSent,
-                        2 => refused(Code::Draining),
-                        3 => refused(Code::QueueFull),
-                        4 => refused(Code::NotHome),
-                        5 => refused(Code::TargetUnreachable),
+                        2 => rejected(Code::Draining),
+                        3 => rejected(Code::QueueFull),
+                        4 => rejected(Code::NotHome),
+                        5 => rejected(Code::TargetUnreachable),
                         _ => AttemptEnd::Failed { code: Code::TargetFailed, crashes: 1 },
                     };
                     open[at].2 |=
@@ -444,7 +444,7 @@
         driver.answer(&first, Duration::from_millis(1));
         first = driver.arrive();
     }
-    driver.end(first.call, refused(Code::Draining));
+    driver.end(first.call, rejected(Code::Draining));
     driver.now = driver.now + Duration::from_secs(3);
     let sent: Vec<Forward> = (0..40).map(|_| driver.arrive()).collect();
     assert!(sent.iter().any(|sent| sent.vm.as_str() == "a"));
--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -54,7 +54,7 @@
         let mut output = self.input(Input::Arrive(arrival));
         while let Some(Output::Forward(forward)) = output {
             forwards.push(forward);
-            let end = AttemptEnd::Refused {
+            let end = AttemptEnd::Rejected {
                 code: Code::QueueFull,
                 retry_after: RETRY_AFTER,
                 load: None,
--- a/core/tests/call_entry_hedge.rs
+++ b/core/tests/call_entry_hedge.rs
@@ -109,13 +109,13 @@
     let first = driver.arrive("/idem");
     driver.send_hedge(&first).expect("no hedge was sent");
     driver.input(Input::PrimaryEnded { call: first.call, end: AttemptEnd::ConnectionLost });
-    let refused = AttemptEnd::Refused {
+    let rejected = AttemptEnd::Rejected {
         code: Code::TooDeep,
         retry_after: RESPONSE_TIME,
         load: None,
         crashes: 0,
     };
-    let end = driver.input(Input::Attempt { call: first.call, end: refused, replayable: true });
+    let end = driver.input(Input::Attempt { call: first.call, end: rejected, replayable: true });
     let unknown = Outcome::Unknown { code: Code::AnswerLost };
     assert_eq!(end, Some(Output::Finish { call: first.call, outcome: unknown }));
 }
--- a/core/tests/call_entry_naive.rs
+++ b/core/tests/call_entry_naive.rs
@@ -107,9 +107,9 @@
             AttemptEnd::NotSent => (Code::GatekeeperUnreachable, true, false),
             AttemptEnd::ConnectionLost => (Code::AnswerLost, true, true),
             AttemptEnd::Failed { code, .. } => (*code, *code == Code::TargetFailed, true),
-            AttemptEnd::Refused { code, .. } => *CODES.iter().find(|row| row.0 == *code).unwrap(),
+            AttemptEnd::Rejected { code, .. } => *CODES.iter().find(|row| row.0 == *code).unwrap(),
         };
-        if let AttemptEnd::Failed { crashes, .. } | AttemptEnd::Refused { crashes, .. } = end {
+        if let AttemptEnd::Failed { crashes, .. } | AttemptEnd::Rejected { crashes, .. } = end {
             call.crashes = call.crashes.max(*crashes);
         }
         if matches!(end, AttemptEnd::ConnectionLost | AttemptEnd::Failed { .. }) {
@@ -173,7 +173,7 @@
 fn attempt_end(kind: usize) -> AttemptEnd {
     let retry_after = Duration::from_millis(200);
     match kind.checked_sub(CODES.len()) {
-        None => AttemptEnd::Refused { code: CODES[kind].0, retry_after, load: None, crashes: 0 },
+        None => AttemptEnd::Rejected { code: CODES[kind].0, retry_after, load: None, crashes: 0 },
         Some(0) => AttemptEnd::ConnectionLost,
         Some(1) => AttemptEnd::NotSent,
         Some(2) => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
--- a/core/tests/call_once_by_attempt.rs
+++ b/core/tests/call_once_by_attempt.rs
@@ -93,9 +93,9 @@
     }
 }
 
-fn refused(code: Code) -> AttemptEnd {
+fn rejected(code: Code) -> AttemptEnd {
     let retry_after = Duration::from_millis(50);
-    AttemptEnd::Refused { code, retry_after, load: None, crashes: 0 }
+    AttemptEnd::Rejected { code, retry_after, load: None, crashes: 0 }
 }
 
 #[test]
@@ -123,7 +123,7 @@
     for code in [Code::Draining, Code::QueueFull, Code::TargetRefused, Code::TargetReplaced] {
         let mut driver = Driver::new(1);
         let sent = driver.sign();
-        let next = forward(driver.end(sent.call, refused(code)));
+        let next = forward(driver.end(sent.call, rejected(code)));
         assert_ne!(next.vm, sent.vm, "{code:?}");
         // Once the request may have run, a later rejection does not prove that it has not.
         let reported = outcome(driver.end(next.call, AttemptEnd::ConnectionLost));
@@ -136,9 +136,9 @@
     // Rejections by gatekeepers do not count as attempts; rejections by targets do.
     let mut driver = Driver::new(1);
     let sent = driver.sign();
-    let next = forward(driver.end(sent.call, refused(Code::QueueFull)));
-    let next = forward(driver.end(next.call, refused(Code::TargetRefused)));
-    let reported = outcome(driver.end(next.call, refused(Code::TargetRefused)));
+    let next = forward(driver.end(sent.call, rejected(Code::QueueFull)));
+    let next = forward(driver.end(next.call, rejected(Code::TargetRefused)));
+    let reported = outcome(driver.end(next.call, rejected(Code::TargetRefused)));
     assert!(matches!(reported, Outcome::NotRun { code: Code::TargetRefused, .. }), "{reported:?}");
 }
 
@@ -150,10 +150,10 @@
     let mut sent = driver.sign();
     for _ in 0..2 {
         assert!(!sent.terms.may_exceed_objective);
-        sent = forward(driver.end(sent.call, refused(Code::QueueFull)));
+        sent = forward(driver.end(sent.call, rejected(Code::QueueFull)));
     }
     assert!(sent.terms.may_exceed_objective, "the last gatekeeper must queue the request");
-    let reported = outcome(driver.end(sent.call, refused(Code::QueueFull)));
+    let reported = outcome(driver.end(sent.call, rejected(Code::QueueFull)));
     assert!(matches!(reported, Outcome::NotRun { code: Code::QueueFull, .. }), "{reported:?}");
 }
 
@@ -215,6 +215,6 @@
     let mut driver = Driver::new(1);
     let sent = forward(driver.arrive("h.example", "/look/1"));
     let next = forward(driver.end(sent.call, AttemptEnd::ErrorResponseStarted { load: None }));
-    let reported = outcome(driver.end(next.call, refused(Code::TargetRefused)));
+    let reported = outcome(driver.end(next.call, rejected(Code::TargetRefused)));
     assert!(matches!(reported, Outcome::Unknown { code: Code::TargetFailed }), "{reported:?}");
 }
--- a/core/tests/call_quarantine.rs
+++ b/core/tests/call_quarantine.rs
@@ -74,7 +74,7 @@
         for output in self.handle(at, Input::Arrive(arrival)) {
             match output {
                 Output::Run { .. } => return Ok(call),
-                Output::Refuse { outcome: Outcome::NotRun { code, .. }, .. } => return Err(code),
+                Output::Reject { outcome: Outcome::NotRun { code, .. }, .. } => return Err(code),
                 _ => {}
             }
         }
--- a/core/tests/call_quarantine_late.rs
+++ b/core/tests/call_quarantine_late.rs
@@ -37,7 +37,7 @@
     let end = End::Broken { target_gone: true };
     gatekeeper.handle(START, Input::End { call, end }, &mut out);
     let reported = out.iter().find_map(|output| match output {
-        Output::Refuse { crashes, .. } => Some(*crashes as usize),
+        Output::Reject { crashes, .. } => Some(*crashes as usize),
         _ => None,
     });
     assert_eq!(reported, Some(MAX_CRASHES));
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -128,7 +128,7 @@
             answered = !self.rng.random_bool(reject_rate);
             let end = match answered {
                 true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
-                false => AttemptEnd::Refused {
+                false => AttemptEnd::Rejected {
                     code: Code::TargetRefused,
                     retry_after: Duration::from_millis(50),
                     load: None,
--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -44,8 +44,8 @@
     offered: u32,
     in_time: u32,
     late: u32,
-    refused: u32,
-    longest_wait_of_refused: u64,
+    rejected: u32,
+    longest_wait_of_rejected: u64,
     // Runs that ended while requests were still arriving.
     ended_under_load: u32,
 }
@@ -78,15 +78,15 @@
                 Admission::Queue(until) => {
                     waiting.insert(call, until);
                 }
-                Admission::Refuse(..) => report.refused += 1,
+                Admission::Reject(..) => report.rejected += 1,
             }
         }
         let expired: Vec<u64> =
             waiting.iter().filter(|(_, until)| **until <= at(now)).map(|(call, _)| *call).collect();
-        let mut refused = Vec::new();
+        let mut rejected = Vec::new();
         for call in expired {
             slots.withdraw(CallKey(call));
-            refused.push(call);
+            rejected.push(call);
         }
         while let Some(popped) = slots.pop(at(now)) {
             match popped {
@@ -94,14 +94,14 @@
                     waiting.remove(&call);
                     running.push_back((call, now + RUN_MS));
                 }
-                Popped::Expired(CallKey(call)) => refused.push(call),
+                Popped::Expired(CallKey(call)) => rejected.push(call),
             }
         }
-        for call in refused {
+        for call in rejected {
             waiting.remove(&call);
-            report.refused += 1;
+            report.rejected += 1;
             let waited = now - arrived_at[call as usize];
-            report.longest_wait_of_refused = report.longest_wait_of_refused.max(waited);
+            report.longest_wait_of_rejected = report.longest_wait_of_rejected.max(waited);
         }
     }
     report
@@ -120,17 +120,17 @@
     // ends are served late.
     let ended = |report: &Report| report.ended_under_load;
     assert!(ended(&with) * 100 >= ended(&without) * 99, "{with:?} {without:?}");
-    assert!(with.longest_wait_of_refused <= OBJECTIVE_MS + 700, "{with:?}");
+    assert!(with.longest_wait_of_rejected <= OBJECTIVE_MS + 700, "{with:?}");
 }
 
 #[test]
-fn no_refusals_below_capacity() {
+fn no_rejections_below_capacity() {
     let report = replay(15, Some(OBJECTIVE_MS));
-    assert_eq!((report.refused, report.late), (0, 0), "{report:?}");
+    assert_eq!((report.rejected, report.late), (0, 0), "{report:?}");
 }
 
 #[test]
-fn refused_when_objective_cannot_be_met() {
+fn rejected_when_objective_cannot_be_met() {
     // Guards against queueing a request that cannot meet its objective here, which would keep the
     // entry node from trying another target.
     let mut slots = Slots::new(limits());
@@ -142,7 +142,7 @@
     for call in 200..300 {
         last = Some(slots.offer(at(0), offer(call, 0, 0, Some(OBJECTIVE_MS), false)));
     }
-    assert!(matches!(last, Some(Admission::Refuse(..))), "{last:?}");
+    assert!(matches!(last, Some(Admission::Reject(..))), "{last:?}");
 }
 
 #[test]
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -268,7 +268,7 @@
 
     fn entry(&mut self) -> entry::Input<'static> {
         let call = CallKey(self.number());
-        let refused = entry::AttemptEnd::Refused {
+        let rejected = entry::AttemptEnd::Rejected {
             code: self.choose(Code::ALL),
             retry_after: Duration::from_millis(self.number()),
             load: None,
@@ -290,9 +290,9 @@
             4 if self.flag() => {
                 entry::Input::PrimaryEnded { call, end: entry::AttemptEnd::LostToHedge }
             }
-            4 if self.flag() => entry::Input::HedgeEnded { call, end: Some(refused) },
+            4 if self.flag() => entry::Input::HedgeEnded { call, end: Some(rejected) },
             4 => entry::Input::Expire { call, sent: self.flag() },
-            5 => entry::Input::Attempt { call, end: refused, replayable: self.flag() },
+            5 => entry::Input::Attempt { call, end: rejected, replayable: self.flag() },
             6 => {
                 let load =
                     Some(Load { in_flight: 1, slots: self.number() as u32, queued: 0, wait_ms: 0 });
--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -153,7 +153,7 @@
                     outcome = Some(Outcome::Answered);
                 }
                 Output::Replay(..) => outcome = Some(Outcome::Answered),
-                Output::Refuse { outcome: refused, .. } => outcome = Some(refused),
+                Output::Reject { outcome: rejected, .. } => outcome = Some(rejected),
                 _ => {}
             }
         }
--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -61,7 +61,7 @@
 /// Code of an attempt's end, and whether the target may have run the request.
 pub(super) fn end_code(end: &AttemptEnd) -> (Code, bool) {
     match end {
-        AttemptEnd::Refused { code, .. } => (*code, false),
+        AttemptEnd::Rejected { code, .. } => (*code, false),
         AttemptEnd::Failed { code, .. } => (*code, true),
         AttemptEnd::NotSent => (Code::GatekeeperUnreachable, false),
         AttemptEnd::ConnectionLost => (Code::AnswerLost, true),
@@ -94,7 +94,7 @@
     let end = match headers::verdict(&response, id) {
         Verdict::Answered => return AttemptResult::Response(response, connection),
         Verdict::NotRun(code, retry_after) => {
-            AttemptEnd::Refused { code, retry_after, load, crashes }
+            AttemptEnd::Rejected { code, retry_after, load, crashes }
         }
         Verdict::Unknown(code) => AttemptEnd::Failed { code, crashes },
         Verdict::Foreign => return AttemptResult::Ended(AttemptEnd::ConnectionLost),
--- a/node/src/calls/gate.rs
+++ b/node/src/calls/gate.rs
@@ -418,7 +418,7 @@
                     (call, Decision::Queue(until, rx))
                 }
                 Output::Replay(call, cached) => (call, Decision::Replay(cached)),
-                Output::Refuse { call, outcome, crashes } => {
+                Output::Reject { call, outcome, crashes } => {
                     (call, Decision::Reject(outcome, crashes))
                 }
                 Output::Send(_) | Output::Record(_) => {
--- a/node/tests/calls_drain.rs
+++ b/node/tests/calls_drain.rs
@@ -15,9 +15,9 @@
     let held = open(node.entry, &get("/idem/hold"));
     eventually("both requests run", || target.log().len() == 2);
     node.shared.start_draining();
-    let refused = call(node.entry, &get("/idem/new"));
-    assert_eq!((refused.outcome(), refused.code()), ("not-run", Some(453)));
-    assert_eq!(refused.header("connection"), Some("close"));
+    let rejected = call(node.entry, &get("/idem/new"));
+    assert_eq!((rejected.outcome(), rejected.code()), ("not-run", Some(453)));
+    assert_eq!(rejected.header("connection"), Some("close"));
     target.release();
     let response = read(&stream);
     assert!(response.complete && response.body.len() == 20_000_000);
--- a/node/tests/calls_fleet.rs
+++ b/node/tests/calls_fleet.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn overload_refused_early() {
+fn overload_rejected_early() {
     // Guards against overload that exceeds the targets' slots or that is not rejected as not run.
     let fleet = Fleet::new(r#"{"slots":2,"connections":4,"queue":2,"queue_wait_ms":50}"#);
     let entries: Vec<_> = fleet.nodes.iter().map(|node| node.entry).collect();
