--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -368,7 +368,7 @@
             Output::WakeAt(at) => self.wake_at(node, at),
             Output::View(view) => self.slots[node].view = Some(view),
             Output::Event(event) => self.record_event(node, event),
-            Output::Confirmed | Output::Note { .. } | Output::Members(_) | Output::Refused(_) => {}
+            Output::Confirmed | Output::Note { .. } | Output::Members(_) | Output::Rejected(_) => {}
         }
     }
 
--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -231,7 +231,7 @@
             Change::Published(Ok(published)) => published,
             Change::Published(Err(fault)) => {
                 let code = fault.code;
-                out.push(Output::Refused(fault));
+                out.push(Output::Rejected(fault));
                 let event = Event::new(now, EventKind::VersionRefused);
                 return out.push(Output::Event(event.with_code(code)));
             }
@@ -285,7 +285,7 @@
                 out.push(Output::InForce(snapshot));
                 out.push(Output::Status(self.status()));
             }
-            Err(fault) => out.push(Output::Refused(fault)),
+            Err(fault) => out.push(Output::Rejected(fault)),
         }
     }
 
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -168,7 +168,7 @@
                 out.extend(self.relay.resync(now, relay::delta_request(&view)).map(send_output));
             }
             Err(fault) => {
-                out.push(Output::Refused(fault));
+                out.push(Output::Rejected(fault));
                 self.abandon_reader(now, out);
             }
         }
@@ -204,7 +204,7 @@
                 self.accept_version(now, Arc::new(published), out);
                 self.snapshot_stale |= self.published.is_some();
             }
-            Err(fault) => out.push(Output::Refused(fault)),
+            Err(fault) => out.push(Output::Rejected(fault)),
         }
     }
 }
--- a/core/src/discovery/port.rs
+++ b/core/src/discovery/port.rs
@@ -192,7 +192,7 @@
     /// Make a snapshot the current one.
     InForce(Arc<Snapshot>),
     /// Report rejected data to operators.
-    Refused(Fault),
+    Rejected(Fault),
     /// Record an event.
     Event(Event),
     /// Update the status shown to operators.
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -298,7 +298,7 @@
         }
     }
 
-    fn report_refused(
+    fn report_rejected(
         &self,
         now: Time,
         version: u64,
@@ -312,7 +312,7 @@
             event = event.with_peer(&from.vm);
         }
         out.push(Output::Event(event));
-        out.push(Output::Refused(fault));
+        out.push(Output::Rejected(fault));
     }
 
     fn observe_version(
--- a/core/src/spread/fetch.rs
+++ b/core/src/spread/fetch.rs
@@ -64,7 +64,7 @@
             // A peer that lags behind announces older versions. Only two bodies under the same
             // version number are an error.
             if code == Code::VersionConflict {
-                self.report_refused_once(now, seen, Some(from), Fault::new(code), out);
+                self.report_rejected_once(now, seen, Some(from), Fault::new(code), out);
             }
             return false;
         }
@@ -93,7 +93,7 @@
         if held.in_force == seen.in_force && held.manifest_digest != seen.manifest_digest {
             let publication = seen.in_force.clone();
             let fault = Fault::new(Code::PeerHashMismatch).with_location(&from.vm);
-            self.report_refused_once(now, &publication, Some(from), fault, out);
+            self.report_rejected_once(now, &publication, Some(from), fault, out);
         }
     }
 
@@ -188,7 +188,7 @@
                 self.accept_version(now, checked, out);
             }
             Err(fault) => {
-                self.report_refused(now, seen.version, Some(from), fault, out);
+                self.report_rejected(now, seen.version, Some(from), fault, out);
                 self.block_parent(now, from, BLOCK_DURATION, out);
                 self.fetch_next(now, out);
             }
@@ -224,7 +224,7 @@
                 self.accept_version(now, checked, out);
             }
             Err(fault) => {
-                self.report_refused(now, seen.version, Some(from), fault, out);
+                self.report_rejected(now, seen.version, Some(from), fault, out);
                 self.block_parent(now, from, BLOCK_DURATION, out);
             }
         }
--- a/core/src/spread/port.rs
+++ b/core/src/spread/port.rs
@@ -131,7 +131,7 @@
         /// Record an event.
         Event(Event),
         /// Report a refused version.
-        Refused(Fault),
+        Rejected(Fault),
         /// Deliver [`Input::Wake`] at this time; replaces the previous time.
         WakeAt(Time),
     }
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -114,7 +114,7 @@
         if self.source.last_unparsable.replace(hash) != Some(hash) {
             let event = Event::new(now, EventKind::VersionRefused).with_code(Code::SourceInvalid);
             out.push(Output::Event(event));
-            out.push(Output::Refused(
+            out.push(Output::Rejected(
                 Fault::new(Code::SourceInvalid).with_location("in-force").with_detail(fault),
             ));
         }
@@ -151,13 +151,13 @@
                 }
                 let older = code == Code::VersionOlder && index_regressed;
                 let code = if older { Code::SourceWentBack } else { code };
-                self.report_refused_once(now, &seen, None, Fault::new(code), out);
+                self.report_rejected_once(now, &seen, None, Fault::new(code), out);
             }
         }
     }
 
     /// Reports a refused publication, once.
-    pub(super) fn report_refused_once(
+    pub(super) fn report_rejected_once(
         &mut self,
         now: Time,
         seen: &InForce,
@@ -165,12 +165,12 @@
         fault: Fault,
         out: &mut Vec<Output>,
     ) {
-        if self.source.last_refused.as_ref() == Some(seen) {
+        if self.source.last_rejected.as_ref() == Some(seen) {
             return;
         }
-        self.source.last_refused = Some(seen.clone());
+        self.source.last_rejected = Some(seen.clone());
         let place = format!("version {} {}", seen.version, seen.digest);
-        self.report_refused(now, seen.version, from, fault.with_location(place), out);
+        self.report_rejected(now, seen.version, from, fault.with_location(place), out);
     }
 
     /// Starts to read a body. Readers outside the platform's region first wait for a delta from the
@@ -243,13 +243,13 @@
         if fault.code != Code::DigestMismatch {
             self.source.body_read = None;
             self.source.mark_invalid(publication.clone());
-            self.report_refused(now, publication.version, None, fault, out);
+            self.report_rejected(now, publication.version, None, fault, out);
             return;
         }
         let (first, longest) = DIGEST_FAILURE_BACKOFF;
         body_read.next_at = now + body_read.backoff.fail(first, longest, &mut self.rng);
         if body_read.backoff.failures() == DIGEST_FAILURES_BEFORE_REPORT {
-            self.report_refused(now, publication.version, None, fault, out);
+            self.report_rejected(now, publication.version, None, fault, out);
         }
     }
 
--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -89,7 +89,7 @@
     /// memory of parsed documents.
     pub parts: IndexMap<Hash, Bytes>,
     /// The last refused publication, reported only once.
-    pub last_refused: Option<InForce>,
+    pub last_rejected: Option<InForce>,
     /// Hash of the last value that could not be parsed, reported only once.
     pub last_unparsable: Option<Hash>,
     /// Earliest time of the next call of a node that is not a reader; `None` if no call is needed.
--- a/core/tests/spread_versions.rs
+++ b/core/tests/spread_versions.rs
@@ -52,10 +52,10 @@
     fleet.publish(2, &bad);
     fleet.run(5 * SECOND);
     assert_eq!(fleet.versions(), vec![1; 18]);
-    let refusals: usize = (0..18)
+    let rejections: usize = (0..18)
         .map(|node| fleet.count(node, EventKind::VersionRefused, Some(Code::RouteDangling)))
         .sum();
-    assert!(refusals >= 1, "no node reported the invalid version");
+    assert!(rejections >= 1, "no node reported the invalid version");
     let reads = fleet.platform.calls.iter().filter(|(_, key)| key.starts_with("preset/")).count();
     assert!(reads <= 18, "the invalid body was read {reads} times");
     fleet.publish(3, &preset(3));
--- a/core/tests/support/fleet.rs
+++ b/core/tests/support/fleet.rs
@@ -356,7 +356,7 @@
                 let generation = sim.generation;
                 self.push(at.max(now), node, Action::Wake(generation));
             }
-            Output::Refused(_) | Output::Note { .. } => {}
+            Output::Rejected(_) | Output::Note { .. } => {}
         }
     }
 
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -194,8 +194,8 @@
                 }
                 self.calls.view_changed();
             }
-            Output::Refused(fault) => {
-                shared.update_spread(|current_view| current_view.last_refusal = Some(fault));
+            Output::Rejected(fault) => {
+                shared.update_spread(|current_view| current_view.last_rejection = Some(fault));
             }
             Output::Event(event) => shared.record(event),
             Output::Status(status) => shared.update_spread(|current_view| {
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -92,7 +92,7 @@
     /// Newest known version.
     pub newest_heard: u64,
     /// Reason for the most recent refusal of a version.
-    pub last_refusal: Option<Fault>,
+    pub last_rejection: Option<Fault>,
     /// Role of this node in version distribution.
     pub role: sycamore_core::status::Role,
     /// Peer that supplied the last version.
@@ -127,7 +127,7 @@
             spread: Mutex::new(SpreadView {
                 in_force_since: None,
                 newest_heard: 0,
-                last_refusal: None,
+                last_rejection: None,
                 role: sycamore_core::status::Role::Leaf,
                 parent: None,
                 platform_answers: None,
@@ -300,7 +300,7 @@
             in_force: in_force.as_ref().map(|snapshot| snapshot.in_force.clone()),
             in_force_since: spread.in_force_since,
             newest_heard: spread.newest_heard,
-            last_refusal: spread.last_refusal.map(|fault| fault.to_string()),
+            last_refusal: spread.last_rejection.map(|fault| fault.to_string()),
             role: spread.role,
             parent: spread.parent,
             platform_answers: spread.platform_answers,
--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -191,8 +191,8 @@
             }),
             Output::Confirmed => self.calls.confirmed(),
             Output::Event(event) => shared.record(event),
-            Output::Refused(fault) => shared.update_spread(|current_view| {
-                current_view.last_refusal = Some(fault);
+            Output::Rejected(fault) => shared.update_spread(|current_view| {
+                current_view.last_rejection = Some(fault);
             }),
             Output::WakeAt(at) => self.wake = at,
         }
