--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -86,7 +86,7 @@
     broadcast_due: bool,
     // The state came from a peer and has to be confirmed by the candidate reader.
     resync_due: bool,
-    store_answers: Option<bool>,
+    store_reachable: Option<bool>,
     last_input: Option<Time>,
 }
 
@@ -111,7 +111,7 @@
             snapshot_stale: false,
             broadcast_due: false,
             resync_due: false,
-            store_answers: None,
+            store_reachable: None,
             last_input: None,
             cfg,
         }
@@ -208,7 +208,7 @@
     }
 
     fn record_store_status(&mut self, now: Time, answered: bool, out: &mut Vec<Output>) {
-        if self.store_answers.replace(answered) == Some(answered) {
+        if self.store_reachable.replace(answered) == Some(answered) {
             return;
         }
         let event = match answered {
@@ -222,7 +222,7 @@
     fn status(&self) -> Status {
         Status {
             newest: self.published.as_ref().map_or(0, |published| published.version),
-            store_answers: self.store_answers,
+            store_reachable: self.store_reachable,
         }
     }
 
--- a/core/src/discovery/peers.rs
+++ b/core/src/discovery/peers.rs
@@ -84,7 +84,7 @@
         let Some(view) = self.view.clone() else {
             return;
         };
-        let store_unavailable = self.store_answers == Some(false) && !self.relay.is_follower();
+        let store_unavailable = self.store_reachable == Some(false) && !self.relay.is_follower();
         self.offers.set_random_offers(store_unavailable || !self.watcher.has_listed());
         for (to, link) in self.offers.next_round(now, &self.cfg, &view, &mut self.rng) {
             let msg = PeerMsg::Notice(Box::new(view.summary(None)));
--- a/core/src/discovery/port.rs
+++ b/core/src/discovery/port.rs
@@ -207,6 +207,6 @@
         /// Newest known version.
         pub newest: u64,
         /// Whether the store answered the last call; `None` before the first call ends.
-        pub store_answers: Option<bool>,
+        pub store_reachable: Option<bool>,
     }
 }
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -278,7 +278,7 @@
             newest_heard: self.newest_heard,
             role: self.topology.role,
             parent: self.version_origin.clone(),
-            platform_answers: self.source.reachable,
+            platform_reachable: self.source.reachable,
             confirmed: self.confirmed,
         };
         if self.last_view.as_ref() != Some(&view) {
--- a/core/src/spread/port.rs
+++ b/core/src/spread/port.rs
@@ -144,7 +144,7 @@
         /// The peer that the latest version was received from, or `platform`.
         pub parent: Option<Name>,
         /// Whether the platform answered the last call; `None` before the first call.
-        pub platform_answers: Option<bool>,
+        pub platform_reachable: Option<bool>,
         /// Whether a peer has answered since the start or the last clock gap. If not, the version
         /// in force may be older than the one before the restart.
         pub confirmed: bool,
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -200,8 +200,8 @@
             Output::Event(event) => shared.record(event),
             Output::Status(status) => shared.update_spread(|current_view| {
                 current_view.newest_heard = status.newest;
-                current_view.platform_answers = status.store_answers;
-                current_view.confirmed = status.store_answers == Some(true);
+                current_view.platform_reachable = status.store_reachable;
+                current_view.confirmed = status.store_reachable == Some(true);
             }),
             Output::WakeAt(at) => self.wake = Some(at),
         }
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -98,7 +98,7 @@
     /// Peer that supplied the last version.
     pub parent: Option<Name>,
     /// Whether the platform answered the last call.
-    pub platform_answers: Option<bool>,
+    pub platform_reachable: Option<bool>,
     /// Whether a peer has confirmed the version in force.
     pub confirmed: bool,
 }
@@ -130,7 +130,7 @@
                 last_rejection: None,
                 role: sycamore_core::status::Role::Leaf,
                 parent: None,
-                platform_answers: None,
+                platform_reachable: None,
                 confirmed: false,
             }),
             draining: AtomicBool::new(false),
@@ -303,7 +303,7 @@
             last_refusal: spread.last_rejection.map(|fault| fault.to_string()),
             role: spread.role,
             parent: spread.parent,
-            platform_answers: spread.platform_answers,
+            platform_answers: spread.platform_reachable,
             confirmed: spread.confirmed,
             ready: in_force.is_some() && !self.draining(),
             draining: self.draining(),
--- a/node/src/spread.rs
+++ b/node/src/spread.rs
@@ -186,7 +186,7 @@
                 current_view.newest_heard = view.newest_heard;
                 current_view.role = view.role;
                 current_view.parent = view.parent;
-                current_view.platform_answers = view.platform_answers;
+                current_view.platform_reachable = view.platform_reachable;
                 current_view.confirmed = view.confirmed;
             }),
             Output::Confirmed => self.calls.confirmed(),
