--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -224,9 +224,9 @@
     }
 
     /// Records the size of a bulk response that has been sent.
-    fn record_response_size(&mut self, answer: &Running) {
-        if answer.class == Class::Bulk && answer.sent_bytes > 0 {
-            self.link.record_size(answer.sent_bytes);
+    fn record_response_size(&mut self, response: &Running) {
+        if response.class == Class::Bulk && response.sent_bytes > 0 {
+            self.link.record_size(response.sent_bytes);
         }
     }
 
@@ -243,8 +243,8 @@
     /// Records that the last byte of a completely read response has been sent, or that the caller
     /// is gone.
     pub fn response_sent(&mut self, call: CallKey) {
-        if let Some(answer) = self.sending.swap_remove(&call) {
-            self.record_response_size(&answer);
+        if let Some(response) = self.sending.swap_remove(&call) {
+            self.record_response_size(&response);
         }
     }
 
@@ -346,8 +346,8 @@
 
     /// Bytes still to be sent of all bulk responses in progress.
     fn remaining_bytes(&self) -> u64 {
-        let answers = self.running.values().chain(self.sending.values());
-        answers.map(|answer| answer.remaining_bytes).sum()
+        let responses = self.running.values().chain(self.sending.values());
+        responses.map(|response| response.remaining_bytes).sum()
     }
 
     fn start(&mut self, now: Time, offer: &Offer) {
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -223,7 +223,9 @@
     fn arrive(&mut self, now: Time, arrival: &Arrival<'_>, out: &mut Vec<Output>) {
         let outcome = match self.check(now, arrival) {
             CheckResult::Accept(terms, key) => return self.admit(now, arrival, &terms, key, out),
-            CheckResult::Replay(answer) => return out.push(Output::Replay(arrival.call, answer)),
+            CheckResult::Replay(response) => {
+                return out.push(Output::Replay(arrival.call, response));
+            }
             CheckResult::Reject(outcome) => outcome,
         };
         self.reject(now, arrival, outcome, out);
--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -181,9 +181,9 @@
         if !self.watcher.is_pending(id) {
             return;
         }
-        let answered = !matches!(result, Err(ReadError::Failed(_)));
-        self.record_store_status(now, answered, out);
-        match answered {
+        let responded = !matches!(result, Err(ReadError::Failed(_)));
+        self.record_store_status(now, responded, out);
+        match responded {
             true => {
                 self.registry.on_store_success(now);
             }
@@ -198,7 +198,7 @@
         };
         // A partial list does not prove freshness. Neither does a registry with missing entries:
         // nodes that stayed connected to the store may know that those targets are gone.
-        if answered && !self.watcher.is_listing() && !self.registry.has_missing() {
+        if responded && !self.watcher.is_listing() && !self.registry.has_missing() {
             self.relay.on_store_success(now);
             self.broadcast_due = true;
         }
@@ -207,11 +207,11 @@
         }
     }
 
-    fn record_store_status(&mut self, now: Time, answered: bool, out: &mut Vec<Output>) {
-        if self.store_reachable.replace(answered) == Some(answered) {
+    fn record_store_status(&mut self, now: Time, responded: bool, out: &mut Vec<Output>) {
+        if self.store_reachable.replace(responded) == Some(responded) {
             return;
         }
-        let event = match answered {
+        let event = match responded {
             true => Event::new(now, EventKind::SourceBack),
             false => Event::new(now, EventKind::SourceLost).with_code(Code::SourceUnreachable),
         };
--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -78,7 +78,7 @@
 struct Reader {
     address: SocketAddr,
     link: Link,
-    store_answered_at: Time,
+    store_responded_at: Time,
     renew_at: Time,
 }
 
@@ -112,7 +112,7 @@
     followers_expected_until: Time,
     // The process is about to stop.
     leaving: bool,
-    store_answered_at: Option<Time>,
+    store_responded_at: Option<Time>,
     last_sent: Option<Arc<View>>,
     history: VecDeque<Arc<Publication>>,
 }
@@ -138,7 +138,7 @@
             competitor: None,
             followers_expected_until: Time::ZERO,
             leaving: false,
-            store_answered_at: None,
+            store_responded_at: None,
             last_sent: None,
             history: VecDeque::new(),
         }
@@ -156,7 +156,7 @@
 
     /// Records that the store has answered.
     pub fn on_store_success(&mut self, now: Time) {
-        self.store_answered_at = Some(now);
+        self.store_responded_at = Some(now);
     }
 
     /// Keeps a version as a base for deltas.
@@ -174,7 +174,7 @@
     pub fn wake_at(&self) -> Option<Time> {
         match &self.reader {
             Some(reader) => {
-                Some(reader.renew_at.min(reader.store_answered_at + self.pace.reader_timeout))
+                Some(reader.renew_at.min(reader.store_responded_at + self.pace.reader_timeout))
             }
             None => self.announcements.wake_at(),
         }
@@ -183,7 +183,7 @@
     pub fn reader_timed_out(&self, now: Time) -> bool {
         self.reader
             .as_ref()
-            .is_some_and(|reader| now >= reader.store_answered_at + self.pace.reader_timeout)
+            .is_some_and(|reader| now >= reader.store_responded_at + self.pace.reader_timeout)
     }
 
     /// Whether `from` is the reader of this node, or the candidate reader if it has none.
@@ -274,17 +274,17 @@
     /// Records that this node and the sender of the summary hold the same state. Returns whether
     /// this node starts to follow the candidate.
     pub fn mark_in_sync(&mut self, now: Time, summary: &Summary) -> bool {
-        let Some(store_answered_at) = self.fresh_age(summary).map(|age| now - age) else {
+        let Some(store_responded_at) = self.fresh_age(summary).map(|age| now - age) else {
             return false;
         };
         if let Some(reader) = &mut self.reader {
-            reader.store_answered_at = reader.store_answered_at.max(store_answered_at);
+            reader.store_responded_at = reader.store_responded_at.max(store_responded_at);
             return false;
         }
         let Some(Candidate { address, link, .. }) = self.candidate.take() else {
             return false;
         };
-        self.reader = Some(Reader { address, link, store_answered_at, renew_at: now });
+        self.reader = Some(Reader { address, link, store_responded_at, renew_at: now });
         self.announcements.stop();
         self.followers_expected_until = now;
         true
@@ -417,7 +417,7 @@
     }
 
     fn store_age(&self, now: Time) -> Option<Duration> {
-        self.store_answered_at.map(|store_answered_at| now.since(store_answered_at))
+        self.store_responded_at.map(|store_responded_at| now.since(store_responded_at))
     }
 
     fn is_fresh(&self, now: Time) -> bool {
--- a/core/src/spread/limits.rs
+++ b/core/src/spread/limits.rs
@@ -97,10 +97,10 @@
 pub const WATCH_WAIT_HOME: Duration = Duration::from_secs(2);
 
 /// Time after the end of a call's wait before the call is abandoned.
-pub const SOURCE_ANSWER_GRACE: Duration = Duration::from_secs(1);
+pub const SOURCE_RESPONSE_GRACE: Duration = Duration::from_secs(1);
 
-/// [`SOURCE_ANSWER_GRACE`] for bodies and lists, which can be large.
-pub const SOURCE_ANSWER_GRACE_LARGE: Duration = Duration::from_secs(2);
+/// [`SOURCE_RESPONSE_GRACE`] for bodies and lists, which can be large.
+pub const SOURCE_RESPONSE_GRACE_LARGE: Duration = Duration::from_secs(2);
 
 /// Minimum interval between reads of the same list, which may change frequently.
 pub const LIST_READ_INTERVAL: Duration = Duration::from_secs(5);
--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -97,7 +97,7 @@
     ) {
         let watch = &mut self.source.in_force;
         let index_regressed = value.index < watch.index;
-        let changed = watch.record_answer(now, call, value.index, &mut self.rng);
+        let changed = watch.record_response(now, call, value.index, &mut self.rng);
         let Some(body) = value.body else { return };
         if !changed && self.newest_checked().is_some() {
             return;
@@ -342,7 +342,7 @@
     /// Records an answer and schedules the next call. Returns whether the index changed.
     ///
     /// Backs off if an unchanged value is returned early, in case the platform does not block.
-    fn record_answer(
+    fn record_response(
         &mut self,
         now: Time,
         call: &OpenCall,
--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -1,7 +1,7 @@
 //! Open calls to the platform and the state of its watches.
 
 use super::backoff::Backoff;
-use super::limits::{MAX_INVALID_PUBLICATIONS, SOURCE_ANSWER_GRACE, SOURCE_ANSWER_GRACE_LARGE};
+use super::limits::{MAX_INVALID_PUBLICATIONS, SOURCE_RESPONSE_GRACE, SOURCE_RESPONSE_GRACE_LARGE};
 use super::port::{CallId, SourceCall};
 use crate::config::document::PartRef;
 use crate::config::{InForce, Preset};
@@ -186,12 +186,12 @@
 
 impl OpenCall {
     fn deadline(&self) -> Time {
-        let answer = match self.purpose {
-            CallPurpose::InForce | CallPurpose::Zones => SOURCE_ANSWER_GRACE,
+        let grace = match self.purpose {
+            CallPurpose::InForce | CallPurpose::Zones => SOURCE_RESPONSE_GRACE,
             CallPurpose::Body | CallPurpose::Part(_) | CallPurpose::List(_) => {
-                SOURCE_ANSWER_GRACE_LARGE
+                SOURCE_RESPONSE_GRACE_LARGE
             }
         };
-        self.started_at + self.wait + answer
+        self.started_at + self.wait + grace
     }
 }
--- a/core/tests/call_balance.rs
+++ b/core/tests/call_balance.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn large_answers_leave_region_without_targets() {
+fn large_responses_leave_region_without_targets() {
     let mut balancer = balancer();
     for vm in ["a", "b"] {
         balancer.record_unreachable(START, &name(vm));
--- a/core/tests/call_entry.rs
+++ b/core/tests/call_entry.rs
@@ -64,7 +64,7 @@
         self.input(Input::Attempt { call, end, replayable: true })
     }
 
-    fn answer(&mut self, forward: &Forward, took: Duration) {
+    fn respond(&mut self, forward: &Forward, took: Duration) {
         self.now = self.now + took;
         self.end(forward.call, AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO });
         self.input(Input::Close(forward.call));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn retry_not_after_answer_began() {
+fn retry_not_after_response_began() {
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
     assert_eq!(
@@ -251,7 +251,7 @@
     for _ in 0..100 {
         let sent = driver.arrive();
         assert!(!["a", "b"].contains(&sent.vm.as_str()));
-        driver.answer(&sent, Duration::from_micros(10));
+        driver.respond(&sent, Duration::from_micros(10));
     }
     // Guards against overloading the remaining targets when a partition makes most of them appear
     // gone in the membership view.
@@ -260,7 +260,7 @@
     for _ in 0..300 {
         let sent = driver.arrive();
         *seen.entry(sent.vm.clone()).or_insert(0) += 1;
-        driver.answer(&sent, Duration::from_micros(10));
+        driver.respond(&sent, Duration::from_micros(10));
     }
     assert_eq!(seen.len(), 6, "{seen:?}");
 }
@@ -274,7 +274,7 @@
         let sent = driver.arrive();
         let is_slow = sent.vm.as_str() == "a";
         slow += usize::from(is_slow);
-        driver.answer(&sent, Duration::from_millis(if is_slow { 20 } else { 2 }));
+        driver.respond(&sent, Duration::from_millis(if is_slow { 20 } else { 2 }));
     }
     assert!(slow < 20, "{slow} of 1000 to the slow target");
 }
@@ -298,7 +298,7 @@
         if sent.vm.as_str() == "a" {
             driver.end(sent.call, AttemptEnd::NotSent);
         } else {
-            driver.answer(&sent, Duration::from_micros(100));
+            driver.respond(&sent, Duration::from_micros(100));
         }
     }
     let sent: Vec<Forward> = (0..100).map(|_| driver.arrive()).collect();
@@ -428,7 +428,7 @@
             tried += 1;
             driver.end(sent.call, AttemptEnd::NotSent);
         } else {
-            driver.answer(&sent, Duration::from_millis(1));
+            driver.respond(&sent, Duration::from_millis(1));
         }
     }
     assert_eq!(tried, 1);
@@ -441,7 +441,7 @@
     let mut driver = Driver::new(&["a/r/z", "b/r/z"]);
     let mut first = driver.arrive();
     while first.vm.as_str() != "a" {
-        driver.answer(&first, Duration::from_millis(1));
+        driver.respond(&first, Duration::from_millis(1));
         first = driver.arrive();
     }
     driver.end(first.call, rejected(Code::Draining));
@@ -463,7 +463,7 @@
             driver.now = driver.now + Duration::from_millis(100);
             driver.input(Input::Expire { call: sent.call, sent: true });
         } else {
-            driver.answer(&sent, Duration::from_millis(20));
+            driver.respond(&sent, Duration::from_millis(20));
         }
     }
     assert!(unresponsive <= 6, "{unresponsive} of 120 to a target that never answers");
--- a/core/tests/call_once.rs
+++ b/core/tests/call_once.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn once_answers_bounded() {
+fn once_responses_bounded() {
     let mut table = IdempotencyTable::new();
     let count = MAX_CACHED_BYTES as u64 / 100_000 + 5;
     for n in 0..count {
--- a/core/tests/call_retries_nested.rs
+++ b/core/tests/call_retries_nested.rs
@@ -121,12 +121,12 @@
         let (call, mut output) = self.arrive(desk, "/vault", own_runs);
         let mut counts = StepCounts { requests: 1, repeats: 0 };
         let mut arrivals = 0;
-        let mut answered = false;
+        let mut responded = false;
         while let Some(Output::Forward(_)) = output {
             arrivals += 1;
             counts.repeats += usize::from(repeat || arrivals > 1);
-            answered = !self.rng.random_bool(reject_rate);
-            let end = match answered {
+            responded = !self.rng.random_bool(reject_rate);
+            let end = match responded {
                 true => AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO },
                 false => AttemptEnd::Rejected {
                     code: Code::TargetRefused,
@@ -141,7 +141,7 @@
         let step = self.counts.last_mut().unwrap();
         step.requests += counts.requests;
         step.repeats += counts.repeats;
-        answered
+        responded
     }
 
     /// Completes all runs on a desk, including their nested calls.
--- a/node/src/spread/peers.rs
+++ b/node/src/spread/peers.rs
@@ -114,8 +114,8 @@
     async fn hello(&self, node: wire::node::Client) -> Result<wire::session::Client, capnp::Error> {
         let mut req = node.hello_request();
         codec::write_peer(&self.local_peer, req.get().init_from());
-        let answer = req.send().promise.await?;
-        answer.get()?.get_session()
+        let response = req.send().promise.await?;
+        response.get()?.get_session()
     }
 
     async fn deliver_messages(
--- a/node/tests/shell/admin.rs
+++ b/node/tests/shell/admin.rs
@@ -57,8 +57,8 @@
 #[test]
 fn invalid_request_refused() {
     let node = NodeProcess::start(&settings());
-    let answer = node.send(b"\x16\x03\x01\x00\xff rubbish\r\n\r\n");
-    assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 400"), "{answer}");
+    let response = node.send(b"\x16\x03\x01\x00\xff rubbish\r\n\r\n");
+    assert!(response.is_empty() || response.starts_with("HTTP/1.1 400"), "{response}");
     assert_eq!(node.json("/status")["vm"], "vm-1");
 }
 
@@ -68,8 +68,8 @@
     let mut request = b"GET /status HTTP/1.1\r\nx-large: ".to_vec();
     request.resize(64 * 1024, b'a');
     request.extend(b"\r\n\r\n");
-    let answer = node.send(&request);
-    assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 431"), "{answer}");
+    let response = node.send(&request);
+    assert!(response.is_empty() || response.starts_with("HTTP/1.1 431"), "{response}");
     assert_eq!(node.json("/status")["vm"], "vm-1");
 }
 
@@ -78,8 +78,8 @@
     // Guards against an endpoint that reads an unbounded body into memory.
     let node = NodeProcess::start(&settings());
     let head = "GET /status HTTP/1.1\r\nhost: node\r\ncontent-length: 999999999\r\n\r\nbegin";
-    let answer = node.send(head.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = node.send(head.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[test]
@@ -98,6 +98,6 @@
 fn connection_closed_after_one_request() {
     // Guards against idle keep-alive connections occupying all connections of the admin server.
     let node = NodeProcess::start(&settings());
-    let answer = node.send(b"GET /ready HTTP/1.1\r\nhost: node\r\n\r\n");
-    assert!(answer.to_ascii_lowercase().contains("connection: close"), "{answer}");
+    let response = node.send(b"GET /ready HTTP/1.1\r\nhost: node\r\n\r\n");
+    assert!(response.to_ascii_lowercase().contains("connection: close"), "{response}");
 }
--- a/node/tests/shell/configured.rs
+++ b/node/tests/shell/configured.rs
@@ -95,8 +95,8 @@
     // The open call keeps the process from exiting on its own.
     node.wait_until("the node refuses connections", |_| TcpStream::connect(calls).is_err());
     upstream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole").unwrap();
-    let mut answer = String::new();
-    caller.read_to_string(&mut answer).unwrap();
-    assert!(answer.ends_with("whole"), "{answer}");
+    let mut response = String::new();
+    caller.read_to_string(&mut response).unwrap();
+    assert!(response.ends_with("whole"), "{response}");
     assert_eq!(node.wait().code(), Some(0));
 }
--- a/node/tests/shell/process.rs
+++ b/node/tests/shell/process.rs
@@ -108,16 +108,16 @@
         let mut stream = self.connect();
         // The node may close the connection before reading the entire request.
         let _ = stream.write_all(buf);
-        let mut answer = Vec::new();
-        let _ = stream.read_to_end(&mut answer);
-        String::from_utf8_lossy(&answer).into_owned()
+        let mut response = Vec::new();
+        let _ = stream.read_to_end(&mut response);
+        String::from_utf8_lossy(&response).into_owned()
     }
 
     /// Sends a request and returns the head and body of the response.
     pub fn request(&self, method: &str, path: &str) -> (String, String) {
         let head = format!("{method} {path} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n");
-        let answer = self.send(head.as_bytes());
-        let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((&answer, ""));
+        let response = self.send(head.as_bytes());
+        let (head, body) = response.split_once("\r\n\r\n").unwrap_or((&response, ""));
         (head.to_owned(), body.to_owned())
     }
 
