--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -133,7 +133,7 @@
 }
 
 impl Outcome {
-    /// Builds a refusal, clamping `retry_after` to the allowed range.
+    /// Builds a rejection, clamping `retry_after` to the allowed range.
     pub fn not_run(code: Code, retry_after: Duration) -> Outcome {
         let retry_after = retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Outcome::NotRun { code, retry_after }
