--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -174,7 +174,7 @@
     /// Whether another late request may be queued: at most one per slot.
     ///
     /// Requests that can still meet their objective run first. Otherwise a slightly overloaded
-    /// target would answer every request late.
+    /// target would respond to every request late.
     fn has_room_for_late(&self) -> bool {
         (self.late.len() as u32) < self.limits.slots
     }
