--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -45,7 +45,7 @@
 const MAX_EJECTION: Duration = Duration::from_secs(8);
 
 /// How long a target is avoided after it reported that it is draining. Kept close to the restart
-/// time of a node: asking a target that is still draining costs only a refusal.
+/// time of a node: asking a target that is still draining costs only a rejection.
 const DRAINING_TTL: Duration = Duration::from_millis(2_500);
 
 /// Distance cost factor by class (gating, interactive, bulk). Bulk responses fill up links.
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Records that the target had not responded after `took`, when the hedge was answered.
+    /// Records that the target had not responded after `took`, when its hedge received a response.
     pub fn record_lost_to_hedge(&mut self, now: Time, vm: &Name, class: Class, took: Duration) {
         let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::AnswerTimes))
@@ -360,7 +360,7 @@
         self.record_failure(now, vm);
     }
 
-    /// Records that the gatekeeper refused a request because of load.
+    /// Records that the gatekeeper rejected a request because of load.
     pub fn record_overload(&mut self, now: Time, vm: &Name, terms: &Terms, retry_after: Duration) {
         if let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FullKnown))
@@ -374,7 +374,7 @@
         }
     }
 
-    /// Records that the target itself refused a request.
+    /// Records that the target itself rejected a request.
     pub fn record_rejection(&mut self, now: Time, vm: &Name) {
         if let Some(peer) =
             self.peers.get_mut(vm).filter(|_| self.policy.is_enabled(Mechanism::FailureShare))
@@ -436,7 +436,7 @@
         self.draw_cheaper(request, link, |_| true)
     }
 
-    /// Like `draw_two`, but skips targets that recently refused because of load.
+    /// Like `draw_two`, but skips targets that recently rejected because of load.
     fn draw_two_available(&mut self, request: PickRequest<'_>, link: Link) -> Option<usize> {
         self.draw_cheaper(request, link, |peer| {
             !peer.is_overloaded(request.now, request.class, request.rank)
