--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -60,7 +60,7 @@
     pub failures: u32,
     /// End of the ejection.
     pub ejected_until: Time,
-    /// Refusals because of load, by class.
+    /// Rejections because of load, by class.
     pub overload: [Option<Overload>; 3],
     /// When the gatekeeper's report that the target is draining expires.
     pub draining_until: Time,
@@ -70,10 +70,10 @@
     pub marked_leaving: bool,
 }
 
-/// A refusal because of load.
+/// A rejection because of load.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
-    /// Lowest rank, that is the highest priority, that was refused.
+    /// Lowest rank, that is the highest priority, that was rejected.
     pub rank: u8,
     /// When requests may be sent again.
     pub until: Time,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Whether a request of this class and rank was recently refused because of load.
+    /// Whether a request of this class and rank was recently rejected because of load.
     pub fn is_overloaded(&self, now: Time, class: Class, rank: u8) -> bool {
         self.overload[class as usize]
             .is_some_and(|overload| overload.until > now && overload.rank <= rank)
