--- a/core/src/call/budget.rs
+++ b/core/src/call/budget.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Records a repeat that this node cannot refuse, such as a nested call of a retried run.
+    /// Records a repeat that this node cannot reject, such as a nested call of a retried run.
     /// Charges one retry even if the budget is exhausted.
     pub fn record_repeat(&mut self, now: Time, limits: RetryLimits) {
         self.switch_kind(limits);
