--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// `Retry-After` of refusals that are not caused by load.
+/// `Retry-After` of rejections that are not caused by load.
 const RETRY_AFTER_SHORT: Duration = Duration::from_millis(200);
 const RETRY_AFTER_LONG: Duration = Duration::from_secs(1);
 
@@ -37,7 +37,7 @@
     key: Option<RequestKey>,
     deadline: Time,
     attempt: u32,
-    // Forwards refused before they cost a target any work.
+    // Forwards rejected before they cost a target any work.
     early_rejections: u32,
     primary: Option<ActiveAttempt>,
     // Second attempt, sent when the primary is slow.
@@ -317,7 +317,7 @@
                     again.then(|| self.next_attempt(now, key, Code::TargetFailed, replayable));
                 if let Some(next) = next.flatten() {
                     self.balancer.request_finished(&primary.vm);
-                    // The request has run, so a later refusal must not be reported as "not run".
+                    // The request has run, so a later rejection must not be reported as "not run".
                     if let Some(call) = self.calls.get_mut(&key) {
                         call.terms.repeat = true;
                         call.possibly_run.get_or_insert(Code::TargetFailed);
@@ -448,7 +448,7 @@
 }
 
 impl Call {
-    /// Once an attempt may have reached a target, a later refusal does not prove that the request
+    /// Once an attempt may have reached a target, a later rejection does not prove that the request
     /// did not run.
     fn final_outcome(&self, code: Code, retry_after: Duration) -> Outcome {
         match self.possibly_run {
