--- a/core/src/call/entry/hedge/budget.rs
+++ b/core/src/call/entry/hedge/budget.rs
@@ -11,7 +11,7 @@
 /// Credit added by each first attempt.
 const FIRST_ATTEMPT_CREDIT: u32 = 4;
 
-/// Credit returned when a hedge is answered before the primary.
+/// Credit returned when a hedge receives its response before the primary.
 const WIN_REFUND: u32 = 95;
 
 const MAX_BALANCE: u32 = 300;
