--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -52,7 +52,7 @@
         /// The hedge ended. The primary attempt continues.
         HedgeEnded {
             call: CallKey,
-            /// `None` if the hedge was cancelled because the primary was answered.
+            /// `None` if the hedge was cancelled because the primary received a response.
             end: Option<AttemptEnd>,
         },
         /// The response body is complete, the caller disconnected, or the deadline cut it off.
@@ -97,7 +97,7 @@
         /// The connection to the gatekeeper broke after a byte was sent, or the response was
         /// invalid.
         ConnectionLost,
-        /// The attempt was cancelled because its hedge was answered first.
+        /// The attempt was cancelled because its hedge received a response first.
         LostToHedge,
     }
 
