--- a/core/src/call/entry/retry.rs
+++ b/core/src/call/entry/retry.rs
@@ -34,7 +34,7 @@
             return None;
         }
         if attempts >= route.max_attempts {
-            // Refusals that cost no target any work do not count as attempts.
+            // Rejections that cost no target any work do not count as attempts.
             let unused = call.key.is_none() && call.early_rejections == call.attempt;
             return unused.then(|| self.queue_at_nearest(now, key, code)).flatten();
         }
@@ -64,7 +64,7 @@
 
     /// Returns the next home for a request that may run only once.
     ///
-    /// Such a request is retried only after a refusal that guarantees that it did not run: at its
+    /// Such a request is retried only after a rejection that guarantees that it did not run: at its
     /// home under a newer configuration version, or at the next home if the current one is
     /// draining. The receiving node verifies that it is the home.
     fn next_home(
@@ -123,8 +123,8 @@
         }
         let request = PickRequest::new(now, service, &call.terms).with_tried(&call.tried);
         let vm = match overloaded && spare_forwards > 0 {
-            // Skip overloaded targets, which would refuse as well. The caller may queue the request
-            // instead.
+            // Skip overloaded targets, which would reject it as well. The caller may queue the
+            // request instead.
             true => self.balancer.pick_available(request)?,
             false => self.balancer.pick(request)?,
         };
@@ -140,16 +140,16 @@
     Free,
     // The retry adds load to the service and uses the retry budget.
     Budgeted,
-    // Another target would refuse for the same reason.
+    // Another target would reject it for the same reason.
     Never,
 }
 
-/// Whether the request was refused before any target worked on it.
+/// Whether the request was rejected before any target worked on it.
 pub(super) fn is_early_rejection(code: Code) -> bool {
     !matches!(code, Code::TargetRefused | Code::TargetReplaced | Code::TargetUnreachable)
 }
 
-/// Whether the target itself refused the request, having received it without running it.
+/// Whether the target itself rejected the request, having received it without running it.
 pub(super) fn reached_target(code: Code) -> bool {
     matches!(code, Code::TargetRefused | Code::TargetReplaced)
 }
@@ -161,7 +161,7 @@
         | Code::NotConfigured
         | Code::TooManyConnections
         | Code::GatekeeperUnreachable => RetryKind::Free,
-        // The route allows other gatekeepers to be asked before the request is refused.
+        // The route allows other gatekeepers to be tried before the request is rejected.
         Code::QueueFull | Code::QueueTimeout if spare_forwards > 0 => RetryKind::Free,
         Code::TargetUnreachable
         | Code::TargetRefused
