--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -71,7 +71,7 @@
     suspects: Suspects,
     calls: IndexMap<CallKey, Call>,
     runs: RunCounts,
-    // The last crash, until the target answers again.
+    // The last crash, until the target responds again.
     crash: Option<u64>,
     target_up: bool,
     // Whether the configuration lists the target as leaving.
