--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -21,7 +21,7 @@
         pub terms: Option<Terms>,
         /// The `Idempotency-Key`.
         pub key: Option<RequestKey>,
-        /// Digest of method, path and body, to recognise a repeated request. Absent if the body is
+        /// Digest of method, path and body, to recognize a repeated request. Absent if the body is
         /// too large to buffer.
         pub digest: Option<Hash>,
         /// Identifies the request for the quarantine.
