--- a/core/src/call/gatekeeper/suspects.rs
+++ b/core/src/call/gatekeeper/suspects.rs
@@ -19,7 +19,7 @@
     ) {
         let mut fingerprints = vec![broken.fingerprint];
         let new_crash = rendezvous_score(self.vm.as_bytes(), &now.0.to_le_bytes());
-        // Requests that break before the target answers again belong to the same crash.
+        // Requests that break before the target responds again belong to the same crash.
         let crash = self.crash.filter(|_| target_gone).unwrap_or(new_crash);
         if target_gone {
             self.crash = Some(crash);
