--- a/core/src/call/note.rs
+++ b/core/src/call/note.rs
@@ -86,7 +86,7 @@
             /// Requests that the target was running.
             fingerprints: Vec<Fingerprint>,
         },
-        /// The sender's target has answered a suspected request.
+        /// The sender's target has responded to a suspected request.
         Cleared {
             fingerprint: Fingerprint,
         },
