--- a/core/src/call/policy.rs
+++ b/core/src/call/policy.rs
@@ -18,7 +18,7 @@
         ReportedLoads,
         /// Adds a cost to targets with a high failure rate.
         FailureShare,
-        /// Avoids targets that recently refused a request because of load.
+        /// Avoids targets that recently rejected a request because of load.
         FullKnown,
         /// Queues a request at one target when all are overloaded, instead of trying several.
         FullOnce,
@@ -80,8 +80,8 @@
 /// idle slots still serve late requests.
 const LATE_WAIT_PERCENT: u32 = 50;
 
-/// A longer queue may be specific to this target, so the request is refused while it has time to be
-/// sent to another.
+/// A longer queue may be specific to this target, so the request is rejected while it has time to
+/// be sent to another.
 const FIRST_WAIT_PERCENT: u32 = 30;
 
 /// Traffic between zones and regions is billed by volume, so it must save this much waiting time.
