--- a/core/src/call/quarantine.rs
+++ b/core/src/call/quarantine.rs
@@ -55,7 +55,7 @@
         quarantined
     }
 
-    /// Clears a request that was answered. Returns whether it was a suspect.
+    /// Clears a request that received a response. Returns whether it was a suspect.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
         !self.entries.is_empty() && self.entries.shift_remove(&fingerprint).is_some()
     }
