--- a/core/src/discovery.rs
+++ b/core/src/discovery.rs
@@ -82,7 +82,7 @@
     // Cached message with the full state, for peers that hold nothing.
     full_state: Option<PeerMsg>,
     snapshot_stale: bool,
-    // The store has answered since the followers were last updated.
+    // The store has responded since the followers were last updated.
     broadcast_due: bool,
     // The state came from a peer and has to be confirmed by the candidate reader.
     resync_due: bool,
