--- a/core/src/discovery/follow.rs
+++ b/core/src/discovery/follow.rs
@@ -44,7 +44,7 @@
 const UNPUBLISHED_WAIT: Duration = Duration::from_millis(2_500);
 
 /// Shortest interval between watches that return no changes. Limits the call rate if the store
-/// answers watches immediately.
+/// responds to watches immediately.
 const MIN_EMPTY_WATCH_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Whether this node waits for a reader before it calls the store.
