--- a/core/src/discovery/pace.rs
+++ b/core/src/discovery/pace.rs
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
-    /// How long after the store last answered its reader a follower relies on that reader.
+    /// How long after the store last responded to its reader a follower relies on that reader.
     pub reader_timeout: Duration,
     /// Longest wait of a reader's watch.
     pub max_watch_wait: Duration,
