--- a/core/src/discovery/port.rs
+++ b/core/src/discovery/port.rs
@@ -131,7 +131,7 @@
     pub enum ReadError {
         /// The store has compacted the changes since the requested revision.
         HistoryGone,
-        /// The store did not answer or rejected the call.
+        /// The store did not respond or rejected the call.
         Failed(Code),
     }
 }
@@ -206,7 +206,7 @@
     pub struct Status {
         /// Newest known version.
         pub newest: u64,
-        /// Whether the store answered the last call; `None` before the first call ends.
+        /// Whether the store responded to the last call; `None` before the first call ends.
         pub store_reachable: Option<bool>,
     }
 }
