--- a/core/src/discovery/registry.rs
+++ b/core/src/discovery/registry.rs
@@ -20,7 +20,7 @@
 pub struct Registry {
     entries: IndexMap<Name, KnownTarget>,
     failing_since: Option<Time>,
-    // When the store answered again after an outage.
+    // When the store responded again after an outage.
     recovered_at: Option<Time>,
 }
 
