--- a/core/src/discovery/relay.rs
+++ b/core/src/discovery/relay.rs
@@ -7,9 +7,10 @@
 //! in a shared order earliest, and a node without a reader follows the first one that it hears
 //! from.
 //!
-//! A reader sends messages only after the store has answered it. A follower that has received none
-//! for [`Pace::reader_timeout`] therefore reads the store itself, whatever the cause. Each message
-//! carries a digest of the reader's full state; a follower with a different state requests a delta.
+//! A reader sends messages only after the store has responded to it. A follower that has received
+//! none for [`Pace::reader_timeout`] therefore reads the store itself, whatever the cause. Each
+//! message carries a digest of the reader's full state; a follower with a different state requests a
+//! delta.
 
 use super::announce::{Announcements, region_rank};
 use super::pace::Pace;
@@ -154,7 +155,7 @@
         !self.followers.is_empty() || now < self.followers_expected_until
     }
 
-    /// Records that the store has answered.
+    /// Records that the store has responded.
     pub fn on_store_success(&mut self, now: Time) {
         self.store_responded_at = Some(now);
     }
@@ -380,7 +381,7 @@
         })
     }
 
-    /// Returns the updates to send to followers after the store has answered.
+    /// Returns the updates to send to followers after the store has responded.
     pub fn update_followers(&mut self, now: Time, cfg: &Config, view: &Arc<View>) -> Vec<Outgoing> {
         self.followers.retain(|_, follower| follower.until > now);
         let last_sent = self.last_sent.replace(view.clone());
@@ -424,7 +425,7 @@
         self.store_age(now).is_some_and(|age| age < self.pace.reader_timeout)
     }
 
-    /// Age of the store's last answer to the sender, if recent enough to rely on.
+    /// Age of the store's last response to the sender, if recent enough to rely on.
     fn fresh_age(&self, summary: &Summary) -> Option<Duration> {
         let age = Duration::from_millis(summary.store_age_ms?.into());
         Some(age).filter(|age| *age < self.pace.reader_timeout)
