--- a/core/src/discovery/view.rs
+++ b/core/src/discovery/view.rs
@@ -47,7 +47,7 @@
         View { published, targets, digest: Hash::of(&text) }
     }
 
-    /// Summary of this view; `store_age` is the time since the store last answered this node.
+    /// Summary of this view; `store_age` is the time since the store last responded to this node.
     pub fn summary(&self, store_age: Option<Duration>) -> Summary {
         let preset: Name = self.published.preset.name.clone();
         let in_force = InForce { version: self.published.version, preset, digest: Hash::of(b"") };
