--- a/core/src/event.rs
+++ b/core/src/event.rs
@@ -24,17 +24,17 @@
     VersionRefused,
     /// A version was put into force on this node.
     VersionInForce,
-    /// The platform stopped answering.
+    /// The platform stopped responding.
     SourceLost,
-    /// The platform answers again.
+    /// The platform responds again.
     SourceBack,
     /// A relay was selected as parent.
     ParentChosen,
-    /// The parent stopped answering.
+    /// The parent stopped responding.
     ParentLost,
-    /// The local target stopped answering.
+    /// The local target stopped responding.
     TargetLost,
-    /// The local target answers again.
+    /// The local target responds again.
     TargetBack,
     /// A request was quarantined because it crashed targets.
     Quarantined,
