--- a/core/src/spread/limits.rs
+++ b/core/src/spread/limits.rs
@@ -93,7 +93,7 @@
 pub const LIST_WAIT: Duration = Duration::from_secs(600);
 
 /// [`WATCH_WAIT`] for the key `in-force` within the platform's region, where calls are cheap. A
-/// short wait limits the delay if an answer is lost in an outage.
+/// short wait limits the delay if a response is lost in an outage.
 pub const WATCH_WAIT_HOME: Duration = Duration::from_secs(2);
 
 /// Time after the end of a call's wait before the call is abandoned.
@@ -105,7 +105,7 @@
 /// Minimum interval between reads of the same list, which may change frequently.
 pub const LIST_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Minimum interval between blocking reads, in case the platform answers them immediately.
+/// Minimum interval between blocking reads, in case the platform responds immediately.
 pub const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Initial and maximum backoff of readers after failed calls to the platform.
