--- a/core/src/spread/message.rs
+++ b/core/src/spread/message.rs
@@ -16,7 +16,7 @@
         /// Digest of the manifest of the full version. Different digests for the same publication
         /// indicate altered content.
         pub manifest_digest: Hash,
-        /// Time since the store last answered the sender, in milliseconds; absent if the sender
+        /// Time since the store last responded to the sender, in milliseconds; absent if the sender
         /// does not read the store.
         pub store_age_ms: Option<u32>,
     }
