--- a/core/src/spread/port.rs
+++ b/core/src/spread/port.rs
@@ -61,7 +61,7 @@
         pub wait: Duration,
     }
 
-    /// The platform's answer to a call.
+    /// The platform's response to a call.
     pub struct SourceValue {
         /// Index at which the key last changed.
         pub index: u64,
@@ -130,7 +130,7 @@
         Confirmed,
         /// Record an event.
         Event(Event),
-        /// Report a refused version.
+        /// Report a rejected version.
         Rejected(Fault),
         /// Deliver [`Input::Wake`] at this time; replaces the previous time.
         WakeAt(Time),
@@ -143,7 +143,7 @@
         pub role: Role,
         /// The peer that the latest version was received from, or `platform`.
         pub parent: Option<Name>,
-        /// Whether the platform answered the last call; `None` before the first call.
+        /// Whether the platform responded to the last call; `None` before the first call.
         pub platform_reachable: Option<bool>,
         /// Whether a peer has answered since the start or the last clock gap. If not, the version
         /// in force may be older than the one before the restart.
