--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Restarts the watches on lists after an outage, which may have lost their answers unnoticed.
-    /// Otherwise a change would go unseen until the long wait ends.
+    /// Restarts the watches on lists after an outage, which may have lost their responses
+    /// unnoticed. Otherwise a change would go unseen until the long wait ends.
     fn restart_list_watches(&mut self, out: &mut Vec<Output>) {
         let is_list = |p: &CallPurpose| matches!(p, CallPurpose::List(_) | CallPurpose::Zones);
         let dropped = self.source.cancel_calls(is_list);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Reports a refused publication, once.
+    /// Reports a rejected publication, once.
     pub(super) fn report_rejected_once(
         &mut self,
         now: Time,
@@ -339,7 +339,7 @@
         self.next_at = now + self.backoff.fail(first, longest, rng);
     }
 
-    /// Records an answer and schedules the next call. Returns whether the index changed.
+    /// Records a response and schedules the next call. Returns whether the index changed.
     ///
     /// Backs off if an unchanged value is returned early, in case the platform does not block.
     fn record_response(
