--- a/core/src/spread/source.rs
+++ b/core/src/spread/source.rs
@@ -75,7 +75,7 @@
 pub struct Source {
     next_id: u64,
     calls: IndexMap<CallId, OpenCall>,
-    /// Whether the last call was answered; `None` before the first.
+    /// Whether the last call received a response; `None` before the first.
     pub reachable: Option<bool>,
     /// Watch on the key `in-force`.
     pub in_force: Watch,
@@ -88,7 +88,7 @@
     /// Parts of the last preset read, by digest. Kept as raw JSON, which takes a fraction of the
     /// memory of parsed documents.
     pub parts: IndexMap<Hash, Bytes>,
-    /// The last refused publication, reported only once.
+    /// The last rejected publication, reported only once.
     pub last_rejected: Option<InForce>,
     /// Hash of the last value that could not be parsed, reported only once.
     pub last_unparsable: Option<Hash>,
@@ -127,7 +127,7 @@
         self.calls.values().any(|call| call.purpose == *purpose)
     }
 
-    /// Whether the key `in-force` is being watched and the platform answered the last call.
+    /// Whether the key `in-force` is being watched and the platform responded to the last call.
     pub fn is_watching(&self) -> bool {
         self.reachable == Some(true) && self.in_force.index > 0
     }
