--- a/core/tests/call_balance.rs
+++ b/core/tests/call_balance.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Makes the targets refuse because of load, with `wait_ms` as the expected wait.
+/// Makes the targets reject because of load, with `wait_ms` as the expected wait.
 fn mark_overloaded(balancer: &mut Balancer, vms: [&str; 2], wait_ms: u32) {
     for vm in vms {
         let load = Load { in_flight: 8, slots: 8, queued: 4, wait_ms };
