--- a/core/tests/call_entry.rs
+++ b/core/tests/call_entry.rs
@@ -128,7 +128,7 @@
 
 #[test]
 fn outcome_unknown_stays() {
-    // Guards against reporting "not run" when the second target refuses but the first, which
+    // Guards against reporting "not run" when the second target rejects but the first, which
     // crashed, may have run the request.
     let mut driver = Driver::new(&SIX);
     let first = driver.arrive();
@@ -167,7 +167,7 @@
 #[test]
 fn once_next_home() {
     // Guards against losing or duplicating a signing while the home of its key is draining: it
-    // moves to the next home only after a refusal that guarantees that it did not run.
+    // moves to the next home only after a rejection that guarantees that it did not run.
     let mut driver = Driver::new(&SIX);
     let home = forward(driver.arrive_at("/once", Some(key(1))));
     let next = forward(driver.end(home.call, rejected(Code::Draining)));
