--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -14,7 +14,7 @@
 
 const START: Time = Time(1_700_000_000_000_000);
 
-/// `retry_after` of the refusals.
+/// `retry_after` of the rejections.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// A service with four targets and a route that allows two spare forwards.
@@ -44,7 +44,7 @@
         out.pop()
     }
 
-    /// Sends a request that every target refuses because of load. Returns its forwards.
+    /// Sends a request that every target rejects because of load. Returns its forwards.
     fn send_to_overloaded_service(&mut self) -> Vec<Forward> {
         self.next += 1;
         let call = CallKey(self.next);
@@ -70,11 +70,11 @@
 #[test]
 fn full_service_asked_once() {
     // Guards against each request asking several gatekeepers in turn when all targets are
-    // overloaded, which spends the processor time of small nodes on refusals.
+    // overloaded, which spends the processor time of small nodes on rejections.
     let mut driver = Driver::new();
     let first = driver.send_to_overloaded_service();
     assert_eq!(first.len(), 3, "{first:?}");
-    // The fourth target has not refused a request yet.
+    // The fourth target has not rejected a request yet.
     driver.send_to_overloaded_service();
     let third = driver.send_to_overloaded_service();
     assert_eq!(third.len(), 1, "{third:?}");
