--- a/core/tests/call_entry_hedge.rs
+++ b/core/tests/call_entry_hedge.rs
@@ -101,7 +101,7 @@
     assert_eq!(driver.input(Input::HedgeDue(first.call)), None);
 }
 
-/// Guards against reporting "not run" when the hedge was refused but the primary, whose response
+/// Guards against reporting "not run" when the hedge was rejected but the primary, whose response
 /// was lost, may have run the request.
 #[test]
 fn hedge_refused_after_first_lost() {
