--- a/core/tests/call_entry_naive.rs
+++ b/core/tests/call_entry_naive.rs
@@ -21,7 +21,7 @@
 const MAX_ATTEMPTS: usize = 3;
 const DEADLINE: Duration = Duration::from_secs(2);
 
-/// Refusal codes: (whether another target may be tried, whether that uses the retry budget).
+/// Rejection codes: (whether another target may be tried, whether that uses the retry budget).
 const CODES: [(Code, bool, bool); 9] = [
     (Code::TooManyConnections, true, false),
     (Code::NotConfigured, true, false),
@@ -46,7 +46,7 @@
 enum Expected {
     /// An attempt on one of these targets.
     Forward(Vec<&'static str>),
-    /// A refusal with this code and any `retry_after`.
+    /// A rejection with this code and any `retry_after`.
     NotRun(Code),
     Unknown(Code),
     Nothing,
@@ -68,7 +68,7 @@
     retry_units: u64,
 }
 
-/// Whether the next home in order may accept the key after this refusal.
+/// Whether the next home in order may accept the key after this rejection.
 fn goes_to_next_home(code: Code) -> bool {
     matches!(code, Code::NotHome | Code::GatekeeperUnreachable)
 }
@@ -212,7 +212,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against sequences of refusals, lost responses and new versions that lead to a wrong
+    /// Guards against sequences of rejections, lost responses and new versions that lead to a wrong
     /// "not run" outcome or to more retries than the budget allows.
     #[test]
     fn entry_as_naive(steps in prop::collection::vec(step(), 1..150)) {
