--- a/core/tests/call_quarantine.rs
+++ b/core/tests/call_quarantine.rs
@@ -107,7 +107,7 @@
 
 #[test]
 fn quarantine_bystanders() {
-    // Requests that ran during a crash and are answered elsewhere must not be quarantined by the
+    // Requests that ran during a crash and succeed elsewhere must not be quarantined by the
     // next crash.
     let mut fleet = Fleet::new();
     let bystanders: Vec<Fingerprint> = (0..5).map(Fingerprint).collect();
