--- a/core/tests/discovery_peers.rs
+++ b/core/tests/discovery_peers.rs
@@ -54,7 +54,7 @@
 #[test]
 fn rejoin_not_asked_while_the_store_answers() {
     let mut node = Node::with_targets(vec![ready("a", 1)]);
-    // Only at the start, before the store has answered.
+    // Only at the start, before the store has responded.
     assert_eq!(std::mem::take(&mut node.sent).len(), 1);
     node.advance(ms(5_000));
     assert!(node.sent.is_empty());
@@ -149,7 +149,7 @@
 }
 
 /// Guards against a follower that keeps relying on a reader that has lost the store: the timeout
-/// runs from the store's last answer, not from the announcement.
+/// runs from the store's last response, not from the announcement.
 #[test]
 fn relay_old_answer_is_counted_from_the_store() {
     let mut node = follower();
