--- a/core/tests/nested.rs
+++ b/core/tests/nested.rs
@@ -42,7 +42,7 @@
 
 #[test]
 fn nested_waits_for_a_busy_target() {
-    // Guards against refusing a nested call with a short timeout because the target is busy, which
+    // Guards against rejecting a nested call with a short timeout because the target is busy, which
     // fails the run that made it and causes further retries.
     let limits = ServiceLimits { slots: 11, queue: 64, ..ServiceLimits::default() };
     let mut slots = Slots::new(limits);
