--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -28,7 +28,7 @@
 /// Maximum number of outputs from one input. More indicate a feedback loop.
 const MAX_OUTPUTS: usize = 1_000;
 
-/// Initial steps in which the platform answers every call.
+/// Initial steps in which the platform responds to every call.
 const WARM_UP_STEPS: usize = 100;
 
 /// Generates inputs from a small set of names and numbers, so that collisions are likely.
