--- a/core/tests/spread_budget.rs
+++ b/core/tests/spread_budget.rs
@@ -95,7 +95,7 @@
 
 #[test]
 fn calls_over_the_limit() {
-    // Guards against retrying without backoff while the platform answers every call with 429.
+    // Guards against retrying without backoff while the platform responds to every call with 429.
     let mut fleet = Fleet::new(6, 3);
     fleet.publish(1, &preset(1));
     fleet.start_all();
