--- a/core/tests/spread_faults.rs
+++ b/core/tests/spread_faults.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn source_silent_then_back() {
-    // The platform accepts calls but never answers. Without a timeout, nodes would hear of no
+    // The platform accepts calls but never responds. Without a timeout, nodes would hear of no
     // version after it recovers.
     let mut fleet = settled(6, 3);
     fleet.platform_silent(true);
@@ -193,7 +193,7 @@
     let mut fleet = settled(2, 6);
     fleet.publish(2, &preset(2));
     fleet.run(3 * SECOND);
-    // The platform answers long before the neighbours do.
+    // The platform responds long before the neighbours do.
     fleet.latency = SECOND / 10;
     fleet.partition_zones(&["a"]);
     fleet.publish(1, &preset(1));
