--- a/core/tests/spread_versions.rs
+++ b/core/tests/spread_versions.rs
@@ -46,7 +46,8 @@
 
 #[test]
 fn publish_bad_then_good() {
-    // A preset with a dangling route must be refused on every node, and a later valid one accepted.
+    // A preset with a dangling route must be rejected on every node, and a later valid one
+    // accepted.
     let mut fleet = settled();
     let bad = preset(2).replace(r#""service":"maps""#, r#""service":"mops""#);
     fleet.publish(2, &bad);
@@ -88,7 +89,7 @@
 
 #[test]
 fn publish_conflict_late() {
-    // Another body is published under the version in force. It must be refused and reported, or
+    // Another body is published under the version in force. It must be rejected and reported, or
     // nodes would hold different content under the same version.
     let mut fleet = settled();
     fleet.publish(1, &preset(9));
