--- a/core/tests/support/fleet.rs
+++ b/core/tests/support/fleet.rs
@@ -56,11 +56,11 @@
     /// Zones that cannot reach the platform.
     pub unreachable_from: Vec<Name>,
     pub down: bool,
-    /// Accepts calls but never answers.
+    /// Accepts calls but never responds.
     pub silent: bool,
-    /// Answers blocking reads immediately.
+    /// Responds to blocking reads immediately.
     pub answers_watches_at_once: bool,
-    /// Answers every call with status 429.
+    /// Responds to every call with status 429.
     pub over_limit: bool,
     /// Time and key of every call.
     pub calls: Vec<(Time, String)>,
@@ -220,7 +220,7 @@
         self.set(&format!("vms/{}", place.zone), body);
     }
 
-    /// Writes a key and answers the calls that block on it.
+    /// Writes a key and responds to the calls that block on it.
     pub fn set(&mut self, key: &str, value: impl Into<Bytes>) {
         self.platform.set(key, value);
         let (wake, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.platform.blocked_calls)
@@ -420,14 +420,14 @@
         self.push(self.now + LATENCY, node, Action::Input(generation, reply));
     }
 
-    /// Answers all blocked calls although no value has changed.
+    /// Responds to all blocked calls although no value has changed.
     pub fn platform_wake_all(&mut self) {
         for (node, generation, call) in std::mem::take(&mut self.platform.blocked_calls) {
             self.reply(node, generation, &call);
         }
     }
 
-    /// Sets whether the platform leaves all open and new calls unanswered.
+    /// Sets whether the platform leaves all open and new calls without a response.
     pub fn platform_silent(&mut self, silent: bool) {
         self.platform.silent = silent;
         self.platform.blocked_calls.clear();
