--- a/core/tests/support/store_fleet.rs
+++ b/core/tests/support/store_fleet.rs
@@ -20,7 +20,7 @@
 
 pub const START: Time = Time(1_700_000_000_000_000);
 
-/// Latency of a message, and of a call that the store answers at once.
+/// Latency of a message, and of a call that the store responds to at once.
 const MESSAGE_LATENCY: Duration = Duration::from_millis(2);
 
 /// Ports of the peer listener, the gatekeeper and the target of every node.
@@ -141,7 +141,7 @@
 pub struct Node {
     pub discovery: Discovery,
     pub up: bool,
-    /// Calls to the store get no answer.
+    /// Calls to the store get no response.
     pub store_unreachable: bool,
     /// Pending call and its start time.
     pub call: Option<(Call, Time)>,
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Completes the pending call of a node if it is answered or times out now.
+    /// Completes the pending call of a node if it receives a response or times out now.
     fn answer(&mut self, node: usize) {
         let Some((call, since)) = self.nodes[node].call.clone() else {
             return;
