--- a/core/tests/support/store_node.rs
+++ b/core/tests/support/store_node.rs
@@ -51,7 +51,7 @@
     target(id, entry(&format!("10.0.0.{ip}:80"), TargetState::Ready, 1_000, 1))
 }
 
-/// Node whose store calls are answered by the test.
+/// Node whose store calls the test responds to.
 pub struct Node {
     pub discovery: Discovery,
     pub now: Time,
@@ -101,13 +101,13 @@
         node
     }
 
-    /// Answers a stale list, after which nothing has changed.
+    /// Responds with a stale list, after which nothing has changed.
     pub fn reply_list(&mut self, revision: u64, changes: Vec<Change>) {
         self.reply(revision, changes);
         self.finish_list(revision, vec![], vec![]);
     }
 
-    /// Answers the reads that complete a stale list.
+    /// Responds to the reads that complete a stale list.
     pub fn finish_list(&mut self, revision: u64, entries: Vec<Change>, document: Vec<Change>) {
         assert!(matches!(self.calls[0].request, Request::Entries { .. }), "{:?}", self.calls);
         self.reply(revision, entries);
