--- a/node/src/app.rs
+++ b/node/src/app.rs
@@ -21,7 +21,7 @@
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// Minimum duration of a graceful shutdown. Gives callers and peers time to learn of it from
-/// refusals instead of broken connections.
+/// rejections instead of broken connections.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(2);
 
 /// Additional time to wait for idle connections to close, so that a request already in transit does
