--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -210,7 +210,7 @@
         self.forward(call, forward).await
     }
 
-    /// Forwards a request until it is answered or the state machine ends the call.
+    /// Forwards a request until it receives a response or the state machine ends the call.
     async fn forward(&self, mut call: Call, mut forward: Forward) -> Response<Body> {
         loop {
             let attempt = self.attempt(&mut call, &mut forward).await;
