--- a/node/src/calls/serve.rs
+++ b/node/src/calls/serve.rs
@@ -32,8 +32,8 @@
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 const NODE_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How long a draining node keeps idle connections open, so that requests already in transit are
-/// answered.
+/// How long a draining node keeps idle connections open, so that requests already in transit
+/// receive a response.
 const DRAIN_NOTICE_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Pause after a failed `accept`, for example when no file descriptors are left.
@@ -176,7 +176,7 @@
 
     /// Waits until the node has been draining for the notice period.
     ///
-    /// During this period idle connections stay open and requests on them are answered with
+    /// During this period idle connections stay open and responses on them carry
     /// `connection: close`, since a request may be in transit.
     async fn wait_for_drain(&self) {
         self.shared.drain_started().await;
@@ -190,7 +190,7 @@
     matches!(addresses, (Ok(peer), Ok(local)) if peer.ip() == local.ip())
 }
 
-/// Answers a connection over the limit with a 503 and closes it.
+/// Responds to a connection over the limit with a 503 and closes it.
 fn reject_connection(stream: &Async<TcpStream>) {
     let (outcome, name, number) =
         (headers::OUTCOME, headers::CODE, Code::TooManyConnections.number());
