--- a/node/src/calls/socket.rs
+++ b/node/src/calls/socket.rs
@@ -1,7 +1,7 @@
 //! Socket of an incoming connection.
 //!
-//! hyper answers malformed heads itself and silently drops a repeated `content-length`. This layer
-//! adds a result code to the former and detects the latter.
+//! hyper responds to malformed heads itself and silently drops a repeated `content-length`. This
+//! layer adds a result code to the former and detects the latter.
 
 use super::conn_state::{ConnectionState, Phase};
 use super::headers;
