--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -63,7 +63,7 @@
     /// backwards.
     ///
     /// The monotonic clock stops while a VM is suspended. Without this correction, the node would
-    /// stay behind all others and refuse new keys as minted in the future.
+    /// stay behind all others and reject new keys as minted in the future.
     fn now(&self) -> Time {
         let monotonic_now = self.start + self.origin.elapsed();
         let ahead = Duration::from_micros(self.ahead_us.load(Ordering::Relaxed));
