--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -91,13 +91,13 @@
     pub in_force_since: Option<Time>,
     /// Newest known version.
     pub newest_heard: u64,
-    /// Reason for the most recent refusal of a version.
+    /// Reason for the most recent rejection of a version.
     pub last_rejection: Option<Fault>,
     /// Role of this node in version distribution.
     pub role: sycamore_core::status::Role,
     /// Peer that supplied the last version.
     pub parent: Option<Name>,
-    /// Whether the platform answered the last call.
+    /// Whether the platform responded to the last call.
     pub platform_reachable: Option<bool>,
     /// Whether a peer has confirmed the version in force.
     pub confirmed: bool,
