--- a/node/src/spread/platform.rs
+++ b/node/src/spread/platform.rs
@@ -46,7 +46,7 @@
         let status = response.status();
         let index = response.headers().get(INDEX_HEADER).and_then(|value| value.to_str().ok());
         let index = index.and_then(|text| text.parse().ok());
-        // Allows one byte over the limit, so that an oversized value is refused by document
+        // Allows one byte over the limit, so that an oversized value is rejected by document
         // validation instead of here.
         let body = Limited::new(response.into_body(), MAX_DOCUMENT_BYTES + 1).collect().await;
         let body = body.map_err(|_| Code::SourceInvalid)?.to_bytes();
