--- a/node/tests/calls_drain.rs
+++ b/node/tests/calls_drain.rs
@@ -66,7 +66,8 @@
 
 #[test]
 fn drain_idle_connection() {
-    // Guards against a request lost on an idle connection to a draining node: it must be answered.
+    // Guards against a request lost on an idle connection to a draining node: it must receive a
+    // response.
     let (_target, node) = single_node("{}");
     let mut stream = open(node.entry, &get("/idem"));
     assert_eq!(read(&stream).outcome(), "answered");
