--- a/node/tests/clock.rs
+++ b/node/tests/clock.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn system_clock_follows_wall_clock_after_suspend() {
-    // Guards against a node that stays behind the wall clock after its VM was suspended and refuses
+    // Guards against a node that stays behind the wall clock after its VM was suspended and rejects
     // new signing requests, since their keys appear to come from the future.
     let wall = Clock::new().now();
     let clock = Clock::starting_at(wall - HOUR);
@@ -19,7 +19,7 @@
 #[test]
 fn system_clock_never_goes_back() {
     // Guards against time going backwards when the wall clock is corrected, which would revive
-    // expired leases and cached answers.
+    // expired leases and cached responses.
     let wall = Clock::new().now();
     let clock = Clock::starting_at(wall + HOUR);
     let first = clock.now();
