--- a/node/tests/shell/configured.rs
+++ b/node/tests/shell/configured.rs
@@ -70,7 +70,7 @@
     let (mut node, settings) = ready_node(target.local_addr().unwrap(), 1_000);
     let mut caller = TcpStream::connect(settings["listen"]["calls"].as_str().unwrap()).unwrap();
     caller.write_all(b"GET /season HTTP/1.1\r\nhost: ledgers\r\n\r\n").unwrap();
-    // The target receives the request but never answers.
+    // The target receives the request but never responds.
     let (mut upstream, _) = target.accept().unwrap();
     assert!(upstream.read(&mut [0; 1]).unwrap() > 0);
     node.signal(Signal::TERM);
