--- a/core/src/spread/reading.rs
+++ b/core/src/spread/reading.rs
@@ -133,11 +133,11 @@
             return;
         }
         // The floor may be a version that this VM confirmed before a restart but does not hold now.
-        let verdict = match self.floor.newest() {
+        let decision = match self.floor.newest() {
             Some(floor) if *floor == seen && pending.as_ref() != Some(&seen) => Decision::Fetch,
             _ => self.floor.evaluate(&seen, pending.as_ref()),
         };
-        match verdict {
+        match decision {
             Decision::AlreadyKnown => {}
             Decision::Fetch => {
                 self.observe_version(now, seen.version, None, out);
