--- a/node/src/calls/entry/attempt.rs
+++ b/node/src/calls/entry/attempt.rs
@@ -1,7 +1,7 @@
 //! A single attempt of a call: its request body and its result.
 
 use crate::calls::body::Body;
-use crate::calls::headers::{self, Verdict};
+use crate::calls::headers::{self, ReportedOutcome};
 use crate::calls::pool::Connection;
 use hyper::body::{Body as _, Incoming};
 use hyper::header::HeaderValue;
@@ -91,13 +91,13 @@
     let crashes = headers::parse_number(response.headers(), &headers::CRASHES).ok().flatten();
     let crashes = crashes.unwrap_or(0).min(u32::MAX.into()) as u32;
     let load = headers::load(response.headers());
-    let end = match headers::verdict(&response, id) {
-        Verdict::Answered => return AttemptResult::Response(response, connection),
-        Verdict::NotRun(code, retry_after) => {
+    let end = match headers::reported_outcome(&response, id) {
+        ReportedOutcome::Answered => return AttemptResult::Response(response, connection),
+        ReportedOutcome::NotRun(code, retry_after) => {
             AttemptEnd::Rejected { code, retry_after, load, crashes }
         }
-        Verdict::Unknown(code) => AttemptEnd::Failed { code, crashes },
-        Verdict::Foreign => return AttemptResult::Ended(AttemptEnd::ConnectionLost),
+        ReportedOutcome::Unknown(code) => AttemptEnd::Failed { code, crashes },
+        ReportedOutcome::Foreign => return AttemptResult::Ended(AttemptEnd::ConnectionLost),
     };
     if response.body().is_end_stream() {
         connection.release();
--- a/node/src/calls/headers.rs
+++ b/node/src/calls/headers.rs
@@ -101,7 +101,7 @@
 
 /// Classification of a gatekeeper's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReportedOutcome {
     /// A response from the target.
     Answered,
     /// The request did not reach the target.
@@ -115,7 +115,7 @@
 /// Classifies a gatekeeper's response to the request with this id.
 ///
 /// A response with a different request id is not forwarded to the caller.
-pub fn verdict<B>(response: &Response<B>, id: &HeaderValue) -> Verdict {
+pub fn reported_outcome<B>(response: &Response<B>, id: &HeaderValue) -> ReportedOutcome {
     let headers = response.headers();
     let outcome = headers.get(OUTCOME).map(HeaderValue::as_bytes);
     let code = parse_number(headers, &CODE).ok().flatten();
@@ -124,16 +124,16 @@
     let rejected_by_listener =
         outcome == Some(b"not-run") && code == Some(Code::TooManyConnections);
     if headers.get(REQUEST_ID) != Some(id) && !rejected_by_listener {
-        return Verdict::Foreign;
+        return ReportedOutcome::Foreign;
     }
     match (outcome, code) {
-        (Some(b"answered"), None) => Verdict::Answered,
+        (Some(b"answered"), None) => ReportedOutcome::Answered,
         (Some(b"not-run"), Some(code)) => {
             let ms = parse_number(headers, &RETRY_AFTER_MS).ok().flatten().unwrap_or(0);
-            Verdict::NotRun(code, Duration::from_millis(ms))
+            ReportedOutcome::NotRun(code, Duration::from_millis(ms))
         }
-        (Some(b"unknown"), Some(code)) => Verdict::Unknown(code),
-        _ => Verdict::Foreign,
+        (Some(b"unknown"), Some(code)) => ReportedOutcome::Unknown(code),
+        _ => ReportedOutcome::Foreign,
     }
 }
 
--- a/node/tests/calls_path.rs
+++ b/node/tests/calls_path.rs
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::time::Duration;
 use support::*;
-use sycamore_node::calls::headers::{self, Verdict};
+use sycamore_node::calls::headers::{self, ReportedOutcome};
 
 #[test]
 fn path_whole() {
@@ -235,11 +235,11 @@
     let id = HeaderValue::from_static("mine");
     let mut response = Response::new(());
     response.headers_mut().insert(headers::OUTCOME, HeaderValue::from_static("answered"));
-    assert_eq!(headers::verdict(&response, &id), Verdict::Foreign);
+    assert_eq!(headers::reported_outcome(&response, &id), ReportedOutcome::Foreign);
     response.headers_mut().insert(headers::REQUEST_ID, HeaderValue::from_static("other"));
-    assert_eq!(headers::verdict(&response, &id), Verdict::Foreign);
+    assert_eq!(headers::reported_outcome(&response, &id), ReportedOutcome::Foreign);
     response.headers_mut().insert(headers::REQUEST_ID, id.clone());
-    assert_eq!(headers::verdict(&response, &id), Verdict::Answered);
+    assert_eq!(headers::reported_outcome(&response, &id), ReportedOutcome::Answered);
 }
 
 #[test]
