--- a/bench/src/process_history/trial.rs
+++ b/bench/src/process_history/trial.rs
@@ -75,7 +75,7 @@
 pub fn run(seed: u64, output: &Path) -> io::Result<Report> {
     let mut trial = Trial::new(seed, output)?;
     trial.start_processes()?;
-    let observer = Observer::start(trial.watched_nodes());
+    let observer = Observer::start(trial.monitored_nodes());
     let entries = trial.stack.settings.values().map(|node| node.listen.calls).collect();
     let callers = Callers::start(Mix { classes: classes() }, entries, seed);
     let result = trial.run_rounds(&plan::rounds(seed)).and_then(|()| trial.settle());
@@ -143,7 +143,7 @@
         for vm in self.vms() {
             self.start_node(&vm)?;
         }
-        let admins: Vec<_> = self.watched_nodes().iter().map(|node| node.admin).collect();
+        let admins: Vec<_> = self.monitored_nodes().iter().map(|node| node.admin).collect();
         let ready = || admins.iter().all(|admin| http::get(*admin, "/ready").is_ok());
         wait_until(START_TIMEOUT, ready, "nodes did not become ready in time")
     }
@@ -343,7 +343,7 @@
     fn settle(&mut self) -> io::Result<()> {
         self.publish_next(PRESETS[0], |_| {})?;
         let (admins, last): (Vec<_>, u64) =
-            (self.watched_nodes().iter().map(|node| node.admin).collect(), self.version);
+            (self.monitored_nodes().iter().map(|node| node.admin).collect(), self.version);
         let shows = |admin: &SocketAddr| {
             let body = http::get(*admin, "/status").ok();
             let status = body.and_then(|body| serde_json::from_slice::<Status>(&body).ok());
@@ -390,7 +390,7 @@
         zones[index].clone()
     }
 
-    fn watched_nodes(&self) -> Vec<MonitoredNode> {
+    fn monitored_nodes(&self) -> Vec<MonitoredNode> {
         let nodes = self.stack.settings.iter();
         nodes.map(|(vm, node)| MonitoredNode { vm: vm.clone(), admin: node.listen.admin }).collect()
     }
--- a/bench/tests/history_process.rs
+++ b/bench/tests/history_process.rs
@@ -94,15 +94,15 @@
     // kills, pauses, partitions and publications coincide.
     let (seeds, output) = (seeds(), build_programs());
     let at_once = std::env::var("SYCAMORE_SEEDS_AT_ONCE").ok().and_then(|text| text.parse().ok());
-    let (next, broken) = (AtomicUsize::new(0), AtomicUsize::new(0));
+    let (next, failed) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..at_once.unwrap_or(SEEDS.len()) {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    broken.fetch_add(usize::from(!run(*seed, &output)), Ordering::Relaxed);
+                    failed.fetch_add(usize::from(!run(*seed, &output)), Ordering::Relaxed);
                 }
             });
         }
     });
-    assert_eq!(broken.into_inner(), 0, "failed trials out of {}", seeds.len());
+    assert_eq!(failed.into_inner(), 0, "failed trials out of {}", seeds.len());
 }
