--- a/bench/src/process_history/callers.rs
+++ b/bench/src/process_history/callers.rs
@@ -28,8 +28,8 @@
 /// Time that a caller waits beyond its deadline, so that slow responses on a busy machine do not
 /// count as lost.
 const RESPONSE_GRACE: Duration = Duration::from_secs(20);
-/// On average, one in this many requests repeats an earlier answered at-most-once request with its
-/// key, like a client that has lost its state.
+/// On average, one in this many requests repeats an earlier at-most-once request with its key, like
+/// a client that has lost its state.
 const RESEND_EVERY: u32 = 3;
 /// Timeout of a repeated request.
 const RESEND_TIMEOUT: Duration = Duration::from_secs(2);
