--- a/bench/src/fleet/platform.rs
+++ b/bench/src/fleet/platform.rs
@@ -56,7 +56,7 @@
     pub peak: u64,
 }
 
-/// Previous values retained per key for stale reads.
+/// Number of values retained per key for stale reads.
 const MAX_VALUES_PER_KEY: usize = 32;
 
 /// The platform. `C` identifies a caller.
