--- a/bench/src/baseline.rs
+++ b/bench/src/baseline.rs
@@ -151,7 +151,7 @@
             behind,
             platform_calls_peak: calls.peak,
             platform_over_limit: calls.over_limit,
-            cross_region_bytes: self.links.traffic().across_bytes(),
+            cross_region_bytes: self.links.traffic().cross_region_bytes(),
             bytes_per_node: bytes.iter().sum::<u64>() as f64 / self.size.nodes as f64,
         }
     }
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -129,8 +129,8 @@
         let profile = Profile {
             zone: ms(cfg.links.zone_ms),
             region: ms(cfg.links.region_ms),
-            across: ms(cfg.links.across_ms),
-            across_bytes_per_s: CROSS_REGION_BYTES_PER_S,
+            cross_region: ms(cfg.links.across_ms),
+            cross_region_bytes_per_s: CROSS_REGION_BYTES_PER_S,
             jitter_percent: 0,
             loss_ppm: 0,
         };
--- a/bench/src/links.rs
+++ b/bench/src/links.rs
@@ -45,9 +45,9 @@
     /// One-way latency between zones of a region.
     pub region: Duration,
     /// One-way latency between regions.
-    pub across: Duration,
+    pub cross_region: Duration,
     /// Bandwidth in each direction between two regions, shared by all traffic.
-    pub across_bytes_per_s: u64,
+    pub cross_region_bytes_per_s: u64,
     /// Maximum additional latency in percent, uniformly distributed. Jitter can reorder messages.
     pub jitter_percent: u32,
     /// Message loss, in parts per million.
@@ -60,8 +60,8 @@
         Profile {
             zone: Duration::from_micros(100),
             region: Duration::from_micros(500),
-            across: Duration::from_millis(20),
-            across_bytes_per_s: 500_000_000,
+            cross_region: Duration::from_millis(20),
+            cross_region_bytes_per_s: 500_000_000,
             jitter_percent: 0,
             loss_ppm: 0,
         }
@@ -83,7 +83,7 @@
         match link {
             Link::Zone => self.zone,
             Link::Region => self.region,
-            Link::CrossRegion => self.across,
+            Link::CrossRegion => self.cross_region,
         }
     }
 }
@@ -108,7 +108,7 @@
     }
 
     /// Bytes sent between regions.
-    pub fn across_bytes(&self) -> u64 {
+    pub fn cross_region_bytes(&self) -> u64 {
         self.bytes[Link::CrossRegion as usize]
     }
 }
@@ -265,7 +265,7 @@
         if from.region == to.region {
             return departs;
         }
-        let span = Duration::from_micros(size * 1_000_000 / self.profile.across_bytes_per_s);
+        let span = Duration::from_micros(size * 1_000_000 / self.profile.cross_region_bytes_per_s);
         let busy = self.busy_until.entry((from.region, to.region)).or_insert(departs);
         *busy = (*busy).max(departs) + span;
         *busy
--- a/bench/tests/links.rs
+++ b/bench/tests/links.rs
@@ -48,7 +48,7 @@
     assert_eq!(links.now(), Time(31_000));
     links.pop();
     assert_eq!(links.now(), Time(41_000));
-    assert_eq!(links.traffic().across_bytes(), 10_000_000);
+    assert_eq!(links.traffic().cross_region_bytes(), 10_000_000);
 }
 
 #[test]
