--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -84,7 +84,7 @@
         self.calls.insert(call, Call { node, kind, origin, gate: None, hedge: None, arrivals: 0 });
         let path = self.kinds[kind].path.clone();
         let own_runs = match origin {
-            Origin::Run(_) => self.nodes[node].gate.runs(),
+            Origin::Run(_) => self.nodes[node].gatekeeper.runs(),
             Origin::Caller(_) => Runs::default(),
         };
         let arrival = entry::Arrival {
@@ -118,7 +118,7 @@
 
     pub(super) fn gatekeeper_input(&mut self, node: usize, input: gatekeeper::Input<'_>) {
         let mut out = Vec::new();
-        self.nodes[node].gate.handle(self.links.now(), input, &mut out);
+        self.nodes[node].gatekeeper.handle(self.links.now(), input, &mut out);
         for output in out {
             match output {
                 gatekeeper::Output::Run { call, .. } => self.start_run(call),
@@ -239,7 +239,7 @@
     /// Handles an attempt rejected by its gatekeeper.
     fn reject_attempt(&mut self, gate: CallKey, outcome: Outcome, crashes: u32) {
         let Some(attempt) = self.attempts.swap_remove(&gate) else { return };
-        let load = Some(self.nodes[attempt.node].gate.load(self.links.now()));
+        let load = Some(self.nodes[attempt.node].gatekeeper.load(self.links.now()));
         let end = match outcome {
             Outcome::NotRun { code, retry_after } => {
                 AttemptEnd::Refused { code, retry_after, load, crashes }
@@ -389,9 +389,9 @@
     /// Restarts a VM with a cold target.
     pub(super) fn start_vm(&mut self, node: usize) {
         let now = self.links.now();
-        if let Ok((entry, gate)) = self.new_deciders(node) {
+        if let Ok((entry, gatekeeper)) = self.new_deciders(node) {
             let restarted = &mut self.nodes[node];
-            (restarted.entry, restarted.gate, restarted.up) = (entry, gate, true);
+            (restarted.entry, restarted.gatekeeper, restarted.up) = (entry, gatekeeper, true);
             restarted.target.restart(now);
             let snapshot = self.latest_snapshot.clone();
             self.configure_node(node, &snapshot);
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -114,7 +114,7 @@
         if mbps <= 0.0 {
             return now;
         }
-        let start = self.nodes[node].gate.schedule_chunk(now, run, bytes);
+        let start = self.nodes[node].gatekeeper.schedule_chunk(now, run, bytes);
         let duration = Duration::from_secs_f64(bytes as f64 * 8.0 / (mbps * 1e6));
         let link_until = &mut self.nodes[node].link_until;
         *link_until = (*link_until).max(start) + duration;
@@ -126,7 +126,7 @@
         let Some(attempt) = self.attempts.get(&run) else { return };
         let (node, key, kind, waited) = (attempt.node, attempt.call, attempt.kind, attempt.waited);
         self.release_slot(node, run);
-        let load = self.nodes[node].gate.load(self.links.now());
+        let load = self.nodes[node].gatekeeper.load(self.links.now());
         let end = End::Answered { cached: None };
         self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
         self.gatekeeper_input(node, gatekeeper::Input::ResponseSent(run));
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -67,7 +67,7 @@
 /// A node and its target.
 pub(super) struct Node {
     pub entry: Entry,
-    pub gate: Gatekeeper,
+    pub gatekeeper: Gatekeeper,
     pub target: Target,
     pub up: bool,
     // Times until which the node's CPU and its link are busy.
@@ -169,9 +169,9 @@
             return Err(sycamore_core::Fault::new(sycamore_core::Code::InputInvalid));
         };
         let target = Target::new(model, site.rank);
-        let (entry, gate) = self.new_deciders(node)?;
+        let (entry, gatekeeper) = self.new_deciders(node)?;
         let (busy_until, link_until) = (Time::ZERO, Time::ZERO);
-        Ok(Node { entry, gate, target, up: true, busy_until, link_until })
+        Ok(Node { entry, gatekeeper, target, up: true, busy_until, link_until })
     }
 
     /// Creates the entry and gatekeeper of a newly started process.
@@ -182,10 +182,10 @@
         let mbps = self.cfg.links.vm_mbps;
         let kbps = (mbps > 0.0).then_some((mbps * 1e3) as u64);
         let now = self.links.now();
-        let gate = Gatekeeper::new(super::mesh::vm_name(node)?, now, seed)
+        let gatekeeper = Gatekeeper::new(super::mesh::vm_name(node)?, now, seed)
             .with_link(kbps)
             .with_policy(self.policy.clone());
-        Ok((entry, gate))
+        Ok((entry, gatekeeper))
     }
 
     fn schedule_initial_events(&mut self) {
@@ -245,7 +245,8 @@
 
     fn sample_second(&mut self, second: usize) {
         let now = self.links.now();
-        let queued = self.nodes.iter().map(|node| u64::from(node.gate.load(now).queued)).sum();
+        let queued =
+            self.nodes.iter().map(|node| u64::from(node.gatekeeper.load(now).queued)).sum();
         if let Some(second) = self.tally.seconds.get_mut(second) {
             second.queued = queued;
         }
