--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -34,7 +34,7 @@
     kind: usize,
     origin: Origin,
     // Primary attempt, by its key at the gatekeeper.
-    gate: Option<CallKey>,
+    primary: Option<CallKey>,
     // Hedged attempt.
     hedge: Option<CallKey>,
     // Number of times the call was handed to a target.
@@ -42,8 +42,8 @@
 }
 
 impl Call {
-    fn waits_for(&self, gate: CallKey) -> bool {
-        self.gate == Some(gate) || self.hedge == Some(gate)
+    fn waits_for(&self, attempt_key: CallKey) -> bool {
+        self.primary == Some(attempt_key) || self.hedge == Some(attempt_key)
     }
 }
 
@@ -66,7 +66,7 @@
 /// Result of an attempt, on its way to the entry node.
 pub(super) struct AttemptResult {
     call: CallKey,
-    gate: CallKey,
+    attempt_key: CallKey,
     end: AttemptEnd,
 }
 
@@ -81,7 +81,8 @@
         left: Duration,
     ) -> Option<CallKey> {
         let call = self.next_call_key();
-        self.calls.insert(call, Call { node, kind, origin, gate: None, hedge: None, arrivals: 0 });
+        self.calls
+            .insert(call, Call { node, kind, origin, primary: None, hedge: None, arrivals: 0 });
         let path = self.kinds[kind].path.clone();
         let own_runs = match origin {
             Origin::Run(_) => self.nodes[node].gatekeeper.runs(),
@@ -104,11 +105,11 @@
         for output in out {
             match output {
                 entry::Output::Forward(forward) => {
-                    let gate = self.forward(node, forward);
-                    if let Some((call, gate)) =
-                        gate.and_then(|(key, gate)| Some((self.calls.get_mut(&key)?, gate)))
-                    {
-                        call.gate = Some(gate);
+                    let attempt_key = self.forward(node, forward);
+                    if let Some((call, attempt_key)) = attempt_key.and_then(|(key, attempt_key)| {
+                        Some((self.calls.get_mut(&key)?, attempt_key))
+                    }) {
+                        call.primary = Some(attempt_key);
                     }
                 }
                 entry::Output::Finish { call, outcome } => self.end_call(call, Err(outcome)),
@@ -153,7 +154,7 @@
     /// Sends an attempt. Returns the call's key and the attempt's key at the gatekeeper.
     fn forward(&mut self, node: usize, forward: Forward) -> Option<(CallKey, CallKey)> {
         let departs = self.process_message(node);
-        let gate = self.next_call_key();
+        let attempt_key = self.next_call_key();
         let key = forward.call;
         self.calls.get(&key)?;
         if forward.attempt == 1 {
@@ -161,22 +162,28 @@
         }
         if let Some(hedge_delay) = forward.hedge_delay_ms {
             let hedge_delay = Duration::from_millis(hedge_delay.into());
-            self.links.after(hedge_delay, Event::HedgeDue(key, gate));
+            self.links.after(hedge_delay, Event::HedgeDue(key, attempt_key));
         }
         let to = node_at(forward.gate);
-        self.send(departs, node, to, HEAD_BYTES, Event::AttemptArrived(Box::new(forward), gate));
-        Some((key, gate))
+        self.send(
+            departs,
+            node,
+            to,
+            HEAD_BYTES,
+            Event::AttemptArrived(Box::new(forward), attempt_key),
+        );
+        Some((key, attempt_key))
     }
 
     /// Handles the expiry of an attempt's hedge delay, after which a hedged attempt may start.
-    pub(super) fn hedge_due(&mut self, key: CallKey, gate: CallKey) {
-        let waits = |call: &&Call| call.gate == Some(gate) && call.hedge.is_none();
+    pub(super) fn hedge_due(&mut self, key: CallKey, attempt_key: CallKey) {
+        let waits = |call: &&Call| call.primary == Some(attempt_key) && call.hedge.is_none();
         let Some(node) = self.calls.get(&key).filter(waits).map(|call| call.node) else { return };
         let mut out = Vec::new();
         self.nodes[node].entry.handle(self.links.now(), entry::Input::HedgeDue(key), &mut out);
         for output in out {
             let entry::Output::Forward(forward) = output else { continue };
-            let hedge = self.forward(node, forward).map(|(_, gate)| gate);
+            let hedge = self.forward(node, forward).map(|(_, attempt_key)| attempt_key);
             if let Some(call) = self.calls.get_mut(&key) {
                 call.hedge = hedge;
             }
@@ -184,20 +191,22 @@
     }
 
     /// Handles an attempt arriving at its gatekeeper.
-    pub(super) fn receive_attempt(&mut self, forward: Forward, gate: CallKey) {
+    pub(super) fn receive_attempt(&mut self, forward: Forward, attempt_key: CallKey) {
         let key = forward.call;
         let node = node_at(forward.gate);
-        let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(gate)) else {
+        let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(attempt_key)) else {
             return;
         };
         let (kind, origin) = (call.kind, call.origin);
         if !self.nodes[node].up {
-            return self
-                .send_result(node, AttemptResult { call: key, gate, end: AttemptEnd::NotSent });
+            return self.send_result(
+                node,
+                AttemptResult { call: key, attempt_key, end: AttemptEnd::NotSent },
+            );
         }
         self.process_message(node);
         self.attempts.insert(
-            gate,
+            attempt_key,
             GatekeeperAttempt {
                 node,
                 call: key,
@@ -214,13 +223,13 @@
         );
         let path = self.kinds[kind].path.clone();
         let arrival = gatekeeper::Arrival {
-            call: gate,
+            call: attempt_key,
             host: "",
             path: &path,
             terms: Some(forward.terms),
             key: None,
             digest: None,
-            fingerprint: Fingerprint(gate.0),
+            fingerprint: Fingerprint(attempt_key.0),
             crashes: forward.crashes,
             depth: if matches!(origin, Origin::Run(_)) { NESTED_DEPTH } else { 0 },
             deadline: forward.deadline,
@@ -237,8 +246,8 @@
     }
 
     /// Handles an attempt rejected by its gatekeeper.
-    fn reject_attempt(&mut self, gate: CallKey, outcome: Outcome, crashes: u32) {
-        let Some(attempt) = self.attempts.swap_remove(&gate) else { return };
+    fn reject_attempt(&mut self, attempt_key: CallKey, outcome: Outcome, crashes: u32) {
+        let Some(attempt) = self.attempts.swap_remove(&attempt_key) else { return };
         let load = Some(self.nodes[attempt.node].gatekeeper.load(self.links.now()));
         let end = match outcome {
             Outcome::NotRun { code, retry_after } => {
@@ -247,24 +256,24 @@
             Outcome::Unknown { code } => AttemptEnd::Failed { code, crashes },
             Outcome::Answered => return,
         };
-        self.send_result(attempt.node, AttemptResult { call: attempt.call, gate, end });
+        self.send_result(attempt.node, AttemptResult { call: attempt.call, attempt_key, end });
     }
 
     /// Handles the result of an attempt arriving at the entry node.
     pub(super) fn receive_result(&mut self, result: AttemptResult) {
-        let AttemptResult { call: key, gate, end } = result;
-        let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(gate)) else {
+        let AttemptResult { call: key, attempt_key, end } = result;
+        let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(attempt_key)) else {
             return;
         };
         let (node, hedged) = (call.node, call.hedge.is_some());
         self.process_message(node);
-        if hedged && !self.settle_hedge(key, gate, &end) {
+        if hedged && !self.settle_hedge(key, attempt_key, &end) {
             return;
         }
         let answered = matches!(end, AttemptEnd::ResponseStarted { .. });
         let failure = matches!(end, AttemptEnd::ErrorResponseStarted { .. });
         self.entry_input(node, entry::Input::Attempt { call: key, end, replayable: true });
-        let same = self.calls.get(&key).is_some_and(|call| call.gate == Some(gate));
+        let same = self.calls.get(&key).is_some_and(|call| call.primary == Some(attempt_key));
         if same && answered {
             self.entry_input(node, entry::Input::Close(key));
             self.end_call(key, Ok(()));
@@ -288,8 +297,8 @@
     /// Handles the expiry of a call's deadline at its entry node.
     pub(super) fn expire_call(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(&key) else { return };
-        let (node, gate, hedge) = (call.node, call.gate, call.hedge);
-        self.close_attempt(node, gate);
+        let (node, primary, hedge) = (call.node, call.primary, call.hedge);
+        self.close_attempt(node, primary);
         self.close_attempt(node, hedge);
         self.entry_input(node, entry::Input::Expire { call: key, sent: true });
     }
@@ -298,29 +307,29 @@
     pub(super) fn cancel_call(&mut self, key: CallKey) {
         let Some(call) = self.calls.swap_remove(&key) else { return };
         self.entry_input(call.node, entry::Input::Close(key));
-        self.close_attempt(call.node, call.gate);
+        self.close_attempt(call.node, call.primary);
         self.close_attempt(call.node, call.hedge);
     }
 
     /// Handles the end of one of two concurrent attempts. Returns whether it was answered and thus
     /// decides the outcome of the call.
-    fn settle_hedge(&mut self, key: CallKey, gate: CallKey, end: &AttemptEnd) -> bool {
+    fn settle_hedge(&mut self, key: CallKey, attempt_key: CallKey, end: &AttemptEnd) -> bool {
         let Some(call) = self.calls.get_mut(&key) else { return false };
-        let (node, first, hedge) = (call.node, call.gate, call.hedge.take());
+        let (node, first, hedge) = (call.node, call.primary, call.hedge.take());
         let answered = matches!(end, AttemptEnd::ResponseStarted { .. });
-        let is_first = first == Some(gate);
+        let is_first = first == Some(attempt_key);
         match (is_first, answered) {
             (true, true) => {
                 self.close_attempt(node, hedge);
                 self.entry_input(node, entry::Input::HedgeEnded { call: key, end: None });
             }
             (true, false) => {
-                call.gate = hedge;
+                call.primary = hedge;
                 let input = entry::Input::PrimaryEnded { call: key, end: end.clone() };
                 self.entry_input(node, input);
             }
             (false, true) => {
-                call.gate = hedge;
+                call.primary = hedge;
                 self.close_attempt(node, first);
                 let end = AttemptEnd::LostToHedge;
                 self.entry_input(node, entry::Input::PrimaryEnded { call: key, end });
@@ -333,32 +342,32 @@
         answered
     }
 
-    fn close_attempt(&mut self, node: usize, gate: Option<CallKey>) {
-        let Some(gate) = gate else { return };
-        if let Some(attempt) = self.attempts.get(&gate) {
+    fn close_attempt(&mut self, node: usize, attempt_key: Option<CallKey>) {
+        let Some(attempt_key) = attempt_key else { return };
+        if let Some(attempt) = self.attempts.get(&attempt_key) {
             let to = attempt.node;
-            self.send(self.links.now(), node, to, 0, Event::ConnectionClosed(gate));
+            self.send(self.links.now(), node, to, 0, Event::ConnectionClosed(attempt_key));
         }
     }
 
     /// Handles a connection closed by the entry node, at the gatekeeper.
-    pub(super) fn connection_closed(&mut self, gate: CallKey) {
-        let Some(attempt) = self.attempts.swap_remove(&gate) else { return };
+    pub(super) fn connection_closed(&mut self, attempt_key: CallKey) {
+        let Some(attempt) = self.attempts.swap_remove(&attempt_key) else { return };
         if let Some(nested_call) = attempt.nested_call {
             self.cancel_call(nested_call);
         }
         let input = match attempt.running {
-            true => gatekeeper::Input::End { call: gate, end: End::Cancelled },
-            false => gatekeeper::Input::Withdraw(gate),
+            true => gatekeeper::Input::End { call: attempt_key, end: End::Cancelled },
+            false => gatekeeper::Input::Withdraw(attempt_key),
         };
-        self.release_slot(attempt.node, gate);
+        self.release_slot(attempt.node, attempt_key);
         self.gatekeeper_input(attempt.node, input);
     }
 
     /// Expires a request that is still queued at its gatekeeper.
-    pub(super) fn queue_timeout(&mut self, gate: CallKey) {
-        if let Some(attempt) = self.attempts.get(&gate).filter(|attempt| !attempt.running) {
-            self.gatekeeper_input(attempt.node, gatekeeper::Input::Expire(gate));
+    pub(super) fn queue_timeout(&mut self, attempt_key: CallKey) {
+        if let Some(attempt) = self.attempts.get(&attempt_key).filter(|attempt| !attempt.running) {
+            self.gatekeeper_input(attempt.node, gatekeeper::Input::Expire(attempt_key));
         }
     }
 
@@ -372,8 +381,8 @@
         let runs: Vec<CallKey> = self.attempts.iter().filter_map(here).collect();
         for key in calls {
             let Some(call) = self.calls.get(&key) else { continue };
-            let (gate, hedge) = (call.gate, call.hedge);
-            self.close_attempt(node, gate);
+            let (primary, hedge) = (call.primary, call.hedge);
+            self.close_attempt(node, primary);
             self.close_attempt(node, hedge);
             self.end_call(key, Err(Outcome::Unknown { code: Code::AnswerLost }));
         }
@@ -381,7 +390,11 @@
             let Some(attempt) = self.attempts.swap_remove(&run) else { continue };
             self.send_result(
                 node,
-                AttemptResult { call: attempt.call, gate: run, end: AttemptEnd::ConnectionLost },
+                AttemptResult {
+                    call: attempt.call,
+                    attempt_key: run,
+                    end: AttemptEnd::ConnectionLost,
+                },
             );
         }
     }
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -12,18 +12,18 @@
 
 impl World<'_> {
     /// Hands a request to the target after the gatekeeper has granted a slot.
-    pub(super) fn start_run(&mut self, gate: RunKey) {
-        let Some(attempt) = self.attempts.get_mut(&gate) else { return };
+    pub(super) fn start_run(&mut self, run: RunKey) {
+        let Some(attempt) = self.attempts.get_mut(&run) else { return };
         attempt.running = true;
         attempt.waited = self.links.now().since(attempt.arrived_at);
         let (node, key) = (attempt.node, attempt.call);
         self.count_arrival(key);
-        match self.nodes[node].target.submit(gate, &mut self.rng) {
-            Submission::Running => self.begin_work(gate),
+        match self.nodes[node].target.submit(run, &mut self.rng) {
+            Submission::Running => self.begin_work(run),
             Submission::Queued => {}
             Submission::Rejected => {
                 let end = End::Rejected(Code::TargetRefused);
-                self.gatekeeper_input(node, gatekeeper::Input::End { call: gate, end });
+                self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
             }
         }
     }
@@ -38,8 +38,8 @@
         }
     }
 
-    fn begin_work(&mut self, gate: RunKey) {
-        let Some(attempt) = self.attempts.get(&gate) else { return };
+    fn begin_work(&mut self, run: RunKey) {
+        let Some(attempt) = self.attempts.get(&run) else { return };
         let (node, kind) = (attempt.node, attempt.kind);
         let fails = self.nodes[node].target.draw_failure(&mut self.rng);
         let work = self.draw_work(kind);
@@ -51,11 +51,11 @@
             }
         }
         let step_time = time / (remaining_calls.len() as u32 + 1);
-        if let Some(attempt) = self.attempts.get_mut(&gate) {
+        if let Some(attempt) = self.attempts.get_mut(&run) {
             (attempt.fails, attempt.remaining_calls, attempt.step_time) =
                 (fails, remaining_calls, step_time);
         }
-        self.links.after(step_time, Event::WorkStepDone(gate));
+        self.links.after(step_time, Event::WorkStepDone(run));
     }
 
     /// Draws the work time of a request from a log-normal distribution with the configured mean.
@@ -141,7 +141,7 @@
             }
         };
         let departs = self.process_message(node);
-        let event = Event::AttemptEnded(AttemptResult { call: key, gate: run, end });
+        let event = Event::AttemptEnded(AttemptResult { call: key, attempt_key: run, end });
         self.send(departs, node, to, HEAD_BYTES + body, event);
     }
 
--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -217,12 +217,14 @@
             Event::RequestArrival(kind) => self.issue_request(kind),
             Event::Retry(request) => self.submit(request),
             Event::Abandon(request) => self.abandon(request),
-            Event::AttemptArrived(forward, gate) => self.receive_attempt(*forward, gate),
+            Event::AttemptArrived(forward, attempt_key) => {
+                self.receive_attempt(*forward, attempt_key)
+            }
             Event::AttemptEnded(result) => self.receive_result(result),
             Event::DeadlineExpired(call) => self.expire_call(call),
-            Event::HedgeDue(call, gate) => self.hedge_due(call, gate),
-            Event::QueueTimeout(gate) => self.queue_timeout(gate),
-            Event::ConnectionClosed(gate) => self.connection_closed(gate),
+            Event::HedgeDue(call, attempt_key) => self.hedge_due(call, attempt_key),
+            Event::QueueTimeout(attempt_key) => self.queue_timeout(attempt_key),
+            Event::ConnectionClosed(attempt_key) => self.connection_closed(attempt_key),
             Event::WorkStepDone(run) => self.work_step_done(run),
             Event::ResponseSent(run, failed) => self.response_sent(run, failed),
             Event::FaultToggled(index, starts) => self.toggle_fault(index, starts),
