--- a/bench/src/lab/world.rs
+++ b/bench/src/lab/world.rs
@@ -67,7 +67,7 @@
 /// A node and its target.
 pub(super) struct Node {
     pub entry: Entry,
-    pub gate: Gatekeeper,
+    pub gatekeeper: Gatekeeper,
     pub target: Target,
     pub up: bool,
     // Times until which the node's CPU and its link are busy.
@@ -129,8 +129,8 @@
         let profile = Profile {
             zone: ms(cfg.links.zone_ms),
             region: ms(cfg.links.region_ms),
-            across: ms(cfg.links.across_ms),
-            across_bytes_per_s: CROSS_REGION_BYTES_PER_S,
+            cross_region: ms(cfg.links.across_ms),
+            cross_region_bytes_per_s: CROSS_REGION_BYTES_PER_S,
             jitter_percent: 0,
             loss_ppm: 0,
         };
@@ -169,9 +169,9 @@
             return Err(sycamore_core::Fault::new(sycamore_core::Code::InputInvalid));
         };
         let target = Target::new(model, site.rank);
-        let (entry, gate) = self.new_deciders(node)?;
+        let (entry, gatekeeper) = self.new_deciders(node)?;
         let (busy_until, link_until) = (Time::ZERO, Time::ZERO);
-        Ok(Node { entry, gate, target, up: true, busy_until, link_until })
+        Ok(Node { entry, gatekeeper, target, up: true, busy_until, link_until })
     }
 
     /// Creates the entry and gatekeeper of a newly started process.
@@ -182,10 +182,10 @@
         let mbps = self.cfg.links.vm_mbps;
         let kbps = (mbps > 0.0).then_some((mbps * 1e3) as u64);
         let now = self.links.now();
-        let gate = Gatekeeper::new(super::mesh::vm_name(node)?, now, seed)
+        let gatekeeper = Gatekeeper::new(super::mesh::vm_name(node)?, now, seed)
             .with_link(kbps)
             .with_policy(self.policy.clone());
-        Ok((entry, gate))
+        Ok((entry, gatekeeper))
     }
 
     fn schedule_initial_events(&mut self) {
@@ -217,12 +217,14 @@
             Event::RequestArrival(kind) => self.issue_request(kind),
             Event::Retry(request) => self.submit(request),
             Event::Abandon(request) => self.abandon(request),
-            Event::AttemptArrived(forward, gate) => self.receive_attempt(*forward, gate),
+            Event::AttemptArrived(forward, attempt_key) => {
+                self.receive_attempt(*forward, attempt_key)
+            }
             Event::AttemptEnded(result) => self.receive_result(result),
             Event::DeadlineExpired(call) => self.expire_call(call),
-            Event::HedgeDue(call, gate) => self.hedge_due(call, gate),
-            Event::QueueTimeout(gate) => self.queue_timeout(gate),
-            Event::ConnectionClosed(gate) => self.connection_closed(gate),
+            Event::HedgeDue(call, attempt_key) => self.hedge_due(call, attempt_key),
+            Event::QueueTimeout(attempt_key) => self.queue_timeout(attempt_key),
+            Event::ConnectionClosed(attempt_key) => self.connection_closed(attempt_key),
             Event::WorkStepDone(run) => self.work_step_done(run),
             Event::ResponseSent(run, failed) => self.response_sent(run, failed),
             Event::FaultToggled(index, starts) => self.toggle_fault(index, starts),
@@ -245,7 +247,8 @@
 
     fn sample_second(&mut self, second: usize) {
         let now = self.links.now();
-        let queued = self.nodes.iter().map(|node| u64::from(node.gate.load(now).queued)).sum();
+        let queued =
+            self.nodes.iter().map(|node| u64::from(node.gatekeeper.load(now).queued)).sum();
         if let Some(second) = self.tally.seconds.get_mut(second) {
             second.queued = queued;
         }
