--- a/node/tests/shell/admin.rs
+++ b/node/tests/shell/admin.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn invalid_request_refused() {
+fn invalid_request_rejected() {
     let node = NodeProcess::start(&settings());
     let response = node.send(b"\x16\x03\x01\x00\xff rubbish\r\n\r\n");
     assert!(response.is_empty() || response.starts_with("HTTP/1.1 400"), "{response}");
