--- a/bench/tests/lab.rs
+++ b/bench/tests/lab.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn placing_surplus_leaves_one_way() {
+fn placing_surplus_moves_in_one_direction() {
     // Guards against other zones sending requests to an overloaded zone while its surplus goes to
     // them.
     let burst = r#"{"at_s": 3, "for_s": 8, "what": "burst", "factor": 4, "zone": "east-1"}"#;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn placing_shift_ends_as_it_began() {
+fn placing_recovers_after_shift() {
     // Guards against degraded service while callers of five zones move to the sixth, and after
     // they return.
     let zones = ["east-1", "east-2", "mid-1", "mid-2", "west-2"];
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn placing_slow_targets_are_left() {
+fn placing_avoids_slow_targets() {
     // Guards against callers that keep using targets that are eight times slower.
     let slow = r#"
         {"at_s": 3, "for_s": 8, "what": "slow", "service": "desk", "share": 0.25, "factor": 8.0}"#;
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn placing_grey_targets_are_left() {
+fn placing_avoids_failing_targets() {
     // Guards against callers that keep using targets that fail half of their requests but pass
     // health checks. Signings that have failed cannot be retried.
     let grey = r#"
@@ -194,12 +194,12 @@
 }
 
 #[test]
-fn play_same_seed_same_result() {
+fn simulate_same_seed_same_result() {
     assert_eq!(simulate(even(), Policy::new()), simulate(even(), Policy::new()));
 }
 
 #[test]
-fn bound_uneven_by_hand() {
+fn bound_uneven_callers() {
     // Two zones of one region, with all callers in the first. At 95 % utilization its 8 slots cover
     // 7.6 of the 10 slots needed; the remaining 2.4 transfer 23 bytes per slot and millisecond.
     let text = r#"{
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn scenario_wrong_field_is_named() {
+fn scenario_invalid_field_is_named() {
     for (from, to, place) in [
         (r#""service": "desk", "per_s""#, r#""service": "deks", "per_s""#, "kinds.lookup.service"),
         (
