--- a/bench/tests/lab_cli.rs
+++ b/bench/tests/lab_cli.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn scenario_wrong_says_where_and_what() {
+fn scenario_invalid_reports_field_and_range() {
     let scenario = std::fs::read_to_string(example("uneven.json")).unwrap();
     let invalid =
         TempFile::new("wrong.json", &scenario.replace(r#""share": 0.7"#, r#""share": 7"#));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn usage_unknown_part_lists_those_there_are() {
+fn usage_unknown_mechanism_lists_known() {
     let output = lab(&["run", &example("uneven.json"), "--without", "everything"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(text(&output.stderr).contains("in-time-first"), "{}", text(&output.stderr));
