--- a/bench/tests/demo.rs
+++ b/bench/tests/demo.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn find_nothing() {
+fn find_no_violations() {
     check(|_| {}, Violations::default());
     let converged: Vec<_> = convergence(&valid_evidence()).into_iter().collect();
     assert_eq!(converged, [(1, Some(100)), (2, Some(300))]);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn find_cut_by_drain_on_way_and_at_target() {
+fn find_cut_by_drain_in_flight_and_at_target() {
     let expected = Violations { cut_by_drain: 1, ..Violations::default() };
     check(|evidence| evidence.records[0].sends[0].result = SendResult::BodyCut, expected);
     check(|evidence| evidence.runs[1].event = RunEvent::Aborted, expected);
@@ -173,7 +173,7 @@
 
 /// Guards against counting an aborted run whose caller was answered by another target.
 #[test]
-fn find_cut_by_drain_overtaken_run() {
+fn find_cut_by_drain_answered_elsewhere() {
     let add_second_run = |evidence: &mut Evidence, answered_at: u64| {
         evidence.runs[1].event = RunEvent::Aborted;
         evidence.runs.push(run(3, "a", 1_020_000, RunEvent::Start));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn find_cut_elsewhere() {
+fn find_cut_at_other_node() {
     let change = |evidence: &mut Evidence| {
         evidence.records[0].sends[0].result = SendResult::Broken;
         evidence.records[0].sends[0].entry = "127.0.0.2:7000".parse().unwrap();
