--- a/bench/tests/links.rs
+++ b/bench/tests/links.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn get_watch_over() {
+fn get_watch_timeout() {
     let mut platform = platform();
     assert_eq!(platform.get(Time(0), get(1, Some(1))), None);
     assert_eq!(platform.take_due_watches(Time(5_000_000)), [(1, Answer::Value("one".into(), 1))]);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn peak_counts_waiting() {
+fn peak_counts_watches() {
     let mut platform = platform();
     for caller in 0..3 {
         platform.get(Time(0), get(caller, Some(1)));
