--- a/core/src/call/depth.rs
+++ b/core/src/call/depth.rs
@@ -3,7 +3,7 @@
 use super::MAX_DEPTH;
 
 /// The newest arrival contributes 1/n to the moving shares.
-const WEIGHT: u32 = 64;
+const SHARE_EWMA_DIVISOR: u32 = 64;
 
 /// Fixed-point scale of the shares.
 const SHARE_SCALE: u32 = 1_024;
@@ -30,7 +30,7 @@
     pub fn record(&mut self, depth: u8) {
         for (level, share) in self.deeper.iter_mut().enumerate() {
             let newest = if usize::from(depth) > level { SHARE_SCALE } else { 0 };
-            *share = (*share * (WEIGHT - 1) + newest) / WEIGHT;
+            *share = (*share * (SHARE_EWMA_DIVISOR - 1) + newest) / SHARE_EWMA_DIVISOR;
         }
     }
 
