--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -27,7 +27,7 @@
 const DEFAULT_SLOTS: u32 = 8;
 
 /// The newest attempt contributes 1/n to the moving failure rate.
-const FAILURE_WEIGHT: u32 = 8;
+const FAILURE_EWMA_DIVISOR: u32 = 8;
 
 /// Fixed-point scale of the failure rate.
 const FAILURE_SCALE: u32 = 1_024;
@@ -184,8 +184,8 @@
 
     pub fn record_outcome(&mut self, now: Time, failed: bool) {
         let newest = if failed { FAILURE_SCALE } else { 0 };
-        let share = self.decayed_failure_rate(now) * (FAILURE_WEIGHT - 1) + newest;
-        self.failure_rate = (share / FAILURE_WEIGHT, now);
+        let share = self.decayed_failure_rate(now) * (FAILURE_EWMA_DIVISOR - 1) + newest;
+        self.failure_rate = (share / FAILURE_EWMA_DIVISOR, now);
     }
 
     /// Failure rate, which decays while no attempt is made.
