--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -147,7 +147,7 @@
             let link = self.place.link_to(&entry.target.place());
             let known = before.swap_remove(&entry.target.vm);
             let mut peer = known.unwrap_or_else(|| Peer::new(entry.target.gate, link));
-            peer.gate = entry.target.gate;
+            peer.gatekeeper = entry.target.gate;
             peer.incarnation = entry.target.incarnation.clone();
             peer.service = entry.service.0 as usize;
             peer.slots = entry.target.slots;
@@ -224,7 +224,7 @@
 
     /// Returns the address of a target's gatekeeper and the expected incarnation of the target.
     pub fn gate(&self, vm: &Name) -> Option<(SocketAddr, Option<Name>)> {
-        self.peers.get(vm).map(|peer| (peer.gate, peer.incarnation.clone()))
+        self.peers.get(vm).map(|peer| (peer.gatekeeper, peer.incarnation.clone()))
     }
 
     /// Returns the state of a target for logging.
--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Address of the target's gatekeeper.
-    pub gate: SocketAddr,
+    pub gatekeeper: SocketAddr,
     /// Expected incarnation of the target process.
     pub incarnation: Option<Name>,
     /// Index of the service.
@@ -89,9 +89,9 @@
 }
 
 impl Peer {
-    pub fn new(gate: SocketAddr, link: Link) -> Peer {
+    pub fn new(gatekeeper: SocketAddr, link: Link) -> Peer {
         Peer {
-            gate,
+            gatekeeper,
             incarnation: None,
             service: 0,
             link,
