--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -266,7 +266,7 @@
             let deadline = Step::Deadline { submission, entry_incarnation };
             self.links.at(forward.deadline, FleetEvent::CallStep(deadline));
         }
-        let to = node_at(forward.gate);
+        let to = node_at(forward.gatekeeper);
         let sites = (self.site(node), self.site(to));
         let step =
             Step::ReachGatekeeper { submission, entry_incarnation, forward: Box::new(forward) };
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -24,7 +24,7 @@
         entry_incarnation: u32,
         forward: Forward,
     ) {
-        let node = node_at(forward.gate);
+        let node = node_at(forward.gatekeeper);
         let attempt = forward.attempt;
         if !self.slots[node].is_running() {
             let end = AttemptEnd::NotSent;
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -164,7 +164,7 @@
             let hedge_delay = Duration::from_millis(hedge_delay.into());
             self.links.after(hedge_delay, Event::HedgeDue(key, attempt_key));
         }
-        let to = node_at(forward.gate);
+        let to = node_at(forward.gatekeeper);
         self.send(
             departs,
             node,
@@ -193,7 +193,7 @@
     /// Handles an attempt arriving at its gatekeeper.
     pub(super) fn receive_attempt(&mut self, forward: Forward, attempt_key: CallKey) {
         let key = forward.call;
-        let node = node_at(forward.gate);
+        let node = node_at(forward.gatekeeper);
         let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(attempt_key)) else {
             return;
         };
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -263,7 +263,7 @@
     /// Starts an attempt. Returns `None` if the target is no longer configured.
     fn start(&mut self, now: Time, key: CallKey, vm: &Name, hedge: bool) -> Option<Forward> {
         let call = self.calls.get_mut(&key)?;
-        let (gate, incarnation) = self.balancer.gate(vm)?;
+        let (gatekeeper, incarnation) = self.balancer.gate(vm)?;
         let reason = self.balancer.reason(now, vm, call.terms.class);
         let objective = call.terms.objective.since(now);
         let hedge_delay = self.balancer.hedge_delay(vm, call.terms.class, objective);
@@ -284,7 +284,7 @@
             call: key,
             attempt: call.attempt,
             vm: vm.clone(),
-            gate,
+            gatekeeper,
             incarnation,
             terms,
             reason,
--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -126,7 +126,7 @@
         pub attempt: u32,
         pub vm: Name,
         /// Address of the target's gatekeeper.
-        pub gate: SocketAddr,
+        pub gatekeeper: SocketAddr,
         /// Expected incarnation of the target process, if known.
         pub incarnation: Option<Name>,
         pub terms: Terms,
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -255,7 +255,7 @@
         (code, sent): (Code, bool),
     ) {
         if matches!(code, Code::GatekeeperUnreachable | Code::AnswerLost) {
-            self.shared.lost_gates.send(forward.gate);
+            self.shared.lost_gates.send(forward.gatekeeper);
         }
         let fields = Fields {
             attempt: Some(forward.attempt),
--- a/node/src/calls/entry/hedge.rs
+++ b/node/src/calls/entry/hedge.rs
@@ -102,7 +102,7 @@
         req: Request<Body>,
     ) -> ExchangeResult {
         let sent = AtomicBool::new(false);
-        let exchange = self.shards[shard].pool.send(forward.gate, req, &sent);
+        let exchange = self.shards[shard].pool.send(forward.gatekeeper, req, &sent);
         let attempt = match self.with_deadline(forward.deadline, exchange).await {
             None => AttemptResult::DeadlinePassed { sent: sent.load(Ordering::Acquire) },
             Some(Err(SendError::Broken)) => AttemptResult::Ended(AttemptEnd::ConnectionLost),
