--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -6,7 +6,7 @@
 
 mod peer;
 
-use super::entry::Reason;
+use super::entry::TargetEstimate;
 use super::policy::{Mechanism, Policy};
 use super::{Load, Members, Terms};
 use crate::config::{Class, ServiceKey, Snapshot};
@@ -228,13 +228,13 @@
     }
 
     /// Returns the state of a target for logging.
-    pub fn reason(&self, now: Time, vm: &Name, class: Class) -> Reason {
+    pub fn estimate(&self, now: Time, vm: &Name, class: Class) -> TargetEstimate {
         let Some(peer) = self.peers.get(vm) else {
-            return Reason::default();
+            return TargetEstimate::default();
         };
         let times = self.typical_latency.get_index(peer.service);
         let typical_latency = times.map_or(Duration::ZERO, |(_, times)| times[class as usize].mean);
-        Reason { expected: peer.cost(now, class, typical_latency), load: peer.load }
+        TargetEstimate { expected: peer.cost(now, class, typical_latency), load: peer.load }
     }
 
     pub fn request_started(&mut self, vm: &Name) {
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -6,7 +6,7 @@
 mod retry;
 mod retry_budget;
 
-pub use port::{Arrival, AttemptEnd, Forward, Input, Output, Reason};
+pub use port::{Arrival, AttemptEnd, Forward, Input, Output, TargetEstimate};
 
 use super::balance::{Balancer, PickRequest};
 use super::caller_waits::CallerWaits;
@@ -264,7 +264,7 @@
     fn start(&mut self, now: Time, key: CallKey, vm: &Name, hedge: bool) -> Option<Forward> {
         let call = self.calls.get_mut(&key)?;
         let (gatekeeper, incarnation) = self.balancer.gate(vm)?;
-        let reason = self.balancer.reason(now, vm, call.terms.class);
+        let estimate = self.balancer.estimate(now, vm, call.terms.class);
         let objective = call.terms.objective.since(now);
         let hedge_delay = self.balancer.hedge_delay(vm, call.terms.class, objective);
         let may_hedge =
@@ -287,7 +287,7 @@
             gatekeeper,
             incarnation,
             terms,
-            reason,
+            estimate,
             deadline: call.deadline,
             hedge_delay_ms: hedge_delay
                 .filter(|_| may_hedge)
--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -112,7 +112,7 @@
 
     /// State of the selected target at selection time.
     #[derive(Default)]
-    pub struct Reason {
+    pub struct TargetEstimate {
         /// Expected response time under the current load.
         pub expected: Duration,
         /// Last load reported by the gatekeeper, and when it was received.
@@ -130,7 +130,7 @@
         /// Expected incarnation of the target process, if known.
         pub incarnation: Option<Name>,
         pub terms: Terms,
-        pub reason: Reason,
+        pub estimate: TargetEstimate,
         /// Deadline of the caller.
         pub deadline: Time,
         /// Delay in milliseconds after which to send [`Input::HedgeDue`]. Absent if the attempt
--- a/node/src/calls/trace.rs
+++ b/node/src/calls/trace.rs
@@ -104,16 +104,16 @@
 impl<'a> Fields<'a> {
     pub fn of_forward(shared: &Shared, forward: &'a Forward) -> Fields<'a> {
         let now = shared.clock.now();
-        let reason = &forward.reason;
+        let estimate = &forward.estimate;
         Fields {
             attempt: Some(forward.attempt),
             target: Some(forward.vm.as_str()),
             service: Some(forward.terms.service.as_str()),
             version: shared.in_force().map(|snapshot| snapshot.version()),
             left_ms: Some(forward.deadline.since(now).as_millis() as u64),
-            expected_ms: Some(reason.expected.as_millis() as u64),
-            load: reason.load.map(|(load, _)| load.to_string()),
-            load_age_ms: reason.load.map(|(_, at)| now.since(at).as_millis() as u64),
+            expected_ms: Some(estimate.expected.as_millis() as u64),
+            load: estimate.load.map(|(load, _)| load.to_string()),
+            load_age_ms: estimate.load.map(|(_, at)| now.since(at).as_millis() as u64),
             ..Fields::default()
         }
     }
