--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -89,7 +89,7 @@
             Origin::Caller(_) => Runs::default(),
         };
         let arrival = entry::Arrival {
-            time_left: Some(left),
+            timeout: Some(left),
             depth: if matches!(origin, Origin::Run(_)) { NESTED_DEPTH } else { 0 },
             body_bytes: Some(0),
             own_runs,
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -166,7 +166,7 @@
         if arrival.body_bytes.is_some_and(|bytes| bytes > route.max_body_bytes) {
             return reject(Code::RequestTooLarge);
         }
-        if arrival.time_left == Some(Duration::ZERO) {
+        if arrival.timeout == Some(Duration::ZERO) {
             return reject(Code::DeadlinePassed);
         }
         Ok((snapshot.clone(), key))
@@ -184,7 +184,7 @@
         let route = &entry.route;
         let route_deadline = Duration::from_millis(route.deadline_ms.into());
         let deadline =
-            now + arrival.time_left.map_or(route_deadline, |left| left.min(route_deadline));
+            now + arrival.timeout.map_or(route_deadline, |left| left.min(route_deadline));
         let service = self.splits.choose(entry);
         let terms = Terms {
             service: snapshot.service(service).name.clone(),
@@ -226,7 +226,7 @@
     /// Returns the time by which a response is most useful, measured from the caller's first
     /// attempt.
     fn objective(&mut self, now: Time, arrival: &Arrival<'_>, entry: &RouteEntry) -> Time {
-        let waited = match arrival.time_left {
+        let waited = match arrival.timeout {
             Some(left) if self.policy.is_enabled(Mechanism::Patience) => {
                 self.caller_waits.estimate(now, &entry.name, left)
             }
--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -18,7 +18,7 @@
         /// Value of the `Idempotency-Key` header.
         pub key: Option<RequestKey>,
         /// Timeout sent by the caller. Defaults to the deadline of the route.
-        pub time_left: Option<Duration>,
+        pub timeout: Option<Duration>,
         /// Number of entry nodes that the call passed before this one.
         pub depth: u8,
         /// Size of the body, if the head states it.
@@ -150,7 +150,7 @@
             host,
             path,
             key: None,
-            time_left: None,
+            timeout: None,
             depth: 0,
             body_bytes: None,
             own_runs: Runs::default(),
--- a/core/tests/call_entry_full.rs
+++ b/core/tests/call_entry_full.rs
@@ -49,7 +49,7 @@
         self.next += 1;
         let call = CallKey(self.next);
         let arrival =
-            Arrival { time_left: Some(Duration::from_secs(2)), ..Arrival::new(call, "", "/") };
+            Arrival { timeout: Some(Duration::from_secs(2)), ..Arrival::new(call, "", "/") };
         let mut forwards = Vec::new();
         let mut output = self.input(Input::Arrive(arrival));
         while let Some(Output::Forward(forward)) = output {
--- a/core/tests/call_entry_naive.rs
+++ b/core/tests/call_entry_naive.rs
@@ -233,7 +233,7 @@
                         call: CallKey(arrived),
                         path: if key.is_some() { "/once" } else { "/idem" },
                         key,
-                        time_left: None,
+                        timeout: None,
                         depth: 0,
                         body_bytes: None,
                         own_runs: Runs::default(),
--- a/core/tests/call_once_by_attempt.rs
+++ b/core/tests/call_once_by_attempt.rs
@@ -64,7 +64,7 @@
     fn arrive(&mut self, host: &str, path: &str) -> Option<Output> {
         self.last_call += 1;
         let arrival = Arrival {
-            time_left: Some(Duration::from_secs(4)),
+            timeout: Some(Duration::from_secs(4)),
             ..Arrival::new(CallKey(self.last_call), host, path)
         };
         self.input(Input::Arrive(arrival))
@@ -201,7 +201,7 @@
     driver.sign();
     driver.last_call += 1;
     let arrival = Arrival {
-        time_left: Some(Duration::from_millis(3_500)),
+        timeout: Some(Duration::from_millis(3_500)),
         ..Arrival::new(CallKey(driver.last_call), "h.example", "/sign/1")
     };
     let sent = forward(driver.input(Input::Arrive(arrival)));
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -280,7 +280,7 @@
                 call,
                 path: self.choose(&["/i/1", "/o/1", "/", ""]),
                 key: self.option_of(InputGenerator::key),
-                time_left: self.option_of(|generator| Duration::from_millis(generator.number())),
+                timeout: self.option_of(|generator| Duration::from_millis(generator.number())),
                 depth: self.number() as u8,
                 body_bytes: self.option_of(InputGenerator::number),
                 own_runs: Runs::default(),
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -163,7 +163,7 @@
             host: &host,
             path: req.uri().path(),
             key: head.key,
-            time_left: head.time_left,
+            timeout: head.time_left,
             depth: head.depth,
             body_bytes: head.body_bytes,
             own_runs: self.shared.own_runs(),
