--- a/bench/src/fleet/calls.rs
+++ b/bench/src/fleet/calls.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use sycamore_core::Time;
 use sycamore_core::call::entry::{AttemptEnd, Forward};
-use sycamore_core::call::gatekeeper::{End, TICK};
+use sycamore_core::call::gatekeeper::{RunEnd, TICK};
 use sycamore_core::call::{CallKey, Fingerprint, Outcome, RequestKey, entry};
 use sycamore_core::hash::Hash;
 
@@ -79,7 +79,7 @@
     /// The entry node has closed the connection of an attempt.
     Closed { submission: usize, attempt: u32 },
     /// The target has finished or failed a run.
-    RunEnded { call_key: CallKey, end: End },
+    RunEnded { call_key: CallKey, end: RunEnd },
     /// Periodic tick of all gatekeepers.
     Tick,
 }
--- a/bench/src/fleet/calls/targets.rs
+++ b/bench/src/fleet/calls/targets.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use sycamore_core::Code;
 use sycamore_core::call::entry::{AttemptEnd, Forward};
-use sycamore_core::call::gatekeeper::{self, End};
+use sycamore_core::call::gatekeeper::{self, RunEnd};
 use sycamore_core::call::once::CachedResponse;
 use sycamore_core::call::{CallKey, Outcome};
 
@@ -101,7 +101,7 @@
         gatekeeper_call.at_most_once = at_most_once;
         let submission = gatekeeper_call.submission;
         if calls.targets_down[node] > at {
-            let step = Step::RunEnded { call_key, end: End::NotSent };
+            let step = Step::RunEnded { call_key, end: RunEnd::NotSent };
             return self.links.after(Duration::ZERO, FleetEvent::CallStep(step));
         }
         let request = calls.submissions[submission].request.clone();
@@ -110,14 +110,14 @@
             return self.crash_target(node);
         }
         if calls.rng.random_range(0..1_000) < BROKEN_PER_MILLE {
-            let end = End::Broken { target_gone: false };
+            let end = RunEnd::Broken { target_gone: false };
             return self
                 .links
                 .after(CRASH_DETECTION, FleetEvent::CallStep(Step::RunEnded { call_key, end }));
         }
         let body = Bytes::copy_from_slice(&request.number.to_be_bytes());
         let kept = CachedResponse { status: 200, headers: Vec::new(), body };
-        let end = End::Answered { cached: at_most_once.then(|| Arc::new(kept)) };
+        let end = RunEnd::Answered { cached: at_most_once.then(|| Arc::new(kept)) };
         self.links.after(request.work, FleetEvent::CallStep(Step::RunEnded { call_key, end }));
     }
 
@@ -129,14 +129,14 @@
         let call_keys: Vec<CallKey> =
             calls.gatekeeper_calls.iter().filter(running).map(|(call_key, _)| *call_key).collect();
         for call_key in call_keys {
-            let end = End::Broken { target_gone: true };
+            let end = RunEnd::Broken { target_gone: true };
             self.links
                 .after(CRASH_DETECTION, FleetEvent::CallStep(Step::RunEnded { call_key, end }));
         }
     }
 
     /// Ends a run. Ignored if the gatekeeper's process has restarted since the run began.
-    pub(super) fn run_ended(&mut self, call_key: CallKey, end: End) {
+    pub(super) fn run_ended(&mut self, call_key: CallKey, end: RunEnd) {
         let Some(calls) = &self.call_load else { return };
         let Some(gatekeeper_call) = calls.gatekeeper_calls.get(&call_key) else { return };
         let (node, incarnation, submission) =
@@ -145,20 +145,20 @@
             return;
         }
         let attempt_end = match &end {
-            End::Answered { .. } | End::ResponseRead { .. } => {
+            RunEnd::Answered { .. } | RunEnd::ResponseRead { .. } => {
                 AttemptEnd::ResponseStarted { load: None, waited: Duration::ZERO }
             }
-            End::NotSent | End::Rejected(_) => AttemptEnd::Rejected {
+            RunEnd::NotSent | RunEnd::Rejected(_) => AttemptEnd::Rejected {
                 code: Code::TargetUnreachable,
                 retry_after: RETRY_DELAY,
                 load: None,
                 crashes: 0,
             },
-            End::Broken { .. } | End::Cancelled => {
+            RunEnd::Broken { .. } | RunEnd::Cancelled => {
                 AttemptEnd::Failed { code: Code::TargetFailed, crashes: 0 }
             }
         };
-        let answered = matches!(end, End::Answered { .. } | End::ResponseRead { .. });
+        let answered = matches!(end, RunEnd::Answered { .. } | RunEnd::ResponseRead { .. });
         let number = calls.submissions[submission].request.number;
         self.handle_input(node, NodeInput::RunEnded { call: call_key, end });
         self.reply_to_entry(call_key, attempt_end, answered.then_some(number));
@@ -181,7 +181,7 @@
         }
         calls.gatekeeper_calls.swap_remove(&call_key);
         let input = match running {
-            true => NodeInput::RunEnded { call: call_key, end: End::Cancelled },
+            true => NodeInput::RunEnded { call: call_key, end: RunEnd::Cancelled },
             false => NodeInput::Withdraw(call_key),
         };
         self.handle_input(node, input);
--- a/bench/src/fleet/slot.rs
+++ b/bench/src/fleet/slot.rs
@@ -103,7 +103,7 @@
     RunEnded {
         /// Call at the gatekeeper.
         call: CallKey,
-        end: gatekeeper::End,
+        end: gatekeeper::RunEnd,
     },
     /// Periodic tick of the gatekeeper.
     Tick,
--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -6,7 +6,7 @@
 use super::world::{Event, World};
 use std::time::Duration;
 use sycamore_core::call::entry::{self, AttemptEnd, Forward};
-use sycamore_core::call::gatekeeper::{self, End};
+use sycamore_core::call::gatekeeper::{self, RunEnd};
 use sycamore_core::call::{CallKey, Fingerprint, Outcome, Runs};
 use sycamore_core::{Code, Time};
 
@@ -357,7 +357,7 @@
             self.cancel_call(nested_call);
         }
         let input = match attempt.running {
-            true => gatekeeper::Input::End { call: attempt_key, end: End::Cancelled },
+            true => gatekeeper::Input::End { call: attempt_key, end: RunEnd::Cancelled },
             false => gatekeeper::Input::Withdraw(attempt_key),
         };
         self.release_slot(attempt.node, attempt_key);
--- a/bench/src/lab/path/run.rs
+++ b/bench/src/lab/path/run.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use sycamore_core::call::CallKey;
 use sycamore_core::call::entry::AttemptEnd;
-use sycamore_core::call::gatekeeper::{self, End};
+use sycamore_core::call::gatekeeper::{self, RunEnd};
 use sycamore_core::{Code, Time};
 
 impl World<'_> {
@@ -22,7 +22,7 @@
             Submission::Running => self.begin_work(run),
             Submission::Queued => {}
             Submission::Rejected => {
-                let end = End::Rejected(Code::TargetRefused);
+                let end = RunEnd::Rejected(Code::TargetRefused);
                 self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
             }
         }
@@ -101,7 +101,7 @@
         if departs > self.links.now() {
             // The slot is freed once the gatekeeper has buffered the response.
             self.release_slot(node, run);
-            let end = End::ResponseRead { unsent: HEAD_BYTES + body };
+            let end = RunEnd::ResponseRead { unsent: HEAD_BYTES + body };
             self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
         }
         self.links.at(departs, Event::ResponseSent(run, failed));
@@ -127,7 +127,7 @@
         let (node, key, kind, waited) = (attempt.node, attempt.call, attempt.kind, attempt.waited);
         self.release_slot(node, run);
         let load = self.nodes[node].gatekeeper.load(self.links.now());
-        let end = End::Answered { cached: None };
+        let end = RunEnd::Answered { cached: None };
         self.gatekeeper_input(node, gatekeeper::Input::End { call: run, end });
         self.gatekeeper_input(node, gatekeeper::Input::ResponseSent(run));
         self.attempts.swap_remove(&run);
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -6,7 +6,7 @@
 mod port;
 mod suspects;
 
-pub use port::{Arrival, End, Input, Output};
+pub use port::{Arrival, Input, Output, RunEnd};
 
 use super::admit::{Admission, Objective, Offer, Popped, Slots};
 use super::home::Homes;
@@ -356,23 +356,23 @@
         Some(entry)
     }
 
-    fn end(&mut self, now: Time, call: CallKey, end: End, out: &mut Vec<Output>) {
+    fn end(&mut self, now: Time, call: CallKey, end: RunEnd, out: &mut Vec<Output>) {
         let Some(entry) = self.calls.get(&call).copied().filter(|entry| entry.running) else {
             return;
         };
         match end {
-            End::Answered { cached } => {
+            RunEnd::Answered { cached } => {
                 self.slots.end(now, call);
                 self.finish_key(&entry, cached);
                 self.clear(entry.fingerprint, out);
                 self.mark_target_up(now, out);
             }
-            End::ResponseRead { unsent } => {
+            RunEnd::ResponseRead { unsent } => {
                 self.slots.response_read(now, call, unsent);
                 self.clear(entry.fingerprint, out);
                 self.mark_target_up(now, out);
             }
-            End::NotSent => {
+            RunEnd::NotSent => {
                 self.slots.release(call);
                 if let Some(key) = entry.key {
                     self.idempotency.remove_not_run(key, call);
@@ -382,7 +382,7 @@
                 let crashes = self.crashes_of(now, &entry);
                 out.push(Output::Reject { call, outcome, crashes });
             }
-            End::Rejected(code) => {
+            RunEnd::Rejected(code) => {
                 self.slots.release(call);
                 if let Some(key) = entry.key {
                     self.idempotency.remove_not_run(key, call);
@@ -392,7 +392,7 @@
                 let crashes = self.crashes_of(now, &entry);
                 out.push(Output::Reject { call, outcome, crashes });
             }
-            End::Broken { target_gone } => {
+            RunEnd::Broken { target_gone } => {
                 self.slots.release(call);
                 self.finish_key(&entry, None);
                 self.suspect(now, &entry, target_gone, out);
@@ -401,7 +401,7 @@
                 let crashes = self.crashes_of(now, &entry).max(entry.crashes.saturating_add(1));
                 out.push(Output::Reject { call, outcome, crashes });
             }
-            End::Cancelled => {
+            RunEnd::Cancelled => {
                 self.slots.end(now, call);
                 self.finish_key(&entry, None);
             }
--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -54,7 +54,7 @@
         /// A running request has ended.
         End {
             call: CallKey,
-            end: End,
+            end: RunEnd,
         },
         /// The last byte of a completely read response has been sent, or the caller has
         /// disconnected.
@@ -70,7 +70,7 @@
     }
 
     /// How a running request ended.
-    pub enum End {
+    pub enum RunEnd {
         /// The complete response has been received.
         Answered {
             /// The response to cache, if the request has a key.
--- a/core/tests/call_quarantine.rs
+++ b/core/tests/call_quarantine.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::name;
-use sycamore_core::call::gatekeeper::{Arrival, End, Input, Output};
+use sycamore_core::call::gatekeeper::{Arrival, Input, Output, RunEnd};
 use sycamore_core::call::quarantine::{MAX_SUSPECTS, SUSPICION_TTL, Suspects};
 use sycamore_core::call::{CallKey, Fingerprint, Gatekeeper, Outcome};
 use sycamore_core::config::Snapshot;
@@ -81,7 +81,7 @@
         panic!("the request was neither run nor rejected");
     }
 
-    fn end(&mut self, at: usize, call: CallKey, end: End) {
+    fn end(&mut self, at: usize, call: CallKey, end: RunEnd) {
         self.handle(at, Input::End { call, end });
         self.now = self.now + Duration::from_millis(700);
     }
@@ -93,7 +93,7 @@
     let mut fleet = Fleet::new();
     for at in 0..2 {
         let call = fleet.submit(at, CRASHING).unwrap();
-        fleet.end(at, call, End::Broken { target_gone: true });
+        fleet.end(at, call, RunEnd::Broken { target_gone: true });
     }
     for at in 0..4 {
         assert_eq!(fleet.submit(at, CRASHING), Err(Code::Quarantined));
@@ -115,11 +115,13 @@
         let calls: Vec<_> =
             bystanders.iter().map(|bystander| fleet.submit(at, *bystander).unwrap()).collect();
         let crashing = fleet.submit(at, CRASHING).unwrap();
-        fleet.end(at, crashing, End::Broken { target_gone: true });
-        calls.into_iter().for_each(|call| fleet.end(at, call, End::Broken { target_gone: true }));
+        fleet.end(at, crashing, RunEnd::Broken { target_gone: true });
+        calls
+            .into_iter()
+            .for_each(|call| fleet.end(at, call, RunEnd::Broken { target_gone: true }));
         for bystander in &bystanders {
             let call = fleet.submit(3, *bystander).unwrap();
-            fleet.end(3, call, End::Answered { cached: None });
+            fleet.end(3, call, RunEnd::Answered { cached: None });
         }
     }
     assert_eq!(fleet.submit(2, CRASHING), Err(Code::Quarantined));
@@ -132,7 +134,7 @@
     let mut fleet = Fleet::new();
     let calls: Vec<_> = (0..5).map(|_| fleet.submit(0, CRASHING).unwrap()).collect();
     for call in calls {
-        fleet.handle(0, Input::End { call, end: End::Broken { target_gone: true } });
+        fleet.handle(0, Input::End { call, end: RunEnd::Broken { target_gone: true } });
     }
     assert!(fleet.submit(1, CRASHING).is_ok());
 }
@@ -145,7 +147,7 @@
     let mut recorded = Vec::new();
     for at in 0..2 {
         let call = fleet.submit(at, CRASHING).unwrap();
-        let end = End::Broken { target_gone: true };
+        let end = RunEnd::Broken { target_gone: true };
         let out = fleet.handle(at, Input::End { call, end });
         let is_record = |output: &&Output| matches!(output, Output::Record(EventKind::Quarantined));
         recorded.push(out.iter().filter(is_record).count());
--- a/core/tests/call_quarantine_late.rs
+++ b/core/tests/call_quarantine_late.rs
@@ -5,7 +5,7 @@
 
 use support::name;
 use sycamore_core::Time;
-use sycamore_core::call::gatekeeper::{Arrival, End, Input, Output};
+use sycamore_core::call::gatekeeper::{Arrival, Input, Output, RunEnd};
 use sycamore_core::call::quarantine::MAX_CRASHES;
 use sycamore_core::call::{CallKey, Fingerprint, Gatekeeper};
 
@@ -34,7 +34,7 @@
         deadline: Time(START.0 + 1_000_000),
     };
     gatekeeper.handle(START, Input::Arrive(arrival), &mut out);
-    let end = End::Broken { target_gone: true };
+    let end = RunEnd::Broken { target_gone: true };
     gatekeeper.handle(START, Input::End { call, end }, &mut out);
     let reported = out.iter().find_map(|output| match output {
         Output::Reject { crashes, .. } => Some(*crashes as usize),
--- a/core/tests/node_random.rs
+++ b/core/tests/node_random.rs
@@ -309,7 +309,7 @@
 
     fn gate<'a>(&mut self, from: &'a Name, note: &'a Note) -> gatekeeper::Input<'a> {
         let call = CallKey(self.number());
-        let broken = gatekeeper::End::Broken { target_gone: self.flag() };
+        let broken = gatekeeper::RunEnd::Broken { target_gone: self.flag() };
         match self.0.random_range(0..11) {
             0..=3 => gatekeeper::Input::Arrive(gatekeeper::Arrival {
                 host: "",
@@ -325,9 +325,11 @@
             }),
             4 => gatekeeper::Input::Expire(call),
             5 => gatekeeper::Input::Withdraw(call),
-            6 => gatekeeper::Input::End { call, end: gatekeeper::End::Answered { cached: None } },
+            6 => {
+                gatekeeper::Input::End { call, end: gatekeeper::RunEnd::Answered { cached: None } }
+            }
             7 => gatekeeper::Input::End { call, end: broken },
-            8 => gatekeeper::Input::End { call, end: gatekeeper::End::Cancelled },
+            8 => gatekeeper::Input::End { call, end: gatekeeper::RunEnd::Cancelled },
             9 => gatekeeper::Input::Note { from, note },
             _ => gatekeeper::Input::Tick,
         }
--- a/core/tests/support/homes.rs
+++ b/core/tests/support/homes.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use sycamore_core::Time;
-use sycamore_core::call::gatekeeper::{Arrival, End, Input, Output};
+use sycamore_core::call::gatekeeper::{Arrival, Input, Output, RunEnd};
 use sycamore_core::call::note::OutgoingNote;
 use sycamore_core::call::once::CachedResponse;
 use sycamore_core::call::{CallKey, Fingerprint, Gatekeeper, Members, Outcome, RequestKey};
@@ -148,7 +148,7 @@
                     self.runs.entry(key).or_default().push((self.now, index));
                     let response =
                         CachedResponse { status: 200, headers: vec![], body: "x".into() };
-                    let end = End::Answered { cached: Some(Arc::new(response)) };
+                    let end = RunEnd::Answered { cached: Some(Arc::new(response)) };
                     self.handle(index, Input::End { call, end });
                     outcome = Some(Outcome::Answered);
                 }
--- a/node/src/calls/gate/slot.rs
+++ b/node/src/calls/gate/slot.rs
@@ -6,7 +6,7 @@
 use crate::calls::pool::DeferredSlot;
 use std::sync::Arc;
 use sycamore_core::call::CallKey;
-use sycamore_core::call::gatekeeper::{End, Input};
+use sycamore_core::call::gatekeeper::{Input, RunEnd};
 
 /// A slot of the target. Freed on drop; the call then counts as cancelled unless it was ended.
 #[derive(Debug)]
@@ -63,7 +63,7 @@
     }
 
     /// Frees the slot and reports how the run ended. Returns the decision for the call.
-    pub(super) fn end(mut self, end: End) -> Option<super::Decision> {
+    pub(super) fn end(mut self, end: RunEnd) -> Option<super::Decision> {
         self.ended = true;
         self.adapter.decide(self.call, Input::End { call: self.call, end })
     }
@@ -72,7 +72,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if !self.ended {
-            self.adapter.handle_input(Input::End { call: self.call, end: End::Cancelled });
+            self.adapter.handle_input(Input::End { call: self.call, end: RunEnd::Cancelled });
         }
     }
 }
@@ -109,7 +109,7 @@
         if let Some(slot) = self.running.take() {
             self.unsent_response =
                 Some(UnsentResponse { adapter: slot.adapter.clone(), call: slot.call });
-            slot.end(End::ResponseRead { unsent });
+            slot.end(RunEnd::ResponseRead { unsent });
             self.lease.finish(true);
         }
     }
@@ -118,7 +118,7 @@
     pub fn finish(mut self, complete: bool) {
         if complete {
             if let Some(slot) = self.running.take() {
-                slot.end(End::Answered { cached: None });
+                slot.end(RunEnd::Answered { cached: None });
             }
         }
         // Attach the slot to the connection before closing it.
--- a/node/src/calls/gate/target.rs
+++ b/node/src/calls/gate/target.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
-use sycamore_core::call::gatekeeper::End;
+use sycamore_core::call::gatekeeper::RunEnd;
 use sycamore_core::call::once::CachedResponse;
 use sycamore_core::call::{CallKey, Outcome};
 use sycamore_core::config::Class;
@@ -154,7 +154,7 @@
                 let cached = Arc::new(cached_response(head.status, &head.headers, buf));
                 connection.release();
                 if let Some(slot) = running.take() {
-                    slot.end(End::Answered { cached: Some(cached.clone()) });
+                    slot.end(RunEnd::Answered { cached: Some(cached.clone()) });
                 }
                 Ok(cached)
             }
@@ -241,7 +241,7 @@
     /// Reports a connection that broke after a byte of the request may have been sent.
     async fn report_broken_connection(&self, mut running: RunningSlot) -> NoResponse {
         let target_gone = self.target_gone().await;
-        let decision = running.take().and_then(|slot| slot.end(End::Broken { target_gone }));
+        let decision = running.take().and_then(|slot| slot.end(RunEnd::Broken { target_gone }));
         match decision {
             Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
             _ => NoResponse::unknown(Code::TargetFailed),
@@ -312,7 +312,7 @@
     connection: Connection,
     code: Code,
 ) -> NoResponse {
-    let decision = running.take().and_then(|slot| slot.end(End::Rejected(code)));
+    let decision = running.take().and_then(|slot| slot.end(RunEnd::Rejected(code)));
     if response.body().is_end_stream() {
         connection.release();
     }
@@ -324,7 +324,7 @@
 
 /// Reports a request of which no byte was sent.
 fn report_not_sent(slot: Slot) -> NoResponse {
-    match slot.end(End::NotSent) {
+    match slot.end(RunEnd::NotSent) {
         Some(Decision::Reject(outcome, crashes)) => NoResponse { outcome, crashes },
         _ => NoResponse { outcome: rejection(Code::TargetUnreachable), crashes: 0 },
     }
