--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -130,8 +130,8 @@
         if offer.deadline <= now {
             return Admission::Reject(Code::DeadlinePassed, Duration::ZERO);
         }
-        let first = self.queued() == 0 || (offer.depth > 0 && self.ahead_of(&offer) == 0);
-        if first && self.has_slot(now, &offer) {
+        let is_next = self.queued() == 0 || (offer.depth > 0 && self.count_ahead(&offer) == 0);
+        if is_next && self.has_slot(now, &offer) {
             self.start(now, &offer);
             return Admission::Run;
         }
@@ -151,9 +151,9 @@
         let run_time = self.run_times[offer.class as usize];
         let latest_start = objective.by - run_time;
         // A run that the caller's deadline would interrupt is wasted.
-        let late_wait = run_time * self.policy.late_wait_percent / 100;
+        let max_late_wait = run_time * self.policy.late_wait_percent / 100;
         let expires_at =
-            expires_at.min(latest_start.max(now) + late_wait).min(offer.deadline - run_time);
+            expires_at.min(latest_start.max(now) + max_late_wait).min(offer.deadline - run_time);
         let wait_percent = match objective.may_exceed_objective {
             true => 100,
             false => self.policy.first_wait_percent,
@@ -182,9 +182,9 @@
     /// Moves requests that can no longer meet their objective to the late queue.
     fn demote(&mut self, now: Time) {
         for index in 0..self.queues.len() {
-            let late =
+            let missed =
                 |waiting: &QueuedRequest| waiting.latest_start < now && waiting.expires_at > now;
-            while let Some(at) = self.queues[index].iter().position(late) {
+            while let Some(at) = self.queues[index].iter().position(missed) {
                 if !self.has_room_for_late() {
                     return;
                 }
@@ -205,7 +205,7 @@
 
     /// Releases the slot of a request that did not reach the target.
     pub fn release(&mut self, call: CallKey) {
-        self.free(call);
+        self.remove_running(call);
     }
 
     /// Releases the slot of a completed request and records its run time.
@@ -216,7 +216,7 @@
     }
 
     fn end_run(&mut self, now: Time, call: CallKey) -> Option<Running> {
-        let ended = self.free(call)?;
+        let ended = self.remove_running(call)?;
         let took = now.since(ended.started);
         let mean = &mut self.run_times[ended.class as usize];
         *mean = (*mean * (RUN_TIME_EWMA_DIVISOR - 1) + took) / RUN_TIME_EWMA_DIVISOR;
@@ -230,13 +230,13 @@
         }
     }
 
-    /// Releases the slot of a request whose response has been read completely, with `left` bytes
+    /// Releases the slot of a request whose response has been read completely, with `unsent` bytes
     /// not yet sent.
     ///
     /// A bulk response that is still being sent over the VM's link no longer occupies the target.
-    pub fn response_read(&mut self, now: Time, call: CallKey, left: u64) {
+    pub fn response_read(&mut self, now: Time, call: CallKey, unsent: u64) {
         if let Some(ended) = self.end_run(now, call) {
-            self.sending.insert(call, Running { remaining_bytes: left, ..ended });
+            self.sending.insert(call, Running { remaining_bytes: unsent, ..ended });
         }
     }
 
@@ -269,7 +269,7 @@
             // The queue is ordered by depth, so the entry that expires first need not be at the
             // front.
             if let Some(index) = queue.iter().position(|waiting| waiting.expires_at <= now) {
-                return queue.remove(index).map(|late| Popped::Expired(late.offer.call));
+                return queue.remove(index).map(|expired| Popped::Expired(expired.offer.call));
             }
         }
         let waiting = match self.next_class(now) {
@@ -337,11 +337,11 @@
         };
         let used = self.running.len() as u32 + reserved;
         let free = used < slots;
-        let bulk = || {
+        let bulk_allowed = || {
             self.running_bulk < self.bulk_slots(now)
                 && self.link.can_start(now, self.remaining_bytes())
         };
-        free && (offer.class != Class::Bulk || bulk())
+        free && (offer.class != Class::Bulk || bulk_allowed())
     }
 
     /// Bytes still to be sent of all bulk responses in progress.
@@ -360,7 +360,7 @@
         self.running.insert(offer.call, running);
     }
 
-    fn free(&mut self, call: CallKey) -> Option<Running> {
+    fn remove_running(&mut self, call: CallKey) -> Option<Running> {
         let freed = self.running.swap_remove(&call)?;
         if freed.class == Class::Bulk {
             self.running_bulk -= 1;
@@ -373,7 +373,7 @@
     }
 
     /// Number of queued requests that would run before this one.
-    fn ahead_of(&self, offer: &Offer) -> usize {
+    fn count_ahead(&self, offer: &Offer) -> usize {
         let queue = offer.queue_class();
         let before = self.queues[..queue as usize].iter().map(VecDeque::len).sum::<usize>();
         let own = &self.queues[queue as usize];
@@ -388,11 +388,11 @@
             work += run_time * waiting.len() as u32;
         }
         let own = &self.queues[queue];
-        let same = own.partition_point(|other| other.offer.precedes(offer));
-        work += self.run_times[offer.class as usize] * same as u32;
+        let ahead = own.partition_point(|other| other.offer.precedes(offer));
+        work += self.run_times[offer.class as usize] * ahead as u32;
         let wait = work / self.slots(now);
         match offer.class {
-            Class::Bulk => wait.max(self.link.wait(now, self.remaining_bytes(), same as u32)),
+            Class::Bulk => wait.max(self.link.wait(now, self.remaining_bytes(), ahead as u32)),
             Class::Gating | Class::Interactive => wait,
         }
     }
