--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -149,7 +149,7 @@
             return Admission::Queue(expires_at);
         };
         let run_time = self.run_times[offer.class as usize];
-        let latest_start = objective.by - run_time;
+        let latest_start = objective.respond_by - run_time;
         // A run that the caller's deadline would interrupt is wasted.
         let max_late_wait = run_time * self.policy.late_wait_percent / 100;
         let expires_at =
--- a/core/src/call/admit/offer.rs
+++ b/core/src/call/admit/offer.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Objective {
     /// Time by which the response should arrive.
-    pub by: Time,
+    pub respond_by: Time,
     /// Whether the request may be queued although its response will miss the objective, because no
     /// other target can meet it either.
     pub may_exceed_objective: bool,
--- a/core/src/call/gatekeeper.rs
+++ b/core/src/call/gatekeeper.rs
@@ -242,8 +242,10 @@
         let call = arrival.call;
         // Gating requests count as nested even if the caller does not send the depth.
         let depth = arrival.depth.max((terms.class == Class::Gating).into());
-        let objective =
-            Objective { by: terms.objective, may_exceed_objective: terms.may_exceed_objective };
+        let objective = Objective {
+            respond_by: terms.objective,
+            may_exceed_objective: terms.may_exceed_objective,
+        };
         let offer = Offer {
             call,
             class: terms.class,
--- a/core/tests/call_waiting.rs
+++ b/core/tests/call_waiting.rs
@@ -34,7 +34,7 @@
         rank,
         depth: 0,
         deadline: at(now + DEADLINE_MS),
-        objective: objective.map(|ms| Objective { by: at(now + ms), may_exceed_objective }),
+        objective: objective.map(|ms| Objective { respond_by: at(now + ms), may_exceed_objective }),
     }
 }
 
--- a/core/tests/nested.rs
+++ b/core/tests/nested.rs
@@ -54,7 +54,7 @@
         depth,
         deadline: at(ms + 2_000),
         objective: (depth == 0)
-            .then_some(Objective { by: at(ms + 600), may_exceed_objective: true }),
+            .then_some(Objective { respond_by: at(ms + 600), may_exceed_objective: true }),
     };
     for call in 0..200 {
         slots.offer(at(0), offer(call, Class::Interactive, 0, 0));
