--- a/core/tests/discovery_return.rs
+++ b/core/tests/discovery_return.rs
@@ -49,7 +49,7 @@
         (0..NODES).for_each(|node| inner.input(node, Input::Start));
         let mut fleet = RecoveringFleet { inner, rng: Pcg64Mcg::seed_from_u64(seed) };
         fleet.advance(Duration::from_secs(1));
-        assert_eq!(fleet.count_holding(1), NODES);
+        assert_eq!(fleet.count_up_to_date(1), NODES);
         fleet
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Number of nodes that hold this version with every target.
-    fn count_holding(&self, version: u64) -> usize {
+    fn count_up_to_date(&self, version: u64) -> usize {
         let holds = |node: &&Node| {
             let snapshot = node.snapshot.as_ref();
             snapshot.is_some_and(|held| held.version() == version && held.targets().len() == NODES)
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn return_two_survivors_seeds_lost() {
+fn recovery_from_two_survivors_without_seeds() {
     // Guards against nodes that reject calls until the store recovers, although two survivors hold
     // the state: the seeds were restarted too and know nothing.
     let mut fleet = RecoveringFleet::new(1);
@@ -96,11 +96,11 @@
     fleet.advance(Duration::from_secs(2));
     fleet.kill_and_restart(&(0..16).collect::<Vec<_>>());
     fleet.advance(RECOVERY_BOUND);
-    assert_eq!(fleet.count_holding(1), NODES);
+    assert_eq!(fleet.count_up_to_date(1), NODES);
 }
 
 #[test]
-fn return_store_takes_over() {
+fn recovery_store_overrides_peers() {
     // The store's state takes precedence over the state received from peers.
     let mut fleet = RecoveringFleet::new(2);
     fleet.inner.set_store_unreachable(true);
@@ -111,7 +111,7 @@
     fleet.inner.store.changes.push(entry(3, TargetState::Draining, 2));
     fleet.inner.set_store_unreachable(false);
     fleet.advance(Duration::from_secs(6));
-    assert_eq!(fleet.count_holding(2), NODES);
+    assert_eq!(fleet.count_up_to_date(2), NODES);
     let leaving = |node: &Node| {
         let snapshot = node.snapshot.as_ref().unwrap();
         snapshot.targets().iter().filter(|entry| entry.target.leaving).count()
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn return_older_survivor_pulls_nobody_back() {
+fn recovery_ignores_outdated_survivor() {
     // Guards against restarted processes that settle on the older version of two survivors.
     let mut fleet = RecoveringFleet::new(3);
     let outdated = 17;
@@ -132,11 +132,11 @@
     fleet.advance(Duration::from_secs(2));
     fleet.kill_and_restart(&(0..16).collect::<Vec<_>>());
     fleet.advance(RECOVERY_BOUND);
-    assert!(fleet.count_holding(2) >= NODES - 1, "{}", fleet.count_holding(2));
+    assert!(fleet.count_up_to_date(2) >= NODES - 1, "{}", fleet.count_up_to_date(2));
 }
 
 #[test]
-fn return_quiet_times_no_offer() {
+fn recovery_no_offers_while_nodes_are_up() {
     // Guards against cross-zone traffic from offers while no node is unreachable.
     let mut fleet = RecoveringFleet::new(4);
     (fleet.inner.offers_sent, fleet.inner.cross_region_messages) = (0, 0);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn return_offers_end() {
+fn recovery_offers_to_lost_node_end() {
     // Offers to a node that never comes back must end.
     let mut fleet = RecoveringFleet::new(5);
     fleet.inner.stop(3);
@@ -164,7 +164,11 @@
 
     /// Any single survivor suffices, even if more processes are killed during the recovery.
     #[test]
-    fn return_any_survivor(seed in any::<u32>(), killed in 9usize..NODES, again in 0usize..6) {
+    fn recovery_from_any_survivor(
+        seed in any::<u32>(),
+        killed in 9usize..NODES,
+        killed_again in 0usize..6,
+    ) {
         let mut fleet = RecoveringFleet::new(seed.into());
         fleet.inner.set_store_unreachable(true);
         fleet.advance(Duration::from_secs(2));
@@ -172,8 +176,8 @@
         nodes.shuffle(&mut fleet.rng);
         fleet.kill_and_restart(&nodes[..killed]);
         fleet.advance(ms(700));
-        fleet.kill_and_restart(&nodes[..again]);
+        fleet.kill_and_restart(&nodes[..killed_again]);
         fleet.advance(RECOVERY_BOUND);
-        prop_assert_eq!(fleet.count_holding(1), NODES);
+        prop_assert_eq!(fleet.count_up_to_date(1), NODES);
     }
 }
