--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -32,8 +32,9 @@
 
 /// Returns the command-line definition.
 pub fn command_line() -> CommandLine {
-    let line = CommandLine::new("sycamore-status", "(--vms|--node|--platform) ... [options]");
-    fleet::add_options(line)
+    let command_line =
+        CommandLine::new("sycamore-status", "(--vms|--node|--platform) ... [options]");
+    fleet::add_options(command_line)
         .with_value("version-in-force", "version to check for (default: the published one)", "N")
         .with_value("wait", "maximum time to wait until it is in force everywhere", "SECONDS")
         .with_flag("all", "list every node, not only those that lag")
