--- a/tools/src/fan_out.rs
+++ b/tools/src/fan_out.rs
@@ -29,5 +29,5 @@
     let mut responses: Vec<_> =
         stream::iter(requests).buffer_unordered(concurrency).collect().await;
     responses.sort_by_key(|(index, _)| *index);
-    responses.into_iter().map(|(_, answer)| answer).collect()
+    responses.into_iter().map(|(_, response)| response).collect()
 }
