--- a/bench/src/fleet/size.rs
+++ b/bench/src/fleet/size.rs
@@ -30,32 +30,32 @@
     /// Size of a message including its HTTP call, without TCP and IP headers.
     pub fn wire_size(&mut self, msg: &PeerMsg) -> u64 {
         match msg {
-            PeerMsg::Delta(delta) => self.delta(delta),
-            PeerMsg::Lists(lists) => lists.iter().map(|list| self.list(list)).sum(),
-            _ => self.encoded(msg),
+            PeerMsg::Delta(delta) => self.delta_size(delta),
+            PeerMsg::Lists(lists) => lists.iter().map(|list| self.list_size(list)).sum(),
+            _ => self.encoded_size(msg),
         }
     }
 
-    fn encoded(&mut self, msg: &PeerMsg) -> u64 {
+    fn encoded_size(&mut self, msg: &PeerMsg) -> u64 {
         codec::size(msg, &mut self.payloads).unwrap_or(0)
     }
 
-    fn delta(&mut self, delta: &Arc<Delta>) -> u64 {
+    fn delta_size(&mut self, delta: &Arc<Delta>) -> u64 {
         let base = delta.base.as_ref().map(|base| base.digest);
         let key = (delta.summary.in_force.version, base, delta.digest);
         if let Some(size) = self.deltas.get(&key) {
             return *size;
         }
-        let size = self.encoded(&PeerMsg::Delta(delta.clone()));
+        let size = self.encoded_size(&PeerMsg::Delta(delta.clone()));
         insert_bounded(&mut self.deltas, key, size)
     }
 
-    fn list(&mut self, list: &Arc<ZoneList>) -> u64 {
+    fn list_size(&mut self, list: &Arc<ZoneList>) -> u64 {
         let key = (list.place.zone.clone(), list.index);
         if let Some(size) = self.lists.get(&key) {
             return *size;
         }
-        let size = self.encoded(&PeerMsg::Lists(vec![list.clone()]));
+        let size = self.encoded_size(&PeerMsg::Lists(vec![list.clone()]));
         insert_bounded(&mut self.lists, key, size)
     }
 }
