--- a/core/src/call/entry/port.rs
+++ b/core/src/call/entry/port.rs
@@ -23,14 +23,15 @@
         pub depth: u8,
         /// Size of the body, if the head states it.
         pub body_bytes: Option<u64>,
-        /// Runs in progress on the target of this VM. A nested call is made by one of them.
+        /// Running requests of the local target, one of which makes the call if it is nested. Used
+        /// to count nested calls of repeated requests as retries.
         pub own_runs: Runs,
     }
 
     pub enum Input<'a> {
         /// A new configuration version takes effect.
         Configure(Arc<Snapshot>),
-        /// VM states changed.
+        /// The membership view changed.
         View(Arc<Members>),
         /// A planned shutdown begins.
         Drain,
@@ -55,7 +56,7 @@
             /// `None` if the hedge was cancelled because the primary received a response.
             end: Option<AttemptEnd>,
         },
-        /// The response body is complete, the caller disconnected, or the deadline cut it off.
+        /// The response body is complete, the caller disconnected, or the deadline interrupted it.
         Close(CallKey),
         /// The deadline passed before a response started.
         Expire {
@@ -65,7 +66,7 @@
         },
     }
 
-    /// How an attempt ended, or that its response started.
+    /// Result of an attempt: a response started, or the attempt ended without one.
     pub enum AttemptEnd {
         /// The response started. The request is not retried from here on.
         ResponseStarted {
@@ -110,10 +111,10 @@
         },
     }
 
-    /// State of the selected target at selection time.
+    /// Estimates for the selected target at the time of the attempt, for logging.
     #[derive(Default)]
     pub struct TargetEstimate {
-        /// Expected response time under the current load.
+        /// Expected response time, scaled by the load and the failure rate of the target.
         pub expected: Duration,
         /// Last load reported by the gatekeeper, and when it was received.
         pub load: Option<(Load, Time)>,
@@ -133,8 +134,8 @@
         pub estimate: TargetEstimate,
         /// Deadline of the caller.
         pub deadline: Time,
-        /// Delay in milliseconds after which to send [`Input::HedgeDue`]. Absent if the attempt
-        /// must not be hedged.
+        /// Delay in milliseconds after which the adapter sends [`Input::HedgeDue`] unless a response
+        /// has started. Absent if the attempt must not be hedged.
         pub hedge_delay_ms: Option<u32>,
         /// Crashes attributed to the request.
         pub crashes: u32,
@@ -143,7 +144,7 @@
 }
 
 impl<'a> Arrival<'a> {
-    /// Creates a request without key, timeout and body length.
+    /// Creates a top-level request without key, timeout and body length.
     pub fn new(call: CallKey, host: &'a str, path: &'a str) -> Arrival<'a> {
         Arrival {
             call,
