--- a/core/src/call/depth.rs
+++ b/core/src/call/depth.rs
@@ -2,22 +2,22 @@
 
 use super::MAX_DEPTH;
 
-/// The newest arrival contributes 1/n to the moving shares.
+/// The newest arrival is weighted by the reciprocal of this in the moving averages.
 const SHARE_EWMA_DIVISOR: u32 = 64;
 
 /// Fixed-point scale of the shares.
 const SHARE_SCALE: u32 = 1_024;
 
-/// Minimum share of deeper requests for which slots are reserved.
+/// Slots are reserved only while the share of deeper arrivals is at least this.
 const MIN_SHARE: u32 = SHARE_SCALE / 64;
 
-/// At most 1/n of the slots are reserved.
+/// The slots are divided by this to get the maximum number of reserved slots.
 const MAX_RESERVED_DIVISOR: u32 = 4;
 
 /// Distribution of nesting depths among recent arrivals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NestingDepths {
-    // Share of arrivals nested deeper than the index.
+    // Moving average, by depth, of the share of arrivals that are nested more deeply.
     deeper: [u32; MAX_DEPTH as usize],
 }
 
@@ -44,6 +44,7 @@
         if deeper.is_none_or(|share| share < MIN_SHARE) {
             return 0;
         }
+        // Slots in proportion to the share of nested arrivals, less one for each level of nesting.
         let wanted = (slots * self.deeper[0]).div_ceil(SHARE_SCALE);
         wanted.min(slots / MAX_RESERVED_DIVISOR).saturating_sub(depth.into())
     }
