--- a/core/src/call/admit.rs
+++ b/core/src/call/admit.rs
@@ -18,7 +18,7 @@
 /// Run time assumed until the first request has completed.
 const INITIAL_RUN_TIME: Duration = Duration::from_millis(5);
 
-/// Weight of a new sample in the moving average of run times, as a divisor.
+/// A new sample is weighted by the reciprocal of this in the moving average of run times.
 const RUN_TIME_EWMA_DIVISOR: u32 = 8;
 
 /// Share of the slots that a target gets right after it starts, in percent.
@@ -41,8 +41,9 @@
 struct Running {
     class: Class,
     started: Time,
-    // Bytes of the response already scheduled for the link, and bytes still expected.
+    // Response bytes passed to the link pacer, sent or scheduled.
     sent_bytes: u64,
+    // Response bytes still expected; an estimate until the response has been read.
     remaining_bytes: u64,
 }
 
@@ -56,7 +57,8 @@
     sending: IndexMap<CallKey, Running>,
     running_bulk: u32,
     queues: [VecDeque<QueuedRequest>; 3],
-    // Requests that can no longer meet their objective, oldest first.
+    // Requests that can no longer meet their objective, oldest first. They run only when no request
+    // in `queues` can.
     late: VecDeque<QueuedRequest>,
     dispatches_since_bulk: u32,
     run_times: [Duration; 3],
@@ -150,10 +152,11 @@
         };
         let run_time = self.run_times[offer.class as usize];
         let latest_start = objective.respond_by - run_time;
-        // A run that the caller's deadline would interrupt is wasted.
         let max_late_wait = run_time * self.policy.late_wait_percent / 100;
+        // A run that the caller's deadline would interrupt is wasted.
         let expires_at =
             expires_at.min(latest_start.max(now) + max_late_wait).min(offer.deadline - run_time);
+        // A request that can be sent to another target must leave time for that.
         let wait_percent = match objective.may_exceed_objective {
             true => 100,
             false => self.policy.first_wait_percent,
@@ -203,7 +206,7 @@
         queue.insert(place, waiting);
     }
 
-    /// Releases the slot of a request that did not reach the target.
+    /// Releases the slot of a request that did not reach the target, without recording a run time.
     pub fn release(&mut self, call: CallKey) {
         self.remove_running(call);
     }
@@ -290,7 +293,7 @@
         }
     }
 
-    /// Expected wait of a top-level request of the lowest rank that arrives now.
+    /// Expected wait of a top-level interactive request of the lowest priority that arrives now.
     fn wait_of_new_request(&self, now: Time) -> Duration {
         if (self.running.len() as u32) < self.slots(now) {
             return Duration::ZERO;
@@ -306,7 +309,7 @@
         self.expected_wait(now, offer)
     }
 
-    /// Slots available now: fewer than the limit while the target warms up.
+    /// Current number of slots, free or occupied: fewer than the limit while the target warms up.
     fn slots(&self, now: Time) -> u32 {
         let full = self.limits.slots;
         let warm_up = u64::from(self.limits.warm_up_ms);
@@ -383,6 +386,7 @@
     /// Expected wait of a request behind those that run before it, from the mean run times.
     fn expected_wait(&self, now: Time, offer: &Offer) -> Duration {
         let queue = offer.queue_class() as usize;
+        // One run time until a slot is released, then those of the requests ahead.
         let mut work = self.run_times[offer.class as usize];
         for (waiting, run_time) in self.queues.iter().zip(self.run_times).take(queue) {
             work += run_time * waiting.len() as u32;
