--- a/core/src/call/admit/offer.rs
+++ b/core/src/call/admit/offer.rs
@@ -5,14 +5,14 @@
 use crate::{Code, Time};
 use std::time::Duration;
 
-/// The decision on an arriving request.
+/// Whether an arriving request runs, waits or is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// Run now.
     Run,
     /// Wait for a slot, at most until this time.
     Queue(Time),
-    /// Rejected; may be retried after this time.
+    /// Reject with this code. The request may be retried after this delay.
     Reject(Code, Duration),
 }
 
@@ -21,7 +21,7 @@
 pub enum Popped {
     /// Run now.
     Run(CallKey),
-    /// Its maximum wait has passed.
+    /// Reject, because the maximum wait has passed.
     Expired(CallKey),
 }
 
@@ -52,8 +52,8 @@
 }
 
 impl Offer {
-    /// The class whose queue the request waits in. A nested interactive request gates the request
-    /// that made it.
+    /// The class whose queue the request waits in. A nested interactive request is queued as gating,
+    /// because the request that made it holds a slot until it completes.
     pub(super) fn queue_class(&self) -> Class {
         match self.class {
             Class::Interactive if self.depth > 0 => Class::Gating,
