--- a/core/src/call/gatekeeper/port.rs
+++ b/core/src/call/gatekeeper/port.rs
@@ -17,16 +17,16 @@
         pub host: &'a str,
         /// Path without query string.
         pub path: &'a str,
-        /// Terms sent by the entry node; absent if it sends none.
+        /// Route attributes sent by the entry node; absent if it sends none.
         pub terms: Option<Terms>,
-        /// The `Idempotency-Key`.
+        /// Value of the `Idempotency-Key` header.
         pub key: Option<RequestKey>,
         /// Digest of method, path and body, to recognize a repeated request. Absent if the body is
         /// too large to buffer.
         pub digest: Option<Hash>,
-        /// Identifies the request for the quarantine.
+        /// Identifies repetitions of the request, to quarantine it if it crashes targets.
         pub fingerprint: Fingerprint,
-        /// Crashes reported by the entry node.
+        /// Crashes attributed to the request, as reported by the entry node.
         pub crashes: u32,
         /// Nesting depth: the number of calls waiting for this one. 0 for a top-level request.
         pub depth: u8,
@@ -36,11 +36,12 @@
 
     /// An input of the gatekeeper.
     pub enum Input<'a> {
-        /// A new version is in force.
+        /// A new configuration version takes effect.
         Configure(Arc<Snapshot>),
-        /// The states of VMs have changed.
+        /// The membership view changed.
         View(Arc<Members>),
-        /// Peers or the platform have confirmed that the version in force is the newest.
+        /// Peers or the platform have confirmed that the configuration version in
+        /// force is the newest.
         Confirm,
         /// The planned shutdown has started.
         Drain,
@@ -59,13 +60,13 @@
         /// The last byte of a completely read response has been sent, or the caller has
         /// disconnected.
         ResponseSent(CallKey),
-        /// A note from another gatekeeper has arrived.
+        /// A message from another gatekeeper has arrived.
         Note {
             /// The sender's VM.
             from: &'a Name,
             note: &'a Note,
         },
-        /// Time has passed.
+        /// Periodic timer.
         Tick,
     }
 
@@ -100,8 +101,8 @@
         /// Forward the request to the target now.
         Run {
             call: CallKey,
-            /// Whether the request must run at most once: its response is cached, and it is not
-            /// cancelled if the caller disconnects.
+            /// Whether the request must run at most once. If so, the adapter caches the response and
+            /// does not cancel the request if the caller disconnects.
             once: bool,
         },
         /// Queue the request, at most until this time.
@@ -116,9 +117,9 @@
             /// Number of crashes attributed to the request.
             crashes: u32,
         },
-        /// Send a note.
+        /// Send a message to another gatekeeper.
         Send(OutgoingNote),
-        /// Record a change of state.
+        /// Record a state change event.
         Record(EventKind),
     }
 }
