--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -16,8 +16,8 @@
 /// Response times below this are treated as equal, so that the load decides.
 const MIN_RESPONSE_TIME: Duration = ZONE_LATENCY;
 
-/// How long a measured response time is used. Its weight decays over this time, so that slow
-/// targets are tried again.
+/// How long a measured response time or failure rate is used. Its weight decays over this time, so
+/// that slow or failing targets are tried again.
 pub const RESPONSE_TIME_TTL: Duration = Duration::from_secs(5);
 
 /// How long a load report is used.
@@ -26,16 +26,17 @@
 /// Slots assumed for a target that has not reported any.
 const DEFAULT_SLOTS: u32 = 8;
 
-/// The newest attempt contributes 1/n to the moving failure rate.
+/// The newest attempt is weighted by the reciprocal of this in the moving failure rate.
 const FAILURE_EWMA_DIVISOR: u32 = 8;
 
 /// Fixed-point scale of the failure rate.
 const FAILURE_SCALE: u32 = 1_024;
 
-/// Cost multiplier of a target that fails every request. Keeps requests away from a target that
-/// often fails although its health check passes.
+/// Cost added for a target that fails every request, as a multiple of its expected response time.
+/// Keeps requests away from a target that often fails although its health check passes.
 const FAILURE_COST_FACTOR: u32 = 8;
 
+/// A target that requests can be sent to, as seen by this node.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Address of the target's gatekeeper.
@@ -54,13 +55,13 @@
     pub load: Option<(Load, Time)>,
     /// Mean response time by class, and when it was last measured.
     pub response_time: [Option<(Duration, Time)>; 3],
-    /// Failure rate, and when it was last updated.
+    /// Failure rate in units of `1 / FAILURE_SCALE`, and when it was last updated.
     pub failure_rate: (u32, Time),
     /// Consecutive failures.
     pub failures: u32,
     /// End of the ejection.
     pub ejected_until: Time,
-    /// Rejections because of load, by class.
+    /// Most recent rejection because of load, by class.
     pub overload: [Option<Overload>; 3],
     /// When the gatekeeper's report that the target is draining expires.
     pub draining_until: Time,
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Whether a request of this class and rank was recently rejected because of load.
+    /// Whether a request of this class and of this or a higher priority was recently rejected because
+    /// of load.
     pub fn is_overloaded(&self, now: Time, class: Class, rank: u8) -> bool {
         self.overload[class as usize]
             .is_some_and(|overload| overload.until > now && overload.rank <= rank)
@@ -141,6 +143,7 @@
         let response_time = self.expected_response_time(now, class, typical_latency);
         let (outstanding, slots) = self.outstanding(now);
         let waiting = outstanding.saturating_sub(slots);
+        // Requests beyond the slots count three times.
         let time = response_time * (slots + outstanding + waiting * 2) / slots;
         time + time * FAILURE_COST_FACTOR * self.decayed_failure_rate(now) / FAILURE_SCALE
     }
@@ -178,6 +181,7 @@
         };
         let age = now.since(at).min(RESPONSE_TIME_TTL);
         let left = (RESPONSE_TIME_TTL - age).as_millis() as u32;
+        // The part above the assumed latency decays, so that the target is tried again.
         let above = mean.saturating_sub(assumed) * left / RESPONSE_TIME_TTL.as_millis() as u32;
         (mean.min(assumed) + above).max(MIN_RESPONSE_TIME)
     }
