--- a/core/tests/discovery_return.rs
+++ b/core/tests/discovery_return.rs
@@ -15,7 +15,7 @@
 const NODES: usize = 18;
 const SEEDS: usize = 3;
 
-/// Number of clock steps between two calls of a node to a random other node.
+/// Number of clock steps between two calls from a node to random targets.
 const STEPS_PER_CALL: usize = 5;
 
 /// Time after a restart within which every process must have recovered the full state.
@@ -41,7 +41,7 @@
 }
 
 impl RecoveringFleet {
-    /// Fleet that has read version 1 and every target.
+    /// Creates a fleet whose nodes all hold version 1 with every target.
     fn new(seed: u64) -> RecoveringFleet {
         let mut inner = Fleet::new(NODES, settings, ms(10), seed);
         inner.store.changes.push(version(1, 1));
@@ -77,7 +77,7 @@
         killed.iter().for_each(|node| self.inner.start(*node));
     }
 
-    /// Number of nodes that hold this version with every target.
+    /// Counts the nodes that hold this version with every target.
     fn count_up_to_date(&self, version: u64) -> usize {
         let holds = |node: &&Node| {
             let snapshot = node.snapshot.as_ref();
@@ -101,7 +101,7 @@
 
 #[test]
 fn recovery_store_overrides_peers() {
-    // The store's state takes precedence over the state received from peers.
+    // Guards against nodes that keep the state received from peers once the store is reachable.
     let mut fleet = RecoveringFleet::new(2);
     fleet.inner.set_store_unreachable(true);
     fleet.advance(Duration::from_secs(2));
@@ -121,7 +121,8 @@
 
 #[test]
 fn recovery_ignores_outdated_survivor() {
-    // Guards against restarted processes that settle on the older version of two survivors.
+    // Guards against restarted processes that adopt the version of the outdated one of two
+    // survivors.
     let mut fleet = RecoveringFleet::new(3);
     let outdated = 17;
     fleet.inner.nodes[outdated].up = false;
@@ -137,7 +138,7 @@
 
 #[test]
 fn recovery_no_offers_while_nodes_are_up() {
-    // Guards against cross-zone traffic from offers while no node is unreachable.
+    // Guards against state offers and cross-region messages while no node is unreachable.
     let mut fleet = RecoveringFleet::new(4);
     (fleet.inner.offers_sent, fleet.inner.cross_region_messages) = (0, 0);
     fleet.advance(Duration::from_secs(20));
@@ -146,7 +147,7 @@
 
 #[test]
 fn recovery_offers_to_lost_node_end() {
-    // Offers to a node that never comes back must end.
+    // Guards against state offers that are sent forever to a node that does not come back.
     let mut fleet = RecoveringFleet::new(5);
     fleet.inner.stop(3);
     fleet.advance(Duration::from_secs(1));
