--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -11,7 +11,7 @@
 pub struct Config {
     /// Nodes to query.
     pub fleet: FleetOptions,
-    /// Version to check for. Defaults to the published version or, without a platform, to the
+    /// Configuration version that the nodes should have in force. Defaults to the published version or, without a platform, to the
     /// newest version on any node.
     pub expected_version: Option<u64>,
     /// How long to wait until the version is in force everywhere.
