--- a/bench/src/fleet/size.rs
+++ b/bench/src/fleet/size.rs
@@ -73,6 +73,7 @@
     }
 }
 
+/// Inserts a size and returns it. Clears a full cache first.
 fn insert_bounded<K: std::hash::Hash + Eq>(cache: &mut IndexMap<K, u64>, key: K, size: u64) -> u64 {
     if cache.len() == CACHE_CAPACITY {
         cache.clear();
