--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -14,7 +14,7 @@
 use crate::place::{Link, Place};
 use crate::{Name, Time};
 use indexmap::IndexMap;
-use peer::{Peer, RESPONSE_TIME_TTL, TargetFilter, assumed_network_latency};
+use peer::{MEASUREMENT_TTL, Peer, TargetFilter, assumed_network_latency};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -262,7 +262,7 @@
         }
         let known = &mut peer.response_time[class as usize];
         let mean = match *known {
-            Some((mean, at)) if now.since(at) < RESPONSE_TIME_TTL => {
+            Some((mean, at)) if now.since(at) < MEASUREMENT_TTL => {
                 (mean * (RESPONSE_TIME_WEIGHT - 1) + took) / RESPONSE_TIME_WEIGHT
             }
             _ => took,
--- a/core/src/call/balance/peer.rs
+++ b/core/src/call/balance/peer.rs
@@ -18,7 +18,7 @@
 
 /// How long a measured response time or failure rate is used. Its weight decays over this time, so
 /// that slow or failing targets are tried again.
-pub const RESPONSE_TIME_TTL: Duration = Duration::from_secs(5);
+pub const MEASUREMENT_TTL: Duration = Duration::from_secs(5);
 
 /// How long a load report is used.
 const LOAD_REPORT_TTL: Duration = Duration::from_secs(1);
@@ -179,10 +179,10 @@
         let Some((mean, at)) = self.response_time[class as usize] else {
             return assumed;
         };
-        let age = now.since(at).min(RESPONSE_TIME_TTL);
-        let left = (RESPONSE_TIME_TTL - age).as_millis() as u32;
+        let age = now.since(at).min(MEASUREMENT_TTL);
+        let left = (MEASUREMENT_TTL - age).as_millis() as u32;
         // The part above the assumed latency decays, so that the target is tried again.
-        let above = mean.saturating_sub(assumed) * left / RESPONSE_TIME_TTL.as_millis() as u32;
+        let above = mean.saturating_sub(assumed) * left / MEASUREMENT_TTL.as_millis() as u32;
         (mean.min(assumed) + above).max(MIN_RESPONSE_TIME)
     }
 
@@ -195,9 +195,9 @@
     /// Failure rate, which decays while no attempt is made.
     fn decayed_failure_rate(&self, now: Time) -> u32 {
         let (share, at) = self.failure_rate;
-        let age = now.since(at).min(RESPONSE_TIME_TTL);
-        let left = (RESPONSE_TIME_TTL - age).as_millis() as u32;
-        share * left / RESPONSE_TIME_TTL.as_millis() as u32
+        let age = now.since(at).min(MEASUREMENT_TTL);
+        let left = (MEASUREMENT_TTL - age).as_millis() as u32;
+        share * left / MEASUREMENT_TTL.as_millis() as u32
     }
 }
 
