--- a/bench/src/lab/path.rs
+++ b/bench/src/lab/path.rs
@@ -6,7 +6,7 @@
 use super::world::{Event, World};
 use std::time::Duration;
 use sycamore_core::call::entry::{self, AttemptEnd, Forward};
-use sycamore_core::call::gatekeeper::{self, End};
+use sycamore_core::call::gatekeeper::{self, RunEnd};
 use sycamore_core::call::{CallKey, Fingerprint, Outcome, Runs};
 use sycamore_core::{Code, Time};
 
@@ -89,7 +89,7 @@
             Origin::Caller(_) => Runs::default(),
         };
         let arrival = entry::Arrival {
-            time_left: Some(left),
+            timeout: Some(left),
             depth: if matches!(origin, Origin::Run(_)) { NESTED_DEPTH } else { 0 },
             body_bytes: Some(0),
             own_runs,
@@ -164,7 +164,7 @@
             let hedge_delay = Duration::from_millis(hedge_delay.into());
             self.links.after(hedge_delay, Event::HedgeDue(key, attempt_key));
         }
-        let to = node_at(forward.gate);
+        let to = node_at(forward.gatekeeper);
         self.send(
             departs,
             node,
@@ -193,7 +193,7 @@
     /// Handles an attempt arriving at its gatekeeper.
     pub(super) fn receive_attempt(&mut self, forward: Forward, attempt_key: CallKey) {
         let key = forward.call;
-        let node = node_at(forward.gate);
+        let node = node_at(forward.gatekeeper);
         let Some(call) = self.calls.get(&key).filter(|call| call.waits_for(attempt_key)) else {
             return;
         };
@@ -357,7 +357,7 @@
             self.cancel_call(nested_call);
         }
         let input = match attempt.running {
-            true => gatekeeper::Input::End { call: attempt_key, end: End::Cancelled },
+            true => gatekeeper::Input::End { call: attempt_key, end: RunEnd::Cancelled },
             false => gatekeeper::Input::Withdraw(attempt_key),
         };
         self.release_slot(attempt.node, attempt_key);
--- a/core/src/call/balance.rs
+++ b/core/src/call/balance.rs
@@ -6,7 +6,7 @@
 
 mod peer;
 
-use super::entry::Reason;
+use super::entry::TargetEstimate;
 use super::policy::{Mechanism, Policy};
 use super::{Load, Members, Terms};
 use crate::config::{Class, ServiceKey, Snapshot};
@@ -14,7 +14,7 @@
 use crate::place::{Link, Place};
 use crate::{Name, Time};
 use indexmap::IndexMap;
-use peer::{Peer, RESPONSE_TIME_TTL, TargetFilter, assumed_network_latency};
+use peer::{MEASUREMENT_TTL, Peer, TargetFilter, assumed_network_latency};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -147,7 +147,7 @@
             let link = self.place.link_to(&entry.target.place());
             let known = before.swap_remove(&entry.target.vm);
             let mut peer = known.unwrap_or_else(|| Peer::new(entry.target.gate, link));
-            peer.gate = entry.target.gate;
+            peer.gatekeeper = entry.target.gate;
             peer.incarnation = entry.target.incarnation.clone();
             peer.service = entry.service.0 as usize;
             peer.slots = entry.target.slots;
@@ -224,17 +224,17 @@
 
     /// Returns the address of a target's gatekeeper and the expected incarnation of the target.
     pub fn gate(&self, vm: &Name) -> Option<(SocketAddr, Option<Name>)> {
-        self.peers.get(vm).map(|peer| (peer.gate, peer.incarnation.clone()))
+        self.peers.get(vm).map(|peer| (peer.gatekeeper, peer.incarnation.clone()))
     }
 
     /// Returns the state of a target for logging.
-    pub fn reason(&self, now: Time, vm: &Name, class: Class) -> Reason {
+    pub fn estimate(&self, now: Time, vm: &Name, class: Class) -> TargetEstimate {
         let Some(peer) = self.peers.get(vm) else {
-            return Reason::default();
+            return TargetEstimate::default();
         };
         let times = self.typical_latency.get_index(peer.service);
         let typical_latency = times.map_or(Duration::ZERO, |(_, times)| times[class as usize].mean);
-        Reason { expected: peer.cost(now, class, typical_latency), load: peer.load }
+        TargetEstimate { expected: peer.cost(now, class, typical_latency), load: peer.load }
     }
 
     pub fn request_started(&mut self, vm: &Name) {
@@ -262,7 +262,7 @@
         }
         let known = &mut peer.response_time[class as usize];
         let mean = match *known {
-            Some((mean, at)) if now.since(at) < RESPONSE_TIME_TTL => {
+            Some((mean, at)) if now.since(at) < MEASUREMENT_TTL => {
                 (mean * (RESPONSE_TIME_WEIGHT - 1) + took) / RESPONSE_TIME_WEIGHT
             }
             _ => took,
--- a/core/src/call/entry.rs
+++ b/core/src/call/entry.rs
@@ -6,7 +6,7 @@
 mod retry;
 mod retry_budget;
 
-pub use port::{Arrival, AttemptEnd, Forward, Input, Output, Reason};
+pub use port::{Arrival, AttemptEnd, Forward, Input, Output, TargetEstimate};
 
 use super::balance::{Balancer, PickRequest};
 use super::caller_waits::CallerWaits;
@@ -166,7 +166,7 @@
         if arrival.body_bytes.is_some_and(|bytes| bytes > route.max_body_bytes) {
             return reject(Code::RequestTooLarge);
         }
-        if arrival.time_left == Some(Duration::ZERO) {
+        if arrival.timeout == Some(Duration::ZERO) {
             return reject(Code::DeadlinePassed);
         }
         Ok((snapshot.clone(), key))
@@ -184,7 +184,7 @@
         let route = &entry.route;
         let route_deadline = Duration::from_millis(route.deadline_ms.into());
         let deadline =
-            now + arrival.time_left.map_or(route_deadline, |left| left.min(route_deadline));
+            now + arrival.timeout.map_or(route_deadline, |left| left.min(route_deadline));
         let service = self.splits.choose(entry);
         let terms = Terms {
             service: snapshot.service(service).name.clone(),
@@ -226,7 +226,7 @@
     /// Returns the time by which a response is most useful, measured from the caller's first
     /// attempt.
     fn objective(&mut self, now: Time, arrival: &Arrival<'_>, entry: &RouteEntry) -> Time {
-        let waited = match arrival.time_left {
+        let waited = match arrival.timeout {
             Some(left) if self.policy.is_enabled(Mechanism::Patience) => {
                 self.caller_waits.estimate(now, &entry.name, left)
             }
@@ -263,8 +263,8 @@
     /// Starts an attempt. Returns `None` if the target is no longer configured.
     fn start(&mut self, now: Time, key: CallKey, vm: &Name, hedge: bool) -> Option<Forward> {
         let call = self.calls.get_mut(&key)?;
-        let (gate, incarnation) = self.balancer.gate(vm)?;
-        let reason = self.balancer.reason(now, vm, call.terms.class);
+        let (gatekeeper, incarnation) = self.balancer.gate(vm)?;
+        let estimate = self.balancer.estimate(now, vm, call.terms.class);
         let objective = call.terms.objective.since(now);
         let hedge_delay = self.balancer.hedge_delay(vm, call.terms.class, objective);
         let may_hedge =
@@ -284,10 +284,10 @@
             call: key,
             attempt: call.attempt,
             vm: vm.clone(),
-            gate,
+            gatekeeper,
             incarnation,
             terms,
-            reason,
+            estimate,
             deadline: call.deadline,
             hedge_delay_ms: hedge_delay
                 .filter(|_| may_hedge)
--- a/core/tests/discovery_return.rs
+++ b/core/tests/discovery_return.rs
@@ -15,7 +15,7 @@
 const NODES: usize = 18;
 const SEEDS: usize = 3;
 
-/// Number of clock steps between two calls of a node to a random other node.
+/// Number of clock steps between two calls from a node to random targets.
 const STEPS_PER_CALL: usize = 5;
 
 /// Time after a restart within which every process must have recovered the full state.
@@ -41,7 +41,7 @@
 }
 
 impl RecoveringFleet {
-    /// Fleet that has read version 1 and every target.
+    /// Creates a fleet whose nodes all hold version 1 with every target.
     fn new(seed: u64) -> RecoveringFleet {
         let mut inner = Fleet::new(NODES, settings, ms(10), seed);
         inner.store.changes.push(version(1, 1));
@@ -49,7 +49,7 @@
         (0..NODES).for_each(|node| inner.input(node, Input::Start));
         let mut fleet = RecoveringFleet { inner, rng: Pcg64Mcg::seed_from_u64(seed) };
         fleet.advance(Duration::from_secs(1));
-        assert_eq!(fleet.count_holding(1), NODES);
+        assert_eq!(fleet.count_up_to_date(1), NODES);
         fleet
     }
 
@@ -77,8 +77,8 @@
         killed.iter().for_each(|node| self.inner.start(*node));
     }
 
-    /// Number of nodes that hold this version with every target.
-    fn count_holding(&self, version: u64) -> usize {
+    /// Counts the nodes that hold this version with every target.
+    fn count_up_to_date(&self, version: u64) -> usize {
         let holds = |node: &&Node| {
             let snapshot = node.snapshot.as_ref();
             snapshot.is_some_and(|held| held.version() == version && held.targets().len() == NODES)
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn return_two_survivors_seeds_lost() {
+fn recovery_from_two_survivors_without_seeds() {
     // Guards against nodes that reject calls until the store recovers, although two survivors hold
     // the state: the seeds were restarted too and know nothing.
     let mut fleet = RecoveringFleet::new(1);
@@ -96,12 +96,12 @@
     fleet.advance(Duration::from_secs(2));
     fleet.kill_and_restart(&(0..16).collect::<Vec<_>>());
     fleet.advance(RECOVERY_BOUND);
-    assert_eq!(fleet.count_holding(1), NODES);
+    assert_eq!(fleet.count_up_to_date(1), NODES);
 }
 
 #[test]
-fn return_store_takes_over() {
-    // The store's state takes precedence over the state received from peers.
+fn recovery_store_overrides_peers() {
+    // Guards against nodes that keep the state received from peers once the store is reachable.
     let mut fleet = RecoveringFleet::new(2);
     fleet.inner.set_store_unreachable(true);
     fleet.advance(Duration::from_secs(2));
@@ -111,7 +111,7 @@
     fleet.inner.store.changes.push(entry(3, TargetState::Draining, 2));
     fleet.inner.set_store_unreachable(false);
     fleet.advance(Duration::from_secs(6));
-    assert_eq!(fleet.count_holding(2), NODES);
+    assert_eq!(fleet.count_up_to_date(2), NODES);
     let leaving = |node: &Node| {
         let snapshot = node.snapshot.as_ref().unwrap();
         snapshot.targets().iter().filter(|entry| entry.target.leaving).count()
@@ -120,8 +120,9 @@
 }
 
 #[test]
-fn return_older_survivor_pulls_nobody_back() {
-    // Guards against restarted processes that settle on the older version of two survivors.
+fn recovery_ignores_outdated_survivor() {
+    // Guards against restarted processes that adopt the version of the outdated one of two
+    // survivors.
     let mut fleet = RecoveringFleet::new(3);
     let outdated = 17;
     fleet.inner.nodes[outdated].up = false;
@@ -132,12 +133,12 @@
     fleet.advance(Duration::from_secs(2));
     fleet.kill_and_restart(&(0..16).collect::<Vec<_>>());
     fleet.advance(RECOVERY_BOUND);
-    assert!(fleet.count_holding(2) >= NODES - 1, "{}", fleet.count_holding(2));
+    assert!(fleet.count_up_to_date(2) >= NODES - 1, "{}", fleet.count_up_to_date(2));
 }
 
 #[test]
-fn return_quiet_times_no_offer() {
-    // Guards against cross-zone traffic from offers while no node is unreachable.
+fn recovery_no_offers_while_nodes_are_up() {
+    // Guards against state offers and cross-region messages while no node is unreachable.
     let mut fleet = RecoveringFleet::new(4);
     (fleet.inner.offers_sent, fleet.inner.cross_region_messages) = (0, 0);
     fleet.advance(Duration::from_secs(20));
@@ -145,8 +146,8 @@
 }
 
 #[test]
-fn return_offers_end() {
-    // Offers to a node that never comes back must end.
+fn recovery_offers_to_lost_node_end() {
+    // Guards against state offers that are sent forever to a node that does not come back.
     let mut fleet = RecoveringFleet::new(5);
     fleet.inner.stop(3);
     fleet.advance(Duration::from_secs(1));
@@ -164,7 +165,11 @@
 
     /// Any single survivor suffices, even if more processes are killed during the recovery.
     #[test]
-    fn return_any_survivor(seed in any::<u32>(), killed in 9usize..NODES, again in 0usize..6) {
+    fn recovery_from_any_survivor(
+        seed in any::<u32>(),
+        killed in 9usize..NODES,
+        killed_again in 0usize..6,
+    ) {
         let mut fleet = RecoveringFleet::new(seed.into());
         fleet.inner.set_store_unreachable(true);
         fleet.advance(Duration::from_secs(2));
@@ -172,8 +177,8 @@
         nodes.shuffle(&mut fleet.rng);
         fleet.kill_and_restart(&nodes[..killed]);
         fleet.advance(ms(700));
-        fleet.kill_and_restart(&nodes[..again]);
+        fleet.kill_and_restart(&nodes[..killed_again]);
         fleet.advance(RECOVERY_BOUND);
-        prop_assert_eq!(fleet.count_holding(1), NODES);
+        prop_assert_eq!(fleet.count_up_to_date(1), NODES);
     }
 }
--- a/node/src/calls/entry.rs
+++ b/node/src/calls/entry.rs
@@ -163,7 +163,7 @@
             host: &host,
             path: req.uri().path(),
             key: head.key,
-            time_left: head.time_left,
+            timeout: head.time_left,
             depth: head.depth,
             body_bytes: head.body_bytes,
             own_runs: self.shared.own_runs(),
@@ -255,7 +255,7 @@
         (code, sent): (Code, bool),
     ) {
         if matches!(code, Code::GatekeeperUnreachable | Code::AnswerLost) {
-            self.shared.lost_gates.send(forward.gate);
+            self.shared.lost_gates.send(forward.gatekeeper);
         }
         let fields = Fields {
             attempt: Some(forward.attempt),
--- a/tools/src/status/config.rs
+++ b/tools/src/status/config.rs
@@ -11,7 +11,7 @@
 pub struct Config {
     /// Nodes to query.
     pub fleet: FleetOptions,
-    /// Version to check for. Defaults to the published version or, without a platform, to the
+    /// Configuration version that the nodes should have in force. Defaults to the published version or, without a platform, to the
     /// newest version on any node.
     pub expected_version: Option<u64>,
     /// How long to wait until the version is in force everywhere.
@@ -32,8 +32,9 @@
 
 /// Returns the command-line definition.
 pub fn command_line() -> CommandLine {
-    let line = CommandLine::new("sycamore-status", "(--vms|--node|--platform) ... [options]");
-    fleet::add_options(line)
+    let command_line =
+        CommandLine::new("sycamore-status", "(--vms|--node|--platform) ... [options]");
+    fleet::add_options(command_line)
         .with_value("version-in-force", "version to check for (default: the published one)", "N")
         .with_value("wait", "maximum time to wait until it is in force everywhere", "SECONDS")
         .with_flag("all", "list every node, not only those that lag")
