--- a/bench/src/bin/sycamore-lab.rs
+++ b/bench/src/bin/sycamore-lab.rs
@@ -73,7 +73,7 @@
     let mut options = Options::new();
     options.optflag("h", "help", "print this help");
     options.optopt("", "seeds", "range of seeds, end exclusive (default: 1..4)", "A..B");
-    options.optmulti("", "without", "disable a mechanism; may be repeated", "PART");
+    options.optmulti("", "without", "disable a mechanism; may be repeated", "NAME");
     options.optmulti(
         "",
         "set",
--- a/core/src/discovery/registry.rs
+++ b/core/src/discovery/registry.rs
@@ -66,7 +66,7 @@
         for change in changes {
             changed |= match change {
                 Change::Target { id, entry: Some(entry) } => self.upsert(id, entry),
-                // A malformed entry removes the target, whoever wrote it.
+                // A malformed entry removes the target.
                 Change::Target { id, entry: None } => self.entries.shift_remove(&id).is_some(),
                 Change::Removed { id } => self.remove(now, &id),
                 Change::Published(_) => false,
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,5 +1,4 @@
-//! The node: a sidecar process beside each target, acting as proxy, gatekeeper and configuration
-//! relay.
+//! The node: a process beside each target, acting as proxy, gatekeeper and configuration relay.
 //!
 //! The modules are adapters around the state machines of `sycamore_core`: they perform I/O, read
 //! the clock and hold locks. [`app::App`] is the entry point.
